--- a/flintreach/refuge/care.py
+++ b/flintreach/refuge/care.py
@@ -13,19 +13,8 @@
         self.plane, self.host, self.register = plane, plane.host, plane.register
         self.learned: dict[str, tuple] = {}  # key -> the stamp of what was last told as news
         self.lagging: dict[str, tuple] = {}  # key -> the oldest stamp of it that the last sweep saw
-        self.majority_at = -86400.0
         self.voting = Voting(plane)
 
-    def touched(self) -> float:
-        """When a quorum of the voters, this refuge among them, was last heard."""
-        plane, me = self.plane, self.plane.bundle.address
-        voters, heard = plane.register.voters, plane.bundle.heard
-        times = {address: heard.get(address, -86400.0) for address in voters.members() if address != me}
-        for at in sorted(times.values(), reverse=True):
-            if voters.met([me, *(address for address, time in times.items() if time >= at)]):
-                return at
-        return self.host.now()
-
     def sweep(self) -> None:
         self.voting.find()
         self.host.spawn(self.voting.run)
@@ -47,7 +36,6 @@
         answers = [(address, held) for address, held in answers if isinstance(held, dict)]
         if not voters.met(address for address, _ in answers) or self.register.voters != voters:
             return False
-        self.majority_at = self.host.now()
         crew, lagging = [], {}
         for key in sorted({key for _, held in answers for key in held} - {KEY}):
             seen = [tuple(held.get(key, (0, ""))) for _, held in answers]
--- a/flintreach/rope/bundle.py
+++ b/flintreach/rope/bundle.py
@@ -16,7 +16,6 @@
 
     def __init__(self, address: tuple[str, int], host: Host | None = None):
         self.address, self.handlers, self.host = address, {}, host or Host()
-        self.heard: dict[tuple[str, int], float] = {}  # when what a pilot last answered was asked
         self.links: dict[tuple[str, int], Link] = {}
         self.locks: dict[tuple[str, int], Any] = {}
 
@@ -54,7 +53,6 @@
         """Nothing is said any more to a pilot that has left: keep no note of it."""
         if (link := self.links.pop(address, None)) is not None:
             link.close()
-        self.heard.pop(address, None)
         self.locks.pop(address, None)
 
     def ask(self, address: tuple[str, int], kind: str, body: Any = None, timeout: float = 1.0) -> Any:
@@ -66,10 +64,7 @@
             left = asked + timeout - self.host.now()
             if left <= 0:
                 return None
-            answer = link.ask(kind, body, left)
-            # Not when it came: it may have lain in a buffer while this process slept.
-            self.heard[address] = max(asked, self.heard.get(address, asked))
-            return answer
+            return link.ask(kind, body, left)
         except (OSError, Closed):
             return None
 
--- a/tests/test_system_carrying.py
+++ b/tests/test_system_carrying.py
@@ -18,7 +18,7 @@
 from flintreach.bothy.world import World
 from flintreach.cairn.voters import Voters
 from flintreach.lookout.roster import Member
-from flintreach.refuge.care import Care
+from flintreach.refuge.contact import NEVER, Contact
 from flintreach.refuge.placing import TTL, Placing, leader
 from flintreach.trail.board import Board
 from flintreach.trail.tally import Tally
@@ -230,16 +230,11 @@
 
 class Refuges(unittest.TestCase):
     def test_alone_means_without_a_word_from_a_majority(self):
-
         circle = [(f"10.0.0.{i}", 7) for i in range(5)]
-        bundle = SimpleNamespace(address=circle[0], heard={})
-        voters = Voters(1, tuple((address, "") for address in circle))
-        care = SimpleNamespace(plane=SimpleNamespace(bundle=bundle, register=SimpleNamespace(voters=voters)))
-        self.assertLess(Care.touched(care), 0)
-        bundle.heard = {circle[1]: 50.0}
-        self.assertLess(Care.touched(care), 0)
-        bundle.heard = {circle[1]: 50.0, circle[2]: 40.0, circle[3]: 30.0}
-        self.assertEqual(Care.touched(care), 40.0)
+        voters, contact = Voters(1, tuple((address, "") for address in circle)), Contact()
+        for address, at, age in ((0, 59.0, NEVER), (1, 50.0, NEVER), (3, 30.0, 30.0), (2, 40.0, 20.0)):
+            contact.heard(circle[address], at, {}, at)
+            self.assertEqual(contact.age(voters, 60.0), age)
 
     def test_one_that_has_just_started_leads_nothing(self):
         names = {"a": False, "b": True, "c": True}
--- a/tests/test_system_endpoints.py
+++ b/tests/test_system_endpoints.py
@@ -832,14 +832,14 @@
 
     def test_links_to_who_left_are_closed_and_forgotten(self):
         bundle, link = Bundle(("10.0.0.1", 7), mock.Mock()), mock.Mock()
-        for table in (bundle.links, bundle.heard, bundle.locks):
+        for table in (bundle.links, bundle.locks):
             table.update({("10.0.0.2", 7): link, ("10.0.0.3", 7): link})
         roster = mock.Mock(members={"b": mock.Mock(address=("10.0.0.2", 7))})
         plane = mock.Mock(bundle=bundle, roster=roster, group=[], seeds=list)
         ControlPlane.forget_left(plane)
         ControlPlane.forget_left(plane)
-        self.assertEqual([[*table] for table in (bundle.links, bundle.heard, bundle.locks)],
-                         [[("10.0.0.2", 7)]] * 3)
+        self.assertEqual([[*table] for table in (bundle.links, bundle.locks)],
+                         [[("10.0.0.2", 7)]] * 2)
         link.close.assert_called_once()
 
 
--- a/tests/test_system_orders.py
+++ b/tests/test_system_orders.py
@@ -612,21 +612,6 @@
         self.assertEqual([awake.look(at) for at, _ in trace], [good for _, good in trace])
         self.assertEqual(awake.sleeps, 2)
 
-    def test_an_answer_that_lay_in_a_buffer_counts_from_its_asking(self):
-        clock = [10.0]
-
-        class Slow:
-            closed = False
-
-            def ask(self, kind, body, timeout):
-                clock[0] += 5.0  # this process slept while the answer lay there
-                return "answer"
-
-        bundle = Bundle(ME, SimpleNamespace(now=lambda: clock[0]))
-        with mock.patch.object(bundle, "link", lambda address, timeout: Slow()):
-            bundle.ask(PEERS[0], "contact")
-        self.assertEqual(bundle.heard, {PEERS[0]: 10.0})
-
 
 class Sweep(unittest.TestCase):
     def test_what_a_disk_has_accepted_since_is_not_told_as_what_stands(self):
@@ -744,6 +729,26 @@
         self.assertAlmostEqual(node.contact.asked[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking")
         self.assertGreater(world.now, 102.4)
 
+    def test_an_answer_that_lay_in_a_buffer_counts_from_its_asking(self):
+        world = World(3)
+        node, answers = world.nodes[0], iter([[0.1, [], []], {}])
+
+        class Slow:
+            def ask(self, kind, body, timeout):
+                answer = next(answers, None)
+                if answer is None:
+                    raise link.Closed
+                world.now += 5.0 if kind == "accepted" else 0.0  # this process slept while the answer lay there
+                return answer
+
+            def close(self):
+                pass
+
+        node.dial, node.news_age = lambda address, handlers, timeout: Slow(), lambda: 9.0
+        node.mesh.follow(PEERS[0])
+        self.assertEqual(node.contact.asked, {PEERS[0]: 100.0})
+        self.assertGreaterEqual(world.now, 105.0)
+
 
 class SleptClocks(unittest.TestCase):
     """Grants of keys, and the time of day."""
--- a/tests/test_system_voters.py
+++ b/tests/test_system_voters.py
@@ -200,7 +200,7 @@
 
 class Bundle:
     def __init__(self, net, address):
-        self.net, self.address, self.host, self.handlers, self.heard = net, address, net.host, {}, {}
+        self.net, self.address, self.host, self.handlers = net, address, net.host, {}
 
     def ask(self, address, kind, body=None, timeout=1.0):
         if self.address == self.net.mortal:
