--- a/tests/test_system_orders.py
+++ b/tests/test_system_orders.py
@@ -738,7 +738,7 @@
                 answer = next(answers, None)
                 if answer is None:
                     raise link.Closed
-                world.now += 5.0 if kind == "accepted" else 0.0  # this process slept while the answer lay there
+                world.now += 5.0 if kind == "accepted" else 0.0  # it lay there while this process slept
                 return answer
 
             def close(self):
