--- a/flintreach/cairn/register.py
+++ b/flintreach/cairn/register.py
@@ -64,12 +64,13 @@
             self.bundle.ask(address, "voters", self.voters.row(), 0.5)
         return True
 
-    def ask(self, address: Address, kind: str, body: Any, timeout: float) -> Any:
-        """As `Bundle.ask`, for a question that carries our epoch: who is in another one is brought to it and
-        asked again. None too where our own epoch moved meanwhile: the question was of the earlier one."""
-        until, epoch = self.host.now() + timeout, self.voters.epoch
+    def ask(self, address: Address, kind: str, body: Any, timeout: float, by: Callable | None = None) -> Any:
+        """As `Bundle.ask` (or `by`), for a question that carries our epoch: who is in another one is brought
+        to it and asked again. None too where our own epoch moved meanwhile: the question was of the earlier
+        one."""
+        until, epoch, by = self.host.now() + timeout, self.voters.epoch, by or self.bundle.ask
         for _ in range(3):
-            answer = self.bundle.ask(address, kind, body, max(0.01, until - self.host.now()))
+            answer = by(address, kind, body, max(0.01, until - self.host.now()))
             if not self.heed(address, answer):
                 return answer
             if self.voters.epoch != epoch or self.host.now() >= until:
@@ -84,13 +85,35 @@
                                   lambda answers: self.voters.epoch != epoch or enough(answers), timeout,
                                   self.ask)
 
-    def quorum(self, kind: str, body: Any, timeout: float) -> dict[Address, Any] | None:
-        """Answers of a quorum of the configuration that stands, all given under its epoch; None: too few."""
-        voters = self.voters
+    def quorum(self, kind: str, body: Any, timeout: float, by: Callable | None = None,
+               mine: Callable[[], Any] | None = None) -> dict[Address, Any] | None:
+        """Answers of a quorum of the configuration that stands, all given under its epoch; None: too few.
+
+        `by`: asks one, in place of `Bundle.ask`; `mine()`: the answer of this process, where it votes.
+        """
+        voters, me = self.voters, self.bundle.address
+
+        def ask(address, kind, body, left):
+            if mine is not None and address == me:
+                return mine() if self.votes() else None
+            return self.ask(address, kind, body, left, by)
+
         met = lambda answers: voters.met(address for address, _ in answers)  # noqa: E731
-        answers = self.gather(voters.members(), kind, body, met, timeout)
+        answers = self.bundle.gather(voters.members(), kind, body,
+                                     lambda got: self.voters != voters or met(got), timeout, ask)
         return dict(answers) if met(answers) and self.voters == voters else None
 
+    def poll(self, kind: str, body: list, timeout: float, by: Callable | None = None,
+             mine: Callable[[], Any] | None = None) -> dict[Address, Any] | None:
+        """As `quorum`, of [the epoch, *body], and once more under each later epoch that is told meanwhile."""
+        until = self.host.now() + timeout
+        while (left := until - self.host.now()) > 0 and self.group:
+            voters = self.voters
+            answers = self.quorum(kind, [voters.epoch, *body], left, by, mine)
+            if answers is not None or self.voters == voters:
+                return answers
+        return None
+
     def adopt(self, voters: Voters) -> bool:
         """Take a later configuration, one that was decided; whether this process now holds it or a later one.
 
--- a/flintreach/refuge/endpoints.py
+++ b/flintreach/refuge/endpoints.py
@@ -5,12 +5,11 @@
 notes what a quorum is known to hold (`durable`), by answers to this process alone.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Any
 
 import msgspec
 
-from flintreach.cairn.voters import Voters
 from flintreach.hutbook.book import ENDS, GONE, MISSING, READY, SECOND, Beat, Book, Record
 from flintreach.rope.host import Task
 from flintreach.trail.board import MOST_ROWS, STALE_BOARD
@@ -73,56 +72,14 @@
 
     # What a quorum of the voters holds.
 
-    def poll(self, ask: Callable[[tuple, int, float], Any], mine: Callable[[], Any],
-             timeout: float) -> dict[tuple[str, int], Any] | None:
-        """Answers of a quorum of the voters, all given under one epoch; None: not within `timeout` seconds.
-
-        `ask(address, epoch, seconds)`: a voter's answer; `mine()`: this one's, if it votes.  None is none.
-        """
-        until, register = self.host.now() + timeout, self.plane.register
-        while self.host.now() < until and register.group:
-            voters = register.voters
-            if (answers := self.round(voters, ask, mine, until)) is not None:
-                return answers
-            if register.voters is voters:
-                return None  # not for a later epoch
-        return None
-
-    def round(self, voters: Voters, ask, mine, until: float) -> dict[tuple[str, int], Any] | None:
-        host, register, me = self.host, self.plane.register, self.plane.bundle.address
-        answers, done, open_ = {}, host.event(), len(voters.members())
-
-        def one(address: tuple[str, int]) -> None:
-            nonlocal open_
-            answer = None
-            if address == me:
-                answer = mine() if register.votes() else None
-            else:
-                while register.voters is voters and (left := until - host.now()) > 0:
-                    answer = ask(address, voters.epoch, left)
-                    if not register.heed(address, answer):
-                        break
-                    answer = None
-                    host.sleep(0.01)  # it knows an earlier epoch, and is learning ours
-            open_ -= 1
-            if answer is not None:
-                answers[address] = answer
-            if not open_ or register.voters is not voters or voters.met(answers):
-                done.set()
-
-        for address in voters.members():
-            host.spawn(one, address)
-        done.wait(max(0.0, until - host.now()))
-        return {**answers} if register.voters is voters and voters.met(answers) else None
-
     def settle(self, id: str, rank: int, kind: str, body: Any, kept: Task) -> bool:
         """Whether the disks of a quorum hold that an endpoint is at least at a rank.  `kept`: what is being
         written here of it."""
-        record, bundle = self.book.records[id], self.plane.bundle
+        record = self.book.records[id]
         if record.durable >= rank:
             return True
-        answers = self.poll(lambda address, epoch, left: bundle.ask(address, kind, [epoch, *body], left),
-                            lambda: (kept.result(ACK_S), self.hold(id, rank) or None)[1], ACK_S)
+        answers = self.plane.register.poll(
+            kind, body, ACK_S, mine=lambda: (kept.result(ACK_S), self.hold(id, rank) or None)[1])
         if answers is None:
             return False
         record.durable = max(record.durable, rank)
@@ -192,11 +149,11 @@
 
     # What others know.
 
-    def ask_book(self, address: tuple[str, int], epoch: int, timeout: float):
+    def ask_book(self, address: tuple[str, int], kind: str, body: list, timeout: float):
         """All rows of a voter's book and whether it is at work, or its answer to another epoch, or None."""
-        until, rows, after = self.host.now() + timeout, [], ""
+        (epoch, after), until, rows = body, self.host.now() + timeout, []
         while (left := until - self.host.now()) > 0:
-            answer = self.plane.bundle.ask(address, "book", [epoch, after], left)
+            answer = self.plane.bundle.ask(address, kind, [epoch, after], left)
             if not isinstance(answer, list) or len(answer) != 3:
                 return answer
             part, after, at_work = answer
@@ -211,7 +168,8 @@
         At a start, and whenever this disk comes to vote: a fact that was acknowledged before must be on a
         quorum of those that vote now.
         """
-        answers = self.poll(self.ask_book, lambda: [[], False] if self.complete else None, timeout)
+        answers = self.plane.register.poll("book", [""], timeout, self.ask_book,
+                                           lambda: [[], False] if self.complete else None)
         if answers is None:
             return False
         now, at_work = self.host.now_ns(), set()
--- a/tests/test_system_endpoints.py
+++ b/tests/test_system_endpoints.py
@@ -413,14 +413,10 @@
         answer = other.handlers[kind](None, UNPACK(PACK(body)))
         return None if (address, self.address) in self.net.cut else UNPACK(PACK(answer))
 
-    def gather(self, addresses, kind, body, enough, timeout):
-        answers = []
-        for address in addresses:
-            if (answer := self.ask(address, kind, body, timeout)) is not None:
-                answers.append((address, answer))
-            if enough(answers):
-                break
-        return answers
+    def gather(self, addresses, kind, body, enough, timeout, ask=None):
+        found = [(address, (ask or self.ask)(address, kind, body, timeout)) for address in addresses]
+        answers = [row for row in found if row[1] is not None]  # all are asked, whoever is waited for
+        return next((answers[:size] for size in range(len(answers)) if enough(answers[:size])), answers)
 
     def hear(self, row):
         key, version, value, age = row
