--- a/flintreach/refuge/voting.py
+++ b/flintreach/refuge/voting.py
@@ -123,10 +123,8 @@
     def is_due(self, voters: Voters) -> bool:
         """Whether something is to be done, and it is this refuge's turn to do it."""
         disks, now = self.disks(), self.host.now()
-        # Whether those outside have caught up is asked only where something could come of it.
-        hoped = [disk if address in self.register.group else self.with_word(disk, "", True)
-                 for address, disk in disks.items()]
-        self.wish = voters if voters.joint else wanted(voters, hoped, self.losses, now - self.seen_at)
+        self.wish = voters if voters.joint else wanted(voters, self.hoped(disks), self.losses,
+                                                       now - self.seen_at)
         if self.wish is None:
             self.due = -1
             return False
@@ -137,6 +135,11 @@
         place = row.index(me) if me in row else len(row)
         return now - self.due_at >= place * TURN_S
 
+    def hoped(self, disks: dict[Address, Disk]) -> list[Disk]:
+        """The disks as if all outside had caught up: that is asked only where something could come of it."""
+        return [disk if address in self.register.group else self.with_word(disk, "", True)
+                for address, disk in disks.items()]
+
     def go_on(self, voters: Voters) -> None:
         if voters.joint:
             self.turnover.carry_on()
@@ -161,8 +164,9 @@
         self.plane.bundle.gather(peers, "leaving", list(me), lambda got: len(got) == len(peers), 0.3)
         while me in self.register.group and self.host.now() < now + HANDOVER_S:
             voters = self.register.voters
-            # While two sets stand it may be one that both need: it stays until that is over.
-            if not voters.joint and not wanted(voters, self.asked(self.disks()), self.losses, 0.0):
+            # While two sets stand it may be one that both need: it stays until that is over.  A spare that
+            # has just started still copies: who ended at once would leave its set a voter short until then.
+            if not voters.joint and not wanted(voters, self.hoped(self.disks()), self.losses, 0.0):
                 break
             self.host.sleep(0.05)
 
--- a/flintreach/standins/camp.py
+++ b/flintreach/standins/camp.py
@@ -67,6 +67,7 @@
         self.base, self.port, self.own = base, port, folder is None
         self.folder = folder or tempfile.mkdtemp(prefix="flintreach-camp-")
         names, self.machines, self.endpoints = [*ZONES], [], []
+        self.losses = {"machines": (refuges - 1) // 2 and 1, "zones": int(refuges >= len(ZONES))}
         for number in range(refuges + bothies):
             role = "refuge" if number < refuges else "bothy"
             zone = names[(number if role == "refuge" else number - refuges) % len(names)]
@@ -92,7 +93,8 @@
                 "network": {"posts": machine.posts, "spare_ports": [self.port + 4, self.port + 5],
                             "seed_nodes": [f"{m.ip}:{self.port}" for m in self.of("refuge")][:3],
                             "zones": ZONES},
-                "carrier": {"report_ms": 500}}
+                "carrier": {"report_ms": 500},
+                "tariffs": {"losses": self.losses}}
         with open(os.path.join(machine.folder, "node.yaml"), "w", encoding="utf-8") as file:
             yaml.safe_dump(node, file)
 
--- a/tests/test_system_camp.py
+++ b/tests/test_system_camp.py
@@ -6,16 +6,21 @@
 
 import json
 import os
+import shutil
 import signal
 import socket
 import time
 import unittest
 
 import gevent
+from typer.testing import CliRunner
 
+from flintreach.__main__ import commands
 from flintreach.cairn.offline import rows
 from flintreach.cairn.store import StoreError
+from flintreach.rope.bundle import Bundle
 from flintreach.standins.camp import TIMETABLE, Camp
+from flintreach.waymark.settings import place
 
 BOUND = 120.0
 
@@ -114,6 +119,66 @@
                 told = [json.loads(line) for line in log]
             self.assertIn("ready", [line.get("message_type") for line in told])
 
+    def voters(self):
+        """Who votes, by the view of any refuge that runs: (epoch, names), None while two sets stand."""
+        names = {(m.ip, self.camp.port + 4): m.name for m in self.camp.of("refuge")}
+        for ip, port in self.camp.control():
+            rows = Bundle(("127.0.0.1", 0)).ask((ip, port + 4), "show", "voters", 1.0)
+            if rows and all(row["set"] in ("votes", "") for row in rows):
+                return rows[0]["epoch"], {names[place(row["address"])] for row in rows if row["set"]}
+        return None
+
+    def vote(self, *numbers):
+        """Whether these refuges come to be the voters, and nobody else."""
+        wanted = {f"refuge-{number}" for number in numbers}
+        return self.camp.wait(lambda: (self.voters() or (0, ()))[1] == wanted, self.until)
+
+    def desk(self, *words):
+        """An operator's command: its status, and what it printed."""
+        said = CliRunner().invoke(commands(), words)
+        return said.exit_code, said.output
+
+    def test_voters_hand_over_at_a_sigterm_and_by_an_order(self):
+        """The words `leaving`, `disk`, `sync` and `replace` over sockets, each followed by a loss."""
+        self.camp = camp = Camp(self.camp.base, self.camp.port, refuges=4, bothies=1)
+        self.addCleanup(camp.stop)
+        camp.start()
+        self.assertTrue(self.vote(0, 1, 2), "the fourth would put two of four into one zone")
+        self.assertTrue(camp.put(TIMETABLE, self.until))
+        first, _, third, spare = camp.of("refuge")
+
+        def exchange(at, out, into):
+            inner = [f"{machine.ip}:{camp.port + 4}" for machine in (at, out, into)]
+            return self.desk("voters", "--at", inner[0], "--out", inner[1], "--in", inner[2])
+
+        with self.subTest("one that gets SIGTERM waits for its successor, then ends"):
+            began, _ = self.voters()
+            first.process.send_signal(signal.SIGTERM)
+            self.assertTrue(camp.wait(lambda: first.process.poll() is not None, self.until))
+            self.assertEqual(first.process.returncode, 0)
+            epoch, names = self.voters()
+            self.assertEqual((epoch, names), (began + 2, {"refuge-1", "refuge-2", "refuge-3"}))
+
+        with self.subTest("a loss right after it takes nothing"):
+            third.end(signal.SIGKILL)
+            self.assertTrue(camp.put({**TIMETABLE, "edition": "00000002"}, self.until))
+            third.start()
+            first.start()
+
+        with self.subTest("an order is refused with its reason, or done"):
+            self.assertEqual(exchange(spare, first, spare)[0], 1)
+            self.assertIn("does not vote", exchange(spare, first, spare)[1])
+            self.assertTrue(camp.wait(lambda: exchange(third, spare, first)[0] == 0, self.until))
+            self.assertTrue(self.vote(0, 1, 2))
+
+        with self.subTest("the one that was left out and another are lost with their disks"):
+            for machine in (spare, third):
+                machine.end(signal.SIGKILL)
+                shutil.rmtree(os.path.join(machine.folder, "disk"))
+            read = lambda: self.desk("get", "--at", first.posts["control"])[1]  # noqa: E731
+            self.assertTrue(camp.wait(lambda: '"00000002"' in read(), self.until))
+            self.assertTrue(camp.put({**TIMETABLE, "edition": "00000003"}, self.until))
+
     def test_a_folder_that_is_no_disk_is_told(self):
         with self.assertRaisesRegex(StoreError, "no such file"):
             rows(self.camp.folder)
