--- a/flintreach/cairn/turnover.py
+++ b/flintreach/cairn/turnover.py
@@ -149,12 +149,24 @@
         return len(good) == len(keys) and register.voters == voters
 
     def carry_on(self) -> bool:
-        """From a joint configuration to the new set alone; whether that stands. To be called by anybody, at
-        any time, again after any failure."""
+        """From a joint configuration to the new set alone; whether that stands, and a quorum of it knows. To
+        be called by anybody, at any time, again after any failure."""
         register, voters = self.register, self.register.voters
         if not voters.joint or not self.rewrite():
             return False
         after = Voters(voters.epoch + 1, voters.new)
         said = lambda answers: after.met(a for a, word in answers if word is True)  # noqa: E731
         answers = register.gather(after.members(), "sync", voters.epoch, said, 2.0)
-        return said(answers) and register.voters == voters and self.decide(after)
+        return said(answers) and register.voters == voters and self.decide(after) and self.told()
+
+    def told(self, timeout: float = 1.0) -> bool:
+        """Whether a quorum of the configuration that stands has it on its disks.
+
+        Until then who proposed it must not die together with who was left out: those who know the joint epoch
+        alone would ask for a majority of the old set too, and never learn that it is over.
+        """
+        register, voters = self.register, self.register.voters
+        met = lambda answers: voters.met(  # noqa: E731
+            address for address, row in answers if Voters.of(row).epoch >= voters.epoch)
+        answers = register.bundle.gather(voters.members(), "voters", voters.row(), met, timeout)
+        return met(answers)
--- a/flintreach/refuge/voting.py
+++ b/flintreach/refuge/voting.py
@@ -11,7 +11,7 @@
 TICK_S, COPY_S = 0.25, 2.0
 TURN_S = 1.5  # each refuge further down the row waits so much longer before it acts: two would only duel
 UNMET_S = 5.0  # after its start a refuge takes a voter that nobody has met for one that is gone
-HANDOVER_S, LEAVING_S = 2.0, 6.0  # how long one that ends waits for a successor; how long its word holds
+HANDOVER_S, SPARE_S = 2.0, 1.0  # how long one that ends waits for a successor at least; what is left then
 ROLE = "refuge"
 
 
@@ -150,23 +150,31 @@
 
     # Leaving, and orders.
 
-    def on_leaving(self, link, row):
-        self.leaving[tuple(row)] = self.host.now() + LEAVING_S
+    def on_leaving(self, link, body):
+        """Another process will end: [its address, seconds for which its word holds]."""
+        address, seconds = body
+        self.leaving[tuple(address)] = self.host.now() + seconds
         return True
 
     def leave(self) -> None:
-        """Before this process ends: where a spare may take over, or the rest suffices, that is waited for."""
+        """Before this process ends: where a spare may take over, or the rest suffices, that is waited for, as
+        long as the platform lets it."""
         me, now = self.plane.bundle.address, self.host.now()
         if me not in self.register.group:
             return
-        self.leaving[me] = now + LEAVING_S
+        until = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - SPARE_S)
+        self.leaving[me] = until + SPARE_S
         peers = self.plane.peers()
-        self.plane.bundle.gather(peers, "leaving", list(me), lambda got: len(got) == len(peers), 0.3)
-        while me in self.register.group and self.host.now() < now + HANDOVER_S:
+        self.plane.bundle.gather(peers, "leaving", [list(me), self.leaving[me] - now],
+                                 lambda got: len(got) == len(peers), 0.3)
+        while self.host.now() < until:
             voters = self.register.voters
+            if me not in self.register.group:
+                if self.turnover.told(0.5):
+                    break
             # While two sets stand it may be one that both need: it stays until that is over.  A spare that
             # has just started still copies: who ended at once would leave its set a voter short until then.
-            if not voters.joint and not wanted(voters, self.hoped(self.disks()), self.losses, 0.0):
+            elif not voters.joint and not wanted(voters, self.hoped(self.disks()), self.losses, 0.0):
                 break
             self.host.sleep(0.05)
 
--- a/flintreach/standins/simulated_plants.py
+++ b/flintreach/standins/simulated_plants.py
@@ -174,6 +174,8 @@
                          "a late first check-in of an older life ends its successor"),
     "answers-cut-off": Plant(f"{REFUGE}.control:Control", "refusal", nothing, ("stale", "evacuated", "kept"),
                              "a refuge that slept or is cut off answers"),
+    "done-when-decided": Plant("flintreach.cairn.turnover:Turnover", "told", true, ("live",),
+                               "an exchange of voters is done when only its proposer knows"),
     "never-forgets": Plant("flintreach.trail.board:Board", "expire", never_forgets, ("forgotten",),
                            "tombstones stand for ever"),
 }
--- a/flintreach/standins/simulated_trial.py
+++ b/flintreach/standins/simulated_trial.py
@@ -17,6 +17,8 @@
 from flintreach.standins.simulated_watch import INVARIANTS, Watch
 from flintreach.waymark import log
 
+CATCH_UP = 4 * SECOND  # for which a machine that is back, or new, still counts as lost
+
 
 class Faults:
     """From a seed, within what may be lost at once.  `lost`: machine -> until when it counts (ns), None:
@@ -27,7 +29,6 @@
         self.chance = random.Random(site.sim.chance.getrandbits(64))
         self.lost: dict = {}
         self.over = False
-        self.again = []  # machines that are struck as soon as the losses allow
 
     def start(self, until: int) -> None:
         self.until = until
@@ -67,10 +68,10 @@
 
     def back(self, machine) -> None:
         if machine in self.lost and self.lost[machine] is None:
-            self.lost[machine] = self.sim.now + 4 * SECOND
+            self.lost[machine] = self.sim.now + CATCH_UP
             self.watch.trouble(-1)
             if not self.over and self.chance.random() < 0.3:
-                self.sim.after(4 * SECOND + MS, self.strike_once)  # right when it no longer counts
+                self.sim.after(CATCH_UP + MS, self.strike_once)  # right when it no longer counts
 
     # Which fault, where.
 
@@ -250,11 +251,18 @@
             site.choose_seeds(self.chance)
             if not early:
                 self.sim.after(SECOND, arrive)
+            elif self.sim.now - arrived >= CATCH_UP and self.chance.random() < 0.7:
+                # Its successor has had its time, so it counts no more, and the next may go at once.
+                del self.lost[machine]
+                self.watch.trouble(-1)
+                self.sim.after(int(self.chance.random() * 30 * MS), self.strike_at, None, self.HARD)
+                return
             self.later(machine, (0 if early else SECOND) + 1, lambda: None)
 
+        arrived = self.sim.now
         if early:
             arrive()
-            self.sim.after(int(self.chance.uniform(0.1, 5) * SECOND), leave)
+            self.sim.after(int(self.chance.uniform(0.1, 9) * SECOND), leave)
         else:
             leave()
 
@@ -333,6 +341,63 @@
             wiped = self.chance.sample([*self.site.refuges.values()], self.site.shape.machines)
         self.all_at_once(wiped)
 
+    def hand_over(self) -> None:
+        """In calm, one is exchanged for one that has had its time, as planned or by an operator's order;
+        right when that is done it is gone, and another is lost with its disk."""
+        site, sim, chance = self.site, self.sim, self.chance
+        machine = chance.choice([*site.refuges.values()])
+        asked = chance.choice([m for m in site.refuges.values() if m is not machine])
+        fresh, struck = site.machine(site.refuges, "refuge", machine.zone), []
+        site.start(fresh)
+        sim.run(sim.now + CATCH_UP + int(chance.random() * SECOND))
+        self.watch.trouble(1)
+
+        def gone():
+            if machine.ip in site.refuges:
+                site.remove(machine)
+                site.choose_seeds(chance)
+                left = [*site.refuges.values()]
+                one = asked if chance.random() < 0.5 else chance.choice(left)
+                sim.after(int(chance.choice((0.0, chance.random())) * 40 * MS), lose, one)
+
+        def lose(one):
+            struck.append(one)
+            self.note(one, "loses its disk right after a handover")
+            site.end(one, power=True)
+            site.wipe(one)
+
+        def order():
+            voting, wanted = asked.process.plane.care.voting, [machine.process_address, fresh.process_address]
+            said = voting.on_replace(None, [[*place] for place in wanted])
+            self.note(asked, f"ordered to exchange {machine.name}: {said or 'done'}")
+            if said:
+                machine.process.stop(gone)
+            else:
+                sim.after(0, gone)
+
+        self.note(machine, "hands over")
+        if chance.random() < 0.6:
+            asked.process.do(asked.process.host.spawn, order)
+        else:
+            machine.process.stop(gone)
+        sim.after(9 * SECOND, gone)  # grace is over
+        sim.run(sim.now + 14 * SECOND)
+        if not self.acknowledged():
+            self.watch.broke("live", "after a handover and a loss an order is not acknowledged")
+        self.start_again(struck[0])
+        self.watch.trouble(-1)
+        sim.run(sim.now + int(5.5 * SECOND))
+
+    def acknowledged(self, seconds: float = 7.0) -> bool:
+        """Whether a new configuration is taken while nothing else happens."""
+        told, callers = [], self.callers
+        callers.number += 1
+        self.site.host.spawn(lambda: told.append(callers.put(callers.number, seconds)))
+        until = self.sim.now + int((seconds + 1) * SECOND)
+        while not told and self.sim.now < until:
+            self.sim.run(self.sim.now + SECOND // 10)
+        return told == [True]
+
     def heal_all(self) -> None:
         """Whatever an undoing left."""
         self.over = True
@@ -344,7 +409,7 @@
     """A first start, faults, calm, at times a closing fault, calm, and what must hold then."""
     chance, began = random.Random(sim.chance.getrandbits(64)), sim.now
     faults, callers = Faults(site, watch), Callers(site, watch)
-    shape = site.shape
+    faults.callers, shape = callers, site.shape
     sim.note("site", f"{shape.refuges} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
                      f"or {shape.zones} zones; report {shape.report_ms} ms")
     slow = chance.choice([*site.refuges.values()]) if chance.random() < 0.2 else None
@@ -366,6 +431,8 @@
     sim.run(end + 2 * SECOND)
     faults.heal_all()
     sim.run(sim.now + int(4.5 * SECOND))
+    if shape.machines and chance.random() < 0.4:
+        faults.hand_over()
     if chance.random() < 0.6:
         # Right after an acknowledgement, or soon after a change was sent.
         when = chance.random()
--- a/tests/test_system_voters.py
+++ b/tests/test_system_voters.py
@@ -297,6 +297,38 @@
         self.assertTrue(done)
         self.assertGreater(deaths, 15)
 
+    def test_once_an_exchange_is_done_its_proposer_may_go_with_the_one_left_out(self):
+        """Who knows the joint epoch alone would need a majority of the old set, of which two are gone."""
+        for proposer in "ab":
+            net = Net("abcd", "abc")
+            self.assertTrue(net.put("a", "k", b"1") and net.turnovers["d"].catch_up())
+            self.assertTrue(net.exchange(proposer, "c", "d"))
+            net.down |= {at(proposer), at("c")}
+            left = next(name for name in "ab" if name != proposer)
+            self.assertTrue(net.put(left, "k", b"2"))
+            self.assertEqual(net.registers["d"].read("k", 0.5), (True, b"2"))
+
+    def test_an_exchange_that_a_quorum_of_the_new_set_has_not_on_disk_is_not_done(self):
+        net, full = Net("abcd", "abc"), False
+
+        def keeps(keep):
+            return lambda slots, facts=None: not (full and "voters" in (facts or ())) and keep(slots, facts)
+
+        def decide(wish, first=net.turnovers["a"].decide):
+            nonlocal full
+            full = not wish.joint  # two disks take none of the last step
+            return first(wish)
+
+        self.assertTrue(net.turnovers["d"].catch_up())
+        for name in "bd":
+            net.registers[name].store.keep = keeps(net.registers[name].store.keep)
+        net.turnovers["a"].decide = decide
+        self.assertFalse(net.exchange("a", "c", "d"))
+        self.assertEqual(net.registers["a"].voters, voters(3, "abd"))
+        full = False
+        self.assertTrue(net.turnovers["a"].told())
+        self.assertEqual([net.registers[name].voters.epoch for name in "ab"], [3, 3])
+
     def test_the_endpoint_records_are_collected_before_the_new_set_is_alone(self):
         net = Net("abcd", "abc")
         self.assertTrue(net.turnovers["d"].catch_up())
