--- a/flintreach/standins/simulated_callers.py
+++ b/flintreach/standins/simulated_callers.py
@@ -200,13 +200,17 @@
                 self.check_in(tries=1)
         host.sleep(self.chance.uniform(3.0, 5.0))
         if done or self.chance.random() < 0.5:
+            self.stop()  # with its sign-off it ends: it begins nothing more, though the answer may be lost
             self.insist(self.sign_off, 3.0)
         self.end()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.up = False
         if self.site.endpoints.get(self.addr) is self:
             del self.site.endpoints[self.addr]
+
+    def end(self) -> None:
+        self.stop()
         # What a slow network still holds of it arrives after its end.
         for path, body in self.chance.sample(self.sent, min(len(self.sent), self.chance.randint(0, 2))):
             self.callers.host.spawn(self.late, path, body, self.chance.uniform(0.5, 8.0))
