--- a/flintreach/lookout/roster.py
+++ b/flintreach/lookout/roster.py
@@ -5,7 +5,10 @@
 Times are nanoseconds of the steady clock.
 """
 
+import zlib
+from array import array
 from dataclasses import dataclass, field
+from hashlib import blake2b
 from typing import Any
 
 MS = 1_000_000
@@ -13,6 +16,11 @@
 FORGET = 120_000 * MS
 ALIVE, SUSPECTED, DEAD, LEFT = 0, 1, 2, 3
 RIDERS, TELLS, HELPERS = 8, 4, 2  # news on a datagram; how often it is told; asked for a second opinion
+BUCKETS = 32  # of names, in which two pilots compare what they believe
+
+
+def bucket(name: str) -> int:
+    return zlib.crc32(name.encode()) % BUCKETS
 
 
 @dataclass(slots=True)
@@ -57,6 +65,7 @@
         self.probes: dict[int, Probe] = {}
         self.relayed: dict[int, tuple[tuple, int]] = {}  # our number -> who asked, their number
         self.number, self.next_at, self.version = 0, 0, 0
+        self.summed: tuple[int, bytes] = (-1, b"")
 
     def alive(self, role: str | None = None) -> list[Member]:
         return [m for m in self.members.values() if m.state <= SUSPECTED and role in (None, m.role)]
@@ -93,6 +102,8 @@
                     self.news(row.name, now)
                 continue
             held = self.members.get(row.name)
+            if held is None and row.state >= DEAD:
+                continue  # another is about to forget it too: told back and forth it would stand for ever
             if held is None or (row.life, row.state) > (held.life, held.state):
                 self.members[row.name] = row
                 self.news(row.name, now)
@@ -100,14 +111,40 @@
     def message(self, kind: str, number: int, *rest: Any) -> list:
         return [kind, number, self.me.row(), self.riders(), *rest]
 
+    def sums(self) -> bytes:
+        """What this pilot believes of those that are there, a hash for each bucket of names.
+
+        The dead are left out: each pilot forgets them at a time of its own.
+        """
+        if self.summed[0] != self.version:
+            found = array("Q", bytes(8 * BUCKETS))
+            for member in self.members.values():
+                if member.state < DEAD:
+                    said = f"{member.name} {member.life} {member.state}".encode()
+                    found[bucket(member.name)] ^= int.from_bytes(blake2b(said, digest_size=8).digest(), "big")
+            self.summed = self.version, found.tobytes()
+        return self.summed[1]
+
     def join(self, addresses: list[tuple[str, int]]) -> list:
-        return [(address, self.message("join", 0)) for address in addresses if address != self.me.address]
+        sums = self.sums()
+        return [(address, self.message("join", 0, sums)) for address in addresses
+                if address != self.me.address]
+
+    def crowd(self, theirs: bytes) -> list[list]:
+        """What one who believes `theirs` (see `sums`) is to be told: all of each bucket that differs.  Raises
+        ValueError."""
+        told, ours = array("Q"), array("Q")
+        told.frombytes(theirs)
+        ours.frombytes(self.sums())
+        if len(told) != BUCKETS:
+            raise ValueError(f"sums of {len(theirs)} bytes, expected {8 * BUCKETS}")
+        return [m.row() for m in self.members.values() if told[bucket(m.name)] != ours[bucket(m.name)]]
 
     def hear(self, source: tuple[str, int], message: list, now: int) -> list:
         kind, number, sender, rows, *rest = message
         self.take([sender, *rows], now)
         if kind == "join":
-            rows = [m.row() for m in self.members.values()]
+            rows = self.crowd(*rest)
             return [(source, ["crowd", 0, self.me.row(), rows[at:at + RIDERS]])
                     for at in range(0, len(rows), RIDERS)]
         if kind == "ping":
--- a/tests/test_system_orders.py
+++ b/tests/test_system_orders.py
@@ -823,8 +823,10 @@
             member = lambda name, ip, life: Member(name, "refuge", ip, 7, "z", "r", life=life)  # noqa: E731
             others = Roster(member("b", "10.0.0.2", 5), lambda n: 0)
             before = member("a", "10.0.0.1", 9000)
+            others.take([before.row()], 0)  # of one that nobody knew a death is no news
             before.state, before.ready = state, True
             others.take([before.row()], 0)
+            self.assertEqual(others.members["a"].state, state)
             again = Roster(member("a", "10.0.0.1", 4), lambda n: 0)
             mail = again.join([("10.0.0.2", 7)])
             for _ in range(4):
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -45,7 +45,7 @@
     Book,
     Record,
 )
-from flintreach.lookout.roster import ALIVE, DEAD, SUSPECTED, Member, Roster
+from flintreach.lookout.roster import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, Roster, bucket
 from flintreach.ridge.place import Place, Ridge
 from flintreach.rope.host import Host
 from flintreach.trail.board import Board
@@ -53,6 +53,8 @@
 from flintreach.trail.tree import BORNE, FAN, parents
 from flintreach.waymark import settings, timetable
 
+PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
+
 
 def most(size):
     """A quorum by count, of disks known by name."""
@@ -319,6 +321,55 @@
         roster.take([["a", "bothy", "10.0.0.1", 7, "z", "r", {}, False, False, 5, SUSPECTED]], 0)
         self.assertEqual((roster.me.life, roster.me.state), (6, ALIVE))
 
+    def known(self, name, others, life=1):
+        roster = Roster(Member(name, "bothy", f"ip-{name}", 7, "z", "r", life=life), lambda n: 0)
+        roster.take([Member(other, "bothy", f"ip-{other}", 7, "z", "r", life=1).row() for other in others], 0)
+        return roster
+
+    def asked(self, one, other, now=0):
+        """Rows that one pilot is told by another when it joins there."""
+        (_, message), = one.join([other.me.address])
+        answers = other.hear(one.me.address, UNPACK(PACK(message)), now)
+        for _, answer in answers:
+            one.hear(other.me.address, answer, now)
+        return [row for _, answer in answers for row in answer[3]]
+
+    def test_who_believes_the_same_is_told_nothing_and_else_what_differs(self):
+        """At rest each pilot asks the seeds every three seconds: whole rosters would grow with the square."""
+        names = [f"m{number:03}" for number in range(200)]
+        one, other = self.known("m000", names), self.known("m001", names)
+        self.assertEqual(self.asked(one, other), [])
+        self.assertEqual(len(one.join([other.me.address])[0][1][-1]), 8 * BUCKETS)
+        gone = other.members["m077"]
+        gone.state = DEAD
+        other.news("m077", 1)
+        told = self.asked(one, other)
+        self.assertEqual({bucket(row[0]) for row in told}, {bucket("m077")})
+        self.assertLess(len(told), 20)
+        self.assertEqual(one.members["m077"].state, DEAD)
+        self.assertEqual(self.asked(one, other), [])
+        fresh = self.known("m777", [])
+        self.assertGreaterEqual(len(self.asked(fresh, other)), 199)
+        self.assertEqual({*fresh.members} - {"m777"}, {*names} - {"m077"})
+        with self.assertRaises(ValueError):
+            other.crowd(b"short")
+
+    def test_the_dead_are_forgotten_though_others_still_tell_of_them(self):
+        """Each forgets at a time of its own: told back and forth they would stand for ever."""
+        one, other = self.known("a", ["b", "x"]), self.known("b", ["a", "x"])
+        for roster, at in ((one, 0), (other, 60)):
+            roster.members["x"].state = DEAD
+            roster.news("x", at * SECOND)
+        for second in range(0, 300, 3):
+            for roster in (one, other):
+                roster.changed.update(a=0, b=0)
+                roster.tick(second * SECOND)
+            one.take(UNPACK(PACK([m.row() for m in other.members.values()])), second * SECOND)
+            other.take(UNPACK(PACK([m.row() for m in one.members.values()])), second * SECOND)
+            self.asked(one, other, second * SECOND)
+            self.asked(other, one, second * SECOND)
+        self.assertNotIn("x", {**one.members, **other.members})
+
     def fleet(self, fronts, zones=4, refuges=5):
         def member(name, zone, role="bothy"):
             return Member(name, role, "ip-" + name, 7, zone, zone[0])
