--- a/flintreach/refuge/voting.py
+++ b/flintreach/refuge/voting.py
@@ -40,9 +40,11 @@
                 if alive or m.address not in found:  # a successor may have the address of one that is dead
                     found[m.address] = Disk(m.address, m.zone, m.region, alive=alive,
                                             leaving=leaving or m.state == LEFT)
-        if now - self.began > UNMET_S:
-            for address in self.register.group:
-                found.setdefault(address, Disk(address, "?", "?", alive=False))
+        unmet = [address for address in self.register.group if address not in found]
+        if unmet and now - self.began <= UNMET_S:
+            self.seen_at = now  # no growth around one that may be gone: its place is for a successor
+        for address in unmet if now - self.began > UNMET_S else ():
+            found[address] = Disk(address, "?", "?", alive=False)
         seen = frozenset(address for address, disk in found.items() if disk.alive)
         if seen != self.seen:
             self.seen, self.seen_at = seen, now
--- a/tests/test_system_voters.py
+++ b/tests/test_system_voters.py
@@ -406,7 +406,7 @@
 
 
 class Starts(unittest.TestCase):
-    def plane(self, net, name, coming):
+    def plane(self, net, name, coming, machines=2):
         """A refuge's plane as far as `Voting` needs it; `coming`: (from which second, name, zone)."""
         register, host = net.registers[name], net.host
 
@@ -417,7 +417,7 @@
                                            state=0, counted=True)
                         for since, n, zone in coming if host.now() >= since}
 
-        losses = SimpleNamespace(machines=2, zones=1, regions=0)
+        losses = SimpleNamespace(machines=machines, zones=1, regions=0)
         return SimpleNamespace(
             host=host, register=register, bundle=register.bundle, roster=Roster(), first_run=True,
             node=SimpleNamespace(tariffs=SimpleNamespace(losses=losses)),
@@ -444,6 +444,22 @@
         self.assertEqual(voting.register.voters.members(), [at("a"), at("b")])
         self.assertGreaterEqual(net.host.now(), 6.0)
 
+    def test_no_growth_around_a_voter_that_nobody_has_met_since_all_were_killed(self):
+        """One was gone for good before: its successor came in beside it, a set of four with one dead, and the
+        next loss took the majority (simulated seed 337)."""
+        net = Net("abcd", "abc")
+        net.down.add(at("c"))
+        voting = Voting(self.plane(net, "a", [(0, "a", "v"), (0, "b", "w"), (0, "d", "x")], machines=1))
+        self.assertTrue(net.turnovers["d"].catch_up())
+        seen = []
+        while net.host.now() < 8.0:
+            voting.turn()
+            if not seen or seen[-1] != net.registers["a"].voters:
+                seen.append(net.registers["a"].voters)
+            net.host.sleep(0.25)
+        self.assertEqual((seen[0], seen[-1]), (voters(1, "abc"), voters(3, "abd")))
+        self.assertNotIn({at(name) for name in "abcd"}, [one for held in seen for one in held.sets])
+
     def test_seeds_of_the_first_start_are_kept_and_later_ones_decide_nothing(self):
         net, voting = self.started([(0, "a", "v"), (0, "b", "w")])
         kept = Voters.kept(net.registers["a"].store.facts)
