--- a/flintreach/cairn/register.py
+++ b/flintreach/cairn/register.py
@@ -78,12 +78,12 @@
         return None
 
     def gather(self, addresses: list[Address], kind: str, body: Any, enough: Callable[[list], bool],
-               timeout: float) -> list:
-        """As `Bundle.gather`, by `ask`; it ends too when our epoch moves."""
+               timeout: float, ask: Callable | None = None) -> list:
+        """As `Bundle.gather`, by `self.ask` if not told; it ends too when our epoch moves."""
         epoch = self.voters.epoch
         return self.bundle.gather(addresses, kind, body,
                                   lambda answers: self.voters.epoch != epoch or enough(answers), timeout,
-                                  self.ask)
+                                  ask or self.ask)
 
     def quorum(self, kind: str, body: Any, timeout: float, by: Callable | None = None,
                mine: Callable[[], Any] | None = None) -> dict[Address, Any] | None:
@@ -99,8 +99,7 @@
             return self.ask(address, kind, body, left, by)
 
         met = lambda answers: voters.met(address for address, _ in answers)  # noqa: E731
-        answers = self.bundle.gather(voters.members(), kind, body,
-                                     lambda got: self.voters != voters or met(got), timeout, ask)
+        answers = self.gather(voters.members(), kind, body, met, timeout, ask)
         return dict(answers) if met(answers) and self.voters == voters else None
 
     def poll(self, kind: str, body: list, timeout: float, by: Callable | None = None,
--- a/flintreach/refuge/voting.py
+++ b/flintreach/refuge/voting.py
@@ -41,10 +41,10 @@
                     found[m.address] = Disk(m.address, m.zone, m.region, alive=alive,
                                             leaving=leaving or m.state == LEFT)
         unmet = [address for address in self.register.group if address not in found]
-        if unmet and now - self.began <= UNMET_S:
+        if now - self.began > UNMET_S:
+            found |= {address: Disk(address, "?", "?", alive=False) for address in unmet}
+        elif unmet:
             self.seen_at = now  # no growth around one that may be gone: its place is for a successor
-        for address in unmet if now - self.began > UNMET_S else ():
-            found[address] = Disk(address, "?", "?", alive=False)
         seen = frozenset(address for address, disk in found.items() if disk.alive)
         if seen != self.seen:
             self.seen, self.seen_at = seen, now
