--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -11,12 +11,12 @@
 
 import typer
 
-from flintreach import interface as face
 from flintreach.evidence import packet
 from flintreach.evidence.ledger import Ledger
 from flintreach.evidence.packet import Value
-from flintreach.interface import SECOND
-from flintreach.logic import Pilot
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.logic import Pilot
 from flintreach.standins import collectd
 from flintreach.telemetry.measures import Measures
 
--- a/flintreach/__main__.py
+++ b/flintreach/__main__.py
@@ -5,6 +5,15 @@
 import sys
 from pathlib import Path
 
+# How a deploy file calls a program -> the package that holds it.
+PROGRAMS = {
+    "proxy": "proxy",
+    "controller": "controller",
+    # As in deploy files of earlier releases.
+    "bothy": "proxy",
+    "refuge": "controller",
+}
+
 
 def configured(path: Path | None):
     from flintreach.net import config
@@ -20,11 +29,11 @@
     """The operator's own file, where one is named."""
     if not path and not os.environ.get("FLINTREACH_OPERATOR"):
         return None
-    from flintreach import operator
+    from flintreach.pilot import operator_file
 
     try:
-        return operator.load(str(path) if path else None)
-    except operator.OperatorError as error:
+        return operator_file.load(str(path) if path else None)
+    except operator_file.OperatorError as error:
         print(f"flintreach: {error}", file=sys.stderr)
         sys.exit(2)
 
@@ -97,7 +106,7 @@
             f"{len(told.settings.operations)} operations; listens at {told.listen}"
         )
         if file:
-            from flintreach.operator import says
+            from flintreach.pilot.operator_file import says
 
             for line in says(file):
                 typer.echo(line)
@@ -113,9 +122,9 @@
 
         sys.exit(show.show(directory, match, as_json))
 
-    from flintreach.waymark import desk
+    from flintreach.cli import system
 
-    desk.commands(app)
+    system.commands(app)
     return app
 
 
@@ -132,9 +141,7 @@
     # The platform's own start: with a part of a core, loading typer would keep the pilot away for longer.
     if sys.argv[1:] == ["serve"]:
         run(None)
-    elif sys.argv[1:] in (["proxy"], ["refuge"]):
-        program(sys.argv[1])
-    elif sys.argv[1:] == ["bothy"]:  # the proxy's name in deploy files of earlier texts
-        program("proxy")
+    elif len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
+        program(PROGRAMS[sys.argv[1]])
     else:
         commands()()
--- a/flintreach/adapter/__main__.py
+++ b/flintreach/adapter/__main__.py
@@ -6,7 +6,7 @@
 
 from flintreach.adapter import wire
 from flintreach.adapter.host import Host
-from flintreach.logic import Pilot
+from flintreach.pilot.logic import Pilot
 
 
 def complain(text: str) -> None:
--- a/flintreach/adapter/host.py
+++ b/flintreach/adapter/host.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from flintreach import interface as face
-from flintreach import settings
 from flintreach.adapter import wire
-from flintreach.registry import Registry
+from flintreach.pilot import interface as face
+from flintreach.pilot import settings
+from flintreach.pilot.registry import Registry
 
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 ROSTERS = {"Partial": "delta", "Complete": "full", "Persisted": "cached", "Error": "failed"}
--- a/flintreach/adapter/wire.py
+++ b/flintreach/adapter/wire.py
@@ -6,7 +6,7 @@
 from decimal import InvalidOperation
 from typing import NamedTuple, TextIO
 
-from flintreach.settings import nanoseconds
+from flintreach.pilot.settings import nanoseconds
 
 NANO = 1_000_000_000
 
--- /dev/null
+++ b/flintreach/api/__init__.py
@@ -0,0 +1,1 @@
+"""The table of calls that endpoints, clients and operators make."""
--- /dev/null
+++ b/flintreach/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line, one module a group of commands."""
--- a/flintreach/waymark/desk.py
+++ b/flintreach/cli/system.py
@@ -40,19 +40,19 @@
 
 def checked(path: Path) -> str:
     """What a file holds: a configuration (JSON) or a process's settings (YAML)."""
-    from flintreach.waymark import settings, timetable
+    from flintreach.config import configuration, settings
 
     try:
         data = path.read_bytes()
         if data.lstrip().startswith(b"{"):
-            table = timetable.check(data)
+            table = configuration.check(data)
             routes = sum(len(wicket.regulations) for wicket in table.wickets)
             return f"{path}: edition {table.edition}, {routes} routes, {len(table.depots)} services"
         node = settings.parse(data.decode(), str(path))
         return f"{path}: {node.sender.node_name} in {node.sender.zone}, serves {' '.join(node.sender.serves)}"
     except OSError as error:
         return fail(2, f"{path}: {error.strerror}")
-    except (settings.SettingsError, timetable.ConfigError, UnicodeDecodeError) as error:
+    except (settings.SettingsError, configuration.ConfigError, UnicodeDecodeError) as error:
         return fail(2, str(error) if str(path) in str(error) else f"{path}: {error}")
 
 
@@ -88,7 +88,7 @@
         as_json: bool = typer.Option(False, "--json", help="Rows as JSON."),
     ) -> None:
         """Look at a running refuge: status, members, endpoints, tables, keys or voters."""
-        from flintreach.rope.bundle import Bundle
+        from flintreach.transport.peer_pool import Bundle
 
         if view not in VIEWS:
             fail(2, f"{view}: expected one of {', '.join(VIEWS)}")
@@ -111,15 +111,15 @@
     @app.command()
     def camp(proxies: int = 3, refuges: int = 3, desks: int = 4, stores: int = 2, port: int = 7600) -> None:
         """The whole system on this machine's loopback, with stand-in endpoints, until it is interrupted."""
-        from flintreach.standins.camp import serve
+        from flintreach.demo.cluster import serve
 
         raise typer.Exit(serve(proxies, refuges, desks, stores, port))
 
     @app.command()
     def state(folder: Path, as_json: bool = typer.Option(False, "--json", help="Rows as JSON.")) -> None:
         """Look into the disk folder of a refuge that does not run; nothing there is changed."""
-        from flintreach.cairn.offline import rows
-        from flintreach.cairn.store import StoreError
+        from flintreach.consensus.inspection import rows
+        from flintreach.consensus.store import StoreError
 
         try:
             found = rows(str(folder))
@@ -138,7 +138,7 @@
         into: str = typer.Option(None, "--in", help="A caught-up disk to take in instead."),
     ) -> None:
         """Exchange, leave out or take in a voter of the register; `show voters` tells who votes."""
-        from flintreach.rope.bundle import Bundle
+        from flintreach.transport.peer_pool import Bundle
 
         order = [list(place(text)) if text else None for text in (out, into)]
         said = Bundle(("127.0.0.1", 0)).ask(place(inner), "replace", order, 6.0)
@@ -153,8 +153,8 @@
         confirm: str = typer.Option("", help="The word that is asked for."),
     ) -> None:
         """Last resort after more losses than allowed: the disk of a stopped refuge becomes the only voter."""
-        from flintreach.cairn.rescue import CONFIRM, alone
-        from flintreach.cairn.store import StoreError
+        from flintreach.consensus.recovery import CONFIRM, alone
+        from flintreach.consensus.store import StoreError
 
         if confirm != CONFIRM:
             fail(2, f"all that this disk does not hold will be lost: say so by --confirm {CONFIRM}")
@@ -174,14 +174,14 @@
         plant: str = typer.Option("", hidden=True),
     ) -> None:
         """Play the control plane in simulated time under faults from seeds; 1 if an invariant breaks."""
-        from flintreach.standins import simulated_trial
+        from flintreach.simulation import trial
 
         if trace >= 0:
-            outcome = simulated_trial.play(trace, nodes or None, kept=400, plant=plant)
+            outcome = trial.play(trace, nodes or None, kept=400, plant=plant)
             typer.echo(f"{outcome.report()}\n  digest {outcome.digest}, {outcome.events} events")
             raise typer.Exit(bool(outcome.broken))
         played = range(first, first + seeds)
-        raise typer.Exit(simulated_trial.show(played, nodes or None, workers, typer.echo, plant))
+        raise typer.Exit(trial.show(played, nodes or None, workers, typer.echo, plant))
 
     @app.command()
     def evacuate(
--- /dev/null
+++ b/flintreach/common/__init__.py
@@ -0,0 +1,1 @@
+"""What all programs share."""
--- /dev/null
+++ b/flintreach/config/__init__.py
@@ -0,0 +1,1 @@
+"""Settings of a process and the operator's configuration: read, checked, typed."""
--- a/flintreach/waymark/settings.py
+++ b/flintreach/config/settings.py
@@ -138,7 +138,7 @@
 
 def again(held: Node) -> Node:
     """The settings read anew, or those held where the file can't be used: a bad file stops nobody."""
-    from flintreach.waymark.log import say
+    from flintreach.common.log import say
 
     try:
         return load()
--- a/flintreach/cairn/offline.py
+++ b/flintreach/consensus/inspection.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from flintreach.cairn.store import FORMAT, StoreError
-from flintreach.waymark.timetable import Standing
+from flintreach.config.configuration import Standing
+from flintreach.consensus.store import FORMAT, StoreError
 
 UNPACK = msgspec.msgpack.decode
 
--- a/flintreach/cairn/proposer.py
+++ b/flintreach/consensus/proposer.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Hashable, Iterable
 
-from flintreach.cairn.acceptor import NOTHING
+from flintreach.consensus.acceptor import NOTHING
 
 Step = Callable[[bytes | None], bytes | None]
 Quorum = Callable[[Iterable[Hashable]], bool]
--- a/flintreach/cairn/turnover.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from flintreach.cairn.acceptor import NOTHING
-from flintreach.cairn.register import Register
-from flintreach.cairn.voters import Address, Voters
+from flintreach.consensus.acceptor import NOTHING
+from flintreach.consensus.quorum import Address, Voters
+from flintreach.consensus.register import Register
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 KEY = "voters"
--- a/flintreach/cairn/rescue.py
+++ b/flintreach/consensus/recovery.py
@@ -8,8 +8,8 @@
 import os
 import sqlite3
 
-from flintreach.cairn.store import FORMAT, StoreError
-from flintreach.cairn.voters import Address, Voters
+from flintreach.consensus.quorum import Address, Voters
+from flintreach.consensus.store import FORMAT, StoreError
 
 FENCE = 1000  # epochs: survivors of the old voters can't have come that far by themselves
 CONFIRM = "lose-what-others-hold"
--- a/flintreach/cairn/register.py
+++ b/flintreach/consensus/register.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from flintreach.cairn.acceptor import NOTHING, Acceptor, Slot, merged
-from flintreach.cairn.proposer import Change, Step
-from flintreach.cairn.store import Store
-from flintreach.cairn.voters import Address, Voters
-from flintreach.rope.bundle import Bundle
+from flintreach.consensus.acceptor import NOTHING, Acceptor, Slot, merged
+from flintreach.consensus.proposer import Change, Step
+from flintreach.consensus.quorum import Address, Voters
+from flintreach.consensus.store import Store
+from flintreach.transport.peer_pool import Bundle
 
 
 def row(slot: Slot) -> list:
--- a/flintreach/cairn/store.py
+++ b/flintreach/consensus/store.py
@@ -11,7 +11,7 @@
 from gevent.event import AsyncResult, Event
 from gevent.threadpool import ThreadPool
 
-from flintreach.cairn.acceptor import Slot
+from flintreach.consensus.acceptor import Slot
 
 FORMAT = "1"
 LOG_BYTES = 4 << 20
--- a/flintreach/cairn/wanted.py
+++ b/flintreach/consensus/voter_selection.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from flintreach.cairn.voters import Address, Voters
+from flintreach.consensus.quorum import Address, Voters
 
 MOST = 9  # voting disks: more make every write dearer and bear no more than the settings ask for
 FIRST_S, LESS_S = 0.6, 6.0  # seconds without a new disk at a first start: for enough of them, and for too few
--- a/flintreach/refuge/plane.py
+++ b/flintreach/controller/control_plane.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from flintreach.cairn.register import Register
-from flintreach.cairn.voters import Voters
-from flintreach.refuge.care import ROLE, Care
-from flintreach.refuge.contact import GAP_S, NEVER, Awake, Contact
-from flintreach.refuge.endpoints import Endpoints
-from flintreach.refuge.mesh import Mesh
-from flintreach.refuge.orders import Orders
-from flintreach.refuge.placing import Placing
-from flintreach.trail.board import Board
-from flintreach.trail.relay import Relay
-from flintreach.waymark.settings import Node
-from flintreach.waymark.timetable import Routes, Timetable
+from flintreach.config.configuration import Routes, Timetable
+from flintreach.config.settings import Node
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.register import Register
+from flintreach.controller.endpoint_service import Endpoints
+from flintreach.controller.load_placement import Placing
+from flintreach.controller.operator_requests import Orders
+from flintreach.controller.peer_exchange import Mesh
+from flintreach.controller.quorum_contact import GAP_S, NEVER, Awake, Contact
+from flintreach.controller.repair import ROLE, Care
+from flintreach.dissemination.relay import Relay
+from flintreach.dissemination.versioned_store import Board
 
 
 class ControlPlane:
--- a/flintreach/refuge/endpoints.py
+++ b/flintreach/controller/endpoint_service.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from flintreach.hutbook.book import ENDS, GONE, MISSING, READY, SECOND, Beat, Book, Record
-from flintreach.rope.host import Task
-from flintreach.trail.board import MOST_ROWS, STALE_BOARD
+from flintreach.dissemination.versioned_store import MOST_ROWS, STALE_BOARD
+from flintreach.endpoints.registry import ENDS, GONE, MISSING, READY, SECOND, Beat, Book, Record
+from flintreach.transport.runtime import Task
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 ACK_S = 0.85  # callers move on after a second
--- a/flintreach/refuge/control.py
+++ b/flintreach/controller/http_api.py
@@ -7,12 +7,13 @@
 import msgspec
 from gevent import pywsgi
 
-from flintreach.hutbook.book import Beat
-from flintreach.refuge.orders import DROPPED, LATE
-from flintreach.rope import link
-from flintreach.waymark import calls, timetable
-from flintreach.waymark.log import say
-from flintreach.waymark.timetable import ConfigError, check
+from flintreach.api import calls
+from flintreach.common.log import say
+from flintreach.config import configuration
+from flintreach.config.configuration import ConfigError, check
+from flintreach.controller.operator_requests import DROPPED, LATE
+from flintreach.endpoints.registry import Beat
+from flintreach.transport import peer_connection
 
 REASONS = {
     200: "OK",
@@ -23,18 +24,18 @@
     503: "Service Unavailable",
 }
 # A configuration goes through links inside a message that also holds other keys: far below what ends a link.
-LARGE, SMALL = link.MOST // 2, 64 << 10  # bytes of a configuration; of any other body
+LARGE, SMALL = peer_connection.MOST // 2, 64 << 10  # bytes of a configuration; of any other body
 AGAIN_S = "0.2"  # Retry-After: another refuge may answer at once
 GONE = "flintreach.gone"  # in the environ: whether the caller went away
 # Why a call is answered 503: the process slept; no contact with a quorum; read too long ago; caller gone.
 SLEPT, ALONE, TIMED, LEFT = "slept", "out of touch", "late", "caller gone"
 UNSURE = 503, {"fault": "no majority in time"}
 ORDERS = {
-    timetable.TAKEN: (200, {}),
-    timetable.AGAIN: (200, {}),
-    timetable.OVERTAKEN: (200, {}),
-    timetable.OTHER: (409, {"fault": "edition: another content was acknowledged under this number"}),
-    timetable.FORGOTTEN: (503, {"fault": "edition: too old to tell which content it had"}),
+    configuration.TAKEN: (200, {}),
+    configuration.AGAIN: (200, {}),
+    configuration.OVERTAKEN: (200, {}),
+    configuration.OTHER: (409, {"fault": "edition: another content was acknowledged under this number"}),
+    configuration.FORGOTTEN: (503, {"fault": "edition: too old to tell which content it had"}),
     LATE: UNSURE,
     DROPPED: (503, {"fault": "given up before anything was changed"}),
 }
@@ -157,7 +158,7 @@
     def put(self, call):
         number = check(call.body).number
         word = self.plane.orders.put(number, call.body, self.may(call))
-        if word == timetable.OTHER:
+        if word == configuration.OTHER:
             say("conflict", edition=f"{number:08x}")
         return ORDERS[word]
 
--- a/flintreach/refuge/keys.py
+++ b/flintreach/controller/lease_owner.py
@@ -7,12 +7,12 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
-from flintreach.bunks.keeping import GRANT, Keeping
-from flintreach.bunks.plan import Allocation
-from flintreach.rope.link import RESET, braced
-from flintreach.waymark import calls
-from flintreach.waymark.log import say
-from flintreach.waymark.settings import place
+from flintreach.api import calls
+from flintreach.common.log import say
+from flintreach.config.settings import place
+from flintreach.sharding.range_assignment import Allocation
+from flintreach.sharding.range_lease import GRANT, Keeping
+from flintreach.transport.peer_connection import RESET, braced
 
 PATHS = {GRANT: calls.GRANT, "release": calls.RELEASE}
 MUTE_MS = 900  # a call without a sign of its arrival for so long is dropped by this machine
--- a/flintreach/refuge/placing.py
+++ b/flintreach/controller/load_placement.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from flintreach.bunks.plan import KEYS
-from flintreach.bunks.region import Lean, bound, carried, target
-from flintreach.bunks.warmth import Warmth
-from flintreach.hutbook.book import READY
-from flintreach.lookout.roster import ALIVE, Member
-from flintreach.refuge.care import ROLE
-from flintreach.refuge.keys import Keeper
-from flintreach.ridge.place import Place, Ridge
-from flintreach.trail.tally import Tally
+from flintreach.controller.lease_owner import Keeper
+from flintreach.controller.repair import ROLE
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.endpoints.registry import READY
+from flintreach.membership.member_list import ALIVE, Member
+from flintreach.placement.placer import Place, Ridge
+from flintreach.sharding.key_load import Warmth
+from flintreach.sharding.range_assignment import KEYS
+from flintreach.sharding.region_affinity import Lean, bound, carried, target
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 TTL, ASKED = (0.5, 1.5), 300  # seconds an answer of the directory holds; answers a second of one refuge
--- a/flintreach/refuge/orders.py
+++ b/flintreach/controller/operator_requests.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from flintreach.cairn.voters import Voters
-from flintreach.waymark import timetable
-from flintreach.waymark.timetable import Standing
+from flintreach.config import configuration
+from flintreach.config.configuration import Standing
+from flintreach.consensus.quorum import Voters
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 ACK_S = 0.85  # callers move on after a second
@@ -55,7 +55,7 @@
 
         `still()`: asked right before anything is told to acceptors, whether it may yet be done.
         """
-        return self.change("timetable", lambda old: timetable.put(old, number, body), still)
+        return self.change("timetable", lambda old: configuration.put(old, number, body), still)
 
     def change(self, key: str, made: Callable, still: Callable[[], bool]) -> str:
         """`made(old)`: (what becomes of the order, the new value or None), as it is changed in the end."""
@@ -91,7 +91,7 @@
         def made(old):
             number, zones = UNPACK(old) if old else (0, {})
             if old and bool(zones.get(zone)) == on:
-                return timetable.AGAIN, None
-            return timetable.TAKEN, PACK([number + 1, {**zones, zone: on}])
+                return configuration.AGAIN, None
+            return configuration.TAKEN, PACK([number + 1, {**zones, zone: on}])
 
         return self.change("evac", made, still)
--- a/flintreach/refuge/mesh.py
+++ b/flintreach/controller/peer_exchange.py
@@ -1,8 +1,8 @@
 """News among the refuges: each follows the boards of all others, and asks them for marks (see `contact`)."""
 
-from flintreach.refuge.contact import KEYS
-from flintreach.rope.link import Closed
-from flintreach.trail.relay import ASK_S, MARK, Follow
+from flintreach.controller.quorum_contact import KEYS
+from flintreach.dissemination.relay import ASK_S, MARK, Follow
+from flintreach.transport.peer_connection import Closed
 
 LOOK_S = 0.3  # seconds between looks for refuges
 
--- a/flintreach/refuge/program.py
+++ b/flintreach/controller/program.py
@@ -7,16 +7,16 @@
 import gevent
 from gevent.event import Event
 
-from flintreach.cairn.store import Store, StoreError
-from flintreach.lookout.roster import Member
-from flintreach.lookout.watch import Lookout
-from flintreach.refuge.care import ROLE
-from flintreach.refuge.control import listen
-from flintreach.refuge.plane import ControlPlane
-from flintreach.rope.bundle import Bundle
-from flintreach.waymark import settings
-from flintreach.waymark.log import say
-from flintreach.waymark.settings import place
+from flintreach.common.log import say
+from flintreach.config import settings
+from flintreach.config.settings import place
+from flintreach.consensus.store import Store, StoreError
+from flintreach.controller.control_plane import ControlPlane
+from flintreach.controller.http_api import listen
+from flintreach.controller.repair import ROLE
+from flintreach.membership.failure_detector import Lookout
+from flintreach.membership.member_list import Member
+from flintreach.transport.peer_pool import Bundle
 
 POST = 0
 SERVED = (("control", {"beat", "leave", "put", "get", "evacuate", "resume"}), ("directory", {"resolve"}))
--- a/flintreach/refuge/contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -10,7 +10,7 @@
 of the last round kept instead of a round for each call.  Times are seconds of this process's steady clock.
 """
 
-from flintreach.cairn.voters import Address, Voters
+from flintreach.consensus.quorum import Address, Voters
 
 KEYS = ("timetable", "evac", "voters")  # what the marks tell of: changed by orders, never all the time
 NOTHING, NEVER = (0, ""), 86400.0  # NEVER: the age of a contact that there has not been
--- a/flintreach/refuge/care.py
+++ b/flintreach/controller/repair.py
@@ -1,7 +1,7 @@
 """The register at a refuge: what a start waits for; reads mend, the sweep finds the rest."""
 
-from flintreach.cairn.turnover import KEY
-from flintreach.refuge.voting import ROLE, Voting
+from flintreach.consensus.reconfiguration import KEY
+from flintreach.controller.voter_management import ROLE, Voting
 
 __all__ = ["ROLE", "Care"]
 
--- a/flintreach/refuge/voting.py
+++ b/flintreach/controller/voter_management.py
@@ -2,11 +2,11 @@
 before this process ends. What should follow is decided in `cairn.wanted`, how it comes about in
 `cairn.turnover`."""
 
-from flintreach.cairn.turnover import Turnover
-from flintreach.cairn.voters import Address, Voters
-from flintreach.cairn.wanted import Disk, Losses, first, ordered, wanted
-from flintreach.lookout.roster import LEFT, SUSPECTED
-from flintreach.waymark.log import say
+from flintreach.common.log import say
+from flintreach.consensus.quorum import Address, Voters
+from flintreach.consensus.reconfiguration import Turnover
+from flintreach.consensus.voter_selection import Disk, Losses, first, ordered, wanted
+from flintreach.membership.member_list import LEFT, SUSPECTED
 
 TICK_S, COPY_S = 0.25, 2.0
 TURN_S = 1.5  # each refuge further down the row waits so much longer before it acts: two would only duel
--- a/flintreach/cores/block.py
+++ b/flintreach/cores/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.operator import count, duration, share, switch
+from flintreach.pilot.operator_file import count, duration, share, switch
 
 DECIDES_MB, WORKER_MB = 32, 32  # resident at the least, of the deciding process and of each other
 DECIDES, EACH = 48, 6  # descriptors beside connections, of the deciding process and for each other
--- a/flintreach/cores/front.py
+++ b/flintreach/cores/front.py
@@ -14,13 +14,13 @@
 import sys
 from dataclasses import asdict, replace
 
-from flintreach import interface as face
 from flintreach.cores import words
 from flintreach.cores.block import Block
 from flintreach.cores.care import Life, Owners
 from flintreach.cores.link import Link
-from flintreach.interface import SECOND
 from flintreach.net.http import address
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
 
 ACCEPTED = 64  # connections in one turn of the loop
 DOOR_BYTES = 16 << 10  # of handed-over connections that wait for a worker
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -15,8 +15,6 @@
 
 import uvloop
 
-from flintreach import interface as face
-from flintreach import logic, settings
 from flintreach.cores import words
 from flintreach.cores.fold import Fold, Pace
 from flintreach.cores.link import Link
@@ -24,7 +22,9 @@
 from flintreach.net.clock import Clock
 from flintreach.net.limits import Limits
 from flintreach.net.reading import whole
-from flintreach.registry import Registry
+from flintreach.pilot import interface as face
+from flintreach.pilot import logic, settings
+from flintreach.pilot.registry import Registry
 
 DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG of prctl(2)
 
--- /dev/null
+++ b/flintreach/demo/__init__.py
@@ -0,0 +1,1 @@
+"""The whole system on one machine, with stand-in endpoints."""
--- a/flintreach/trail/relay.py
+++ b/flintreach/dissemination/relay.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable, Iterable
 
-from flintreach.rope.bundle import Bundle
-from flintreach.rope.host import Host
-from flintreach.rope.link import Closed, Link
-from flintreach.trail.board import STALE_BOARD, Board, Row
+from flintreach.dissemination.versioned_store import STALE_BOARD, Board, Row
+from flintreach.transport.peer_connection import Closed, Link
+from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.runtime import Host
 
 MARK, STALE = 0.25, 1.2  # seconds between marks; without a fresh one, another parent is looked for
 DIAL_S, ASK_S = 0.7, 1.0
--- /dev/null
+++ b/flintreach/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoints as their heartbeats tell of them: ready, leaving, silent, gone."""
--- a/flintreach/hutbook/book.py
+++ b/flintreach/endpoints/registry.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from flintreach.trail.board import HORIZON
+from flintreach.dissemination.versioned_store import HORIZON
 
 MS, SECOND = 1_000_000, 1_000_000_000
 READY, CLOSING, SILENT, GONE = "ready", "closing", "silent", "gone"
--- a/flintreach/evidence/block.py
+++ b/flintreach/evidence/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.operator import count, one_of, place, table, text
+from flintreach.pilot.operator_file import count, one_of, place, table, text
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintreach/evidence/intake.py
+++ b/flintreach/evidence/intake.py
@@ -5,14 +5,14 @@
 import os
 from collections import OrderedDict, deque
 
-from flintreach import interface as face
 from flintreach.evidence import packet
 from flintreach.evidence.block import Block
 from flintreach.evidence.ledger import Ledger
 from flintreach.evidence.packet import Bad, Value
-from flintreach.interface import SECOND
 from flintreach.net.buffer import Buffer, Overflow
 from flintreach.net.http import address
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
 
 SOURCES = 256  # addresses whose pace is kept
 SEEN = 4096  # datagrams whose digest is kept, so that one played again is found
--- a/flintreach/evidence/ledger.py
+++ b/flintreach/evidence/ledger.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from flintreach.evidence.packet import COUNTER, DERIVE, GAUGE, Value
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 # State, input, next state, effect.  A pair that is not here changes nothing.
 STATES = {
--- a/flintreach/evidence/packet.py
+++ b/flintreach/evidence/packet.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL = range(8)
 TIME_HR, INTERVAL_HR = 0x0008, 0x0009
--- /dev/null
+++ b/flintreach/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which processes there are, found by probes, second opinions and suspicion (SWIM)."""
--- a/flintreach/lookout/watch.py
+++ b/flintreach/membership/failure_detector.py
@@ -3,8 +3,8 @@
 import msgspec
 from gevent import socket
 
-from flintreach.lookout.roster import MS, Member, Roster
-from flintreach.rope.host import Host
+from flintreach.membership.member_list import MS, Member, Roster
+from flintreach.transport.runtime import Host
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from flintreach import interface as face
 from flintreach.net.buffer import Buffer, Overflow
 from flintreach.net.http import address
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, lines, whole
+from flintreach.pilot import interface as face
 
 ALIVE = b'{"msg":"alive"}\n'
 
--- a/flintreach/net/clock.py
+++ b/flintreach/net/clock.py
@@ -5,8 +5,8 @@
 import zlib
 from collections.abc import Callable
 
-from flintreach.interface import SECOND
 from flintreach.net.limits import Limits
+from flintreach.pilot.interface import SECOND
 
 
 class Clock:
--- a/flintreach/net/config.py
+++ b/flintreach/net/config.py
@@ -5,12 +5,12 @@
 import zlib
 from dataclasses import dataclass
 
-from flintreach import interface as face
-from flintreach import settings
 from flintreach.net import roster
 from flintreach.net.http import address
 from flintreach.net.limits import Limits
 from flintreach.net.reading import UNREADABLE
+from flintreach.pilot import interface as face
+from flintreach.pilot import settings
 
 
 class ConfigError(ValueError):
--- a/flintreach/net/limits.py
+++ b/flintreach/net/limits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 MS = SECOND // 1000
 
--- a/flintreach/net/pilots.py
+++ b/flintreach/net/pilots.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from flintreach import interface as face
 from flintreach.net.http import address
+from flintreach.pilot import interface as face
 
 
 class Pilots(asyncio.DatagramProtocol):
--- a/flintreach/net/relay.py
+++ b/flintreach/net/relay.py
@@ -6,11 +6,11 @@
 
 import json
 
-from flintreach import interface as face
 from flintreach.net.buffer import Buffer, Overflow
 from flintreach.net.http import Connection
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, objects, whole
+from flintreach.pilot import interface as face
 
 ERRORS = ("BUSY", "SYNTAX")
 # State of the calls, input, next state.  A pair that is not here changes nothing.
--- a/flintreach/net/roster.py
+++ b/flintreach/net/roster.py
@@ -2,10 +2,10 @@
 
 import json
 
-from flintreach import interface as face
 from flintreach.net.http import Connection, address
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, whole
+from flintreach.pilot import interface as face
 
 STATES = {"up": "ready", "draining": "draining", "removed": "gone"}
 PATH = "/discovery/hosts"
--- a/flintreach/net/servers.py
+++ b/flintreach/net/servers.py
@@ -2,9 +2,9 @@
 
 from weakref import WeakKeyDictionary
 
-from flintreach import interface as face
 from flintreach.net.http import Connection
 from flintreach.net.reading import figure
+from flintreach.pilot import interface as face
 
 STATUSES = {"unsent": "connect_failed", "broken": "reset", "silent": "timeout", "garbled": "error"}
 
--- a/flintreach/net/service.py
+++ b/flintreach/net/service.py
@@ -4,9 +4,6 @@
 import gc
 import traceback
 
-from flintreach import interface as face
-from flintreach import settings
-from flintreach.logic import Pilot
 from flintreach.net.clients import Clients
 from flintreach.net.clock import Clock
 from flintreach.net.config import ConfigError, load
@@ -16,7 +13,10 @@
 from flintreach.net.relay import Calls, News
 from flintreach.net.roster import Roster
 from flintreach.net.servers import Servers
-from flintreach.registry import Registry
+from flintreach.pilot import interface as face
+from flintreach.pilot import settings
+from flintreach.pilot.logic import Pilot
+from flintreach.pilot.registry import Registry
 
 MOVED = {"discovery", "store", "known", "seed"}  # what a configuration read again may change, or need not
 SUMS = (face.Heard, face.Demand)
--- a/flintreach/logic.py
+++ b/flintreach/pilot/logic.py
@@ -6,8 +6,8 @@
 
 from collections import deque
 
-from flintreach import interface as face
-from flintreach.interface import SECOND
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
 from flintreach.policy.map import EFFORT, STEP, Partition, Ring, Search, recopy
 
 BEAT, RUN_EVERY, RUN_FIRST = SECOND // 4, 10 * SECOND, 4 * SECOND  # between looks, and full runs; the first
--- a/flintreach/operator.py
+++ b/flintreach/pilot/operator_file.py
@@ -15,7 +15,7 @@
 from dataclasses import MISSING, dataclass, field, fields
 from typing import Any
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 VARIABLE = "FLINTREACH_OPERATOR"
 UNITS = {"ns": 1, "us": 1000, "ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
--- a/flintreach/registry.py
+++ b/flintreach/pilot/registry.py
@@ -3,7 +3,7 @@
 import zlib
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
-from flintreach import interface as face
+from flintreach.pilot import interface as face
 
 
 class Registry:
--- a/flintreach/settings.py
+++ b/flintreach/pilot/settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from decimal import Decimal
 
-from flintreach import interface as face
+from flintreach.pilot import interface as face
 
 EFFECTS = {"read_like": "idempotent", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
 LOADS = {
--- /dev/null
+++ b/flintreach/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Placement: which endpoints serve each route and service."""
--- a/flintreach/policy/map.py
+++ b/flintreach/policy/map.py
@@ -5,7 +5,7 @@
 import zlib
 from bisect import bisect_left, insort
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 BETA, LOW_RUNS = 0.7, 3  # of a server's mean demand, for one copy more; runs of too many before one goes
 STEP, FILL, NONE = 1 / 2, 0.25, -1  # of the permitted deviation; above a cold quota; a swap for nothing
--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -4,6 +4,7 @@
 
 import gevent
 
+from flintreach.dissemination.load_aggregate import Tally
 from flintreach.proxy.choice import FULL_FOR, Endpoint, idle_for
 from flintreach.proxy.connection import IDLE
 from flintreach.proxy.exchange import ANSWERED, NOT_RUN, UNSENT, ExchangeTerms, Outcome, exchange
@@ -20,7 +21,6 @@
 from flintreach.proxy.reply import number
 from flintreach.proxy.request import Request, endpoint_head
 from flintreach.proxy.view import RoutingView
-from flintreach.trail.tally import Tally
 
 MS, SECOND = 1_000_000, 1_000_000_000
 CONNECT_S = 0.6
--- a/flintreach/proxy/carry.py
+++ b/flintreach/proxy/carry.py
@@ -7,7 +7,9 @@
 import gevent
 from gevent.event import Event
 
-from flintreach.bunks.plan import BUCKET, KEYS
+from flintreach.config.configuration import Route
+from flintreach.config.settings import Bounds
+from flintreach.dissemination.load_aggregate import Tally
 from flintreach.proxy.attempt import EndpointClient
 from flintreach.proxy.caller import Caller, ClientLeft
 from flintreach.proxy.choice import (
@@ -27,9 +29,7 @@
 from flintreach.proxy.reply import number
 from flintreach.proxy.request import PAUSE, Answer, Request, own, relayed
 from flintreach.proxy.view import RoutingView, slice_of
-from flintreach.trail.tally import Tally
-from flintreach.waymark.settings import Bounds
-from flintreach.waymark.timetable import Route
+from flintreach.sharding.range_assignment import BUCKET, KEYS
 
 MS, SECOND = 1_000_000, 1_000_000_000
 KEY_LOOK_S = 0.02  # between two looks for keys that are on their way from one holder to another
--- a/flintreach/proxy/connection.py
+++ b/flintreach/proxy/connection.py
@@ -7,9 +7,9 @@
 
 from gevent import socket
 
+from flintreach.config.settings import place
 from flintreach.proxy.reply import number
-from flintreach.rope.link import RESET
-from flintreach.waymark.settings import place
+from flintreach.transport.peer_connection import RESET
 
 IDLE = 4_000_000_000  # ns that a connection may lie idle when the endpoint tells nothing
 MUTE_MS = 1200  # without a sign from the machine's kernel for so long, a connection is dead
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -8,22 +8,22 @@
 from gevent import pywsgi
 from gevent.event import Event
 
-from flintreach.lookout.roster import Member
-from flintreach.lookout.watch import Lookout
+from flintreach.common.log import say
+from flintreach.config import settings
+from flintreach.config.configuration import Caps
+from flintreach.config.settings import place
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.relay import Relay
+from flintreach.dissemination.relay_tree import parents
+from flintreach.dissemination.versioned_store import Board
+from flintreach.membership.failure_detector import Lookout
+from flintreach.membership.member_list import Member
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
-from flintreach.rope.bundle import Bundle
-from flintreach.trail.board import Board
-from flintreach.trail.relay import Relay
-from flintreach.trail.tally import Tally
-from flintreach.trail.tree import parents
-from flintreach.waymark import settings
-from flintreach.waymark.log import say
-from flintreach.waymark.settings import place
-from flintreach.waymark.timetable import Caps
+from flintreach.transport.peer_pool import Bundle
 
 POST, REFUGE_POST = 1, 0  # places of the programs in the spare ports
 TALLY_S, LEAVE_S, PRUNE_S = 1.0, 1.0, 0.4
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
+from flintreach.config.configuration import Routes, Timetable
+from flintreach.dissemination.versioned_store import Board
 from flintreach.proxy.choice import Endpoint, Here, divide
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.lease import UNKNOWN, LeaseTerms
 from flintreach.proxy.metrics import LATE_SEND, VIOLATION, Metrics
-from flintreach.trail.board import Board
-from flintreach.waymark.timetable import Routes, Timetable
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- /dev/null
+++ b/flintreach/sharding/__init__.py
@@ -0,0 +1,1 @@
+"""Owners of key ranges: leases, allocation, load by key, affinity to regions."""
--- a/flintreach/bunks/warmth.py
+++ b/flintreach/sharding/key_load.py
@@ -1,6 +1,6 @@
 """Where the load of sharded services lies, from the sums that the proxies tell upward.  Pure."""
 
-from flintreach.bunks.plan import Heat
+from flintreach.sharding.range_assignment import Heat
 
 FADE, FORGOTTEN = 0.9, 0.05  # what is left of a count after a second; below which it is dropped
 FULL, EVERY = 0.6, 2  # part of an endpoint's berths from which it is busy; seconds between tellings to others
--- a/flintreach/bunks/keeping.py
+++ b/flintreach/sharding/range_lease.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Callable
 
-from flintreach.bunks import plan
-from flintreach.bunks.plan import FREE, HELD, LEAVING, Allocation, Heat, Range
+from flintreach.sharding import range_assignment
+from flintreach.sharding.range_assignment import FREE, HELD, LEAVING, Allocation, Heat, Range
 
 SEND, NET, TAKE = 1.0, 1.0, 1.8
 HOLD = 5.0  # at most; longer than it takes another keeper to renew what a dead one granted
@@ -68,7 +68,7 @@
         held.beat += 1
         if mine and began >= self.quiet_until:
             self.free(held, began, ended)
-            plan.evict(
+            range_assignment.evict(
                 held,
                 {
                     r.holder
@@ -77,8 +77,8 @@
                 },
             )
             good = {id: weight for id, (weight, _) in able.items() if not self.fails(id, TRIES, began)}
-            plan.fill(held, good, {id: addr for id, (_, addr) in able.items()}, heat)
-            plan.spread(held, good, heat, busy)
+            range_assignment.fill(held, good, {id: addr for id, (_, addr) in able.items()}, heat)
+            range_assignment.spread(held, good, heat, busy)
         return True
 
     def stands(self, held: Allocation, began: float, now: float) -> bool:
--- /dev/null
+++ b/flintreach/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""The control plane in simulated time, under faults from a seed."""
--- a/flintreach/standins/simulated_callers.py
+++ b/flintreach/simulation/callers.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from flintreach.bunks.keeping import GRANT
-from flintreach.hutbook.book import READY
-from flintreach.standins.simulated import SECOND
-from flintreach.standins.simulated_watch import numbered
+from flintreach.endpoints.registry import READY
+from flintreach.sharding.range_lease import GRANT
+from flintreach.simulation.engine import SECOND
+from flintreach.simulation.invariants import numbered
 
 
 class Callers:
--- a/flintreach/standins/simulated.py
+++ b/flintreach/simulation/engine.py
@@ -20,9 +20,9 @@
 import greenlet
 import msgspec
 
-from flintreach.cairn.acceptor import Slot
-from flintreach.lookout.watch import Lookout
-from flintreach.rope.link import Closed
+from flintreach.consensus.acceptor import Slot
+from flintreach.membership.failure_detector import Lookout
+from flintreach.transport.peer_connection import Closed
 
 PACK, UNPACK = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/flintreach/standins/simulated_faults.py
+++ b/flintreach/simulation/faults.py
@@ -2,9 +2,9 @@
 
 import random
 
-from flintreach.standins.simulated import MS, SECOND
-from flintreach.standins.simulated_site import Site
-from flintreach.standins.simulated_watch import Watch
+from flintreach.simulation.engine import MS, SECOND
+from flintreach.simulation.invariants import Watch
+from flintreach.simulation.site import Site
 
 CATCH_UP = 4 * SECOND  # for which a machine that is back, or new, still counts as lost
 
--- a/flintreach/standins/simulated_watch.py
+++ b/flintreach/simulation/invariants.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from flintreach.hutbook.book import CLOSING, GONE, READY
-from flintreach.refuge.contact import NEVER
-from flintreach.standins.simulated import MS, SECOND, Broken
+from flintreach.controller.quorum_contact import NEVER
+from flintreach.endpoints.registry import CLOSING, GONE, READY
+from flintreach.simulation.engine import MS, SECOND, Broken
 
 INVARIANTS = {
     "crash": "no task of a process ends by an exception",
--- a/flintreach/standins/simulated_plants.py
+++ b/flintreach/simulation/mutants.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 from unittest import mock
 
-from flintreach.cairn.wanted import Losses
-from flintreach.standins.simulated import SECOND
-from flintreach.waymark import timetable
+from flintreach.config import configuration
+from flintreach.consensus.voter_selection import Losses
+from flintreach.simulation.engine import SECOND
 
 
 class Plant(NamedTuple):
@@ -121,7 +121,7 @@
 def takes_any_number(put):
     def planted(self, number, body, *still):
         word = put(self, number, body, *still)
-        return timetable.AGAIN if word == timetable.OTHER else word
+        return configuration.AGAIN if word == configuration.OTHER else word
 
     return planted
 
@@ -158,7 +158,7 @@
     return lambda disks, losses, calm_s: first(disks, Losses(), calm_s)
 
 
-CAIRN, REFUGE = "flintreach.cairn", "flintreach.refuge"
+CAIRN, REFUGE = "flintreach.consensus", "flintreach.controller"
 PLANTS = {
     "first-accept": Plant(
         f"{CAIRN}.proposer:Change",
@@ -189,14 +189,14 @@
         "a disk accepts below what it promised",
     ),
     "told-before-synced": Plant(
-        "flintreach.standins.simulated:Store",
+        "flintreach.simulation.engine:Store",
         "keep",
         told_before_synced,
         ("durable", "known", "kept"),
         "a disk says yes before its sync",
     ),
     "board-goes-back": Plant(
-        "flintreach.trail.board:Board",
+        "flintreach.dissemination.versioned_store:Board",
         "offer",
         board_goes_back,
         ("monotonic",),
@@ -210,14 +210,14 @@
         "a refuge that is cut off confirms what it holds",
     ),
     "forgets-holds": Plant(
-        "flintreach.bunks.keeping:Keeping",
+        "flintreach.sharding.range_lease:Keeping",
         "stands",
         forgets_holds,
         ("owner",),
         "a new keeper does not wait for what the one before it granted",
     ),
     "frees-at-once": Plant(
-        "flintreach.bunks.keeping:Keeping",
+        "flintreach.sharding.range_lease:Keeping",
         "free",
         frees_at_once,
         ("owner",),
@@ -255,7 +255,7 @@
         "a closing is acknowledged without a quorum",
     ),
     "ends-rivals": Plant(
-        "flintreach.hutbook.book:Book",
+        "flintreach.endpoints.registry:Book",
         "hear",
         ends_rivals,
         ("ended", "agree"),
@@ -269,14 +269,18 @@
         "a refuge that slept or is cut off answers",
     ),
     "done-when-decided": Plant(
-        "flintreach.cairn.turnover:Turnover",
+        "flintreach.consensus.reconfiguration:Turnover",
         "told",
         true,
         ("live",),
         "an exchange of voters is done when only its proposer knows",
     ),
     "never-forgets": Plant(
-        "flintreach.trail.board:Board", "expire", never_forgets, ("forgotten",), "tombstones stand for ever"
+        "flintreach.dissemination.versioned_store:Board",
+        "expire",
+        never_forgets,
+        ("forgotten",),
+        "tombstones stand for ever",
     ),
 }
 
@@ -291,9 +295,9 @@
     """Whether the text has what the plant undoes."""
     plant = PLANTS[name]
     if name == "takes-any-number":
-        return hasattr(timetable, "OTHER")
+        return hasattr(configuration, "OTHER")
     if name == "ends-rivals":
-        return hasattr(importlib.import_module("flintreach.hutbook.book"), "ENDS")
+        return hasattr(importlib.import_module("flintreach.endpoints.registry"), "ENDS")
     return hasattr(target(plant), plant.name)
 
 
--- a/flintreach/standins/simulated_site.py
+++ b/flintreach/simulation/site.py
@@ -11,19 +11,22 @@
 import msgspec
 from gevent.pywsgi import Input
 
-from flintreach.bunks.keeping import GRANT
-from flintreach.cairn.voters import Voters
-from flintreach.hutbook.book import Book
-from flintreach.lookout.roster import Member
+from flintreach.config import settings
+from flintreach.consensus.quorum import Voters
+from flintreach.controller import lease_owner
+from flintreach.controller.control_plane import ControlPlane
+from flintreach.controller.endpoint_service import Endpoints
+from flintreach.controller.http_api import Control
+from flintreach.controller.program import SERVED
+from flintreach.controller.repair import ROLE
+from flintreach.dissemination.relay import Relay
+from flintreach.dissemination.relay_tree import parents
+from flintreach.dissemination.versioned_store import Board
+from flintreach.endpoints.registry import Book
+from flintreach.membership.member_list import Member
 from flintreach.proxy.program import ROLE as PROXY
-from flintreach.refuge import keys
-from flintreach.refuge.care import ROLE
-from flintreach.refuge.control import Control
-from flintreach.refuge.endpoints import Endpoints
-from flintreach.refuge.plane import ControlPlane
-from flintreach.refuge.program import SERVED
-from flintreach.rope.bundle import Bundle
-from flintreach.standins.simulated import (
+from flintreach.sharding.range_lease import GRANT
+from flintreach.simulation.engine import (
     MS,
     PORT,
     SECOND,
@@ -36,10 +39,7 @@
     Store,
     Waiter,
 )
-from flintreach.trail.board import Board
-from flintreach.trail.relay import Relay
-from flintreach.trail.tree import parents
-from flintreach.waymark import settings
+from flintreach.transport.peer_pool import Bundle
 
 REFUGE_POST, PROXY_POST = 0, 1
 UNPACK = msgspec.msgpack.decode
@@ -177,13 +177,13 @@
         return [m.address for m in parents(roster.me, refuges, roster.alive(PROXY))] if refuges else []
 
 
-class Keeper(keys.Keeper):
+class Keeper(lease_owner.Keeper):
     """Grants go to simulated endpoints."""
 
     def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
         process = self.host.process
         site, waiter = process.site, Waiter(process)
-        if kind != keys.GRANT and site.on_release is not None:
+        if kind != lease_owner.GRANT and site.on_release is not None:
             struck, site.on_release = site.on_release, None
             site.sim.after(0, struck, process.machine)
             waiter.wait(0.95)  # it was not sent any more
--- a/flintreach/standins/simulated_trial.py
+++ b/flintreach/simulation/trial.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from flintreach.refuge import placing
-from flintreach.standins.simulated import MS, SECOND, Broken, Simulation
-from flintreach.standins.simulated_callers import Callers
-from flintreach.standins.simulated_faults import Faults
-from flintreach.standins.simulated_plants import planted
-from flintreach.standins.simulated_site import Keeper, Shape, Site
-from flintreach.standins.simulated_watch import INVARIANTS, Watch
-from flintreach.waymark import log
+from flintreach.common import log
+from flintreach.controller import load_placement
+from flintreach.simulation.callers import Callers
+from flintreach.simulation.engine import MS, SECOND, Broken, Simulation
+from flintreach.simulation.faults import Faults
+from flintreach.simulation.invariants import INVARIANTS, Watch
+from flintreach.simulation.mutants import planted
+from flintreach.simulation.site import Keeper, Shape, Site
 
 
 def course(sim: Simulation, site: Site, watch: Watch) -> None:
@@ -139,7 +139,7 @@
     def told(what: str, fields: dict) -> None:
         sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
 
-    with mock.patch.object(log, "teller", told), mock.patch.object(placing, "Keeper", Keeper):
+    with mock.patch.object(log, "teller", told), mock.patch.object(load_placement, "Keeper", Keeper):
         yield
 
 
--- a/flintreach/standins/soak/__main__.py
+++ b/flintreach/soak/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m flintreach.standins.soak --seeds N --seconds S`: soaks one after the other."""
+"""`python -m flintreach.soak --seeds N --seconds S`: soaks one after the other."""
 
 import sys
 from typing import Annotated
 
 import typer
 
-from flintreach.standins.soak.run import Mix, Soak, SoakPlan
+from flintreach.soak.run import Mix, Soak, SoakPlan
 
 
 def main(
--- a/flintreach/standins/soak/clients.py
+++ b/flintreach/soak/clients.py
@@ -7,10 +7,10 @@
 import gevent
 from gevent import socket
 
+from flintreach.demo.cluster import Machine
 from flintreach.proxy.reply import HTTPParseError, Message, Replies
+from flintreach.soak.ledger import Ledger, SentRequest, Verdict
 from flintreach.standins.adversary import RESET
-from flintreach.standins.camp import Machine
-from flintreach.standins.soak.ledger import Ledger, SentRequest, Verdict
 
 HOST = "camp.example"
 KINDS = ("look", "file", "file", "fetch")
--- a/flintreach/standins/soak/troubles.py
+++ b/flintreach/soak/faults.py
@@ -13,8 +13,8 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from flintreach.standins.camp import TIMETABLE, Camp, Machine
-from flintreach.standins.soak.ledger import SECOND, Disturbance, Ledger, Verdict
+from flintreach.demo.cluster import TIMETABLE, Camp, Machine
+from flintreach.soak.ledger import SECOND, Disturbance, Ledger, Verdict
 
 GRACE_S = 6.0  # the settings' default
 CATCH_UP_S = 4.0  # the settings' default: for which a control process still counts as lost when it is back
--- a/flintreach/standins/soak/ledger.py
+++ b/flintreach/soak/ledger.py
@@ -22,8 +22,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
+from flintreach.demo.cluster import Machine
 from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, VIOLATION
-from flintreach.standins.camp import Machine
 from flintreach.standins.endpoint import Endpoint, Run, RunEnd
 
 SECOND = 1_000_000_000
--- a/flintreach/standins/soak/run.py
+++ b/flintreach/soak/run.py
@@ -14,13 +14,13 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
+from flintreach.demo.cluster import TIMETABLE, ZONES, Camp, Machine
 from flintreach.proxy.metrics import PREFIX
-from flintreach.standins.camp import TIMETABLE, ZONES, Camp, Machine
+from flintreach.soak.clients import Client
+from flintreach.soak.faults import Troubles
+from flintreach.soak.ledger import LAST_CALL_S, VIOLATIONS, Ledger, Verdict
 from flintreach.standins.endpoint import Endpoint
 from flintreach.standins.faulty import VARIABLE
-from flintreach.standins.soak.clients import Client
-from flintreach.standins.soak.ledger import LAST_CALL_S, VIOLATIONS, Ledger, Verdict
-from flintreach.standins.soak.troubles import Troubles
 
 DESKS, STORES = 6, 2
 ENDPOINT_ADDRESSES = 150  # of one camp
--- a/flintreach/standins/collectd.py
+++ b/flintreach/standins/collectd.py
@@ -6,7 +6,7 @@
 import struct
 
 from flintreach.evidence import packet
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 
 
 def part(kind: int, content: bytes) -> bytes:
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -17,9 +17,9 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
-from flintreach.bunks.plan import KEYS
+from flintreach.api import calls
 from flintreach.proxy.caller import Caller, ClientLeft, HangupMonitor
-from flintreach.waymark import calls
+from flintreach.sharding.range_assignment import KEYS
 
 
 def told(ip: str, port: int, path: str, body: bytes, timeout: float = 1.0) -> bool:
--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -11,8 +11,8 @@
 
 import gevent
 
-from flintreach.rope import host
-from flintreach.rope.link import Link
+from flintreach.transport import runtime
+from flintreach.transport.peer_connection import Link
 
 VARIABLE = "FLINTREACH_CUTS"
 LOOK_S = 0.02
@@ -63,7 +63,7 @@
 
 def install(cuts: Cuts) -> None:
     """Put the cuts under each link that this process dials."""
-    dial = host.dial
+    dial = runtime.dial
 
     def dial_held(address, handlers, timeout=1.0, **more) -> Link:
         if cuts.cut(address[0]):
@@ -73,13 +73,13 @@
         link.sock = Held(link.sock, address[0], cuts)  # before its greenlets have run
         return link
 
-    host.dial = dial_held
+    runtime.dial = dial_held
 
 
 def main() -> None:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as `program` does, which comes later here
     from flintreach.__main__ import program
-    from flintreach.waymark import settings
+    from flintreach.config import settings
 
     install(Cuts(os.environ[VARIABLE], settings.load().sender.ip))
     program(sys.argv[1])
--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -3,8 +3,8 @@
 import hashlib
 import random
 
-from flintreach import interface as face
-from flintreach.interface import SECOND
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
 
 BEAT = SECOND // 4
 
--- a/flintreach/telemetry/block.py
+++ b/flintreach/telemetry/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.operator import duration, one_of, place, size, table, text
+from flintreach.pilot.operator_file import duration, one_of, place, size, table, text
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintreach/telemetry/graphite.py
+++ b/flintreach/telemetry/graphite.py
@@ -5,8 +5,8 @@
 import struct
 from collections import deque
 
-from flintreach.interface import SECOND
 from flintreach.net.http import address
+from flintreach.pilot.interface import SECOND
 
 # State, input, next state.  A pair that is not here changes nothing.
 STATES = {
--- a/flintreach/telemetry/measures.py
+++ b/flintreach/telemetry/measures.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from flintreach import interface as face
+from flintreach.pilot import interface as face
 from flintreach.telemetry.names import BY_NAME, NAMES, PARTS
 
 LONGEST = 60_000_000  # microseconds: the longest turn that the histogram tells apart
--- a/flintreach/telemetry/sender.py
+++ b/flintreach/telemetry/sender.py
@@ -2,7 +2,7 @@
 
 import time
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 from flintreach.telemetry.block import Block
 from flintreach.telemetry.graphite import ENCODERS, Graphite, path
 from flintreach.telemetry.history import STEP, Disk, Ring
--- a/flintreach/trail/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""News: parcels with versions, and the tree of relays down which they go."""
--- /dev/null
+++ b/flintreach/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Messages between processes over TCP: msgpack, each behind four bytes of length."""
--- a/flintreach/rope/link.py
+++ b/flintreach/transport/peer_connection.py
@@ -17,7 +17,7 @@
 from gevent import socket
 from gevent.event import AsyncResult, Event
 
-from flintreach.rope.meter import Meter
+from flintreach.transport.traffic_meter import Meter
 
 RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: a close drops what still waits to be sent
 HEAD, MOST = struct.Struct(">I"), 16 << 20
--- a/flintreach/rope/bundle.py
+++ b/flintreach/transport/peer_pool.py
@@ -6,9 +6,9 @@
 import gevent
 from gevent.server import StreamServer
 
-from flintreach.rope.host import Host
-from flintreach.rope.link import Closed, Link
-from flintreach.rope.meter import Meter
+from flintreach.transport.peer_connection import Closed, Link
+from flintreach.transport.runtime import Host
+from flintreach.transport.traffic_meter import Meter
 
 
 class Bundle:
--- a/flintreach/rope/host.py
+++ b/flintreach/transport/runtime.py
@@ -13,8 +13,8 @@
 from gevent.event import Event
 from gevent.lock import RLock
 
-from flintreach.rope.link import Link, dial
-from flintreach.rope.meter import Meter
+from flintreach.transport.peer_connection import Link, dial
+from flintreach.transport.traffic_meter import Meter
 
 
 class Task:
--- a/flintreach/waymark/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What the system is told: settings of a process, the operator's configuration, the table of calls."""
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parents[2]
 EXPECTED = json.loads((ROOT / "tests" / "data" / "operators.json").read_text())
 # Of `deploy/*.toml` of earlier releases and of this one.
-PROGRAMS = ("proxy", "bothy", "refuge")
+PROGRAMS = ("proxy", "bothy", "controller", "refuge")
 
 
 # In a process of its own: the pilot's service keeps `rich` away from the process that imports it.
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from flintreach.bunks.plan import Allocation
-from flintreach.cairn.acceptor import Slot
-from flintreach.cairn.offline import rows
-from flintreach.cairn.rescue import alone
-from flintreach.cairn.store import Store
-from flintreach.cairn.voters import Voters
-from flintreach.hutbook.book import Record
-from flintreach.waymark import timetable
-from flintreach.waymark.timetable import Standing
+from flintreach.config import configuration
+from flintreach.config.configuration import Standing
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.inspection import rows
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.recovery import alone
+from flintreach.consensus.store import Store
+from flintreach.endpoints.registry import Record
+from flintreach.sharding.range_assignment import Allocation
 
 DISK = Path(__file__).parents[1] / "data" / "disk"
 NODE = "sorting-north-a-1"
@@ -90,11 +90,11 @@
         values = {key: slot.value for key, slot in store.slots.items()}
         standing = Standing.of(values["timetable"])
         self.assertEqual((standing.number, len(standing)), (9, 3))
-        table = timetable.check(standing.body)
+        table = configuration.check(standing.body)
         self.assertEqual((table.number, len(table.wickets[0].regulations), len(table.depots)), (9, 2, 2))
         # Its history confirms what was acknowledged, also what never came into force, and nothing else.
         for number, body, word in ((9, standing.body, "again"), (9, b"{}", "other content")):
-            self.assertEqual(timetable.put(values["timetable"], number, body)[0], word)
+            self.assertEqual(configuration.put(values["timetable"], number, body)[0], word)
         self.assertEqual(UNPACK(values["evac"]), [2, {"north-a": True, "south-b": False}])
         map = {"look desk": ["desk-1", "desk-2"], "book desk": ["desk-2"]}
         self.assertEqual(UNPACK(values["map"]), [20, map])
@@ -105,8 +105,8 @@
     def test_an_older_configuration_without_a_history_is_read(self):
         body = b'{"edition": "00000009"}'
         self.assertEqual(Standing.of(body).number, 9)
-        self.assertEqual(timetable.put(body, 9, body)[0], "again")
-        self.assertEqual(timetable.put(body, 9, b"other")[0], "other content")
+        self.assertEqual(configuration.put(body, 9, body)[0], "again")
+        self.assertEqual(configuration.put(body, 9, b"other")[0], "other content")
 
     def test_the_voters_are_read_and_written_back_as_they_were(self):
         store = self.opened()
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -14,8 +14,10 @@
 from gevent import socket
 from gevent.pywsgi import Input
 
-from flintreach.bunks.plan import Range
-from flintreach.hutbook.book import Beat
+from flintreach.api import calls
+from flintreach.config import configuration, settings
+from flintreach.controller.lease_owner import Keeper
+from flintreach.endpoints.registry import Beat
 from flintreach.proxy.caller import Caller
 from flintreach.proxy.choice import Endpoint
 from flintreach.proxy.connection import ConnectionPool
@@ -23,12 +25,11 @@
 from flintreach.proxy.presence import Presence
 from flintreach.proxy.reply import Message
 from flintreach.proxy.request import REASONS, Request, endpoint_head, own, relayed
-from flintreach.refuge.keys import Keeper
-from flintreach.standins.simulated import SECOND, Simulation
-from flintreach.standins.simulated_site import Shape, Site
-from flintreach.standins.simulated_trial import played
-from flintreach.standins.simulated_watch import Watch
-from flintreach.waymark import calls, settings, timetable
+from flintreach.sharding.range_assignment import Range
+from flintreach.simulation.engine import SECOND, Simulation
+from flintreach.simulation.invariants import Watch
+from flintreach.simulation.site import Shape, Site
+from flintreach.simulation.trial import played
 
 DATA = Path(__file__).parents[1] / "data"
 CONFIGURATION = {
@@ -195,7 +196,9 @@
             keeper.exchange(kind, keys)
             found[f"{kind} {handover}".strip()] = listener.came.pop()
         view = type(
-            "View", (), {"routes": timetable.Routes(timetable.check(msgspec.json.encode(CONFIGURATION)))}
+            "View",
+            (),
+            {"routes": configuration.Routes(configuration.check(msgspec.json.encode(CONFIGURATION)))},
         )
         endpoint = Endpoint("lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr))
         Presence(view, Metrics()).question(endpoint, 10**18)
@@ -303,7 +306,7 @@
 def observed() -> dict[str, dict[str, str]]:
     """All that is pinned, by part and name."""
     node = settings.parse(SETTINGS)
-    table = timetable.check(msgspec.json.encode(CONFIGURATION))
+    table = configuration.check(msgspec.json.encode(CONFIGURATION))
     beat = msgspec.json.decode(json.dumps(BEAT), type=Beat)
     return {
         "heads": heads(),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,9 +2,9 @@
 
 import json
 
-from flintreach import interface as face
-from flintreach.interface import SECOND
-from flintreach.logic import Pilot
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.logic import Pilot
 
 
 class Fleet:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from flintreach import interface as face
 from flintreach.adapter import wire
 from flintreach.adapter.host import Host
-from flintreach.settings import read
+from flintreach.pilot import interface as face
+from flintreach.pilot.settings import read
 
 CONFIG = (
     "me=1 balancers=2 areas=a,b az=1 specifics.ranges=3 request_classes.count=1 "
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -16,16 +16,16 @@
 import uvloop
 from helpers import Fleet, Log, Recorder
 
-from flintreach import interface as face
-from flintreach import logic
 from flintreach.cores.block import Block
 from flintreach.cores.care import LIFE, Life, Owners
 from flintreach.cores.fold import Fold, Pace
 from flintreach.cores.frames import MOST, Reader, Torn, Writer
 from flintreach.cores.front import Front
-from flintreach.interface import SECOND
 from flintreach.net import config as net_config
 from flintreach.net.service import Service
+from flintreach.pilot import interface as face
+from flintreach.pilot import logic
+from flintreach.pilot.interface import SECOND
 from flintreach.standins.discovery import Discovery
 from flintreach.standins.peer import Peer
 from flintreach.standins.platform import listing, row, told
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -8,15 +8,15 @@
 import pytest
 from helpers import Fleet, Log, Loop, Recorder
 
-from flintreach import interface as face
 from flintreach.evidence import packet
 from flintreach.evidence.block import Block
 from flintreach.evidence.intake import SEEN, Intake
 from flintreach.evidence.ledger import SETTLED, STATES, Bounds, Ledger, Series
 from flintreach.evidence.packet import Bad, Value
-from flintreach.interface import SECOND
 from flintreach.net.config import load
 from flintreach.net.service import Service
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
 from flintreach.standins.platform import told
 
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers import Fleet
 
-from flintreach import interface as face
-from flintreach.interface import SECOND
-from flintreach.logic import MODES, Partition, Ring
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.logic import MODES, Partition, Ring
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,13 +5,13 @@
 import pytest
 from helpers import Log, Loop, Pipe, Recorder, Wire
 
-from flintreach import interface as face
-from flintreach.interface import SECOND
-from flintreach.logic import Pilot
 from flintreach.net import config, http, relay, roster, servers
 from flintreach.net.clients import Client
 from flintreach.net.pilots import Pilots
 from flintreach.net.service import Service
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.logic import Pilot
 from flintreach.standins.platform import listing, row, stands, told
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from flintreach import operator
-from flintreach.interface import SECOND
+from flintreach.pilot import operator_file
+from flintreach.pilot.interface import SECOND
 from flintreach.standins.platform import told
 
 
@@ -45,10 +45,10 @@
     if text is not None:
         path.write_bytes(text.encode("utf-8", "surrogateescape"))
     if error is None:
-        assert operator.says(operator.load(str(path)))
+        assert operator_file.says(operator_file.load(str(path)))
         return
-    with pytest.raises(operator.OperatorError) as raised:
-        operator.load(str(path))
+    with pytest.raises(operator_file.OperatorError) as raised:
+        operator_file.load(str(path))
     assert error in str(raised.value) and "\n" not in str(raised.value)
     assert str(raised.value).startswith(str(path))
 
@@ -56,9 +56,9 @@
 def test_values_come_in_the_units_of_the_program(tmp_path):
     path = tmp_path / "own.hcl"
     path.write_text('cores {\n workers = 3\n hang = "1.5s"\n share = 0.5\n}\n')
-    cores = operator.load(None, {"FLINTREACH_OPERATOR": str(path)}).block("cores")
+    cores = operator_file.load(None, {"FLINTREACH_OPERATOR": str(path)}).block("cores")
     assert (cores.workers, cores.hang, cores.share) == (3, 3 * SECOND // 2, 0.5)
-    assert operator.load(None, {}) is None
+    assert operator_file.load(None, {}) is None
 
 
 def test_what_the_shipped_file_shows_can_be_switched_on(tmp_path):
@@ -66,8 +66,8 @@
     path = tmp_path / "own.hcl"
     lines = shown[shown.index("# cores") :].splitlines()
     path.write_text("\n".join(line.removeprefix("# ") for line in lines))
-    assert set(operator.load(str(path)).blocks) == set(operator.known())
-    assert operator.load("deploy/flintreach.hcl").blocks == {}
+    assert set(operator_file.load(str(path)).blocks) == set(operator_file.known())
+    assert operator_file.load("deploy/flintreach.hcl").blocks == {}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintreach.interface import SECOND
+from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
 from flintreach.standins.graphite import Receiver
 from flintreach.standins.platform import listing, row
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from flintreach import interface as face
-from flintreach import logic
-from flintreach.interface import SECOND
+from flintreach.pilot import interface as face
+from flintreach.pilot import logic
+from flintreach.pilot.interface import SECOND
 from flintreach.standins.worlds import World
 
 RECORDED = [
--- a/tests/test_system_answers.py
+++ b/tests/test_system_answers.py
@@ -15,18 +15,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from flintreach.config.configuration import Caps
+from flintreach.config.settings import Bounds
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.versioned_store import Board
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
-from flintreach.rope.bundle import Bundle
-from flintreach.rope.link import Closed, dial
 from flintreach.standins.adversary import ACTS, RESET, Adversary, Asked, Pilot, packed, text
-from flintreach.trail.board import Board
-from flintreach.trail.tally import Tally
-from flintreach.waymark.settings import Bounds
-from flintreach.waymark.timetable import Caps
+from flintreach.transport.peer_connection import Closed, dial
+from flintreach.transport.peer_pool import Bundle
 
 CALM = settings(derandomize=True, deadline=None, max_examples=120)
 PROMISES = (408, 421, 429, 503)
@@ -701,7 +701,7 @@
             self.bundle(),
         )
         with (
-            mock.patch("flintreach.rope.link.MOST", 4000),
+            mock.patch("flintreach.transport.peer_connection.MOST", 4000),
             gevent.Timeout(2),
             mock.patch.object(gevent.get_hub(), "handle_error"),
         ):
@@ -716,7 +716,7 @@
     def test_a_message_that_is_too_long_fails_where_it_is_sent(self):
         peer, mine = self.bundle(good=lambda link, body: 1), self.bundle()
         at = peer.server.address
-        with mock.patch("flintreach.rope.link.MOST", 4000), gevent.Timeout(2):
+        with mock.patch("flintreach.transport.peer_connection.MOST", 4000), gevent.Timeout(2):
             self.assertEqual(mine.ask(at, "good"), 1)
             link = mine.links[at]
             self.assertIsNone(mine.ask(at, "good", b"x" * 4000, 30.0))
@@ -741,7 +741,7 @@
 
     def test_a_peer_that_does_not_read_can_not_hold_memory_without_end(self):
         link, sent = dial(self.pilot("stops reading").address, {}), 0
-        with mock.patch("flintreach.rope.link.QUEUED", 1 << 20), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.QUEUED", 1 << 20), gevent.Timeout(5):
             job = gevent.spawn(self.ask, link, "held", 30.0)
             gevent.sleep(0)
             while link.send("news", b"x" * 65536):
@@ -755,7 +755,7 @@
         gate = Event()
         peer = self.bundle(hold=lambda link, body: gate.wait())
         link = dial(peer.server.address, {})
-        with mock.patch("flintreach.rope.link.HANDLED", 5), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.HANDLED", 5), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0, "hold") for n in range(9)]
             gevent.joinall(jobs, count=4)
             self.assertEqual([job.value for job in jobs], [None] * 5 + [Closed] * 4)
@@ -765,7 +765,7 @@
 
     def test_questions_without_an_answer_are_bounded(self):
         link = dial(self.pilot("stops reading").address, {})
-        with mock.patch("flintreach.rope.link.WAITING", 3), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.WAITING", 3), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0) for n in range(5)]
             gevent.joinall(jobs, count=2)
             self.assertEqual([job.value for job in jobs], [None] * 3 + [Closed] * 2)
--- a/tests/test_system_camp.py
+++ b/tests/test_system_camp.py
@@ -16,11 +16,11 @@
 from typer.testing import CliRunner
 
 from flintreach.__main__ import commands
-from flintreach.cairn.offline import rows
-from flintreach.cairn.store import StoreError
-from flintreach.rope.bundle import Bundle
-from flintreach.standins.camp import TIMETABLE, Camp
-from flintreach.waymark.settings import place
+from flintreach.config.settings import place
+from flintreach.consensus.inspection import rows
+from flintreach.consensus.store import StoreError
+from flintreach.demo.cluster import TIMETABLE, Camp
+from flintreach.transport.peer_pool import Bundle
 
 BOUND = 120.0
 
--- a/tests/test_system_carrying.py
+++ b/tests/test_system_carrying.py
@@ -10,8 +10,13 @@
 import msgspec
 from gevent.event import Event
 
-from flintreach.cairn.voters import Voters
-from flintreach.lookout.roster import Member
+from flintreach.config.settings import Bounds
+from flintreach.consensus.quorum import Voters
+from flintreach.controller.load_placement import TTL, Placing, leader
+from flintreach.controller.quorum_contact import NEVER, Contact
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.versioned_store import Board
+from flintreach.membership.member_list import Member
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import SECOND, Here
 from flintreach.proxy.connection import Connection
@@ -30,11 +35,6 @@
 from flintreach.proxy.reply import Message
 from flintreach.proxy.request import Request
 from flintreach.proxy.view import RoutingView
-from flintreach.refuge.contact import NEVER, Contact
-from flintreach.refuge.placing import TTL, Placing, leader
-from flintreach.trail.board import Board
-from flintreach.trail.tally import Tally
-from flintreach.waymark.settings import Bounds
 
 
 def configured(kind="safe", sharded=False, homes=()):
--- a/tests/test_system_departures.py
+++ b/tests/test_system_departures.py
@@ -10,6 +10,9 @@
 import msgspec
 from gevent import socket
 
+from flintreach.config.settings import Bounds
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.versioned_store import Board
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.lease import ARRIVE_PART, SEND_PART
@@ -17,9 +20,6 @@
 from flintreach.proxy.request import Request
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import Adversary
-from flintreach.trail.board import Board
-from flintreach.trail.tally import Tally
-from flintreach.waymark.settings import Bounds
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LAST_CALL_MS = 2500
--- a/tests/test_system_disk.py
+++ b/tests/test_system_disk.py
@@ -6,8 +6,8 @@
 import unittest
 from pathlib import Path
 
-from flintreach.cairn.acceptor import Slot
-from flintreach.cairn.store import Store, StoreError
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.store import Store, StoreError
 
 
 class Disk:
--- a/tests/test_system_endpoints.py
+++ b/tests/test_system_endpoints.py
@@ -8,12 +8,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintreach.bunks.keeping import Keeping
-from flintreach.bunks.plan import Allocation, Heat
-from flintreach.bunks.warmth import Warmth
-from flintreach.cairn.register import Register
-from flintreach.cairn.voters import Voters
-from flintreach.hutbook.book import (
+from flintreach.config.settings import Bounds
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.register import Register
+from flintreach.controller.control_plane import ControlPlane
+from flintreach.controller.endpoint_service import Endpoints
+from flintreach.controller.load_placement import Placing
+from flintreach.controller.operator_requests import Orders
+from flintreach.dissemination.relay import MARK, STALE, Follow, Relay
+from flintreach.dissemination.versioned_store import (
+    BUCKETS,
+    HORIZON,
+    MOST_BYTES,
+    MOST_ROWS,
+    STALE_BOARD,
+    Board,
+)
+from flintreach.endpoints.registry import (
     CLOSES,
     CLOSING,
     ENDS,
@@ -28,15 +39,11 @@
 )
 from flintreach.proxy.choice import Here
 from flintreach.proxy.view import RoutingView
-from flintreach.refuge.endpoints import Endpoints
-from flintreach.refuge.orders import Orders
-from flintreach.refuge.placing import Placing
-from flintreach.refuge.plane import ControlPlane
-from flintreach.rope.bundle import Bundle
-from flintreach.rope.link import Closed
-from flintreach.trail.board import BUCKETS, HORIZON, MOST_BYTES, MOST_ROWS, STALE_BOARD, Board
-from flintreach.trail.relay import MARK, STALE, Follow, Relay
-from flintreach.waymark.settings import Bounds
+from flintreach.sharding.key_load import Warmth
+from flintreach.sharding.range_assignment import Allocation, Heat
+from flintreach.sharding.range_lease import Keeping
+from flintreach.transport.peer_connection import Closed
+from flintreach.transport.peer_pool import Bundle
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
--- a/tests/test_system_fuzz.py
+++ b/tests/test_system_fuzz.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintreach.lookout.roster import Member, Roster
+from flintreach.config import configuration
+from flintreach.config.configuration import Caps
+from flintreach.membership.member_list import Member, Roster
 from flintreach.proxy.front import FrontHandler
 from flintreach.proxy.intake import BadRequest, Source, parse
 from flintreach.proxy.reply import HTTPParseError, Replies
-from flintreach.waymark import timetable
-from flintreach.waymark.timetable import Caps
 
 CALM = settings(derandomize=True, deadline=None, max_examples=150)
 WORDS = st.sampled_from(
@@ -160,8 +160,8 @@
     @given(st.binary(max_size=300))
     def test_a_configuration_is_taken_or_refused(self, data):
         try:
-            timetable.check(data)
-        except timetable.ConfigError:
+            configuration.check(data)
+        except configuration.ConfigError:
             pass
 
     @CALM
--- a/tests/test_system_hangups.py
+++ b/tests/test_system_hangups.py
@@ -8,6 +8,10 @@
 import msgspec
 from gevent import socket
 
+from flintreach.config.configuration import Caps
+from flintreach.config.settings import Bounds
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.versioned_store import Board
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
@@ -15,10 +19,6 @@
 from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
-from flintreach.trail.board import Board
-from flintreach.trail.tally import Tally
-from flintreach.waymark.settings import Bounds
-from flintreach.waymark.timetable import Caps
 
 SOON_S = 0.25  # within which it is over here
 AIM_MS, PATIENCE_S = 400, 0.24  # of the routes; the longest time after which a second endpoint is asked
--- a/tests/test_system_keys.py
+++ b/tests/test_system_keys.py
@@ -12,12 +12,12 @@
 import gevent
 from gevent import socket
 
-from flintreach.bunks import keeping, plan, region
-from flintreach.bunks.keeping import GRANT, NET, Keeping
-from flintreach.bunks.plan import KEYS, Allocation, Heat
-from flintreach.bunks.warmth import Warmth
-from flintreach.refuge.keys import Keeper
-from flintreach.rope.host import Host
+from flintreach.controller.lease_owner import Keeper
+from flintreach.sharding import range_assignment, range_lease, region_affinity
+from flintreach.sharding.key_load import Warmth
+from flintreach.sharding.range_assignment import KEYS, Allocation, Heat
+from flintreach.sharding.range_lease import GRANT, NET, Keeping
+from flintreach.transport.runtime import Host
 
 EVEN = Heat()
 SAMPLES = [0, 1, 4000, 8191, 8192, 20000, 40000, 65535]
@@ -139,9 +139,9 @@
     def test_planted_faults_are_seen(self):
         with mock.patch.object(Keeping, "goes_out", lambda self, kind, r, now: True):
             self.assertIn("is held by", first_breach(range(120)) or "")
-        with mock.patch.object(keeping, "SLOW", 0.5):
+        with mock.patch.object(range_lease, "SLOW", 0.5):
             self.assertIn("is held by", first_breach(range(120)) or "")
-        with mock.patch.object(keeping, "NET", -2.0):
+        with mock.patch.object(range_lease, "NET", -2.0):
             self.assertIn("is held by", first_breach(range(120)) or "")
 
     def test_a_dead_holders_keys_wait_for_its_last_grant_alone(self):
@@ -156,13 +156,13 @@
             if len(served) < len(SAMPLES):
                 waits.append(night.now - died)
         state = night.keepers[0]
-        self.assertLess(max(waits), state.hold * keeping.SLOW + NET + keeping.SPARE + 1.5)
+        self.assertLess(max(waits), state.hold * range_lease.SLOW + NET + range_lease.SPARE + 1.5)
 
     def test_a_change_that_did_not_stand_keeps_the_handover(self):
         night = Night(1, keepers=1, calm=True)
         night.play(6)
         state, held = night.keepers[0], Allocation.of(night.rows)
-        plan.evict(held, {"e1"})
+        range_assignment.evict(held, {"e1"})
         leaving = next(r for r in held.ranges if r.holder == "e1")
         night.rows = held.rows()
         state.allocation = held
@@ -196,18 +196,18 @@
     def test_a_hot_stretch_is_divided_until_nobody_bears_far_too_much(self):
         allocation, able = Allocation.of(None), {f"e{i}": 1.0 for i in range(8)}
         addrs = {id: f"{id}:80" for id in able}
-        plan.fill(allocation, able, addrs, Heat())
+        range_assignment.fill(allocation, able, addrs, Heat())
         heat, moved = Heat(dict.fromkeys(range(10, 14), 400) | dict.fromkeys(range(1024), 1)), 0
-        hot = max(plan.borne(allocation, able, heat).items(), key=lambda row: row[1])[0]
-        self.assertFalse(plan.spread(allocation, able, heat, set()), "it has room: nothing moves")
-        while plan.spread(allocation, able, heat, {hot}) and moved < 40:
+        hot = max(range_assignment.borne(allocation, able, heat).items(), key=lambda row: row[1])[0]
+        self.assertFalse(range_assignment.spread(allocation, able, heat, set()), "it has room: nothing moves")
+        while range_assignment.spread(allocation, able, heat, {hot}) and moved < 40:
             for r in allocation.ranges:
-                if r.state == plan.LEAVING:
-                    r.state, r.holder = plan.FREE, ""
-            plan.fill(allocation, able, addrs, heat)
+                if r.state == range_assignment.LEAVING:
+                    r.state, r.holder = range_assignment.FREE, ""
+            range_assignment.fill(allocation, able, addrs, heat)
             moved += 1
-        bears = plan.borne(allocation, able, heat)
-        self.assertLess(max(bears.values()), plan.BUSY / 8 + 0.01)
+        bears = range_assignment.borne(allocation, able, heat)
+        self.assertLess(max(bears.values()), range_assignment.BUSY / 8 + 0.01)
         self.assertLess(moved, 12)
 
     def test_sums_fade_and_others_hear_of_them(self):
@@ -243,24 +243,24 @@
             ([], None),
             ([home, self.route("d", ("s",))], None),
         ):
-            self.assertEqual(region.bound(routes, {"k"}), found)
+            self.assertEqual(region_affinity.bound(routes, {"k"}), found)
 
     def test_keys_stay_where_they_are_unless_homes_say_otherwise(self):
         berths = {"n": 8.0, "s": 8.0}
-        self.assertEqual(region.target(set(), {"n": 0.4, "s": 0.6}, berths), "s")
-        self.assertEqual(region.target({"n"}, {"n": 0.4, "s": 0.6}, berths), "n")
-        self.assertIsNone(region.target(None, {}, berths))
-        self.assertIsNone(region.target({"x"}, {}, berths))
+        self.assertEqual(region_affinity.target(set(), {"n": 0.4, "s": 0.6}, berths), "s")
+        self.assertEqual(region_affinity.target({"n"}, {"n": 0.4, "s": 0.6}, berths), "n")
+        self.assertIsNone(region_affinity.target(None, {}, berths))
+        self.assertIsNone(region_affinity.target({"x"}, {}, berths))
 
     def test_thin_links_are_not_asked_to_carry_what_two_regions_would(self):
-        self.assertTrue(region.carried(1.3e6, [1000.0] * 6))
-        self.assertFalse(region.carried(6.2e6, [2.6] * 33))
-        self.assertFalse(region.carried(None, [1000.0]), "nothing is known yet")
-        self.assertFalse(region.carried(1.0, []))
-        self.assertTrue(region.carried(1e9, [0.0, 0.0]), "the settings tell no link")
+        self.assertTrue(region_affinity.carried(1.3e6, [1000.0] * 6))
+        self.assertFalse(region_affinity.carried(6.2e6, [2.6] * 33))
+        self.assertFalse(region_affinity.carried(None, [1000.0]), "nothing is known yet")
+        self.assertFalse(region_affinity.carried(1.0, []))
+        self.assertTrue(region_affinity.carried(1e9, [0.0, 0.0]), "the settings tell no link")
 
     def test_no_more_keys_lie_in_a_region_than_its_endpoints_bear(self):
-        berths, lean = {"n": 8.0, "s": 8.0}, region.Lean()
+        berths, lean = {"n": 8.0, "s": 8.0}, region_affinity.Lean()
         self.assertEqual(lean.weigh("n", berths, None), {"n": 1.0, "s": 1.0})
         for busy, most, least in ((1.8, 1.0, 1.0), (4.8, 0.8, 0.7), (16.0, 0.56, 0.44), (1.0, 1.0, 1.0)):
             for _ in range(60):
@@ -273,16 +273,16 @@
     def test_keys_move_to_the_region_a_part_at_a_time_and_stay(self):
         allocation, able = Allocation.of(None), {f"{z}{i}": 1.0 for z in "ns" for i in range(4)}
         addrs = {id: f"{id}:80" for id in able}
-        plan.fill(allocation, able, addrs, EVEN)
+        range_assignment.fill(allocation, able, addrs, EVEN)
         weights, moves = {id: float(id[0] == "n") for id in able}, 0
-        while plan.spread(allocation, weights, EVEN, set()):
+        while range_assignment.spread(allocation, weights, EVEN, set()):
             for r in allocation.ranges:
-                if r.state == plan.LEAVING:
-                    r.state, r.holder = plan.FREE, ""
-            plan.fill(allocation, weights, addrs, EVEN)
+                if r.state == range_assignment.LEAVING:
+                    r.state, r.holder = range_assignment.FREE, ""
+            range_assignment.fill(allocation, weights, addrs, EVEN)
             moves += 1
             self.assertLess(moves, 20)
-        keys = plan.borne(allocation, able, EVEN)
+        keys = range_assignment.borne(allocation, able, EVEN)
         self.assertAlmostEqual(sum(keys[id] for id in able if id[0] == "n"), 1.0)
         self.assertLess(max(keys.values()), 0.36)
 
@@ -297,7 +297,9 @@
         register = SimpleNamespace(acceptor=None, host=Host())
         keeper = Keeper("a", "lot", register, 10_000, dict, lambda id: False, None, None)
         keeper.state.until = keeper.host.now() + 5
-        r = plan.Range(0, 9, "e0", 1, plan.HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}")
+        r = range_assignment.Range(
+            0, 9, "e0", 1, range_assignment.HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}"
+        )
         job = gevent.spawn(keeper.exchange, GRANT, r)
         there, _ = listener.accept()
         self.addCleanup(there.close)
--- a/tests/test_system_orders.py
+++ b/tests/test_system_orders.py
@@ -13,27 +13,28 @@
 from gevent import pywsgi
 from greenlet import greenlet
 
-from flintreach.bunks.keeping import GRANT, SEND, Keeping
-from flintreach.bunks.plan import HELD, KEYS, LEAVING, Allocation, Heat, Range
-from flintreach.cairn.acceptor import Slot
-from flintreach.cairn.register import Register
-from flintreach.cairn.voters import Voters
-from flintreach.lookout.roster import ALIVE, DEAD, SUSPECTED, Member, Roster
-from flintreach.lookout.roster import LEFT as LEFT_
-from flintreach.refuge import contact
-from flintreach.refuge.care import Care
-from flintreach.refuge.contact import AFTER_S, GAP_S, NEVER, PATIENCE_S, Awake, Contact
-from flintreach.refuge.control import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, Control, Handler
-from flintreach.refuge.keys import Keeper
-from flintreach.refuge.mesh import Mesh
-from flintreach.refuge.orders import DROPPED, LATE, Orders
-from flintreach.refuge.plane import ControlPlane
-from flintreach.rope import link
-from flintreach.rope.bundle import Bundle
-from flintreach.trail import relay
-from flintreach.trail.board import Board
-from flintreach.waymark import calls, settings, timetable
-from flintreach.waymark.timetable import AGAIN, FORGOTTEN, KEPT, OTHER, OVERTAKEN, TAKEN, Standing
+from flintreach.api import calls
+from flintreach.config import configuration, settings
+from flintreach.config.configuration import AGAIN, FORGOTTEN, KEPT, OTHER, OVERTAKEN, TAKEN, Standing
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.register import Register
+from flintreach.controller import quorum_contact
+from flintreach.controller.control_plane import ControlPlane
+from flintreach.controller.http_api import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, Control, Handler
+from flintreach.controller.lease_owner import Keeper
+from flintreach.controller.operator_requests import DROPPED, LATE, Orders
+from flintreach.controller.peer_exchange import Mesh
+from flintreach.controller.quorum_contact import AFTER_S, GAP_S, NEVER, PATIENCE_S, Awake, Contact
+from flintreach.controller.repair import Care
+from flintreach.dissemination import relay
+from flintreach.dissemination.versioned_store import Board
+from flintreach.membership.member_list import ALIVE, DEAD, SUSPECTED, Member, Roster
+from flintreach.membership.member_list import LEFT as LEFT_
+from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, Heat, Range
+from flintreach.sharding.range_lease import GRANT, SEND, Keeping
+from flintreach.transport import peer_connection
+from flintreach.transport.peer_pool import Bundle
 
 CALLS = {"beat", "leave", "put", "get", "evacuate", "resume", "resolve"}
 
@@ -233,7 +234,7 @@
         self.control = Control(Plane(orders=orders), CALLS)
 
     def test_a_body_that_links_would_not_carry_is_told_by_its_length_and_left_unread(self):
-        self.assertLessEqual(2 * LARGE, link.MOST)
+        self.assertLessEqual(2 * LARGE, peer_connection.MOST)
         for path, most in (
             ("/v1/timetable/put", LARGE),
             ("/v1/endpoints/e/check-in", SMALL),
@@ -338,17 +339,17 @@
     def test_what_earlier_texts_kept_is_read(self):
         held = Standing.of(table(6))
         self.assertEqual((held.number, held.body, len(held)), (6, table(6), 1))
-        self.assertEqual(timetable.put(table(6), 6, table(6)), (AGAIN, None))
-        self.assertEqual(timetable.put(table(6), 6, table(6, "b.example"))[0], OTHER)
-        word, value = timetable.put(table(6), 8, table(8))
+        self.assertEqual(configuration.put(table(6), 6, table(6)), (AGAIN, None))
+        self.assertEqual(configuration.put(table(6), 6, table(6, "b.example"))[0], OTHER)
+        word, value = configuration.put(table(6), 8, table(8))
         self.assertEqual((word, Standing.of(value).number), (TAKEN, 8))
-        self.assertEqual(timetable.put(value, 6, table(6)), (AGAIN, None))
+        self.assertEqual(configuration.put(value, 6, table(6)), (AGAIN, None))
 
     def test_the_history_stays_sorted_and_bounded_whatever_comes(self):
         draw, value, taken = random.Random(4), None, {}
         for _ in range(4 * KEPT):
             number = draw.randrange(3 * KEPT)
-            word, fresh = timetable.put(value, number, b"%d" % number)
+            word, fresh = configuration.put(value, number, b"%d" % number)
             self.assertNotEqual(word, OTHER)
             value = fresh or value
             taken[number] = word
@@ -378,9 +379,9 @@
 
     def test_a_number_is_eight_plain_hexadecimal_digits(self):
         for text in ("+0000001", "-0000001", "0x000001", "000_0001", " 0000001", "\u0661" * 8):
-            with self.assertRaises(timetable.ConfigError, msg=text):
-                timetable.edition(text)
-        self.assertEqual(timetable.edition("0000aBcD"), 0xABCD)
+            with self.assertRaises(configuration.ConfigError, msg=text):
+                configuration.edition(text)
+        self.assertEqual(configuration.edition("0000aBcD"), 0xABCD)
 
 
 ZONE = "/v1/evacuate/north/"
@@ -678,7 +679,7 @@
         found = self.contact(1, 1, 1)
         for turn in range(100):
             found.heard(ME, 2.0 + turn, {"evac": (9, "a")}, 2.0 + turn)
-        self.assertEqual(len(found.open[ME]), contact.OPEN)
+        self.assertEqual(len(found.open[ME]), quorum_contact.OPEN)
 
     def test_a_sleep_is_noticed_by_whoever_looks_first(self):
         awake = Awake(10.0)
@@ -792,7 +793,7 @@
                 answer = next(answers, None)
                 if answer is None:
                     world.now += timeout
-                    raise link.Closed
+                    raise peer_connection.Closed
                 world.now += 0.4  # it lay in a buffer, or was long on its way
                 return answer
 
@@ -815,7 +816,7 @@
             def ask(self, kind, body, timeout):
                 answer = next(answers, None)
                 if answer is None:
-                    raise link.Closed
+                    raise peer_connection.Closed
                 world.now += 5.0 if kind == "accepted" else 0.0  # it lay there while this process slept
                 return answer
 
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -11,14 +11,16 @@
 import gevent.socket
 import msgspec
 
-from flintreach.bunks import plan
-from flintreach.bunks.plan import FREE, HELD, KEYS, LEAVING, Allocation, Heat
-from flintreach.cairn import wanted as wishes
-from flintreach.cairn.acceptor import Acceptor, merged
-from flintreach.cairn.proposer import Change
-from flintreach.cairn.register import Register as Register_
-from flintreach.cairn.voters import Voters
-from flintreach.hutbook.book import (
+from flintreach.config import configuration, settings
+from flintreach.consensus import voter_selection as wishes
+from flintreach.consensus.acceptor import Acceptor, merged
+from flintreach.consensus.proposer import Change
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.register import Register as Register_
+from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.relay_tree import BORNE, FAN, parents
+from flintreach.dissemination.versioned_store import Board
+from flintreach.endpoints.registry import (
     CLOSES,
     CLOSING,
     ENDS,
@@ -31,7 +33,8 @@
     Book,
     Record,
 )
-from flintreach.lookout.roster import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, Roster, bucket
+from flintreach.membership.member_list import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, Roster, bucket
+from flintreach.placement.placer import Place, Ridge
 from flintreach.proxy.choice import (
     SECOND,
     Budget,
@@ -47,12 +50,9 @@
 from flintreach.proxy.connection import Connection, ConnectionPool
 from flintreach.proxy.exchange import UNSENT, ExchangeTerms, exchange
 from flintreach.proxy.reply import HTTPParseError, Replies
-from flintreach.ridge.place import Place, Ridge
-from flintreach.rope.host import Host
-from flintreach.trail.board import Board
-from flintreach.trail.tally import Tally
-from flintreach.trail.tree import BORNE, FAN, parents
-from flintreach.waymark import settings, timetable
+from flintreach.sharding import range_assignment
+from flintreach.sharding.range_assignment import FREE, HELD, KEYS, LEAVING, Allocation, Heat
+from flintreach.transport.runtime import Host
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
@@ -478,13 +478,13 @@
         for turn in range(200):
             able = dict.fromkeys(draw.sample(sorted(addrs), draw.randint(1, 9)), 1.0)
             before = [(r.low, r.high, r.holder, r.state) for r in allocation.ranges]
-            plan.evict(allocation, {r.holder for r in allocation.ranges if r.holder not in able})
+            range_assignment.evict(allocation, {r.holder for r in allocation.ranges if r.holder not in able})
             for r in allocation.ranges:
                 if r.state == LEAVING and draw.random() < 0.5:
                     r.state, r.holder = FREE, ""
             heat = Heat({draw.randrange(1024): 300.0 for _ in range(3)})
-            plan.fill(allocation, able, addrs, heat)
-            plan.spread(allocation, able, heat, {*able})
+            range_assignment.fill(allocation, able, addrs, heat)
+            range_assignment.spread(allocation, able, heat, {*able})
             self.whole(allocation)
             for low, high, holder, state in before:
                 if state == LEAVING:
@@ -748,10 +748,10 @@
         told = msgspec.json.decode(msgspec.json.encode(CONFIG))
         if change:
             change(told["wickets"][0]["regulations"][0], told)
-        return timetable.check(msgspec.json.encode(told)[:cut])
+        return configuration.check(msgspec.json.encode(told)[:cut])
 
     def test_the_longest_prefix_wins(self):
-        routes = timetable.Routes(self.check())
+        routes = configuration.Routes(self.check())
         found = [
             routes.find(host, path)
             for host, path in (
@@ -787,11 +787,11 @@
             lambda rule, told: told.pop("wickets"),
         ]
         for number, change in enumerate(cases):
-            with self.assertRaises(timetable.ConfigError, msg=str(number)):
+            with self.assertRaises(configuration.ConfigError, msg=str(number)):
                 self.check(change)
         size = len(msgspec.json.encode(CONFIG))
         for cut in range(1, size, 7):
-            with self.assertRaises(timetable.ConfigError):
+            with self.assertRaises(configuration.ConfigError):
                 self.check(cut=cut)
 
     def test_settings_name_the_field_that_is_wrong(self):
--- a/tests/test_system_signals.py
+++ b/tests/test_system_signals.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from flintreach.waymark import settings
+from flintreach.config import settings
 
 # A program of the system that gets a SIGHUP before it has come to its handlers.
 EARLY = """
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -7,11 +7,11 @@
 import unittest
 from pathlib import Path
 
-from flintreach.standins.simulated import SECOND, Closed, Link, Machine, Network, Process, Simulation, Store
-from flintreach.standins.simulated import Disk as Plate
-from flintreach.standins.simulated_plants import PLANTS, applies
-from flintreach.standins.simulated_trial import churn, many, play
-from flintreach.standins.simulated_watch import INVARIANTS, Put, Watch, edition, numbered
+from flintreach.simulation.engine import SECOND, Closed, Link, Machine, Network, Process, Simulation, Store
+from flintreach.simulation.engine import Disk as Plate
+from flintreach.simulation.invariants import INVARIANTS, Put, Watch, edition, numbered
+from flintreach.simulation.mutants import PLANTS, applies
+from flintreach.simulation.trial import churn, many, play
 
 # The others do not hold in this text yet (see docs/design/simulation.md); the command has all of them on.
 OPEN = ()
@@ -23,7 +23,7 @@
 RARE = ("no-write-back", "votes-when-empty")
 PLAY = """
 import json, sys
-from flintreach.standins.simulated_trial import play
+from flintreach.simulation.trial import play
 print(json.dumps([play(seed, on=()).digest for seed in json.loads(sys.argv[1])]))
 """
 
--- a/tests/test_system_soak.py
+++ b/tests/test_system_soak.py
@@ -6,12 +6,12 @@
 
 import gevent
 
+from flintreach.demo.cluster import Machine
 from flintreach.proxy.lease import SEND_PART
-from flintreach.standins.camp import Machine
+from flintreach.soak.clients import Client
+from flintreach.soak.ledger import LAST_CALL_S, SECOND, Disturbance, Ledger, SentRequest, Verdict
+from flintreach.soak.run import Mix, Soak, SoakPlan
 from flintreach.standins.endpoint import Run, RunEnd
-from flintreach.standins.soak.clients import Client
-from flintreach.standins.soak.ledger import LAST_CALL_S, SECOND, Disturbance, Ledger, SentRequest, Verdict
-from flintreach.standins.soak.run import Mix, Soak, SoakPlan
 from tests.test_system_camp import free_port
 
 
--- a/tests/test_system_voters.py
+++ b/tests/test_system_voters.py
@@ -12,14 +12,24 @@
 import msgspec
 from voters_model import Model
 
-from flintreach.cairn import rescue
-from flintreach.cairn.acceptor import Slot
-from flintreach.cairn.register import Register
-from flintreach.cairn.store import LOG_BYTES, Store, StoreError
-from flintreach.cairn.turnover import Turnover
-from flintreach.cairn.voters import Voters
-from flintreach.cairn.wanted import CALM_S, MOST, Disk, Losses, borne, exchanged, first, ordered, wanted
-from flintreach.refuge.voting import Voting
+from flintreach.consensus import recovery
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.reconfiguration import Turnover
+from flintreach.consensus.register import Register
+from flintreach.consensus.store import LOG_BYTES, Store, StoreError
+from flintreach.consensus.voter_selection import (
+    CALM_S,
+    MOST,
+    Disk,
+    Losses,
+    borne,
+    exchanged,
+    first,
+    ordered,
+    wanted,
+)
+from flintreach.controller.voter_management import Voting
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
@@ -558,16 +568,16 @@
             held = Voters(7, ((at("a"), life), (at("b"), "b0"), (at("c"), "c0")))
             store.keep({}, held.fact())
             with self.assertRaisesRegex(StoreError, "locked"):
-                rescue.alone(str(self.folder), 7, at("a"))
+                recovery.alone(str(self.folder), 7, at("a"))
         for epoch, name, reason in (
             (6, "a", "epoch 7, not 6"),
             (7, "d", "no voter"),
             (7, "b", "came back empty"),
         ):
             with self.assertRaisesRegex(StoreError, reason):
-                rescue.alone(str(self.folder), epoch, at(name))
-        after = rescue.alone(str(self.folder), 7, at("a"))
-        self.assertEqual(after, Voters(7 + rescue.FENCE, ((at("a"), life),)))
+                recovery.alone(str(self.folder), epoch, at(name))
+        after = recovery.alone(str(self.folder), 7, at("a"))
+        self.assertEqual(after, Voters(7 + recovery.FENCE, ((at("a"), life),)))
         with self.store() as store:
             self.assertEqual(Voters.kept(store.facts), after)
             self.assertIn("epoch 1007 by hand over 7", store.facts["forced"])
@@ -583,13 +593,13 @@
         with self.store() as store:
             store.keep({}, Voters(7, ((at("a"), store.life),)).fact() | {"voting": "0"})
         with self.assertRaisesRegex(StoreError, "came back empty"):
-            rescue.alone(str(self.folder), 7, at("a"))
+            recovery.alone(str(self.folder), 7, at("a"))
         base = sqlite3.connect(self.folder / "cairn.db")
         base.execute("update facts set value = '9' where name = 'format'")
         base.commit()
         base.close()
         with self.assertRaisesRegex(StoreError, "format 9"):
-            rescue.alone(str(self.folder), 7, at("a"))
+            recovery.alone(str(self.folder), 7, at("a"))
 
 
 if __name__ == "__main__":
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -7,12 +7,12 @@
 import pytest
 from helpers import Fleet, Log, Loop, Pipe, Recorder
 
-from flintreach import interface as face
-from flintreach import logic
-from flintreach.interface import SECOND
 from flintreach.net import config
 from flintreach.net.clients import Client
 from flintreach.net.service import Service
+from flintreach.pilot import interface as face
+from flintreach.pilot import logic
+from flintreach.pilot.interface import SECOND
 from flintreach.standins.platform import told
 
 WIDE = {"servers": 120, "slices": 960, "proxies": 4, "channel_limit": 1e6}
--- a/tests/voters_model.py
+++ b/tests/voters_model.py
@@ -11,10 +11,10 @@
 from types import SimpleNamespace
 from typing import NamedTuple
 
-from flintreach.cairn.acceptor import Slot, merged
-from flintreach.cairn.proposer import Change
-from flintreach.cairn.register import Register
-from flintreach.cairn.voters import Voters
+from flintreach.consensus.acceptor import Slot, merged
+from flintreach.consensus.proposer import Change
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.register import Register
 
 NAMES = {name: (name, 7) for name in "abcd"}
 
