--- a/flintreach/cli/system.py
+++ b/flintreach/cli/system.py
@@ -46,8 +46,8 @@
         data = path.read_bytes()
         if data.lstrip().startswith(b"{"):
             table = configuration.check(data)
-            routes = sum(len(wicket.regulations) for wicket in table.wickets)
-            return f"{path}: edition {table.edition}, {routes} routes, {len(table.depots)} services"
+            routes = sum(len(host.route_rules) for host in table.virtual_hosts)
+            return f"{path}: edition {table.edition}, {routes} routes, {len(table.service_configs)} services"
         node = settings.parse(data.decode(), str(path))
         return f"{path}: {node.sender.node_name} in {node.sender.zone}, serves {' '.join(node.sender.serves)}"
     except OSError as error:
@@ -88,11 +88,11 @@
         as_json: bool = typer.Option(False, "--json", help="Rows as JSON."),
     ) -> None:
         """Look at a running refuge: status, members, endpoints, tables, keys or voters."""
-        from flintreach.transport.peer_pool import Bundle
+        from flintreach.transport.peer_pool import PeerPool
 
         if view not in VIEWS:
             fail(2, f"{view}: expected one of {', '.join(VIEWS)}")
-        rows = Bundle(("127.0.0.1", 0)).ask(place(inner), "show", view, 3.0)
+        rows = PeerPool(("127.0.0.1", 0)).ask(place(inner), "show", view, 3.0)
         if rows is None:
             fail(1, f"{inner}: no answer")
         typer.echo(json.dumps(rows) if as_json else "\n".join(printed(rows)))
@@ -138,10 +138,10 @@
         into: str = typer.Option(None, "--in", help="A caught-up disk to take in instead."),
     ) -> None:
         """Exchange, leave out or take in a voter of the register; `show voters` tells who votes."""
-        from flintreach.transport.peer_pool import Bundle
+        from flintreach.transport.peer_pool import PeerPool
 
         order = [list(place(text)) if text else None for text in (out, into)]
-        said = Bundle(("127.0.0.1", 0)).ask(place(inner), "replace", order, 6.0)
+        said = PeerPool(("127.0.0.1", 0)).ask(place(inner), "replace", order, 6.0)
         if said != "":
             fail(1, f"{inner}: {'no answer' if said is None else said}")
 
--- a/flintreach/config/configuration.py
+++ b/flintreach/config/configuration.py
@@ -23,7 +23,7 @@
     """A configuration that must not come into force; its text names the field and the reason."""
 
 
-class Share(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     line: str
     weight: float
 
@@ -32,7 +32,7 @@
     deadline_ms: float
     tries: int
     line: str | None = None
-    apportion: tuple[Share, ...] = ()
+    apportion: tuple[WeightedService, ...] = ()
     home_regions: tuple[str, ...] = ()
 
 
@@ -40,7 +40,7 @@
     postcode: str
 
 
-class Regulation(msgspec.Struct, frozen=True):
+class RouteRule(msgspec.Struct, frozen=True):
     name: str
     kind: str
     sorting: Sorting
@@ -49,12 +49,12 @@
     precedence: int = 0
 
 
-class Wicket(msgspec.Struct, frozen=True):
+class VirtualHost(msgspec.Struct, frozen=True, rename={"route_rules": "regulations"}):
     destination: str
-    regulations: tuple[Regulation, ...] = ()
+    route_rules: tuple[RouteRule, ...] = ()
 
 
-class Depot(msgspec.Struct, frozen=True):
+class ServiceConfig(msgspec.Struct, frozen=True):
     name: str
     checkup: str = "/health"
     berth_cap: int = 100
@@ -67,18 +67,22 @@
     permits: str = "call"
 
 
-class Caps(msgspec.Struct, frozen=True):
+class RequestLimits(msgspec.Struct, frozen=True):
     envelope_bytes: int = 16384
     contents_bytes: int = 67108864
     envelope_ms: float = 3000
     dwell_ms: float = 15000
 
 
-class Timetable(msgspec.Struct, frozen=True):
+# Python name -> the name that the pages give it.
+CONFIGURATION_NAMES = {"virtual_hosts": "wickets", "service_configs": "depots"}
+
+
+class Configuration(msgspec.Struct, frozen=True, rename=CONFIGURATION_NAMES):
     edition: str
-    wickets: tuple[Wicket, ...]
-    depots: tuple[Depot, ...]
-    limits: Caps = Caps()
+    virtual_hosts: tuple[VirtualHost, ...]
+    service_configs: tuple[ServiceConfig, ...]
+    limits: RequestLimits = RequestLimits()
 
     @property
     def number(self) -> int:
@@ -101,7 +105,7 @@
         "precedence",
     )
 
-    def __init__(self, rule: Regulation):
+    def __init__(self, rule: RouteRule):
         to = rule.dispatch
         self.name, self.kind, self.prefix = rule.name, rule.kind, rule.sorting.postcode
         self.repeatable = rule.kind != "unsafe"
@@ -115,13 +119,15 @@
 class Routes:
     """All routes of one configuration, looked up by host and path: the longest prefix wins."""
 
-    def __init__(self, table: Timetable):
+    def __init__(self, table: Configuration):
         self.table, self.number = table, table.number
-        self.depots = {depot.name: depot for depot in table.depots}
+        self.service_configs = {
+            service_config.name: service_config for service_config in table.service_configs
+        }
         self.hosts: dict[str, list[Route]] = {}
-        for wicket in table.wickets:
-            rows = self.hosts.setdefault(wicket.destination.lower(), [])
-            rows += [Route(rule) for rule in wicket.regulations]
+        for virtual_host in table.virtual_hosts:
+            rows = self.hosts.setdefault(virtual_host.destination.lower(), [])
+            rows += [Route(rule) for rule in virtual_host.route_rules]
         for rows in self.hosts.values():
             rows.sort(key=lambda route: -len(route.prefix))
         self.all = [route for rows in self.hosts.values() for route in rows]
@@ -141,20 +147,20 @@
     return int(text, 16)
 
 
-def check(body: bytes) -> Timetable:
+def check(body: bytes) -> Configuration:
     """A configuration that may come into force.  Raises ConfigError."""
     try:
-        table = msgspec.json.decode(body, type=Timetable)
+        table = msgspec.json.decode(body, type=Configuration)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise ConfigError(str(error)) from None
     edition(table.edition)
-    known, places = {depot.name for depot in table.depots}, set()
-    if len(known) != len(table.depots):
+    known, places = {service_config.name for service_config in table.service_configs}, set()
+    if len(known) != len(table.service_configs):
         raise ConfigError("depots: a name stands twice")
-    for wicket in table.wickets:
-        if not wicket.destination:
+    for virtual_host in table.virtual_hosts:
+        if not virtual_host.destination:
             raise ConfigError("wickets: destination: must not be empty")
-        for rule in wicket.regulations:
+        for rule in virtual_host.route_rules:
             where, to = f"regulations: {rule.name or '?'}", rule.dispatch
             if rule.kind not in KINDS:
                 raise ConfigError(f"{where}: kind: expected one of {', '.join(KINDS)}")
@@ -171,9 +177,9 @@
                 raise ConfigError(f"{where}: postcode: must begin and end with a slash")
             if not to.deadline_ms > 0:
                 raise ConfigError(f"{where}: deadline_ms: must be above 0")
-            place = wicket.destination.lower(), rule.sorting.postcode
+            place = virtual_host.destination.lower(), rule.sorting.postcode
             if place in places:
-                raise ConfigError(f"{where}: postcode: stands twice under {wicket.destination}")
+                raise ConfigError(f"{where}: postcode: stands twice under {virtual_host.destination}")
             places.add(place)
     return table
 
@@ -183,7 +189,7 @@
     return sha256(body).digest()[:8]
 
 
-class Standing:
+class ConfigurationHistory:
     """What the register holds: the newest body, as it was put, and which content each number had.
 
     The history is sorted, its highest entry is that of the body, and it keeps the KEPT highest: an order
@@ -197,7 +203,7 @@
         self.body, self.history = body, history
 
     @classmethod
-    def of(cls, value: bytes) -> "Standing":
+    def of(cls, value: bytes) -> "ConfigurationHistory":
         """From the register.  Earlier texts kept the body alone, which is JSON and begins otherwise."""
         if value[:1] == b"\x92":
             return cls(*msgspec.msgpack.decode(value))
@@ -217,7 +223,7 @@
     def number(self) -> int:
         return self.entry(len(self) - 1)[0]
 
-    def put(self, number: int, body: bytes) -> tuple[str, "Standing | None"]:
+    def put(self, number: int, body: bytes) -> tuple[str, "ConfigurationHistory | None"]:
         """What becomes of a configuration, and what is to stand from then on, None where nothing changes."""
         mark, place = digest(body), bisect_left(range(len(self)), number, key=lambda at: self.entry(at)[0])
         if place < len(self) and self.entry(place)[0] == number:
@@ -227,9 +233,9 @@
         at = place * ENTRY.size
         history = (self.history[:at] + ENTRY.pack(number, mark) + self.history[at:])[-KEPT * ENTRY.size :]
         if place == len(self):
-            return TAKEN, Standing(body, history)
+            return TAKEN, ConfigurationHistory(body, history)
         # It changes nothing, but is acknowledged: noted first, lest another content is too.
-        return OVERTAKEN, Standing(self.body, history)
+        return OVERTAKEN, ConfigurationHistory(self.body, history)
 
 
 def put(held: bytes | None, number: int, body: bytes) -> tuple[str, bytes | None]:
@@ -239,5 +245,7 @@
     >>> word, put(value, 7, b'{"edition": "00000007"}'), put(value, 7, b"other")[0], put(value, 3, b"")[0]
     ('taken', ('again', None), 'other content', 'overtaken')
     """
-    word, fresh = (Standing.of(held) if held is not None else Standing(b"", b"")).put(number, body)
+    word, fresh = (ConfigurationHistory.of(held) if held is not None else ConfigurationHistory(b"", b"")).put(
+        number, body
+    )
     return word, fresh and fresh.value()
--- a/flintreach/config/settings.py
+++ b/flintreach/config/settings.py
@@ -66,7 +66,7 @@
     regions: int = 0
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class TimingBounds(msgspec.Struct, frozen=True):
     """The figures of the rules, in milliseconds or seconds as their names say."""
 
     list_lag_s: float = 3
@@ -95,10 +95,10 @@
 class Tariffs(msgspec.Struct, frozen=True):
     clauses: tuple[str, ...] = ()
     losses: Losses = Losses()
-    timetable: Bounds = Bounds()
+    timetable: TimingBounds = TimingBounds()
 
 
-class Node(msgspec.Struct, frozen=True):
+class ProcessSettings(msgspec.Struct, frozen=True):
     """One process's settings."""
 
     sender: Sender
@@ -108,7 +108,7 @@
     permits: str = "call"
 
     @property
-    def bounds(self) -> Bounds:
+    def bounds(self) -> TimingBounds:
         return self.tariffs.timetable
 
     def inner(self, post: int = 0) -> tuple[str, int]:
@@ -120,14 +120,14 @@
         return [place(seed)[0] for seed in self.network.seed_nodes]
 
 
-def parse(text: str, name: str = "settings") -> Node:
+def parse(text: str, name: str = "settings") -> ProcessSettings:
     """Settings from YAML.  Raises SettingsError, which names the field."""
     try:
         told: Any = yaml.load(text, getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as error:
         raise SettingsError(f"{name}: no YAML: {str(error).splitlines()[0]}") from None
     try:
-        return msgspec.convert(told, Node, strict=False)
+        return msgspec.convert(told, ProcessSettings, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{name}: {error}") from None
 
@@ -136,7 +136,7 @@
 last_read: dict[str, FileMark | None] = {}  # path -> the file as it was read last
 
 
-def again(held: Node) -> Node:
+def again(held: ProcessSettings) -> ProcessSettings:
     """The settings read anew, or those held where the file can't be used: a bad file stops nobody."""
     from flintreach.common.log import say
 
@@ -168,7 +168,7 @@
     return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
 
-def load(path: str | None = None) -> Node:
+def load(path: str | None = None) -> ProcessSettings:
     """The settings of this process.  Raises SettingsError."""
     path = path or os.environ.get(VARIABLE) or DEFAULT
     last_read[path] = file_mark(path)
--- a/flintreach/consensus/inspection.py
+++ b/flintreach/consensus/inspection.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from flintreach.config.configuration import Standing
+from flintreach.config.configuration import ConfigurationHistory
 from flintreach.consensus.store import FORMAT, StoreError
 
 UNPACK = msgspec.msgpack.decode
@@ -21,8 +21,8 @@
         return "promised, nothing accepted"
     try:
         if key == "timetable":
-            told = json.loads(Standing.of(value).body)
-            routes = sum(len(wicket["regulations"]) for wicket in told["wickets"])
+            told = json.loads(ConfigurationHistory.of(value).body)
+            routes = sum(len(virtual_host["regulations"]) for virtual_host in told["wickets"])
             return f"edition {told['edition']}, {routes} routes, {len(told['depots'])} services"
         told = UNPACK(value)
         if key == "evac":
--- a/flintreach/consensus/proposer.py
+++ b/flintreach/consensus/proposer.py
@@ -11,7 +11,7 @@
 Quorum = Callable[[Iterable[Hashable]], bool]
 
 
-class Change:
+class Proposal:
     """One attempt at a ballot. `step(old)` gives the new value, or None to leave what stands; `quorum(who)`
     tells whether those are enough.
 
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -21,13 +21,13 @@
 KEY = "voters"
 
 
-class Turnover:
+class Reconfiguration:
     """`collect()`: whether the endpoint records of a quorum are on this disk."""
 
     def __init__(self, register: Register, collect: Callable[[], bool]):
-        self.register, self.host, self.collect = register, register.host, collect
+        self.register, self.runtime, self.collect = register, register.runtime, collect
         self.caught, self.synced = -1, -1  # the epochs under which this disk copied, and collected
-        register.bundle.handlers |= {"disk": self.on_disk, "sync": self.on_sync}
+        register.peer_pool.handlers |= {"disk": self.on_disk, "sync": self.on_sync}
 
     # At a disk that does not vote.
 
@@ -39,7 +39,7 @@
         with it.
         """
         register, voters = self.register, self.register.voters
-        me = register.bundle.address
+        me = register.peer_pool.address
         if not register.acceptor or not voters.epoch or me in register.group or register.busy:
             return False
         answers = register.quorum("stamps", voters.epoch, 1.0)
@@ -72,7 +72,7 @@
                     register.acceptor.slots.pop(key, None)
             return good.append(key)
 
-        self.host.all([lambda key=key, pair=pair: copy(key, *pair) for key, pair in newest.items()], 2.0)
+        self.runtime.all([lambda key=key, pair=pair: copy(key, *pair) for key, pair in newest.items()], 2.0)
         if len(good) < len(newest) or register.voters != voters:
             return False
         if self.caught != voters.epoch and not self.collect():
@@ -91,7 +91,7 @@
             return None
         return [
             register.store.life,
-            self.caught == register.voters.epoch and register.bundle.address not in register.group,
+            self.caught == register.voters.epoch and register.peer_pool.address not in register.group,
         ]
 
     # At a voter.
@@ -99,7 +99,7 @@
     def enter(self) -> bool:
         """Whether this disk votes, or need not. One that came back empty has its life recorded first: from
         then on the others take no change of an epoch in which the lost disk's word still counts."""
-        register, me = self.register, self.register.bundle.address
+        register, me = self.register, self.register.peer_pool.address
         if register.acceptor and not register.votes() and me in register.group:
             life = register.store.life
             if register.voters.lives(me) != {life} and not self.decide(register.voters.renewed(me, life)):
@@ -149,7 +149,7 @@
             if register.read(key, timeout)[0]:
                 good.append(key)
 
-        self.host.all([lambda key=key: one(key) for key in sorted(keys)], timeout)
+        self.runtime.all([lambda key=key: one(key) for key in sorted(keys)], timeout)
         return len(good) == len(keys) and register.voters == voters
 
     def carry_on(self) -> bool:
@@ -173,5 +173,5 @@
         met = lambda answers: voters.met(  # noqa: E731
             address for address, row in answers if Voters.of(row).epoch >= voters.epoch
         )
-        answers = register.bundle.gather(voters.members(), "voters", voters.row(), met, timeout)
+        answers = register.peer_pool.gather(voters.members(), "voters", voters.row(), met, timeout)
         return met(answers)
--- a/flintreach/consensus/register.py
+++ b/flintreach/consensus/register.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from flintreach.consensus.acceptor import NOTHING, Acceptor, Slot, merged
-from flintreach.consensus.proposer import Change, Step
+from flintreach.consensus.proposer import Proposal, Step
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.store import Store
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_pool import PeerPool
 
 
 def row(slot: Slot) -> list:
@@ -25,20 +25,20 @@
 class Register:
     """`voters`: the latest configuration that this process knows to be decided; epoch 0 until one is."""
 
-    def __init__(self, bundle: Bundle, voters: Voters, store: Store | None):
-        self.bundle, self.host, self.voters, self.store = bundle, bundle.host, voters, store
-        self.me = f"{bundle.address[0]}:{bundle.address[1]}"
+    def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None):
+        self.peer_pool, self.runtime, self.voters, self.store = peer_pool, peer_pool.runtime, voters, store
+        self.me = f"{peer_pool.address[0]}:{peer_pool.address[1]}"
         self.acceptor = Acceptor(store.life, store.voting, store.slots) if store else None
         # Of a first start, taken in while it did not vote, or it has relearned what a lost disk had promised.
         self.trusted = bool(store and store.voting)
-        self.adopting = self.host.lock()
+        self.adopting = self.runtime.lock()
         self.busy = 0  # prepares and accepts under way at this disk
         self.rounds: dict[str, int] = {}
         self.lives: dict[Address, str] = {}  # the disk that last promised there
         self.locks: dict = {}
         self.refused = 0  # writes that the disk did not take
         self.settle()
-        bundle.handlers |= {
+        peer_pool.handlers |= {
             "prepare": self.on_prepare,
             "accept": self.on_accept,
             "slots": self.on_slots,
@@ -67,19 +67,21 @@
         if answer[0] == "newer":
             self.adopt(Voters.of(answer[1]))
         else:
-            self.bundle.ask(address, "voters", self.voters.row(), 0.5)
+            self.peer_pool.ask(address, "voters", self.voters.row(), 0.5)
         return True
 
     def ask(self, address: Address, kind: str, body: Any, timeout: float, by: Callable | None = None) -> Any:
-        """As `Bundle.ask` (or `by`), for a question that carries our epoch: who is in another one is brought
-        to it and asked again. None too where our own epoch moved meanwhile: the question was of the earlier
-        one."""
-        until, epoch, by = self.host.now() + timeout, self.voters.epoch, by or self.bundle.ask
+        """As `PeerPool.ask` (or `by`), for a question that carries our epoch.
+
+        Who is in another epoch is brought to it and asked again. None too where our own epoch moved
+        meanwhile: the question was of the earlier one.
+        """
+        until, epoch, by = self.runtime.now() + timeout, self.voters.epoch, by or self.peer_pool.ask
         for _ in range(3):
-            answer = by(address, kind, body, max(0.01, until - self.host.now()))
+            answer = by(address, kind, body, max(0.01, until - self.runtime.now()))
             if not self.heed(address, answer):
                 return answer
-            if self.voters.epoch != epoch or self.host.now() >= until:
+            if self.voters.epoch != epoch or self.runtime.now() >= until:
                 return None
         return None
 
@@ -92,9 +94,9 @@
         timeout: float,
         ask: Callable | None = None,
     ) -> list:
-        """As `Bundle.gather`, by `self.ask` if not told; it ends too when our epoch moves."""
+        """As `PeerPool.gather`, by `self.ask` if not told; it ends too when our epoch moves."""
         epoch = self.voters.epoch
-        return self.bundle.gather(
+        return self.peer_pool.gather(
             addresses,
             kind,
             body,
@@ -113,9 +115,9 @@
     ) -> dict[Address, Any] | None:
         """Answers of a quorum of the configuration that stands, all given under its epoch; None: too few.
 
-        `by`: asks one, in place of `Bundle.ask`; `mine()`: the answer of this process, where it votes.
+        `by`: asks one, in place of `PeerPool.ask`; `mine()`: the answer of this process, where it votes.
         """
-        voters, me = self.voters, self.bundle.address
+        voters, me = self.voters, self.peer_pool.address
 
         def ask(address, kind, body, left):
             if mine is not None and address == me:
@@ -135,8 +137,8 @@
         mine: Callable[[], Any] | None = None,
     ) -> dict[Address, Any] | None:
         """As `quorum`, of [the epoch, *body], and once more under each later epoch that is told meanwhile."""
-        until = self.host.now() + timeout
-        while (left := until - self.host.now()) > 0 and self.group:
+        until = self.runtime.now() + timeout
+        while (left := until - self.runtime.now()) > 0 and self.group:
             voters = self.voters
             answers = self.quorum(kind, [voters.epoch, *body], left, by, mine)
             if answers is not None or self.voters == voters:
@@ -155,8 +157,8 @@
             fresh = (
                 self.store
                 and self.voters.epoch
-                and not self.voters.lives(self.bundle.address)
-                and voters.lives(self.bundle.address) == {self.store.life}
+                and not self.voters.lives(self.peer_pool.address)
+                and voters.lives(self.peer_pool.address) == {self.store.life}
             )
             if self.store and not self.store.keep({}, voters.fact() | ({"voting": "1"} if fresh else {})):
                 return False
@@ -177,17 +179,17 @@
         An older disk that comes back to its address does not know what a later one promised there.
         """
         if self.acceptor and self.voters.epoch:
-            lives = self.voters.lives(self.bundle.address)
+            lives = self.voters.lives(self.peer_pool.address)
             self.acceptor.voting = self.trusted and bool(lives) and lives <= {"", self.store.life}
 
     def votes(self) -> bool:
         """Whether this process's disk is one of those that vote, and knows enough to."""
-        return self.acceptor is not None and self.acceptor.voting and self.bundle.address in self.group
+        return self.acceptor is not None and self.acceptor.voting and self.peer_pool.address in self.group
 
     # This disk.
 
     def guarded(self, key: str):
-        return self.locks.setdefault(key, self.host.lock())
+        return self.locks.setdefault(key, self.runtime.lock())
 
     def keep(self, key: str, word: str, fresh: Slot | None) -> str:
         if word not in ("promise", "accepted"):
@@ -260,7 +262,7 @@
         Only under an epoch that records its life: a change of an earlier one may still count an acceptance of
         the lost disk, and find the rest of its quorum after the others have answered here.
         """
-        mine, voters = self.bundle.address, self.voters
+        mine, voters = self.peer_pool.address, self.voters
         if not self.acceptor or self.acceptor.voting or mine not in self.group:
             return True
         if voters.lives(mine) != {self.store.life}:
@@ -288,7 +290,7 @@
                 found[key] = Slot(max(slot.promised, got.promised), got.accepted, got.value)
 
         wanted = [(key, slot) for key, slot in found.items() if slot.accepted != NOTHING]
-        self.host.all([lambda key=key, slot=slot: value(key, slot) for key, slot in wanted], 2.0)
+        self.runtime.all([lambda key=key, slot=slot: value(key, slot) for key, slot in wanted], 2.0)
         if missing or any(found[key] is slot for key, slot in wanted) or self.voters != voters:
             return False
         # Keys that only a disk of before holds are dropped: it was lost, and this one stands for another.
@@ -306,23 +308,25 @@
 
         Not known means that the change may or may not stand.
         """
-        until = self.host.now() + timeout
-        while (left := until - self.host.now()) > 0:
+        until = self.runtime.now() + timeout
+        while (left := until - self.runtime.now()) > 0:
             self.rounds[key] = self.rounds.get(key, 0) + 1
             voters = self.voters
-            change, began = Change(voters.met, (self.rounds[key], self.me), step), self.host.now()
+            change, began = Proposal(voters.met, (self.rounds[key], self.me), step), self.runtime.now()
             self.attempt(change, key, min(left, 1.0), voters)
             if change.state == "done":
                 return True, change.value
             self.rounds[key] = max(self.rounds[key], change.ahead)
             if self.voters.epoch == voters.epoch:  # else this was asked under an earlier one: at once again
                 # By how long a round takes: two writers a long way apart would turn each other down for ever.
-                most = max(0.05, 1.5 * (self.host.now() - began))
-                self.host.sleep(self.host.chance.uniform(0.005, most) if change.state == "lost" else 0.05)
+                most = max(0.05, 1.5 * (self.runtime.now() - began))
+                self.runtime.sleep(
+                    self.runtime.chance.uniform(0.005, most) if change.state == "lost" else 0.05
+                )
         return False, None
 
-    def attempt(self, change: Change, key: str, timeout: float, voters: Voters) -> None:
-        until, group = self.host.now() + timeout, voters.members()
+    def attempt(self, change: Proposal, key: str, timeout: float, voters: Voters) -> None:
+        until, group = self.runtime.now() + timeout, voters.members()
 
         def heard(answers):
             while len(answers) > heard.seen:
@@ -354,7 +358,7 @@
         self.gather(group, "prepare", [key, list(change.ballot), voters.epoch], heard, timeout)
         # A process that slept must not tell others to accept what its caller has given up on.  Nor may an
         # attempt go on under a later epoch: its promises are not a quorum of that.
-        if change.state != "accept" or self.host.now() > until or self.voters.epoch != voters.epoch:
+        if change.state != "accept" or self.runtime.now() > until or self.voters.epoch != voters.epoch:
             return
         # Those whose promise came too late are told as well, lest they lag for the sweep to find.
         self.lives |= change.lives
@@ -367,7 +371,7 @@
             "accept",
             lambda address: [*body, lives[address], voters.epoch],
             taken,
-            max(0.05, until - self.host.now()),
+            max(0.05, until - self.runtime.now()),
         )
 
     def read(self, key: str, timeout: float = 2.0) -> tuple[bool, bytes | None]:
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -11,7 +11,16 @@
 import msgspec
 
 from flintreach.dissemination.versioned_store import MOST_ROWS, STALE_BOARD
-from flintreach.endpoints.registry import ENDS, GONE, MISSING, READY, SECOND, Beat, Book, Record
+from flintreach.endpoints.registry import (
+    ENDS,
+    GONE,
+    MISSING,
+    READY,
+    SECOND,
+    EndpointRecord,
+    EndpointRegistry,
+    Heartbeat,
+)
 from flintreach.transport.runtime import Task
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
@@ -22,32 +31,32 @@
 COMPLETE = "books"  # fact on disk: "1" once it holds what a quorum held when it was empty
 
 
-class Endpoints:
+class EndpointService:
     """`plane` has what they share with the register and the news: see `plane.ControlPlane`."""
 
     def __init__(self, plane, report_ms: float):
-        self.plane, self.host, self.store = plane, plane.host, plane.store
-        self.book = Book(report_ms)
+        self.plane, self.runtime, self.store = plane, plane.runtime, plane.store
+        self.registry = EndpointRegistry(report_ms)
         self.blind = self.behind = False  # out of touch of late; for so long that tombstones were missed
-        now = self.host.now_ns()
+        now = self.runtime.now_ns()
         for row in self.store.huts.values() if self.store else ():
-            record = Record.of(UNPACK(row), now)
+            record = EndpointRecord.of(UNPACK(row), now)
             record.kept = record.rank
-            self.book.join(record, now)
+            self.registry.join(record, now)
         # A disk that came back empty may lack what it had told others that it holds.
         told = self.store.facts.get(COMPLETE, "1" if self.store.voting else "0") if self.store else "0"
         self.complete = told == "1"
         self.on_disk: set[str] = {*self.store.huts} if self.store else set()
-        plane.bundle.handlers |= {"beat": self.on_beat, "leave": self.on_leave, "book": self.on_book}
+        plane.peer_pool.handlers |= {"beat": self.on_beat, "leave": self.on_leave, "book": self.on_book}
 
     # What is told to others and kept on this disk.
 
     def offer(self, ids: Iterable[str]) -> bool:
         """Tell what is new of some endpoints, and whether it is on this disk."""
-        now, known = self.host.now_ns(), [id for id in ids if id in self.book.records]
+        now, known = self.runtime.now_ns(), [id for id in ids if id in self.registry.records]
         for id in known:
-            record = self.book.records[id]
-            self.plane.board.offer(
+            record = self.registry.records[id]
+            self.plane.updates.offer(
                 f"hut/{id}",
                 record.version,
                 record.told(now),
@@ -59,7 +68,7 @@
         """Whether this disk holds some records as they are now."""
         if self.store is None:
             return False
-        now, records = self.host.now_ns(), [self.book.records[id] for id in ids]
+        now, records = self.runtime.now_ns(), [self.registry.records[id] for id in ids]
         ranks = [record.rank for record in records]
         rows = {record.id: PACK(record.row(now)) for record in records}
         self.on_disk |= rows.keys()
@@ -71,7 +80,7 @@
 
     def hold(self, id: str, rank: int) -> bool:
         """Whether this disk holds that an endpoint is at least at a rank."""
-        record = self.book.records.get(id)
+        record = self.registry.records.get(id)
         return record is not None and (record.kept >= rank or self.write([id]) and record.kept >= rank)
 
     # What a quorum of the voters holds.
@@ -79,7 +88,7 @@
     def settle(self, id: str, rank: int, kind: str, body: Any, kept: Task) -> bool:
         """Whether the disks of a quorum hold that an endpoint is at least at a rank.  `kept`: what is being
         written here of it."""
-        record = self.book.records[id]
+        record = self.registry.records[id]
         if record.durable >= rank:
             return True
         answers = self.plane.register.poll(
@@ -92,16 +101,16 @@
 
     def spread(self, kind: str, body: list, others: Iterable[tuple[str, int]]) -> None:
         for address in sorted(others):  # in one order wherever it is played
-            self.host.spawn(self.plane.bundle.ask, address, kind, [None, *body], 1.0)
+            self.runtime.spawn(self.plane.peer_pool.ask, address, kind, [None, *body], 1.0)
 
     # Calls.
 
-    def beat(self, id: str, beat: Beat) -> bool:
+    def beat(self, id: str, beat: Heartbeat) -> bool:
         # Alone this refuge must not keep endpoints to itself: the others would call them silent.
         if self.plane.news_age() > ALONE_S:
             return False
-        kept = self.host.spawn(self.offer, self.book.hear(id, beat, self.host.now_ns()))
-        record, body = self.book.records[id], [id, msgspec.to_builtins(beat)]
+        kept = self.runtime.spawn(self.offer, self.registry.hear(id, beat, self.runtime.now_ns()))
+        record, body = self.registry.records[id], [id, msgspec.to_builtins(beat)]
         if record.rank == ENDS:
             return self.leave(id)  # a late call: acknowledged once nothing can bring it back
         if record.durable >= beat.rank:
@@ -111,7 +120,7 @@
         return self.settle(id, beat.rank, "beat", body, kept)
 
     def leave(self, id: str) -> bool:
-        kept = self.host.spawn(self.offer, self.book.leave(id, self.host.now_ns()))
+        kept = self.runtime.spawn(self.offer, self.registry.leave(id, self.runtime.now_ns()))
         self.spread("leave", [id], {*self.plane.peers()} - {*self.plane.group})
         return self.settle(id, ENDS, "leave", [id], kept)
 
@@ -130,14 +139,14 @@
         epoch, id, told = body
         if (later := self.other_epoch(epoch)) is not None:
             return later
-        beat = msgspec.convert(told, Beat)
-        return self.answer(epoch, id, beat.rank, self.book.hear(id, beat, self.host.now_ns()))
+        beat = msgspec.convert(told, Heartbeat)
+        return self.answer(epoch, id, beat.rank, self.registry.hear(id, beat, self.runtime.now_ns()))
 
     def on_leave(self, link, body):
         epoch, id = body
         if (later := self.other_epoch(epoch)) is not None:
             return later
-        return self.answer(epoch, id, ENDS, self.book.leave(id, self.host.now_ns()))
+        return self.answer(epoch, id, ENDS, self.registry.leave(id, self.runtime.now_ns()))
 
     def on_book(self, link, body):
         """A portion of what this refuge knows of endpoints: [rows, the id to go on behind ("": that was all),
@@ -147,10 +156,10 @@
             return later
         if not self.plane.register.votes() or not self.complete:
             return None
-        now = self.host.now_ns()
-        ids = sorted(id for id in self.book.records if id > after)[:MOST_ROWS]
+        now = self.runtime.now_ns()
+        ids = sorted(id for id in self.registry.records if id > after)[:MOST_ROWS]
         return [
-            [self.book.records[id].row(now) for id in ids],
+            [self.registry.records[id].row(now) for id in ids],
             ids[-1] if len(ids) == MOST_ROWS else "",
             self.plane.news_age() <= ALONE_S,
         ]
@@ -159,9 +168,9 @@
 
     def ask_book(self, address: tuple[str, int], kind: str, body: list, timeout: float):
         """All rows of a voter's book and whether it is at work, or its answer to another epoch, or None."""
-        (epoch, after), until, rows = body, self.host.now() + timeout, []
-        while (left := until - self.host.now()) > 0:
-            answer = self.plane.bundle.ask(address, kind, [epoch, after], left)
+        (epoch, after), until, rows = body, self.runtime.now() + timeout, []
+        while (left := until - self.runtime.now()) > 0:
+            answer = self.plane.peer_pool.ask(address, kind, [epoch, after], left)
             if not isinstance(answer, list) or len(answer) != 3:
                 return answer
             part, after, at_work = answer
@@ -181,57 +190,57 @@
         )
         if answers is None:
             return False
-        now, at_work = self.host.now_ns(), set()
+        now, at_work = self.runtime.now_ns(), set()
         for rows, works in answers.values():
             for row in rows:
-                self.book.join(Record.of(row, now), now)
+                self.registry.join(EndpointRecord.of(row, now), now)
             at_work |= {row[0] for row in rows} if works else set()
         if any(works for _, works in answers.values()) and (self.behind or not self.plane.serving):
             # What those who were at work all the while have forgotten may only be an old disk's: if such a
             # one lives, its next beat brings it back.
-            for id in sorted(self.book.records.keys() - at_work):
-                if self.book.records[id].state == READY:
-                    self.book.judge(self.book.records[id], MISSING, now)
-        self.offer([record.id for record in self.book.records.values() if self.differs(record)])
-        lacking = [id for id, record in self.book.records.items() if record.kept < record.rank]
+            for id in sorted(self.registry.records.keys() - at_work):
+                if self.registry.records[id].state == READY:
+                    self.registry.judge(self.registry.records[id], MISSING, now)
+        self.offer([record.id for record in self.registry.records.values() if self.differs(record)])
+        lacking = [id for id, record in self.registry.records.items() if record.kept < record.rank]
         if self.store is not None:
             if (lacking or not self.complete) and not self.write(lacking, {COMPLETE: "1"}):
                 return False
             self.complete = True
         return True
 
-    def differs(self, record: Record) -> bool:
+    def differs(self, record: EndpointRecord) -> bool:
         """Whether others are told something else of an endpoint than what is known here."""
-        told = self.plane.board.get(f"hut/{record.id}")
+        told = self.plane.updates.get(f"hut/{record.id}")
         return told is None or any(told[name] != value for name, value in record.facts().items())
 
     def begin(self) -> bool:
         """Before others may call: whether what a quorum knows of endpoints is known here."""
         if not self.collect():
             return False
-        self.book.excuse(self.host.now_ns())
+        self.registry.excuse(self.runtime.now_ns())
         return True
 
     def heard_of(self, id: str, version: list[int], value: dict, age: float = 0.0) -> None:
         """News of another refuge.  Where this one knows better, it says so: its beats may be later than a
         verdict of one that hears nothing, and were no news before."""
-        now = self.host.now_ns()
-        self.book.join(Record.of_news(id, version, value, now, int(age * SECOND)), now)
-        record = self.book.records.get(id)
+        now = self.runtime.now_ns()
+        self.registry.join(EndpointRecord.of_news(id, version, value, now, int(age * SECOND)), now)
+        record = self.registry.records.get(id)
         if record is not None and record.facts() != {name: value[name] for name in record.facts()}:
             self.offer([id])
 
     def look(self) -> None:
-        looked = self.host.now()
+        looked = self.runtime.now()
         while True:
-            self.host.sleep(LOOK_S)
-            slept, looked = self.host.now() - looked, self.host.now()
+            self.runtime.sleep(LOOK_S)
+            slept, looked = self.runtime.now() - looked, self.runtime.now()
             self.turn(max(slept - LOOK_S, self.plane.contact_age()))
             self.plane.forget_left()
 
     def turn(self, deaf: float) -> None:
         """Verdicts on others, by one who was in touch until `deaf` seconds ago."""
-        now = self.host.now_ns()
+        now = self.runtime.now_ns()
         if deaf > ALONE_S:
             self.blind = True  # beats went elsewhere, or lie unread: its silence is not theirs
             self.behind |= self.plane.serving and deaf > STALE_BOARD
@@ -241,14 +250,14 @@
                 self.behind = False
         elif self.blind:
             self.blind = False
-            self.book.excuse(now)
+            self.registry.excuse(now)
         else:
-            self.offer(self.book.tick(now))
-        old = dict.fromkeys(self.on_disk - self.book.records.keys(), b"")
+            self.offer(self.registry.tick(now))
+        old = dict.fromkeys(self.on_disk - self.registry.records.keys(), b"")
         if old and self.store and self.store.keep({}, None, old):
-            self.on_disk -= old.keys() - self.book.records.keys()  # it may have come back meanwhile
+            self.on_disk -= old.keys() - self.registry.records.keys()  # it may have come back meanwhile
 
     def ended(self, id: str) -> bool:
         """Whether an endpoint has signed off, within the time that this is remembered."""
-        record = self.book.records.get(id)
+        record = self.registry.records.get(id)
         return record is not None and record.rank == ENDS
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -12,7 +12,7 @@
 from flintreach.config import configuration
 from flintreach.config.configuration import ConfigError, check
 from flintreach.controller.operator_requests import DROPPED, LATE
-from flintreach.endpoints.registry import Beat
+from flintreach.endpoints.registry import Heartbeat
 from flintreach.transport import peer_connection
 
 REASONS = {
@@ -75,7 +75,7 @@
     gone: Callable[[], bool]
 
 
-class Control:
+class ControlApi:
     """`plane` holds the state; each call of the table has a method here: call -> (status, answer)."""
 
     def __init__(self, plane, names: set[str]):
@@ -106,7 +106,7 @@
                 segments,
                 environ["QUERY_STRING"],
                 body_of(environ, most),
-                self.plane.host.now(),
+                self.plane.runtime.now(),
                 environ[GONE],
             )
         except TooLarge:
@@ -134,9 +134,9 @@
         return 503, {"fault": reason}
 
     def reason(self, call: Call) -> str | None:
-        now, (contact, within) = self.plane.host.now(), calls.BOUNDS[call.name]
+        now, (contact, within) = self.plane.runtime.now(), calls.BOUNDS[call.name]
         for reason, holds in (
-            (SLEPT, lambda: within is not None and not self.plane.awake.look(now)),
+            (SLEPT, lambda: within is not None and not self.plane.suspend_detector.look(now)),
             (ALONE, lambda: contact is not None and self.plane.contact_age() > contact),
             (TIMED, lambda: within is not None and now - call.at > within),
             (LEFT, lambda: within is not None and call.gone()),
@@ -149,7 +149,7 @@
         return lambda: self.reason(call) is None
 
     def beat(self, call):
-        beat = msgspec.json.decode(call.body, type=Beat)
+        beat = msgspec.json.decode(call.body, type=Heartbeat)
         return (200, {}) if self.plane.endpoints.beat(call.segments[0], beat) else UNSURE
 
     def leave(self, call):
@@ -157,30 +157,32 @@
 
     def put(self, call):
         number = check(call.body).number
-        word = self.plane.orders.put(number, call.body, self.may(call))
+        word = self.plane.operator_requests.put(number, call.body, self.may(call))
         if word == configuration.OTHER:
             say("conflict", edition=f"{number:08x}")
         return ORDERS[word]
 
     def get(self, call):
-        done, value = self.plane.orders.get()
+        done, value = self.plane.operator_requests.get()
         if not done:
             return UNSURE
         return (404, {"fault": "no configuration yet"}) if value is None else (200, value)
 
     def evacuate(self, call):
-        return ORDERS[self.plane.orders.evacuate(call.segments[0], True, self.may(call))]
+        return ORDERS[self.plane.operator_requests.evacuate(call.segments[0], True, self.may(call))]
 
     def resume(self, call):
-        return ORDERS[self.plane.orders.evacuate(call.segments[0], False, self.may(call))]
+        return ORDERS[self.plane.operator_requests.evacuate(call.segments[0], False, self.may(call))]
 
     def resolve(self, call):
         asked = dict(pair.partition("=")[::2] for pair in call.query.split("&"))
-        placing = self.plane.placing
-        addrs = placing.directions(asked.get("name", ""), asked.get("region", ""), asked.get("zone", ""))
+        load_placement = self.plane.load_placement
+        addrs = load_placement.directions(
+            asked.get("name", ""), asked.get("region", ""), asked.get("zone", "")
+        )
         if not addrs:
             return 503, {"fault": "nobody is ready"}
-        return 200, {"post_addrs": addrs, "valid_s": round(placing.valid(self.plane.host.now()), 2)}
+        return 200, {"post_addrs": addrs, "valid_s": round(load_placement.valid(self.plane.runtime.now()), 2)}
 
 
 class Handler(pywsgi.WSGIHandler):
@@ -202,5 +204,5 @@
 
 def listen(address: tuple[str, int], plane, names: set[str]) -> pywsgi.WSGIServer:
     return pywsgi.WSGIServer(
-        address, Control(plane, names), log=None, error_log=None, backlog=256, handler_class=Handler
+        address, ControlApi(plane, names), log=None, error_log=None, backlog=256, handler_class=Handler
     )
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -11,7 +11,7 @@
 from flintreach.common.log import say
 from flintreach.config.settings import place
 from flintreach.sharding.range_assignment import Allocation
-from flintreach.sharding.range_lease import GRANT, Keeping
+from flintreach.sharding.range_lease import GRANT, RangeLeases
 from flintreach.transport.peer_connection import RESET, braced
 
 PATHS = {GRANT: calls.GRANT, "release": calls.RELEASE}
@@ -27,20 +27,20 @@
     return Allocation.of(UNPACK(value) if value else None)
 
 
-class Keeper:
+class LeaseOwner:
     """The keys of one service.  `able()`: endpoint -> (weight, addr) of those that may be given keys;
     `ended(id)`: whether an endpoint is surely down; `tell(version, rows)`: news for those who carry;
     `heat()`: (Heat, ids of busy endpoints)."""
 
     def __init__(self, name, service, register, hold_cap_ms, able, ended, tell, heat):
         self.key, self.register, self.service = f"bunks/{service}", register, service
-        self.host = register.host
+        self.runtime = register.runtime
         self.able, self.ended, self.tell, self.heat = able, ended, tell, heat
-        self.state, self.told, self.soon = Keeping(name, hold_cap_ms / 1000), None, False
+        self.state, self.told, self.soon = RangeLeases(name, hold_cap_ms / 1000), None, False
 
     def tick(self) -> None:
         stands = self.register.acceptor and self.register.acceptor.slots.get(self.key)
-        began = self.host.now()
+        began = self.runtime.now()
         if not self.state.due(allocation(stands.value if stands else None), began):
             return
         able, (heat, busy), ours, self.soon = self.able(), self.heat(), [], False
@@ -55,21 +55,21 @@
             self.state.lost()
             return
         held = allocation(value)
-        if self.state.stands(held, began, self.host.now()):
+        if self.state.stands(held, began, self.runtime.now()):
             say("keeper", service=self.service, epoch=held.epoch)
         rows = [[r.low, r.high, r.holder, r.state] for r in held.ranges if r.holder]
         if rows != self.told:
             self.told = rows
             self.tell([held.epoch, held.beat], rows)
-        for kind, r in self.state.calls(self.host.now()):
-            self.host.spawn(self.call, kind, r)
+        for kind, r in self.state.calls(self.runtime.now()):
+            self.runtime.spawn(self.call, kind, r)
 
     def call(self, kind: str, r) -> None:
         status, handover = 0, ""
         try:
             status, handover = self.exchange(kind, r)
         finally:
-            self.soon |= self.state.answered(kind, r, status, handover or "", self.host.now())
+            self.soon |= self.state.answered(kind, r, status, handover or "", self.runtime.now())
 
     def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
         """(status, handover); status 0 where no answer came, None where the call was too late to be sent."""
@@ -82,7 +82,7 @@
 
         def connected(sock):
             # Where no connection comes up nothing was sent, and a dead holder's time does not begin anew.
-            if not self.state.goes_out(kind, r, self.host.now()):
+            if not self.state.goes_out(kind, r, self.runtime.now()):
                 raise Late
             # Given up, it must not arrive later: after a close in order the kernel would send it for minutes.
             braced(sock, MUTE_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from flintreach.controller.lease_owner import Keeper
+from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.controller.repair import ROLE
-from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.endpoints.registry import READY
 from flintreach.membership.member_list import ALIVE, Member
-from flintreach.placement.placer import Place, Ridge
-from flintreach.sharding.key_load import Warmth
+from flintreach.placement.placer import Candidate, Placer
+from flintreach.sharding.key_load import KeyLoad
 from flintreach.sharding.range_assignment import KEYS
-from flintreach.sharding.region_affinity import Lean, bound, carried, target
+from flintreach.sharding.region_affinity import RegionBias, bound, carried, target
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 TTL, ASKED = (0.5, 1.5), 300  # seconds an answer of the directory holds; answers a second of one refuge
@@ -20,33 +20,35 @@
 KEYS_S, PLACE_S = 0.4, 1.0
 
 
-def leader(refuges: list[Member]) -> Member | None:
+def leader(controllers: list[Member]) -> Member | None:
     """Who places: the first by name of those that are ready; one that still starts may hold an old map."""
-    return min((member for member in refuges if member.ready), key=lambda member: member.name, default=None)
+    return min(
+        (member for member in controllers if member.ready), key=lambda member: member.name, default=None
+    )
 
 
-class Placing:
+class LoadPlacement:
     def __init__(self, plane):
-        self.plane, self.host = plane, plane.host
-        self.keepers: dict[str, Keeper] = {}
+        self.plane, self.runtime = plane, plane.runtime
+        self.lease_owners: dict[str, LeaseOwner] = {}
         self.asked, self.asked_in, self.ttl = 0, 0.0, TTL[0]
-        self.tally, self.warmth = Tally(), Warmth()
-        self.leans: dict[str, Lean] = {}
+        self.load_aggregate, self.key_load = LoadAggregate(), KeyLoad()
+        self.leans: dict[str, RegionBias] = {}
         self.stays, self.stays_at = {}, 0.0  # host -> region of its clients, looked up now and then
-        self.ridge = Ridge(zlib.crc32(plane.node.sender.node_name.encode()))
-        plane.bundle.handlers |= {
+        self.placer = Placer(zlib.crc32(plane.node.sender.node_name.encode()))
+        plane.peer_pool.handlers |= {
             "counts": lambda link, body: self.hear_tally(body),
-            "warmth": lambda link, body: self.warmth.hear(body),
+            "warmth": lambda link, body: self.key_load.hear(body),
         }
 
     def hear_tally(self, body) -> None:
-        self.tally.add(body)
+        self.load_aggregate.add(body)
 
     def able(self, line: str) -> dict[str, tuple[float, str]]:
         """Endpoints that may hold keys of a service: their weights and addresses."""
         found, warm, region, berths = self.keyed(line)
-        busy = self.warmth.at_work({r.id: float(r.berths) for r in warm})
-        lean = self.leans.setdefault(line, Lean())
+        busy = self.key_load.at_work({r.id: float(r.berths) for r in warm})
+        lean = self.leans.setdefault(line, RegionBias())
         factors = lean.weigh(self.region_of(line)[0], berths, busy)
         return {
             r.id: (r.berths * factors.get(region[r.id], 1.0) if r in warm or not warm else 0.0, r.addr)
@@ -55,13 +57,13 @@
 
     def keyed(self, line: str):
         """Endpoints that may hold keys, those that are warm or hold some, their regions; berths by region."""
-        away, now, zones = self.plane.away(), self.host.now_ns(), self.plane.node.network.zones
+        away, now, zones = self.plane.away(), self.runtime.now_ns(), self.plane.node.network.zones
         found = [
             r
-            for r in self.plane.book.records.values()
+            for r in self.plane.registry.records.values()
             if r.line == line and r.state == READY and r.zone not in away
         ]
-        holders = {row[2] for row in self.plane.board.get(f"bunks/{line}") or ()}
+        holders = {row[2] for row in self.plane.updates.get(f"bunks/{line}") or ()}
         # One that has just started is cold, and would get all requests on its keys at once.
         warm = [r for r in found if r.cold_until <= now or r.id in holders]
         region = {r.id: zones.get(r.zone, "") for r in found}
@@ -82,34 +84,42 @@
             return None, 0.0
         _, _, region, berths = self.keyed(line)
         keys: dict[str, float] = {}
-        for low, high, holder, _ in self.plane.board.get(f"bunks/{line}") or ():
+        for low, high, holder, _ in self.plane.updates.get(f"bunks/{line}") or ():
             place = region.get(holder, "")
             keys[place] = keys.get(place, 0.0) + (high - low + 1) / KEYS
         found = target(set.union(*homes), keys, berths)
         links = [
             float(m.posts.get("mbps", 0))
-            for m in self.plane.roster.alive("bothy")
+            for m in self.plane.member_list.alive("bothy")
             if m.region == found and m.ready
         ]
-        if not carried(self.warmth.bytes.get(line), links):
+        if not carried(self.key_load.bytes.get(line), links):
             return None, 0.0
         return found, keys.get(found, 0.0)
 
     def keys(self) -> None:
         while True:
             # Keys that were just released wait for nothing but their next holder.
-            self.host.sleep(KEYS_S / 8 if any(keeper.soon for keeper in self.keepers.values()) else KEYS_S)
+            self.runtime.sleep(
+                KEYS_S / 8 if any(keeper.soon for keeper in self.lease_owners.values()) else KEYS_S
+            )
             # One that has just started may hold old news: it leads nothing before it knows what stands.
             if not self.plane.serving or self.plane.routes is None or not self.plane.register.votes():
                 continue
-            self.forget_services({name for name, depot in self.plane.routes.depots.items() if depot.sharded})
-            for name, depot in self.plane.routes.depots.items():
-                if depot.sharded and name not in self.keepers:
-                    tell = lambda version, rows, name=name: self.plane.board.offer(  # noqa: E731
+            self.forget_services(
+                {
+                    name
+                    for name, service_config in self.plane.routes.service_configs.items()
+                    if service_config.sharded
+                }
+            )
+            for name, service_config in self.plane.routes.service_configs.items():
+                if service_config.sharded and name not in self.lease_owners:
+                    tell = lambda version, rows, name=name: self.plane.updates.offer(  # noqa: E731
                         f"bunks/{name}", version, rows
                     )
                     node = self.plane.node
-                    self.keepers[name] = Keeper(
+                    self.lease_owners[name] = LeaseOwner(
                         node.sender.node_name,
                         name,
                         self.plane.register,
@@ -117,56 +127,58 @@
                         lambda name=name: self.able(name),
                         self.plane.endpoints.ended,
                         tell,
-                        lambda name=name: self.warmth.of(name),
+                        lambda name=name: self.key_load.of(name),
                     )
-            for name, keeper in self.keepers.items():
+            for name, keeper in self.lease_owners.items():
                 keeper.tick()
 
     def forget_services(self, sharded: set[str]) -> None:
         """Nothing is kept for services that are no more, or have no keys any more."""
-        board = self.plane.board
-        for table in (self.keepers, self.leans, self.warmth.keys, self.warmth.bytes):
+        updates = self.plane.updates
+        for table in (self.lease_owners, self.leans, self.key_load.keys, self.key_load.bytes):
             for name in table.keys() - sharded:
                 del table[name]
-        for name in sorted(board.under("bunks/").keys() - sharded):
+        for name in sorted(updates.under("bunks/").keys() - sharded):
             # Later than what its last keeper told, earlier than what the next one may.
-            board.offer(f"bunks/{name}", [*board.parcels[f"bunks/{name}"][0], 1], None)
+            updates.offer(f"bunks/{name}", [*updates.entries[f"bunks/{name}"][0], 1], None)
 
     def run(self) -> None:
         """One refuge, the first by name, places; the others hand it what they heard.  Two at once do no harm:
         the map changes only where it is still the one that was searched from."""
         while True:
-            self.host.sleep(PLACE_S)
-            body, routes = self.tally.take(), self.plane.routes
-            first = leader(self.plane.roster.alive(ROLE))
-            if first is not self.plane.roster.me:
+            self.runtime.sleep(PLACE_S)
+            body, routes = self.load_aggregate.take(), self.plane.routes
+            first = leader(self.plane.member_list.alive(ROLE))
+            if first is not self.plane.member_list.me:
                 if body and first is not None:
-                    self.host.spawn(self.plane.bundle.ask, first.address, "counts", body, 0.8)
+                    self.runtime.spawn(self.plane.peer_pool.ask, first.address, "counts", body, 0.8)
                 continue
             if routes is None:
                 continue
-            if told := self.warmth.take(body):
+            if told := self.key_load.take(body):
                 for address in self.plane.peers():  # whoever keeps the keys of a service divides them by it
-                    self.host.spawn(self.plane.bundle.ask, address, "warmth", told, 0.8)
+                    self.runtime.spawn(self.plane.peer_pool.ask, address, "warmth", told, 0.8)
             plain = [
                 (f"{route.name} {line}", line, route.homes)
                 for route in routes.all
                 for line, _ in route.services
-                if not routes.depots[line].sharded
+                if not routes.service_configs[line].sharded
             ]
-            number = self.plane.board.get("map", 0)
-            self.ridge.slices(plain, self.plane.board.under("slice/"))
-            self.ridge.heard(body["came"] if body else {}, self.host.now_ns())
-            for _ in self.ridge.run(self.places(body["load"] if body else {}), self.host.now_ns()):
-                self.host.sleep(0)
-            if self.ridge.changed or self.plane.board.under("slice/").keys() - {name for name, _, _ in plain}:
-                self.remap(number, {name for name, _, _ in plain}, self.ridge.changed)
-
-    def places(self, load) -> list[Place]:
-        now, away = self.host.now_ns(), self.plane.away()
+            number = self.plane.updates.get("map", 0)
+            self.placer.slices(plain, self.plane.updates.under("slice/"))
+            self.placer.heard(body["came"] if body else {}, self.runtime.now_ns())
+            for _ in self.placer.run(self.places(body["load"] if body else {}), self.runtime.now_ns()):
+                self.runtime.sleep(0)
+            if self.placer.changed or self.plane.updates.under("slice/").keys() - {
+                name for name, _, _ in plain
+            }:
+                self.remap(number, {name for name, _, _ in plain}, self.placer.changed)
+
+    def places(self, load) -> list[Candidate]:
+        now, away = self.runtime.now_ns(), self.plane.away()
         zones = self.plane.node.network.zones
         return [
-            Place(
+            Candidate(
                 r.id,
                 r.line,
                 zones.get(r.zone, ""),
@@ -174,7 +186,7 @@
                 r.cold_until > now,
                 load[r.id][0] / load[r.id][1] if r.id in load else None,
             )
-            for r in self.plane.book.records.values()
+            for r in self.plane.registry.records.values()
             if r.state == READY and r.zone not in away
         ]
 
@@ -188,13 +200,17 @@
 
         done, value = self.plane.register.change("map", step, 1.0)
         if done:
-            self.plane.orders.learn("map", value)
+            self.plane.operator_requests.learn("map", value)
 
     def homes(self, name: str) -> set[str] | None:
         """Home regions of a host, empty where its routes are bound to keys alone; None where one is free."""
         if self.plane.routes is None:
             return None
-        sharded = {line for line, depot in self.plane.routes.depots.items() if depot.sharded}
+        sharded = {
+            line
+            for line, service_config in self.plane.routes.service_configs.items()
+            if service_config.sharded
+        }
         return bound(self.plane.routes.hosts.get(name.lower(), ()), sharded)
 
     def stay(self, name: str) -> str | None:
@@ -219,7 +235,7 @@
         return min(self.ttl, self.plane.node.bounds.ttl_max_s)
 
     def directions(self, name: str, region: str, zone: str) -> list[str]:
-        now = self.host.now()
+        now = self.runtime.now()
         if now - self.stays_at > STAY_S:
             self.stays, self.stays_at = {}, now
         if name not in self.stays:
@@ -228,7 +244,7 @@
         if stay is not None and region != stay and region not in (self.homes(name) or ()):
             # Its requests end there anyway: a front of that region brings them on without another long way.
             region, zone = stay, ""
-        fronts = [m for m in self.plane.roster.alive("bothy") if m.ready and m.state == ALIVE]
+        fronts = [m for m in self.plane.member_list.alive("bothy") if m.ready and m.state == ALIVE]
         own = [m for m in fronts if m.zone == zone]
         for near in (own, [m for m in fronts if m.region == region], fronts):
             if len(near) >= 2:
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from flintreach.config import configuration
-from flintreach.config.configuration import Standing
+from flintreach.config.configuration import ConfigurationHistory
 from flintreach.consensus.quorum import Voters
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
@@ -14,31 +14,31 @@
 YES = lambda: True  # noqa: E731
 
 
-class Orders:
+class OperatorRequests:
     def __init__(self, plane):
         self.plane = plane
 
     def learn(self, key: str, value: bytes | None) -> None:
         """What stands in the register goes out as news."""
-        board = self.plane.board
+        updates = self.plane.updates
         if value is None:
             return
         if key == "timetable":
-            held = Standing.of(value)
-            board.offer(key, held.number, held.body)
+            held = ConfigurationHistory.of(value)
+            updates.offer(key, held.number, held.body)
         elif key == "evac":
             number, zones = UNPACK(value)
-            board.offer(key, number, zones)
+            updates.offer(key, number, zones)
         elif key == "voters":
             self.plane.register.adopt(Voters.of(UNPACK(value)))
         elif key == "map":
             number, tables = UNPACK(value)
-            if board.offer(key, number, number):
-                for name in sorted(board.under("slice/").keys() - tables.keys()):
-                    board.offer(f"slice/{name}", number, None)  # of routes that are no more
-                rows = [(name, ids) for name, ids in tables.items() if board.get(f"slice/{name}") != ids]
+            if updates.offer(key, number, number):
+                for name in sorted(updates.under("slice/").keys() - tables.keys()):
+                    updates.offer(f"slice/{name}", number, None)  # of routes that are no more
+                rows = [(name, ids) for name, ids in tables.items() if updates.get(f"slice/{name}") != ids]
                 for name, ids in sorted(rows, key=lambda row: len(row[1])):  # what shrinks goes first
-                    board.offer(f"slice/{name}", number, ids)
+                    updates.offer(f"slice/{name}", number, ids)
 
     def holds(self, key: str, value: bytes | None) -> bool:
         """Whether this refuge's news have a value of the register, or a later one."""
@@ -46,8 +46,8 @@
             return False
         if key == "voters":
             return Voters.of(UNPACK(value)).epoch <= self.plane.register.voters.epoch
-        number = Standing.of(value).number if key == "timetable" else UNPACK(value)[0]
-        held = self.plane.board.parcels.get(key)
+        number = ConfigurationHistory.of(value).number if key == "timetable" else UNPACK(value)[0]
+        held = self.plane.updates.entries.get(key)
         return held is not None and held[0] >= number
 
     def put(self, number: int, body: bytes, still: Callable[[], bool] = YES) -> str:
@@ -79,7 +79,7 @@
     def get(self) -> tuple[bool, bytes | None]:
         """Whether it is known what stands, and the configuration as it was put, None where there is none."""
         done, value = self.plane.register.read("timetable", ACK_S)
-        return done, Standing.of(value).body if value is not None else None
+        return done, ConfigurationHistory.of(value).body if value is not None else None
 
     def evacuate(self, zone: str, on: bool, still: Callable[[], bool] = YES) -> str:
         """TAKEN or AGAIN, LATE or DROPPED.
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -1,41 +1,41 @@
 """News among the refuges: each follows the boards of all others, and asks them for marks (see `contact`)."""
 
 from flintreach.controller.quorum_contact import KEYS
-from flintreach.dissemination.relay import ASK_S, MARK, Follow
-from flintreach.transport.peer_connection import Closed
+from flintreach.dissemination.relay import ASK_S, MARK, Subscription
+from flintreach.transport.peer_connection import ConnectionClosed
 
 LOOK_S = 0.3  # seconds between looks for refuges
 
 
-class Mesh:
+class PeerExchange:
     def __init__(self, plane):
-        self.plane, self.host = plane, plane.host
+        self.plane, self.runtime = plane, plane.runtime
         self.followed: set = set()
         self.sought: set[str] = set()  # keys of which something unlearned is being looked for
-        plane.bundle.handlers["accepted"] = self.on_mark
+        plane.peer_pool.handlers["accepted"] = self.on_mark
 
     def run(self) -> None:
-        me = self.plane.bundle.address
+        me = self.plane.peer_pool.address
         while True:
             for address in self.plane.peers():
                 if address not in self.followed:
                     self.followed.add(address)
-                    self.host.spawn(self.follow, address)
-            now = self.host.now()
+                    self.runtime.spawn(self.follow, address)
+            now = self.runtime.now()
             self.marked(me, now, self.on_mark(None, None))
-            self.host.sleep(LOOK_S if self.plane.serving else LOOK_S / 6)
+            self.runtime.sleep(LOOK_S if self.plane.serving else LOOK_S / 6)
 
     def follow(self, address) -> None:
-        follow = Follow(self.host, self.plane.board, address, self.take)
+        follow = Subscription(self.runtime, self.plane.updates, address, self.take)
         try:
             follow.begin()
             while True:
                 # On the link that brings the news: one on which nothing comes any more is noticed by this.
-                asked = self.host.now()
+                asked = self.runtime.now()
                 self.marked(address, asked, follow.link.ask("accepted", None, ASK_S))
-                self.host.sleep(MARK)
-        except (OSError, Closed, TypeError, ValueError):
-            self.host.sleep(LOOK_S if self.plane.news_age() < 1.0 else LOOK_S / 3)
+                self.runtime.sleep(MARK)
+        except (OSError, ConnectionClosed, TypeError, ValueError):
+            self.runtime.sleep(LOOK_S if self.plane.news_age() < 1.0 else LOOK_S / 3)
         finally:
             follow.close()
             self.followed.discard(address)
@@ -48,7 +48,7 @@
         kind, _, id = key.partition("/")
         if kind == "hut" and isinstance(value, dict):
             self.plane.endpoints.heard_of(id, version, value)
-        self.plane.board.offer(key, version, value, age)
+        self.plane.updates.offer(key, version, value, age)
 
     # Marks.
 
@@ -63,17 +63,21 @@
     def marked(self, address, asked: float, told) -> None:
         if told is None:
             return
-        contact = self.plane.contact
-        contact.heard(address, asked, {key: tuple(stamp) for key, stamp in told.items()}, self.host.now())
+        contact = self.plane.quorum_contact
+        contact.heard(address, asked, {key: tuple(stamp) for key, stamp in told.items()}, self.runtime.now())
         for key in KEYS:
             if key not in self.sought and contact.unlearned(key):
                 self.sought.add(key)
-                self.host.spawn(self.seek, key)
+                self.runtime.spawn(self.seek, key)
 
     def seek(self, key: str) -> None:
         """Learn what a mark told of and no news may bring: who confirmed it may have died at once."""
         try:
-            contact, register, orders = self.plane.contact, self.plane.register, self.plane.orders
+            contact, register, orders = (
+                self.plane.quorum_contact,
+                self.plane.register,
+                self.plane.operator_requests,
+            )
             stamp, holders = contact.newest(key)
             told, value = self.fetch(key, stamp, holders)
             if told >= stamp and orders.holds(key, value):
@@ -81,7 +85,7 @@
             if told == stamp and register.voters.met(holders):
                 orders.learn(key, value)
                 return contact.learn(key, stamp)
-            if contact.waited(key, self.host.now()):
+            if contact.waited(key, self.runtime.now()):
                 # On a minority it may be decided or not: a read settles that, for all ballots up to here.
                 done, value = register.read(key, 0.85)
                 if done:
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -14,21 +14,21 @@
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.http_api import listen
 from flintreach.controller.repair import ROLE
-from flintreach.membership.failure_detector import Lookout
+from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_pool import PeerPool
 
 POST = 0
 SERVED = (("control", {"beat", "leave", "put", "get", "evacuate", "resume"}), ("directory", {"resolve"}))
 
 
-class Refuge:
+class ControllerProcess:
     """The control plane on sockets and a disk."""
 
-    def __init__(self, node: settings.Node):
+    def __init__(self, node: settings.ProcessSettings):
         self.node, me = node, node.sender
         address = node.inner(POST)
-        self.bundle = Bundle(address)
+        self.peer_pool = PeerPool(address)
         store = Store(me.store_dir, me.node_name, me.first_run) if me.store_dir else None
         member = Member(
             me.node_name,
@@ -41,37 +41,39 @@
             False,
             int(time.time() * 1000),
         )
-        self.lookout = Lookout(member, self.known)
-        self.plane = ControlPlane(node, self.bundle, store, self.lookout.roster, self.seeds, self.begin)
-        self.bundle.handlers["show"] = lambda link, what: self.plane.show(what)
+        self.failure_detector = FailureDetector(member, self.known)
+        self.plane = ControlPlane(
+            node, self.peer_pool, store, self.failure_detector.member_list, self.seeds, self.begin
+        )
+        self.peer_pool.handlers["show"] = lambda link, what: self.plane.show(what)
         self.servers, self.stopping = [], Event()
 
     def seeds(self) -> list[tuple[str, int]]:
-        return sorted({(ip, self.bundle.address[1]) for ip in self.node.seeds()})
+        return sorted({(ip, self.peer_pool.address[1]) for ip in self.node.seeds()})
 
     def known(self) -> list[tuple[str, int]]:
         """Where to join: the seeds may all have left, and the disk remembers who votes."""
         return sorted({*self.seeds(), *self.plane.register.voters.members()})
 
     def begin(self) -> None:
-        self.lookout.change(ready=True)
+        self.failure_detector.change(ready=True)
         for post, names in SERVED:
             if post in self.node.network.posts:
                 server = listen(place(self.node.network.posts[post]), self.plane, names)
                 server.start()
                 self.servers.append(server)
-        say("ready", endpoints=len(self.plane.book.records))
+        say("ready", endpoints=len(self.plane.registry.records))
 
     def run(self) -> int:
-        self.bundle.start()
-        self.lookout.start()
+        self.peer_pool.start()
+        self.failure_detector.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
         gevent.signal_handler(signal.SIGHUP, self.reread)
         gevent.spawn(settings.watch, self.reread, gevent.sleep)
         self.plane.start()
         self.stopping.wait()
-        self.plane.care.voting.leave()
-        self.lookout.change(state=3)
+        self.plane.repair.voting.leave()
+        self.failure_detector.change(state=3)
         say("stopped")
         return 0
 
@@ -83,8 +85,8 @@
     # Addresses are numbers: threads that look names up would only cost memory.
     gevent.config.resolver = "block"
     try:
-        refuge = Refuge(settings.load())
+        controller = ControllerProcess(settings.load())
     except (settings.SettingsError, StoreError) as error:
         print(f"flintreach: {error}", file=sys.stderr)
         sys.exit(2)
-    sys.exit(refuge.run())
+    sys.exit(controller.run())
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -21,7 +21,7 @@
 Stamp = tuple[int, str]
 
 
-class Contact:
+class QuorumContact:
     def __init__(self):
         self.asked: dict[Address, float] = {}  # refuge -> asking time of its last mark without news to us
         self.marks: dict[Address, dict[str, Stamp]] = {}  # refuge -> what its last mark told
@@ -66,7 +66,7 @@
     def age(self, voters: Voters, now: float) -> float:
         """Seconds since a time up to which all that was acknowledged is known here; NEVER if there is none.
 
-        >>> contact, voters = Contact(), Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), "")))
+        >>> contact, voters = QuorumContact(), Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), "")))
         >>> for at, name in ((5.0, "a"), (3.0, "b"), (1.0, "c")):
         ...     contact.heard((name, 1), at, {}, at)
         >>> contact.age(voters, 9.0)
@@ -78,7 +78,7 @@
         return NEVER
 
 
-class Awake:
+class SuspendDetector:
     """Notices that this process slept: frozen, or without its processor.
 
     What it then reads in the first moments may be from before, of callers that have gone on long ago.
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -1,29 +1,29 @@
 """The register at a refuge: what a start waits for; reads mend, the sweep finds the rest."""
 
 from flintreach.consensus.reconfiguration import KEY
-from flintreach.controller.voter_management import ROLE, Voting
+from flintreach.controller.voter_management import ROLE, VoterManager
 
-__all__ = ["ROLE", "Care"]
+__all__ = ["ROLE", "Repair"]
 
 SWEEP_S = 2.0
 
 
-class Care:
+class Repair:
     def __init__(self, plane):
-        self.plane, self.host, self.register = plane, plane.host, plane.register
+        self.plane, self.runtime, self.register = plane, plane.runtime, plane.register
         self.learned: dict[str, tuple] = {}  # key -> the stamp of what was last told as news
         self.lagging: dict[str, tuple] = {}  # key -> the oldest stamp of it that the last sweep saw
-        self.voting = Voting(plane)
+        self.voting = VoterManager(plane)
 
     def sweep(self) -> None:
         self.voting.find()
-        self.host.spawn(self.voting.run)
+        self.runtime.spawn(self.voting.run)
         first = True
         while True:
             # At a start others may still be without power, and calls to them hang.
-            if self.voting.turnover.enter() and self.compare(first, 0.3 if first else 1.0) and first:
+            if self.voting.reconfiguration.enter() and self.compare(first, 0.3 if first else 1.0) and first:
                 first = not self.plane.begin()
-            self.host.sleep(0.05 if first else SWEEP_S * self.host.chance.uniform(0.8, 1.2))
+            self.runtime.sleep(0.05 if first else SWEEP_S * self.runtime.chance.uniform(0.8, 1.2))
 
     def compare(self, least: bool, timeout: float) -> bool:
         """Whether a quorum told what it holds; what differs is read, and so mended. `least`: a quorum is
@@ -57,7 +57,7 @@
             elif key in lagging and self.lagging.get(key) == lagging[key]:
                 crew.append(lambda key=key: self.reread_key(key))
         self.lagging = lagging
-        self.host.all(crew, 1.5)
+        self.runtime.all(crew, 1.5)
         return True
 
     def fetch(self, key: str, stamp: tuple, holder: tuple[str, int]) -> None:
@@ -65,9 +65,9 @@
         # What it has accepted since may never stand: only of this stamp a quorum told.
         if slot and slot.accepted == stamp:
             self.learned[key] = stamp
-            self.plane.orders.learn(key, slot.value)
+            self.plane.operator_requests.learn(key, slot.value)
 
     def reread_key(self, key: str) -> None:
         done, value = self.register.read(key, 1.2)
         if done:
-            self.plane.orders.learn(key, value)
+            self.plane.operator_requests.learn(key, value)
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -4,7 +4,7 @@
 
 from flintreach.common.log import say
 from flintreach.consensus.quorum import Address, Voters
-from flintreach.consensus.reconfiguration import Turnover
+from flintreach.consensus.reconfiguration import Reconfiguration
 from flintreach.consensus.voter_selection import Disk, Losses, first, ordered, wanted
 from flintreach.membership.member_list import LEFT, SUSPECTED
 
@@ -15,16 +15,16 @@
 ROLE = "refuge"
 
 
-class Voting:
+class VoterManager:
     def __init__(self, plane):
-        self.plane, self.host, self.register = plane, plane.host, plane.register
-        self.turnover = Turnover(self.register, lambda: plane.endpoints.collect())
-        self.began = self.host.now()
+        self.plane, self.runtime, self.register = plane, plane.runtime, plane.register
+        self.reconfiguration = Reconfiguration(self.register, lambda: plane.endpoints.collect())
+        self.began = self.runtime.now()
         self.leaving: dict[Address, float] = {}  # until when it counts as one that leaves
         self.seen: frozenset[Address] = frozenset()  # disks that are alive
         self.seen_at = self.due_at = self.began
         self.due, self.told, self.copy_at, self.wish = -1, -1, 0.0, None
-        plane.bundle.handlers |= {"leaving": self.on_leaving, "replace": self.on_replace}
+        plane.peer_pool.handlers |= {"leaving": self.on_leaving, "replace": self.on_replace}
 
     @property
     def losses(self) -> Losses:
@@ -33,8 +33,8 @@
 
     def disks(self) -> dict[Address, Disk]:
         """Counted refuges as the roster has them, and voters that it doesn't know."""
-        now, found = self.host.now(), {}
-        for m in [*self.plane.roster.members.values()]:
+        now, found = self.runtime.now(), {}
+        for m in [*self.plane.member_list.members.values()]:
             if m.role == ROLE and m.counted:
                 alive, leaving = m.state <= SUSPECTED, now < self.leaving.get(m.address, 0.0)
                 if alive or m.address not in found:  # a successor may have the address of one that is dead
@@ -82,27 +82,27 @@
 
     def find(self) -> None:
         """Learn which disks vote: from others, or at a first start by deciding it with them."""
-        plane, host, register = self.plane, self.host, self.register
+        plane, runtime, register = self.plane, self.runtime, self.register
         if plane.first_run and not register.voters.sets:
             # Kept: after a kill the settings may name other seeds, and those must not decide a second time.
             register.voters = Voters(0, tuple(sorted((seed, "") for seed in plane.seeds())))
             while register.store and not register.store.keep({}, register.voters.fact()):
-                host.sleep(TICK_S)
+                runtime.sleep(TICK_S)
         if register.store and (forced := register.store.facts.get("forced")):
             say("voters_forced", what=forced)
         fresh = plane.first_run or (register.store is not None and register.trusted)
         while not register.voters.epoch:
-            host.sleep(0.05)
+            runtime.sleep(0.05)
             disks = {address: disk for address, disk in self.disks().items() if disk.alive}
-            others = [address for address in disks if address != plane.bundle.address]
-            found = plane.bundle.gather(others, "voters", None, bool, 0.3) if others else []
+            others = [address for address in disks if address != plane.peer_pool.address]
+            found = plane.peer_pool.gather(others, "voters", None, bool, 0.3) if others else []
             if found:
                 register.adopt(max((Voters.of(row) for _, row in found), key=lambda voters: voters.epoch))
-            elif fresh and first(disks.values(), self.losses, host.now() - self.seen_at):
+            elif fresh and first(disks.values(), self.losses, runtime.now() - self.seen_at):
                 # What an earlier one has decided stands: the disks of the seeds know it.
-                wish = first(self.asked(disks, False), self.losses, host.now() - self.seen_at)
+                wish = first(self.asked(disks, False), self.losses, runtime.now() - self.seen_at)
                 if wish:
-                    self.turnover.decide(wish)
+                    self.reconfiguration.decide(wish)
         self.tell()
 
     def tell(self) -> None:
@@ -119,18 +119,18 @@
 
     def run(self) -> None:
         while True:
-            self.host.sleep(TICK_S)
+            self.runtime.sleep(TICK_S)
             if self.register.voters.epoch:
                 self.turn()
                 if self.register.voters.epoch != self.told and not self.register.voters.joint:
                     self.tell()
 
     def turn(self) -> None:
-        register, now = self.register, self.host.now()
-        me, voters = self.plane.bundle.address, register.voters
+        register, now = self.register, self.runtime.now()
+        me, voters = self.plane.peer_pool.address, register.voters
         if me not in register.group:
             if now >= self.copy_at:
-                self.copy_at = now + (COPY_S if self.turnover.catch_up() else 0.0)
+                self.copy_at = now + (COPY_S if self.reconfiguration.catch_up() else 0.0)
             return
         if not register.votes():
             return
@@ -139,7 +139,7 @@
 
     def is_due(self, voters: Voters) -> bool:
         """Whether something is to be done, and it is this refuge's turn to do it."""
-        disks, now = self.disks(), self.host.now()
+        disks, now = self.disks(), self.runtime.now()
         self.wish = (
             voters if voters.joint else wanted(voters, self.hoped(disks), self.losses, now - self.seen_at)
         )
@@ -148,7 +148,7 @@
             return False
         if self.due != voters.epoch:
             self.due, self.due_at = voters.epoch, now
-        me = self.plane.bundle.address
+        me = self.plane.peer_pool.address
         row = sorted(a for a in self.register.group if a in disks and disks[a].alive and not disks[a].leaving)
         place = row.index(me) if me in row else len(row)
         return now - self.due_at >= place * TURN_S
@@ -162,42 +162,42 @@
 
     def go_on(self, voters: Voters) -> None:
         if voters.joint:
-            self.turnover.carry_on()
+            self.reconfiguration.carry_on()
             return
-        wish = wanted(voters, self.asked(self.disks()), self.losses, self.host.now() - self.seen_at)
-        if wish and self.turnover.decide(wish):
-            self.turnover.carry_on()
+        wish = wanted(voters, self.asked(self.disks()), self.losses, self.runtime.now() - self.seen_at)
+        if wish and self.reconfiguration.decide(wish):
+            self.reconfiguration.carry_on()
 
     # Leaving, and orders.
 
     def on_leaving(self, link, body):
         """Another process will end: [its address, seconds for which its word holds]."""
         address, seconds = body
-        self.leaving[tuple(address)] = self.host.now() + seconds
+        self.leaving[tuple(address)] = self.runtime.now() + seconds
         return True
 
     def leave(self) -> None:
         """Before this process ends: where a spare may take over, or the rest suffices, that is waited for, as
         long as the platform lets it."""
-        me, now = self.plane.bundle.address, self.host.now()
+        me, now = self.plane.peer_pool.address, self.runtime.now()
         if me not in self.register.group:
             return
         until = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - SPARE_S)
         self.leaving[me] = until + SPARE_S
         peers = self.plane.peers()
-        self.plane.bundle.gather(
+        self.plane.peer_pool.gather(
             peers, "leaving", [list(me), self.leaving[me] - now], lambda got: len(got) == len(peers), 0.3
         )
-        while self.host.now() < until:
+        while self.runtime.now() < until:
             voters = self.register.voters
             if me not in self.register.group:
-                if self.turnover.told(0.5):
+                if self.reconfiguration.told(0.5):
                     break
             # While two sets stand it may be one that both need: it stays until that is over.  A spare that
             # has just started still copies: who ended at once would leave its set a voter short until then.
             elif not voters.joint and not wanted(voters, self.hoped(self.disks()), self.losses, 0.0):
                 break
-            self.host.sleep(0.05)
+            self.runtime.sleep(0.05)
 
     def on_replace(self, link, body):
         """An operator's order: [address to leave out or None, address to take in or None]; what came of
@@ -206,7 +206,7 @@
         wish, reason = ordered(self.register.voters, self.asked(self.disks()), self.losses, out, into)
         if wish is None:
             return reason
-        if self.turnover.decide(wish) and self.turnover.carry_on():
+        if self.reconfiguration.decide(wish) and self.reconfiguration.carry_on():
             return ""
         return "begun, not finished" if self.register.voters.joint else "not known yet: look at the voters"
 
--- a/flintreach/demo/cluster.py
+++ b/flintreach/demo/cluster.py
@@ -92,14 +92,14 @@
                 gevent.sleep(0.01)
 
 
-class Camp:
+class DemoCluster:
     """`base`: three numbers of the loopback network, such as "127.41.7"; `port`: the first of six used."""
 
     def __init__(
         self,
         base: str,
         port: int,
-        refuges: int = 3,
+        controllers: int = 3,
         proxies: int = 3,
         folder: str | None = None,
         first_run: bool = True,
@@ -108,10 +108,10 @@
         self.folder = folder or tempfile.mkdtemp(prefix="flintreach-camp-")
         names, self.machines, self.endpoints = [*ZONES], [], []
         self.module, self.environ = "flintreach", {}  # of machines that join later
-        self.losses = {"machines": (refuges - 1) // 2 and 1, "zones": int(refuges >= len(ZONES))}
-        for number in range(refuges + proxies):
-            role = "refuge" if number < refuges else "proxy"
-            zone = names[(number if role == "refuge" else number - refuges) % len(names)]
+        self.losses = {"machines": (controllers - 1) // 2 and 1, "zones": int(controllers >= len(ZONES))}
+        for number in range(controllers + proxies):
+            role = "refuge" if number < controllers else "proxy"
+            zone = names[(number if role == "refuge" else number - controllers) % len(names)]
             self.machines.append(
                 Machine(
                     f"{role}-{number}",
@@ -141,8 +141,8 @@
     def settle(self, machine: Machine, first_run: bool) -> None:
         """Write a machine's settings, as the platform does."""
         at = lambda number: f"{machine.ip}:{self.port + number}"  # noqa: E731
-        refuge = machine.role == "refuge"
-        names = {"control": 0, "directory": 1} if refuge else {"front": 2, "ready": 3}
+        controller = machine.role == "refuge"
+        names = {"control": 0, "directory": 1} if controller else {"front": 2, "ready": 3}
         machine.posts = {name: at(number) for name, number in names.items()}
         os.makedirs(os.path.join(machine.folder, "disk"), exist_ok=True)
         node = {
@@ -152,10 +152,10 @@
                 "zone": machine.zone,
                 "region": ZONES[machine.zone],
                 "post_role": machine.role,
-                "counted": refuge,
+                "counted": controller,
                 "first_run": first_run,
                 "serves": [*machine.posts],
-                "store_dir": os.path.join(machine.folder, "disk") if refuge else None,
+                "store_dir": os.path.join(machine.folder, "disk") if controller else None,
             },
             "network": {
                 "posts": machine.posts,
@@ -236,28 +236,31 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def serve(proxies: int, refuges: int, desks: int, stores: int, port: int) -> int:
+def serve(proxies: int, controllers: int, desks: int, stores: int, port: int) -> int:
     """Start a camp, say how to ask it, and stay until SIGINT or SIGTERM."""
-    camp, ending = Camp("127.41.7", port, refuges, proxies), gevent.event.Event()
+    cluster, ending = DemoCluster("127.41.7", port, controllers, proxies), gevent.event.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         gevent.signal_handler(number, ending.set)
     try:
-        camp.start()
-        camp.people(desks, stores)
-        if not camp.put(TIMETABLE, time.monotonic() + 30):
-            print(f"flintreach: no refuge took a configuration; logs under {camp.folder}", file=sys.stderr)
-            camp.own = False
+        cluster.start()
+        cluster.people(desks, stores)
+        if not cluster.put(TIMETABLE, time.monotonic() + 30):
+            print(f"flintreach: no refuge took a configuration; logs under {cluster.folder}", file=sys.stderr)
+            cluster.own = False
             return 1
-        first, refuge = camp.of("proxy")[0], camp.of("refuge")[0]
-        good = lambda path, **more: (camp.ask(first, path, headers=more) or (0,))[0] == 200  # noqa: E731
-        served = camp.wait(
+        first, controller = cluster.of("proxy")[0], cluster.of("refuge")[0]
+        good = lambda path, **more: (cluster.ask(first, path, headers=more) or (0,))[0] == 200  # noqa: E731
+        served = cluster.wait(
             lambda: good("/look/1") and good("/fetch/1", **{"X-Shard-Key": "7"}), time.monotonic() + 30
         )
         front = first.posts["front"]
-        print(f"{refuges} refuges, {proxies} proxies, {desks + stores} endpoints; logs under {camp.folder}")
+        print(
+            f"{controllers} controllers, {proxies} proxies, {desks + stores} endpoints; "
+            f"logs under {cluster.folder}"
+        )
         print(f"  curl -H 'Host: camp.example' http://{front}/look/7")
         print(f"  curl -H 'Host: camp.example' -H 'X-Shard-Key: 7' http://{front}/fetch/7")
-        print(f"  python3 -m flintreach show status --at {refuge.ip}:{port + 4}")
+        print(f"  python3 -m flintreach show status --at {controller.ip}:{port + 4}")
         print("ready" if served else "not all is served yet", flush=True)
         ending.wait()
         return 0
@@ -265,4 +268,4 @@
         print(f"flintreach: {error}; another camp, perhaps: choose another --port", file=sys.stderr)
         return 1
     finally:
-        camp.stop()
+        cluster.stop()
--- a/flintreach/dissemination/load_aggregate.py
+++ b/flintreach/dissemination/load_aggregate.py
@@ -1,7 +1,7 @@
 """What proxies tell upward, summed up at each relay: requests by slice and endpoints' told load.  Pure."""
 
 
-class Tally:
+class LoadAggregate:
     """`came`: slice -> requests; `keys`: sharded service -> bucket of keys -> requests;
     `bytes`: sharded service -> bytes of answers; `load`: endpoint -> [sum of told loads over berths, their
     number]."""
--- a/flintreach/dissemination/relay_tree.py
+++ b/flintreach/dissemination/relay_tree.py
@@ -9,20 +9,20 @@
 FAN, BORNE = 4, 48  # children of a front; of a refuge, whose links are the wider
 
 
-def upper(refuges: int, zones: int) -> int:
+def upper(controllers: int, zones: int) -> int:
     """How many fronts of each zone hear from refuges themselves."""
-    return max(1, BORNE * refuges // (2 * max(1, zones)))
+    return max(1, BORNE * controllers // (2 * max(1, zones)))
 
 
-def parents(me, refuges: list, fronts: list) -> list:
+def parents(me, controllers: list, fronts: list) -> list:
     """Members to hear news from, the best first: the place in the tree, then refuges by nearness.
 
     The second is as far from the first as may be: what takes one from this pilot should leave the other.
     """
-    near = sorted(refuges, key=lambda m: (m.zone != me.zone, m.region != me.region, m.name))
+    near = sorted(controllers, key=lambda m: (m.zone != me.zone, m.region != me.region, m.name))
     peers = sorted((member for member in fronts if member.zone == me.zone), key=lambda member: member.name)
     place = next((i for i, member in enumerate(peers) if member.name == me.name), 0)
-    row = upper(len(refuges), len({member.zone for member in fronts}))
+    row = upper(len(controllers), len({member.zone for member in fronts}))
     if place < row:
         return near
     first = (place - row) // FAN
--- a/flintreach/dissemination/versioned_store.py
+++ b/flintreach/dissemination/versioned_store.py
@@ -40,13 +40,13 @@
     return hashed[0], int.from_bytes(both, "big")
 
 
-class Board:
+class VersionedStore:
     """`clock()`: steady seconds.  `watchers` are called with (key, version, value) when a parcel is new,
     `droppers` with the key of one that is forgotten."""
 
     def __init__(self, clock: Callable[[], float] = lambda: 0.0):
         self.clock = clock
-        self.parcels: dict[str, tuple[Any, Any]] = {}  # key -> (version, value)
+        self.entries: dict[str, tuple[Any, Any]] = {}  # key -> (version, value)
         self.watchers: list[Callable[[str, Any, Any], None]] = []
         self.droppers: list[Callable[[str], None]] = []
         self.told_at: dict[str, float] = {}  # key of a tombstone -> when it was first told, by `clock`
@@ -55,14 +55,14 @@
 
     def offer(self, key: str, version: Any, value: Any, age: float = 0.0) -> bool:
         """Whether it was new.  `age`: seconds since a tombstone was first told."""
-        held = self.parcels.get(key)
+        held = self.entries.get(key)
         if held is not None and not version > held[0]:
             return False
         ends = over(key, value)
         if held is None and ends and age >= HORIZON:
             return False  # others are about to forget it: it would go round for ever
         self.turn(key, held, version)
-        self.parcels[key] = (version, value)
+        self.entries[key] = (version, value)
         self.told_at.pop(key, None)
         if ends:
             self.told_at[key] = self.clock() - age
@@ -83,7 +83,7 @@
             self.keys[bucket].discard(key)
 
     def drop(self, key: str) -> None:
-        held = self.parcels.pop(key)
+        held = self.entries.pop(key)
         self.told_at.pop(key, None)
         self.turn(key, held, None)
         for dropper in [*self.droppers]:
@@ -101,13 +101,13 @@
         return 0.0 if at is None else self.clock() - at
 
     def get(self, key: str, default: Any = None) -> Any:
-        held = self.parcels.get(key)
+        held = self.entries.get(key)
         return default if held is None or held[1] is None else held[1]
 
     def under(self, prefix: str) -> dict[str, Any]:
         return {
             key[len(prefix) :]: value
-            for key, (_, value) in self.parcels.items()
+            for key, (_, value) in self.entries.items()
             if key.startswith(prefix) and value is not None
         }
 
@@ -135,7 +135,7 @@
             if told and most < len(self.keys[bucket]):
                 break
             most -= len(self.keys[bucket])
-            told[bucket] = {key: self.parcels[key][0] for key in sorted(self.keys[bucket])}
+            told[bucket] = {key: self.entries[key][0] for key in sorted(self.keys[bucket])}
         return told
 
     def missing(self, told: dict[int, dict[str, Any]]) -> tuple[list[Row], list[int]]:
@@ -144,11 +144,11 @@
         rows, done, size = [], [], 0
         for bucket, theirs in told.items():
             lacking = sorted(
-                (key for key in self.keys[bucket] if key not in theirs or self.parcels[key][0] > theirs[key]),
+                (key for key in self.keys[bucket] if key not in theirs or self.entries[key][0] > theirs[key]),
                 key=lambda key: (key not in self.told_at, key),
             )
             for key in lacking:
-                row = [key, *self.parcels[key], self.age(key)]
+                row = [key, *self.entries[key], self.age(key)]
                 weight = len(PACK(row))
                 if rows and (len(rows) >= MOST_ROWS or size + weight > MOST_BYTES):
                     return rows, done
@@ -162,9 +162,9 @@
             self.offer(key, version, value, age)
 
     def rows(self) -> list[Row]:
-        return [[key, *parcel, self.age(key)] for key, parcel in self.parcels.items()]
+        return [[key, *parcel, self.age(key)] for key, parcel in self.entries.items()]
 
-    def keep_only(self, known: "Board") -> None:
+    def keep_only(self, known: "VersionedStore") -> None:
         """Drop what is not in a snapshot of one who was never without news."""
-        for key in [key for key in self.parcels if "/" in key and key not in known.parcels]:
+        for key in [key for key in self.entries if "/" in key and key not in known.entries]:
             self.drop(key)
--- a/flintreach/endpoints/registry.py
+++ b/flintreach/endpoints/registry.py
@@ -22,7 +22,7 @@
 MISSED_BEATS, LOST_BEATS = 2.7, 12  # report times without a beat, for these verdicts
 
 
-class Beat(msgspec.Struct):
+class Heartbeat(msgspec.Struct):
     """A beat as the wire has it.  `cold_left_ms` counts from its arrival."""
 
     line: str
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class EndpointRecord:
     """One life of an endpoint; `cold_until` by this process's clock, 0 when warm.
 
     `kept`, `durable`: the highest rank that this process's disk, and the disks of a quorum, surely hold; -1:
@@ -104,7 +104,7 @@
         ]
 
     @classmethod
-    def of(cls, row: list, now: int) -> "Record":
+    def of(cls, row: list, now: int) -> "EndpointRecord":
         id, line, addr, zone, berths, edition, state, seq, phase, cold, *later = row
         # Disks of earlier texts tell the rank by the state alone.
         rank, over = later or ({CLOSING: CLOSES, GONE: ENDS}.get(state, SERVES), 0)
@@ -125,7 +125,9 @@
         )
 
     @classmethod
-    def of_news(cls, id: str, version: list[int], told: dict[str, Any], now: int, age: int) -> "Record":
+    def of_news(
+        cls, id: str, version: list[int], told: dict[str, Any], now: int, age: int
+    ) -> "EndpointRecord":
         rank, seq, phase = version
         return cls(
             id,
@@ -143,14 +145,14 @@
         )
 
 
-class Book:
+class EndpointRegistry:
     """`hear`, `leave` and `tick` return ids of the records of which others must hear."""
 
     def __init__(self, report_ms: float):
         self.report, self.records = int(report_ms * MS), {}
         self.claims: dict[str, set[str]] = {}  # address -> ids of records there that are not gone
 
-    def hear(self, id: str, beat: Beat, now: int, age: int = 0) -> list[str]:
+    def hear(self, id: str, beat: Heartbeat, now: int, age: int = 0) -> list[str]:
         """A beat that came `age` nanoseconds ago, here or at another refuge."""
         held = self.records.get(id)
         if held is not None and (held.rank == ENDS or beat.call_seq <= held.seq):
@@ -161,7 +163,7 @@
             held.rank = beat.rank
             return [id]
         came = now - age
-        record = held or self.records.setdefault(id, Record(id))
+        record = held or self.records.setdefault(id, EndpointRecord(id))
         before, cold_before = held and held.facts(), record.cold_until
         self.unclaim(record)
         record.line, record.addr, record.zone = beat.line, beat.addr, beat.zone
@@ -179,17 +181,17 @@
         longer = record.cold_until > max(cold_before, now) + 200 * MS
         return ([id] if record.facts() != before or longer else []) + rivals
 
-    def claim(self, record: Record) -> None:
+    def claim(self, record: EndpointRecord) -> None:
         if record.state != GONE:
             self.claims.setdefault(record.addr, set()).add(record.id)
 
-    def unclaim(self, record: Record) -> None:
+    def unclaim(self, record: EndpointRecord) -> None:
         ids = self.claims.get(record.addr, set())
         ids.discard(record.id)
         if not ids:
             self.claims.pop(record.addr, None)
 
-    def judge(self, record: Record, phase: int, now: int) -> None:
+    def judge(self, record: EndpointRecord, phase: int, now: int) -> None:
         record.phase = phase
         if phase == LOST:
             self.unclaim(record)
@@ -197,14 +199,14 @@
 
     def leave(self, id: str, now: int) -> list[str]:
         """A sign-off.  Of an id that was never heard of too: its beats may be on their way."""
-        record = self.records.setdefault(id, Record(id))
+        record = self.records.setdefault(id, EndpointRecord(id))
         if record.rank == ENDS:
             return []
         self.unclaim(record)
         record.rank, record.over_at = ENDS, now
         return [id]
 
-    def join(self, found: Record, now: int) -> None:
+    def join(self, found: EndpointRecord, now: int) -> None:
         """What a disk or another refuge knows; of each field the later word stands."""
         held = self.records.get(found.id)
         if held is None and found.state == GONE and now - found.over_at >= HORIZON * SECOND:
--- a/flintreach/membership/member_list.py
+++ b/flintreach/membership/member_list.py
@@ -64,7 +64,7 @@
     asked: bool = False  # others for a second opinion
 
 
-class Roster:
+class MemberList:
     """`hear` and `tick` return datagrams to send: (address, message)."""
 
     def __init__(self, me: Member, draw, now: int = 0):
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class Candidate:
     """One endpoint that may serve: `full` is its told load over its berths, None where it tells none."""
 
     id: str
@@ -56,7 +56,7 @@
         return {*super().barred(p), *self.bars[p]}
 
 
-class Ridge:
+class Placer:
     def __init__(self, seed: int):
         self.seed, self.counter, self.units, self.devs = seed, 0, {}, {}
         self.full_at = 0
@@ -81,7 +81,7 @@
                 unit.since = now if unit.since is None else unit.since
                 unit.came.add(now, SECOND, count)
 
-    def run(self, places: list[Place], now: int):
+    def run(self, places: list[Candidate], now: int):
         """A generator of small steps; in the end `self.changed` has the tables that are new, by slice."""
         self.changed = {}
         full = now >= self.full_at
--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.choice import FULL_FOR, Endpoint, idle_for
 from flintreach.proxy.connection import IDLE
 from flintreach.proxy.exchange import ANSWERED, NOT_RUN, UNSENT, ExchangeTerms, Outcome, exchange
@@ -34,8 +34,8 @@
 class EndpointClient:
     """Sends requests to endpoints.  `work`: service -> how long its requests take, smoothed (ns)."""
 
-    def __init__(self, view: RoutingView, metrics: Metrics, tally: Tally):
-        self.view, self.metrics, self.tally = view, metrics, tally
+    def __init__(self, view: RoutingView, metrics: Metrics, load_aggregate: LoadAggregate):
+        self.view, self.metrics, self.load_aggregate = view, metrics, load_aggregate
         self.presence = Presence(view, metrics)
         self.work: dict[str, int] = {}
 
@@ -74,9 +74,9 @@
     def terms(
         self, request: Request, service: str, endpoint: Endpoint, until: int, now: int
     ) -> ExchangeTerms:
-        idle, depot = IDLE, self.view.routes.depots.get(service)
-        if depot:
-            idle = idle_for(endpoint, self.view.here, depot.berth_cap, IDLE, depot.sharded)
+        idle, service_config = IDLE, self.view.routes.service_configs.get(service)
+        if service_config:
+            idle = idle_for(endpoint, self.view.here, service_config.berth_cap, IDLE, service_config.sharded)
         return ExchangeTerms(
             until,
             CONNECT_S,
@@ -122,11 +122,11 @@
             load = [number(part.strip()) for part in (message.get("x-endpoint-load") or "").split(",")]
             if len(load) == 3 and None not in load:
                 endpoint.hears(load[0], load[1], now)
-                self.tally.told(endpoint.id, (load[0] + load[1]) / endpoint.berths)
+                self.load_aggregate.told(endpoint.id, (load[0] + load[1]) / endpoint.berths)
         if outcome.kind == ANSWERED:
             endpoint.well()
             if self.view.sharded(service):
-                self.tally.answer(service, len(message.body))
+                self.load_aggregate.answer(service, len(message.body))
             self.work[service] = (7 * self.work.get(service, took) + took) // 8
         elif outcome.kind == NOT_RUN:
             if message.status == 421:
--- a/flintreach/proxy/carry.py
+++ b/flintreach/proxy/carry.py
@@ -8,8 +8,8 @@
 from gevent.event import Event
 
 from flintreach.config.configuration import Route
-from flintreach.config.settings import Bounds
-from flintreach.dissemination.load_aggregate import Tally
+from flintreach.config.settings import TimingBounds
+from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.attempt import EndpointClient
 from flintreach.proxy.caller import Caller, ClientLeft
 from flintreach.proxy.choice import (
@@ -52,9 +52,16 @@
 class Carrier:
     """Finds an endpoint for each request and brings its answer back.  `mbps`: of this machine's link."""
 
-    def __init__(self, view: RoutingView, bounds: Bounds, metrics: Metrics, tally: Tally, mbps: float = 0.0):
-        self.view, self.bounds, self.metrics, self.tally = view, bounds, metrics, tally
-        self.endpoints = EndpointClient(view, metrics, tally)
+    def __init__(
+        self,
+        view: RoutingView,
+        bounds: TimingBounds,
+        metrics: Metrics,
+        load_aggregate: LoadAggregate,
+        mbps: float = 0.0,
+    ):
+        self.view, self.bounds, self.metrics, self.load_aggregate = view, bounds, metrics, load_aggregate
+        self.endpoints = EndpointClient(view, metrics, load_aggregate)
         self.work = self.endpoints.work
         self.budgets: dict[str, Budget] = {}
         self.gate = Gate(mbps)
@@ -108,13 +115,13 @@
         service = self.draw_service(route)
         wait = number(request.low.get("x-time-left-ms", ""))
         until = request.came + min(route.deadline, route.deadline if wait is None else wait * MS)
-        self.tally.request(slice_of(route, service))
+        self.load_aggregate.request(slice_of(route, service))
         budget = self.budget(service)
         budget.request(time.monotonic_ns())
         key = number(request.low.get("x-shard-key", ""))
         key = key if key is not None and key < KEYS else None
         if key is not None and self.view.sharded(service):
-            self.tally.key(service, key // BUCKET)
+            self.load_aggregate.key(service, key // BUCKET)
         return RoutedRequest(request, route, service, key, until, budget)
 
     def carry_in_turn(self, routed: RoutedRequest) -> Answer:
@@ -189,8 +196,12 @@
 
     def choose(self, routed: RoutedRequest, now: int) -> Endpoint | None:
         view, route, service = self.view, routed.route, routed.service
-        depot, bounds, fronts = view.routes.depots.get(service), self.bounds, view.here.fronts
-        rate = depot.cold_per_s if depot else 0.0
+        service_config, bounds, fronts = (
+            view.routes.service_configs.get(service),
+            self.bounds,
+            view.here.fronts,
+        )
+        rate = service_config.cold_per_s if service_config else 0.0
         # Keys have one holder: all must be able to reach it, even if it is cold.
         pilots = fronts
         if not view.sharded(service):
--- a/flintreach/proxy/presence.py
+++ b/flintreach/proxy/presence.py
@@ -52,7 +52,7 @@
             self.asking.pop(endpoint.id).set()
 
     def question(self, endpoint: Endpoint, now: int) -> None:
-        config = self.view.routes.depots.get(endpoint.service)
+        config = self.view.routes.service_configs.get(endpoint.service)
         if config is None or not config.checkup:
             return
         self.metrics.count("asked for presence")
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -10,20 +10,20 @@
 
 from flintreach.common.log import say
 from flintreach.config import settings
-from flintreach.config.configuration import Caps
+from flintreach.config.configuration import RequestLimits
 from flintreach.config.settings import place
-from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
-from flintreach.dissemination.versioned_store import Board
-from flintreach.membership.failure_detector import Lookout
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_pool import PeerPool
 
 POST, REFUGE_POST = 1, 0  # places of the programs in the spare ports
 TALLY_S, LEAVE_S, PRUNE_S = 1.0, 1.0, 0.4
@@ -33,14 +33,14 @@
 
 
 class Proxy:
-    def __init__(self, node: settings.Node):
+    def __init__(self, node: settings.ProcessSettings):
         self.node, me = node, node.sender
         address = node.inner(POST)
-        self.bundle, self.board = Bundle(address), Board(time.monotonic)
+        self.peer_pool, self.updates = PeerPool(address), VersionedStore(time.monotonic)
         self.here = Here(me.zone, me.region, name=me.node_name)
         self.metrics = Metrics()
         self.view = RoutingView(
-            self.board,
+            self.updates,
             self.here,
             node.network.zones,
             time.monotonic_ns,
@@ -48,8 +48,8 @@
             self.confirmed_at,
             self.metrics,
         )
-        self.tally = Tally()
-        self.carrier = Carrier(self.view, node.bounds, self.metrics, self.tally, me.limits.link_mbps)
+        self.load_aggregate = LoadAggregate()
+        self.carrier = Carrier(self.view, node.bounds, self.metrics, self.load_aggregate, me.limits.link_mbps)
         posts = {"front": node.network.posts["front"], "mbps": str(me.limits.link_mbps)}
         member = Member(
             me.node_name,
@@ -62,9 +62,11 @@
             False,
             int(time.time() * 1000),
         )
-        self.lookout = Lookout(member, lambda: [(ip, node.inner(REFUGE_POST)[1]) for ip in self.node.seeds()])
-        self.lookout.watchers.append(self.recount)
-        self.relay = Relay(self.bundle, self.board, self.parents, self.tally.add)
+        self.failure_detector = FailureDetector(
+            member, lambda: [(ip, node.inner(REFUGE_POST)[1]) for ip in self.node.seeds()]
+        )
+        self.failure_detector.watchers.append(self.recount)
+        self.relay = Relay(self.peer_pool, self.updates, self.parents, self.load_aggregate.add)
         self.front = Front(place(node.network.posts["front"]), self.carrier, self.limits)
         self.ready = pywsgi.WSGIServer(place(node.network.posts["ready"]), self.on_ready, log=None)
         self.is_ready, self.stopping = False, Event()
@@ -73,27 +75,27 @@
         """Steady nanoseconds up to which all that was acknowledged anywhere is known here."""
         return int(self.relay.fresh_at * SECOND)
 
-    def limits(self) -> Caps:
+    def limits(self) -> RequestLimits:
         routes = self.view.routes
-        return routes.table.limits if routes else Caps()
+        return routes.table.limits if routes else RequestLimits()
 
     def parents(self) -> list[tuple[str, int]]:
-        roster = self.lookout.roster
-        known = roster.alive("refuge")
-        refuges = [member for member in known if member.ready] or known
-        if not refuges:
+        member_list = self.failure_detector.member_list
+        known = member_list.alive("refuge")
+        controllers = [member for member in known if member.ready] or known
+        if not controllers:
             return []
-        found = parents(roster.me, refuges, roster.alive(ROLE))
+        found = parents(member_list.me, controllers, member_list.alive(ROLE))
         return [member.address for member in found]
 
     def recount(self) -> None:
         """Shares go by the pilots known of late: one that is missing may only be cut off."""
-        roster = self.lookout.roster
-        names = sorted(m.name for m in roster.members.values() if m.role == ROLE)
+        member_list = self.failure_detector.member_list
+        names = sorted(m.name for m in member_list.members.values() if m.role == ROLE)
         self.here.fronts = len(names)
-        self.here.zones = len({m.zone for m in roster.members.values() if m.role == ROLE})
+        self.here.zones = len({m.zone for m in member_list.members.values() if m.role == ROLE})
         self.here.place = {name: number for number, name in enumerate(names)}
-        mates = sorted(m.name for m in roster.alive(ROLE) if m.zone == self.here.zone)
+        mates = sorted(m.name for m in member_list.alive(ROLE) if m.zone == self.here.zone)
         self.here.mates = mates.index(self.here.name), len(mates)
 
     def on_ready(self, environ, start):
@@ -107,7 +109,7 @@
     def tell_up(self) -> None:
         while True:
             gevent.sleep(TALLY_S)
-            if body := self.tally.take():
+            if body := self.load_aggregate.take():
                 self.relay.say_up(body)
 
     def prune(self) -> None:
@@ -118,8 +120,8 @@
                 endpoint.pool.prune(now)
 
     def run(self) -> int:
-        self.bundle.start()
-        self.lookout.start()
+        self.peer_pool.start()
+        self.failure_detector.start()
         self.relay.start()
         self.ready.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
@@ -143,14 +145,14 @@
         if not self.stopping.is_set():
             self.front.start()
             self.is_ready = True
-            self.lookout.change(ready=True)
+            self.failure_detector.change(ready=True)
             say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
 
     def leave(self) -> int:
         """What was read is answered; nobody is sent here any more."""
         say("leaving", counts=self.metrics.counts, greatest=self.metrics.greatest())
         self.front.draining, end = True, time.monotonic() + self.node.bounds.grace_s - 0.7
-        self.lookout.change(ready=False)
+        self.failure_detector.change(ready=False)
         if not self.is_ready:
             return 0
         gevent.sleep(LEAVE_S)
@@ -162,7 +164,7 @@
             if not self.front.handlers:
                 break
             gevent.sleep(0.05)
-        self.lookout.change(state=3)
+        self.failure_detector.change(state=3)
         say("stopped", counts=self.metrics.counts, greatest=self.metrics.greatest())
         return 0
 
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from flintreach.config.configuration import Routes, Timetable
-from flintreach.dissemination.versioned_store import Board
+from flintreach.config.configuration import Configuration, Routes
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.choice import Endpoint, Here, divide
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.lease import UNKNOWN, LeaseTerms
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        board: Board,
+        updates: VersionedStore,
         here: Here,
         zones: dict[str, str],
         clock: Callable[[], int],
@@ -50,15 +50,15 @@
         self.divided: tuple[int, int] | None = None  # the places by which endpoints were divided last
         self.tables: dict[str, frozenset[str]] = {}  # slice -> endpoints
         self.keys: dict[str, tuple[list[int], list[tuple[int, str]]]] = {}
-        board.watchers.append(self.hear)
-        board.droppers.append(lambda key: self.hear(key, None, None))
+        updates.watchers.append(self.hear)
+        updates.droppers.append(lambda key: self.hear(key, None, None))
 
     def hear(self, key: str, version: Any, value: Any) -> None:
         kind, _, name = key.partition("/")
         if kind == "hut":
             self.on_endpoint(name, value)
         elif kind == "timetable":
-            self.routes = Routes(msgspec.json.decode(value, type=Timetable))
+            self.routes = Routes(msgspec.json.decode(value, type=Configuration))
         elif kind == "evac":
             away = {zone: self.away.get(zone, self.confirmed_at()) for zone, on in value.items() if on}
             # Its endpoints may have turned cold while they were empty, and their beats tell it late.
@@ -79,8 +79,8 @@
             self.keys[name] = [low for low, _, _ in rows], [(high, holder) for _, high, holder in rows]
 
     def cold_time(self, service: str) -> int:
-        depot = self.routes.depots.get(service) if self.routes else None
-        return int((depot.cold_s if depot else 0) * SECOND)
+        service_config = self.routes.service_configs.get(service) if self.routes else None
+        return int((service_config.cold_s if service_config else 0) * SECOND)
 
     def on_endpoint(self, id: str, told: dict | None) -> None:
         """News of an endpoint; None: all that was held of it is forgotten."""
@@ -146,8 +146,8 @@
         return None
 
     def sharded(self, service: str) -> bool:
-        depot = self.routes.depots.get(service)
-        return depot is not None and depot.sharded
+        service_config = self.routes.service_configs.get(service)
+        return service_config is not None and service_config.sharded
 
     def present_at(self, endpoint: Endpoint) -> int:
         """A moment by which no departure of an endpoint had been acknowledged."""
--- a/flintreach/sharding/key_load.py
+++ b/flintreach/sharding/key_load.py
@@ -1,13 +1,13 @@
 """Where the load of sharded services lies, from the sums that the proxies tell upward.  Pure."""
 
-from flintreach.sharding.range_assignment import Heat
+from flintreach.sharding.range_assignment import LoadDistribution
 
 FADE, FORGOTTEN = 0.9, 0.05  # what is left of a count after a second; below which it is dropped
 FULL, EVERY = 0.6, 2  # part of an endpoint's berths from which it is busy; seconds between tellings to others
 SLOW = 0.3  # of a second's told load, in the smoothed one
 
 
-class Warmth:
+class KeyLoad:
     """`keys`: service -> bucket of keys -> requests of late; `full`: endpoint -> told load over berths;
     `bytes`: service -> bytes of answers a second."""
 
@@ -15,7 +15,7 @@
         self.keys: dict[str, dict[int, float]] = {}
         self.full: dict[str, float] = {}
         self.bytes: dict[str, float] = {}
-        self.heats: dict[str, Heat] = {}
+        self.heats: dict[str, LoadDistribution] = {}
         self.turn = 0
 
     def take(self, body: dict | None) -> dict | None:
@@ -52,9 +52,9 @@
         """What the refuge that has the sums tells of them."""
         self.keys, self.full, self.bytes, self.heats = told["keys"], told["full"], told["bytes"], {}
 
-    def of(self, line: str) -> tuple[Heat, set[str]]:
+    def of(self, line: str) -> tuple[LoadDistribution, set[str]]:
         if line not in self.heats:
-            self.heats[line] = Heat(self.keys.get(line))
+            self.heats[line] = LoadDistribution(self.keys.get(line))
         return self.heats[line], {id for id, full in self.full.items() if full >= FULL}
 
     def at_work(self, berths: dict[str, float]) -> float | None:
--- a/flintreach/sharding/range_assignment.py
+++ b/flintreach/sharding/range_assignment.py
@@ -61,7 +61,7 @@
         return cls(keeper, epoch, beat, fence, [Range(*row) for row in ranges], *hold)
 
 
-class Heat:
+class LoadDistribution:
     """Which part of a service's load falls on which keys: `counts` requests by bucket of BUCKET keys.
 
     Few counts tell little, and keys that nobody asked for of late may be next: a part is taken as even.
@@ -94,7 +94,7 @@
         return max(0, int((bucket + min(1.0, inside)) * BUCKET) - low)
 
 
-EVEN = Heat()
+EVEN = LoadDistribution()
 
 
 def shares(weights: dict[str, float]) -> dict[str, float]:
@@ -103,7 +103,7 @@
     return {id: weight / total for id, weight in weights.items()}
 
 
-def borne(allocation: Allocation, ids, heat: Heat) -> dict[str, float]:
+def borne(allocation: Allocation, ids, heat: LoadDistribution) -> dict[str, float]:
     """The part of the load that each of these endpoints bears."""
     found = dict.fromkeys(ids, 0.0)
     for r in allocation.ranges:
@@ -123,7 +123,9 @@
         ranges.insert(place + 1, rest)
 
 
-def fill(allocation: Allocation, able: dict[str, float], addrs: dict[str, str], heat: Heat) -> bool:
+def fill(
+    allocation: Allocation, able: dict[str, float], addrs: dict[str, str], heat: LoadDistribution
+) -> bool:
     """Give free ranges to endpoints that are short of load.  Whether anything changed.
 
     `able`: endpoint -> weight, of those that may be given keys.
@@ -155,7 +157,7 @@
     return marked
 
 
-def spread(allocation: Allocation, able: dict[str, float], heat: Heat, busy: set[str]) -> bool:
+def spread(allocation: Allocation, able: dict[str, float], heat: LoadDistribution, busy: set[str]) -> bool:
     """Mark keys of one who bears far too much, for others who bear too little; a part of all at a time.
 
     `busy`: those that have little room left by their own word: of the others none needs relief.
@@ -178,7 +180,7 @@
     return move(allocation, high, part, heat)
 
 
-def move(allocation: Allocation, id: str, part: float, heat: Heat) -> bool:
+def move(allocation: Allocation, id: str, part: float, heat: LoadDistribution) -> bool:
     """Mark such a part of all load on the largest range of an endpoint."""
     best = max((r for r in allocation.ranges if r.holder == id), key=lambda r: heat.part(r.low, r.high))
     place, whole = allocation.ranges.index(best), heat.part(best.low, best.high)
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from flintreach.sharding import range_assignment
-from flintreach.sharding.range_assignment import FREE, HELD, LEAVING, Allocation, Heat, Range
+from flintreach.sharding.range_assignment import FREE, HELD, LEAVING, Allocation, LoadDistribution, Range
 
 SEND, NET, TAKE = 1.0, 1.0, 1.8
 HOLD = 5.0  # at most; longer than it takes another keeper to renew what a dead one granted
@@ -19,7 +19,7 @@
 GRANT, RELEASE = "grant", "release"
 
 
-class Keeping:
+class RangeLeases:
     """One process's part in the keys of one service."""
 
     def __init__(self, name: str, hold_cap: float):
@@ -51,7 +51,7 @@
         began: float,
         able: dict[str, tuple[float, str]],
         ended: Callable[[str], bool],
-        heat: Heat,
+        heat: LoadDistribution,
         busy: set[str],
     ) -> bool:
         """Change what stands in the register; False where another keeper is at work.
--- a/flintreach/sharding/region_affinity.py
+++ b/flintreach/sharding/region_affinity.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Lean:
+class RegionBias:
     """How much of a service's load is to lie in one region; `share` None: as the berths are."""
 
     region: str | None = None
--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -12,8 +12,8 @@
     """`until`: when the last call begins (ns)."""
 
     def __init__(self, site, watch):
-        self.site, self.watch, self.sim, self.host = site, watch, site.sim, site.host
-        self.chance = site.host.chance
+        self.site, self.watch, self.sim, self.runtime = site, watch, site.sim, site.runtime
+        self.chance = site.runtime.chance
         self.number, self.salt, self.endpoints = 0, 0, 0
         self.old: list = []  # configurations that were sent, to be sent again
         self.over = False
@@ -22,27 +22,27 @@
     def start(self, until: int, quiet: bool = False) -> None:
         """`quiet`: endpoints alone, which come and go."""
         self.until = until
-        host = self.host
+        runtime = self.runtime
         if quiet:
             for _ in range(6):
-                host.spawn(self.places)
-            host.spawn(self.put, 1, 6.0)
+                runtime.spawn(self.places)
+            runtime.spawn(self.put, 1, 6.0)
             self.number = 1
             return
         for _ in range(2):
-            host.spawn(self.operator)
-        host.spawn(self.evacuator)
-        host.spawn(self.reader)
-        host.spawn(self.client)
+            runtime.spawn(self.operator)
+        runtime.spawn(self.evacuator)
+        runtime.spawn(self.reader)
+        runtime.spawn(self.client)
         for _ in range(self.chance.randint(2, 4)):
-            host.spawn(self.places)
+            runtime.spawn(self.places)
 
     @property
     def calling(self) -> bool:
         return not self.over and self.sim.now < self.until
 
     def pick(self):
-        return self.chance.choice([*self.site.refuges.values()])
+        return self.chance.choice([*self.site.controllers.values()])
 
     def insist(self, method: str, path: str, body: bytes, told, seconds: float) -> bool:
         """Send until it is acknowledged or refused, to any refuge; `told(status, machine)` hears each answer.
@@ -55,7 +55,7 @@
                 told(status, machine.name)
             if status == 200 or status in (400, 404, 409, 412, 413, 422):
                 return status == 200
-            self.host.sleep(pause * (0.5 + self.chance.random()))
+            self.runtime.sleep(pause * (0.5 + self.chance.random()))
             pause = min(1.0, pause * 1.6)
         return False
 
@@ -68,7 +68,7 @@
 
     def operator(self) -> None:
         while True:
-            self.host.sleep(self.chance.uniform(0.1, 2.5))
+            self.runtime.sleep(self.chance.uniform(0.1, 2.5))
             if not self.calling:
                 return
             if self.old and self.chance.random() < 0.25:
@@ -100,13 +100,13 @@
 
     def evacuator(self) -> None:
         while True:
-            self.host.sleep(self.chance.uniform(0.5, 5))
+            self.runtime.sleep(self.chance.uniform(0.5, 5))
             if not self.calling:
                 return
             zone = self.chance.choice([*self.site.shape.places])
             for on in (True, False):
                 self.evacuate(zone, on, 6.5)
-                self.host.sleep(self.chance.uniform(0, 4))
+                self.runtime.sleep(self.chance.uniform(0, 4))
 
     def evacuate(self, zone: str, on: bool, seconds: float) -> bool:
         order = self.watch.evacuation(zone, on)
@@ -129,12 +129,12 @@
 
     def reader(self) -> None:
         while not self.over:
-            self.host.sleep(self.chance.uniform(0.1, 0.8))
+            self.runtime.sleep(self.chance.uniform(0.1, 0.8))
             self.get()
 
     def client(self) -> None:
         while not self.over:
-            self.host.sleep(self.chance.uniform(0.2, 1.0))
+            self.runtime.sleep(self.chance.uniform(0.2, 1.0))
             machine = self.pick()
             status, _ = self.site.call(machine, "GET", "/v1/directions?name=a.example&region=r0&zone=z0")
             if status and machine.process is not None:
@@ -144,7 +144,7 @@
 
     def places(self) -> None:
         """One endpoint after the other, at times at the address of the one before it."""
-        self.host.sleep(self.chance.uniform(0, 3))
+        self.runtime.sleep(self.chance.uniform(0, 3))
         addr = None
         while self.calling:
             self.endpoints += 1
@@ -153,7 +153,7 @@
             endpoint = Endpoint(self, f"i-{self.endpoints}", addr)
             self.lives.append(endpoint)
             endpoint.run()
-            self.host.sleep(self.chance.uniform(2.0, 4.0))
+            self.runtime.sleep(self.chance.uniform(2.0, 4.0))
 
 
 class Endpoint:
@@ -180,14 +180,14 @@
         )
 
     def run(self) -> None:
-        callers, host, sim = self.callers, self.callers.host, self.callers.sim
+        callers, runtime, sim = self.callers, self.callers.runtime, self.callers.sim
         self.site.endpoints[self.addr] = self
         sim.note(self.id, f"up at {self.addr}")
         if self.chance.random() < 0.12:
             # Its one call is held up by the network, and comes when another may live at its address.
             self.seq = 1
             path = f"/v1/endpoints/{self.id}/check-in"
-            host.spawn(self.late, path, self.body(), self.chance.uniform(3.0, 9.0))
+            runtime.spawn(self.late, path, self.body(), self.chance.uniform(3.0, 9.0))
             sim.note(self.id, "crashes, its first check-in under way")
             self.end()
             return
@@ -195,7 +195,7 @@
         until, report = sim.now + int(life * SECOND), self.site.shape.report_ms / 1000
         while sim.now < until or not callers.calling:
             self.check_in()
-            host.sleep(report * self.chance.uniform(0.9, 1.1))
+            runtime.sleep(report * self.chance.uniform(0.9, 1.1))
             if callers.over:
                 return
         if self.chance.random() < 0.35:
@@ -210,9 +210,9 @@
         if self.chance.random() < 0.5:
             # Its closing is heard again and again until it ends, as each beat says it.
             for _ in range(self.chance.randint(1, 3)):
-                host.sleep(report)
+                runtime.sleep(report)
                 self.check_in(tries=1)
-        host.sleep(self.chance.uniform(3.0, 5.0))
+        runtime.sleep(self.chance.uniform(3.0, 5.0))
         if done or self.chance.random() < 0.5:
             self.stop()  # with its sign-off it ends: it begins nothing more, though the answer may be lost
             self.insist(self.sign_off, 3.0)
@@ -227,18 +227,18 @@
         self.stop()
         # What a slow network still holds of it arrives after its end.
         for path, body in self.chance.sample(self.sent, min(len(self.sent), self.chance.randint(0, 2))):
-            self.callers.host.spawn(self.late, path, body, self.chance.uniform(0.5, 8.0))
+            self.callers.runtime.spawn(self.late, path, body, self.chance.uniform(0.5, 8.0))
 
     def late(self, path: str, body: bytes, seconds: float) -> None:
         self.site.call(self.callers.pick(), "POST", path, body, late=seconds, timeout=10.0)
 
     def insist(self, call, seconds: float) -> bool:
-        sim, host = self.callers.sim, self.callers.host
+        sim, runtime = self.callers.sim, self.callers.runtime
         began = sim.now
         while sim.now < began + seconds * SECOND and not self.callers.over:
             if call():
                 return True
-            host.sleep(0.1 + 0.3 * self.chance.random())
+            runtime.sleep(0.1 + 0.3 * self.chance.random())
         return False
 
     def post(self, path: str, body: bytes) -> tuple[int, object]:
--- a/flintreach/simulation/engine.py
+++ b/flintreach/simulation/engine.py
@@ -1,9 +1,9 @@
 """A simulated network of processes: virtual time, a seeded schedule, links, datagrams and disks.
 
-The text that is played is the shipped one: it takes clock, waits, tasks and links from a `Host`
+The text that is played is the shipped one: it takes clock, waits, tasks and links from a `Runtime`
 (`rope/host.py`), and this one gives it those of one simulation.  Tasks are greenlets that switch to the
 scheduler where they would wait, so nothing here sleeps, opens a socket or reads a real clock; the same seed
-plays the same events.  Times are nanoseconds within the scheduler, seconds at a Host.
+plays the same events.  Times are nanoseconds within the scheduler, seconds at a `Runtime`.
 
 What is modelled of TCP: order within a direction, bytes that a cut holds up, an end after MUTE without an
 acknowledgement (`rope/link.py` asks the system for that), resets by a process that is gone, silence of a
@@ -21,8 +21,8 @@
 import msgspec
 
 from flintreach.consensus.acceptor import Slot
-from flintreach.membership.failure_detector import Lookout
-from flintreach.transport.peer_connection import Closed
+from flintreach.membership.failure_detector import FailureDetector
+from flintreach.transport.peer_connection import ConnectionClosed
 
 PACK, UNPACK = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -108,7 +108,7 @@
         self.handlers: dict | None = None  # of links that others open; None: nobody listens
         self.on_datagram = None
         self.at_fault = at_fault or (lambda text: None)
-        self.host = Host(self)
+        self.runtime = Runtime(self)
 
     def do(self, call, *args) -> None:
         """Run something in this process, now or after a thaw; never after its end."""
@@ -274,8 +274,8 @@
         return self.value
 
 
-class Host:
-    """What `rope.host.Host` is to a program.  Each machine's steady clock has a beginning of its own."""
+class Runtime:
+    """What `transport.runtime.Runtime` is to a program; each machine has a steady clock of its own."""
 
     def __init__(self, process: Process):
         self.process, self.sim = process, process.sim
@@ -315,16 +315,16 @@
         if tasks:
             done.wait(timeout)
 
-    def dial(self, address, handlers: dict, timeout: float) -> "Link":
+    def dial(self, address, handlers: dict, timeout: float) -> "PeerConnection":
         return self.process.machine.network.dial(self.process, address, handlers, timeout)
 
 
-class Link:
+class PeerConnection:
     """One end of a connection, with the interface of `rope.link.Link`."""
 
     def __init__(self, process: Process, handlers: dict):
         self.process, self.handlers, self.network = process, handlers, process.machine.network
-        self.there: Link | None = None
+        self.there: PeerConnection | None = None
         self.waiting: dict[int, list] = {}
         self.number, self.closed, self.on_close, self.fresh_at = 0, False, [], 0.0
         self.inbox, self.reading = deque(), False
@@ -348,7 +348,7 @@
 
     def ask(self, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
         if self.closed:
-            raise Closed
+            raise ConnectionClosed
         self.number += 1
         number, waiter = self.number, Waiter(self.process)
         self.waiting[number] = waiter
@@ -358,14 +358,14 @@
         finally:
             self.waiting.pop(number, None)
         if told is None:
-            raise Closed
+            raise ConnectionClosed
         return told[0]
 
     def take(self, data) -> None:
         self.inbox.append(data)
         if not self.reading:
             self.reading = True
-            self.process.host.spawn(self.read)
+            self.process.runtime.spawn(self.read)
 
     def read(self) -> None:
         good = False
@@ -380,7 +380,7 @@
                         self.process.soon(waiter.wake, (body,))
                 elif handler := self.handlers.get(kind):
                     if number:
-                        self.process.host.spawn(self.answer, handler, number, body)
+                        self.process.runtime.spawn(self.answer, handler, number, body)
                     else:
                         handler(self, body)
             good = True
@@ -476,7 +476,7 @@
     def joined(self, a: str, b: str) -> bool:
         return (a, b) not in self.cuts and (b, a) not in self.cuts
 
-    def arrive(self, link: Link) -> None:
+    def arrive(self, link: PeerConnection) -> None:
         """The next message reaches the other end, or does not."""
         if not link.flight:
             return
@@ -505,23 +505,23 @@
                     return
         link.there.process.do(link.there.take, data)
 
-    def reset(self, link: Link) -> None:
+    def reset(self, link: PeerConnection) -> None:
         if self.joined(link.process.machine.ip, link.there.process.machine.ip):
             link.process.do(link.lost)
 
-    def doubted(self, link: Link) -> None:
+    def doubted(self, link: PeerConnection) -> None:
         if link.doubt is None:
             link.doubt = self.sim.now
             self.sim.after(MUTE, self.judge, link)
 
-    def judge(self, link: Link) -> None:
+    def judge(self, link: PeerConnection) -> None:
         link.doubt = None
         there = link.there.process.machine
         if not (self.joined(link.process.machine.ip, there.ip) and there.powered and not link.owed):
             link.flight.clear()
             link.process.do(link.lost)
 
-    def dial(self, process: Process, address, handlers: dict, timeout: float) -> Link:
+    def dial(self, process: Process, address, handlers: dict, timeout: float) -> PeerConnection:
         """Raises OSError, at once where a port is dead and after `timeout` seconds where nobody answers."""
         waiter, here = Waiter(process), process.machine
         there = self.machines.get(address[0])
@@ -529,10 +529,10 @@
         def knock():
             if not there.powered or not self.joined(here.ip, there.ip):
                 return
-            found: Link | str = "refused"
+            found: PeerConnection | str = "refused"
             if there.process is not None and there.process.alive and there.process.handlers is not None:
-                found = Link(process, handlers)
-                found.there = Link(there.process, there.process.handlers)
+                found = PeerConnection(process, handlers)
+                found.there = PeerConnection(there.process, there.process.handlers)
                 found.there.there = found
             self.sim.after(self.delay(there, here), process.do, answered, found)
 
@@ -545,7 +545,7 @@
         if there is not None:
             self.sim.after(self.delay(here, there), knock)
         found = waiter.wait(timeout)
-        if not isinstance(found, Link):
+        if not isinstance(found, PeerConnection):
             raise ConnectionRefusedError(str(address)) if found else TimeoutError(str(address))
         return found
 
@@ -569,19 +569,19 @@
             process.do(process.on_datagram, data, here)
 
 
-class Sightings(Lookout):
+class Sightings(FailureDetector):
     """Membership by simulated datagrams."""
 
     def __init__(self, process: Process, me, seeds):
         self.process = process
-        super().__init__(me, seeds, host=process.host)
+        super().__init__(me, seeds, runtime=process.runtime)
 
     def open(self) -> None:
-        port = self.roster.me.port
+        port = self.member_list.me.port
         self.process.on_datagram = lambda data, machine: self.heard(data, (machine.ip, port))
 
     def start(self) -> None:
-        self.host.spawn(self.run)
+        self.runtime.spawn(self.run)
 
     def say(self, data: bytes, address) -> None:
         if self.process.alive:
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -48,7 +48,7 @@
 
     def may_zone(self, zone: str) -> bool:
         """Whether a whole zone may go now, and all of it is there."""
-        there = [m for m in self.site.refuges.values() if m.zone == zone]
+        there = [m for m in self.site.controllers.values() if m.zone == zone]
         return (
             self.site.shape.zones > 0
             and not self.counted()
@@ -138,7 +138,7 @@
         lost = self.counted()
         return [
             m
-            for m in self.site.refuges.values()
+            for m in self.site.controllers.values()
             if m not in lost and self.may(m) and m.process is not None and m.process.alive
         ]
 
@@ -160,7 +160,9 @@
         self.back(machine)
 
     def start_again(self, machine) -> None:
-        there = machine.ip in self.site.refuges or machine.ip in self.site.proxies  # not removed meanwhile
+        there = (
+            machine.ip in self.site.controllers or machine.ip in self.site.proxies
+        )  # not removed meanwhile
         if there and (machine.process is None or not machine.process.alive):
             self.site.start(machine)
 
@@ -200,7 +202,7 @@
         self.sever(machine, {"outward": out, "inward": into}.get(way, out + into), f"cut off, {way}")
 
     def cut_pair(self, machine) -> None:
-        others = [m for m in self.site.refuges.values() if m is not machine]
+        others = [m for m in self.site.controllers.values() if m is not machine]
         if others:
             other = self.chance.choice(others)
             pairs = [(machine.ip, other.ip), (other.ip, machine.ip)]
@@ -235,7 +237,7 @@
         """Removed for good; an empty successor at another address."""
         site, planned = self.site, self.chance.random() < 0.5
         self.note(machine, "is replaced" + (", as planned" if planned else " after it is lost"))
-        fresh = site.machine(site.refuges, "refuge", machine.zone)
+        fresh = site.machine(site.controllers, "refuge", machine.zone)
         early = planned and self.chance.random() < 0.5
 
         def arrive():
@@ -250,7 +252,7 @@
                 gone()
 
         def gone():
-            if machine.ip not in site.refuges:
+            if machine.ip not in site.controllers:
                 return
             site.remove(machine)
             site.choose_seeds(self.chance)
@@ -266,7 +268,7 @@
 
     def zone(self, zone: str) -> None:
         """A zone goes as a whole, for one time."""
-        there, span = [m for m in self.site.refuges.values() if m.zone == zone], self.span()
+        there, span = [m for m in self.site.controllers.values() if m.zone == zone], self.span()
         kind = self.chance.choice(("power", "freeze", "zone_cut"))
         self.note(None, f"{zone} goes: {kind}")
         self.spans = [span] * len(there)
@@ -295,14 +297,14 @@
         chance, site = self.chance, self.site
         what = chance.choice(("clock", "seeds", "proxy"))
         if what == "clock":
-            machine = chance.choice([*site.refuges.values()])
+            machine = chance.choice([*site.controllers.values()])
             machine.clock += chance.choice((-1, 1)) * chance.randint(100, 600_000)
             self.note(machine, "time of day stepped")
             self.watch.trouble(0)
         elif what == "seeds":
             site.choose_seeds(chance)
-            for refuge in site.up():
-                refuge.reread()
+            for controller in site.up():
+                controller.reread()
         else:
             machine = chance.choice([*site.proxies.values()])
             if machine.process is not None and machine.process.alive:
@@ -320,7 +322,7 @@
         self.watch.trouble(1)
         # Each counts as lost until it has had its time after its return: nothing else may go until then.
         self.resting = max(self.resting, self.sim.now + 5 * SECOND)
-        for machine in [*self.site.refuges.values()]:
+        for machine in [*self.site.controllers.values()]:
             if machine in wiped:
                 self.note(machine, "loses its disk")
             if machine in wiped or rest:
@@ -340,25 +342,25 @@
             return
         self.closing, wiped = True, []
         if self.chance.random() < 0.5:
-            wiped = self.chance.sample([*self.site.refuges.values()], self.site.shape.machines)
+            wiped = self.chance.sample([*self.site.controllers.values()], self.site.shape.machines)
         self.all_at_once(wiped)
 
     def hand_over(self) -> None:
         """In calm, one is exchanged for one that has had its time, as planned or by an operator's order;
         right when that is done it is gone, and another is lost with its disk."""
         site, sim, chance = self.site, self.sim, self.later_chance
-        machine = chance.choice([*site.refuges.values()])
-        asked = chance.choice([m for m in site.refuges.values() if m is not machine])
-        fresh, struck = site.machine(site.refuges, "refuge", machine.zone), []
+        machine = chance.choice([*site.controllers.values()])
+        asked = chance.choice([m for m in site.controllers.values() if m is not machine])
+        fresh, struck = site.machine(site.controllers, "refuge", machine.zone), []
         site.start(fresh)
         sim.run(sim.now + CATCH_UP + int(chance.random() * SECOND))
         self.watch.trouble(1)
 
         def gone():
-            if machine.ip in site.refuges:
+            if machine.ip in site.controllers:
                 site.remove(machine)
                 site.choose_seeds(chance)
-                left = [*site.refuges.values()]
+                left = [*site.controllers.values()]
                 one = asked if chance.random() < 0.5 else chance.choice(left)
                 sim.after(int(chance.choice((0.0, chance.random())) * 40 * MS), lose, one)
 
@@ -369,7 +371,10 @@
             site.wipe(one)
 
         def order():
-            voting, wanted = asked.process.plane.care.voting, [machine.process_address, fresh.process_address]
+            voting, wanted = (
+                asked.process.plane.repair.voting,
+                [machine.process_address, fresh.process_address],
+            )
             said = voting.on_replace(None, [[*place] for place in wanted])
             self.note(asked, f"ordered to exchange {machine.name}: {said or 'done'}")
             if said:
@@ -379,7 +384,7 @@
 
         self.note(machine, "hands over")
         if chance.random() < 0.6:
-            asked.process.do(asked.process.host.spawn, order)
+            asked.process.do(asked.process.runtime.spawn, order)
         else:
             machine.process.stop(gone)
         sim.after(9 * SECOND, gone)  # grace is over
@@ -395,7 +400,7 @@
         and may draw the lost one some times in a row (seed 66 did for 7 s)."""
         told, callers = [], self.callers
         callers.number += 1
-        self.site.host.spawn(lambda: told.append(callers.put(callers.number, seconds)))
+        self.site.runtime.spawn(lambda: told.append(callers.put(callers.number, seconds)))
         until = self.sim.now + int((seconds + 1) * SECOND)
         while not told and self.sim.now < until:
             self.sim.run(self.sim.now + SECOND // 10)
@@ -404,5 +409,5 @@
     def heal_all(self) -> None:
         """Whatever an undoing left."""
         self.over = True
-        for machine in [*self.site.refuges.values(), *self.site.proxies.values()]:
+        for machine in [*self.site.controllers.values(), *self.site.proxies.values()]:
             self.start_again(machine)
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -172,29 +172,29 @@
         if key == "timetable" and isinstance(value, bytes):
             self.in_force(edition(value), value, process.name)
 
-    def began(self, refuge) -> None:
+    def began(self, controller) -> None:
         """A refuge answers callers: it knows what was acknowledged a while before."""
         for id, at in self.leaving.items():
-            record = refuge.plane.book.records.get(id)
-            if record is not None and record.state == READY and at < refuge.since:
-                self.broke("drain", f"{refuge.name} begins with {id} as ready, leaving since {clock(at)}")
+            record = controller.plane.registry.records.get(id)
+            if record is not None and record.state == READY and at < controller.since:
+                self.broke("drain", f"{controller.name} begins with {id} as ready, leaving since {clock(at)}")
 
     # Endpoints.
 
-    def beaten(self, endpoint, first: bool, closing: bool, refuge) -> None:
+    def beaten(self, endpoint, first: bool, closing: bool, controller) -> None:
         """A check-in was acknowledged."""
         id = endpoint.id
         if first or closing:
-            self.on_disks(endpoint, closing, "closing" if closing else "first check-in", refuge.name)
+            self.on_disks(endpoint, closing, "closing" if closing else "first check-in", controller.name)
         if closing:
-            self.leaves(endpoint, "closing", refuge.name)
-        elif refuge.alive:
-            record = refuge.plane.book.records.get(id)
+            self.leaves(endpoint, "closing", controller.name)
+        elif controller.alive:
+            record = controller.plane.registry.records.get(id)
             gone = record is not None and record.state == GONE and endpoint.up and id not in self.leaving
             # Once it may be a late call of an older life at its address, which its next check-in overrules.
             endpoint.denied = endpoint.denied + 1 if gone else 0
             if endpoint.denied > 1:
-                self.broke("ended", f"{refuge.name} acknowledged a check-in of {id} and tells it as gone")
+                self.broke("ended", f"{controller.name} acknowledged a check-in of {id} and tells it as gone")
 
     def leaves(self, endpoint, what: str, who: str) -> None:
         if endpoint.id not in self.leaving:
@@ -205,13 +205,13 @@
     def on_disks(self, endpoint, leaves: bool, what: str, who: str) -> None:
         holders = set()
         for address, disk in self.site.copies():
-            book = self.site.book(disk)
-            record = book.records.get(endpoint.id)
+            registry = self.site.registry(disk)
+            record = registry.records.get(endpoint.id)
             if (
                 record is not None
                 and (not leaves or record.state in (CLOSING, GONE))
                 or leaves
-                and endpoint.id in getattr(book, "gone", ())
+                and endpoint.id in getattr(registry, "gone", ())
             ):
                 holders.add(address)
         self.quorum("known", f"{what} of {endpoint.id} acknowledged by {who}", holders)
@@ -251,18 +251,18 @@
     # Now and then, and at the end.
 
     def processes(self):
-        found = [m.process for m in (*self.site.refuges.values(), *self.site.proxies.values())]
+        found = [m.process for m in (*self.site.controllers.values(), *self.site.proxies.values())]
         return [process for process in found if process is not None and process.alive and not process.frozen]
 
-    def board(self, process):
-        return process.plane.board if hasattr(process, "plane") else process.board
+    def updates(self, process):
+        return process.plane.updates if hasattr(process, "plane") else process.updates
 
     def look(self) -> None:
         now, up = self.sim.now, self.site.up()
-        for refuge in up:
-            if self.meets(refuge) or refuge not in self.met:
-                self.met[refuge] = now
-            self.epoch(refuge.plane.register.voters)
+        for controller in up:
+            if self.meets(controller) or controller not in self.met:
+                self.met[controller] = now
+            self.epoch(controller.plane.register.voters)
         for process in self.processes():
             self.confirmed(process)
         if self.calm(now):
@@ -275,20 +275,20 @@
     def confirmed(self, process) -> None:
         """Leases of proxies are counted from the moment that a process takes as confirmed."""
         plane = getattr(process, "plane", process)
-        age, board = plane.relay.age(), plane.board
+        age, updates = plane.relay.age(), plane.updates
         if age >= NEVER:
             return
         # Clocks of processes may run a few percent apart.
         at = self.sim.now - int(1.05 * age * SECOND) - 20 * MS
         for id, acknowledged in self.leaving.items():
-            told = board.get(f"hut/{id}")
+            told = updates.get(f"hut/{id}")
             if acknowledged < at and told and told["state"] not in (CLOSING, GONE):
                 self.broke("confirmed", f"{process.name}: {id} is {told['state']} at {clock(at)}")
-        zones = board.get("evac") or {}
+        zones = updates.get("evac") or {}
         for zone, on in self.settled_zones(at).items():
             if bool(zones.get(zone)) != on:
                 self.broke("confirmed", f"{process.name}: {zone} {'is not' if on else 'is still'} evacuated")
-        version = board.parcels.get("timetable", (-1,))[0]
+        version = updates.entries.get("timetable", (-1,))[0]
         newest = max((number for number, puts in self.puts.items() if self.stood(puts, at)), default=-1)
         if version < newest:
             self.broke("confirmed", f"{process.name}: configuration {version} and not {newest}")
@@ -314,12 +314,12 @@
             self.broke("epochs", f"two sets of voters in epoch {voters.epoch}")
 
     def in_touch(self, process) -> None:
-        now, board = self.sim.now, self.board(process)
+        now, updates = self.sim.now, self.updates(process)
         for id, at in self.leaving.items():
-            told = board.get(f"hut/{id}")
+            told = updates.get(f"hut/{id}")
             if told and told["state"] == READY and now > at + 3 * SECOND:
                 self.broke("drain", f"{process.name} tells {id} as ready, leaving since {clock(at)}")
-        zones = board.get("evac") or {}
+        zones = updates.get("evac") or {}
         for zone, on in self.settled_zones(now - 5 * SECOND).items():
             if bool(zones.get(zone)) != on:
                 self.broke("evacuated", f"{process.name}: {zone} {'is not' if on else 'is still'} evacuated")
@@ -332,31 +332,31 @@
             if orders[-1][2] is not None and orders[-1][2] < before
         }
 
-    def meets(self, refuge) -> bool:
+    def meets(self, controller) -> bool:
         """Whether a refuge may be in contact with a majority: joined to it for a way and back."""
         joined = self.site.network.joined
-        others = sum(joined(refuge.machine.ip, other.machine.ip) for other in self.site.up())
-        return 2 * others > len(self.site.refuges) and self.sim.now - refuge.machine.eased > 30 * MS
+        others = sum(joined(controller.machine.ip, other.machine.ip) for other in self.site.up())
+        return 2 * others > len(self.site.controllers) and self.sim.now - controller.machine.eased > 30 * MS
 
-    def directions(self, refuge, status: int) -> None:
-        if self.meets(refuge):
-            self.met[refuge] = self.sim.now
-        alone = self.sim.now - self.met.get(refuge, self.sim.now)
+    def directions(self, controller, status: int) -> None:
+        if self.meets(controller):
+            self.met[controller] = self.sim.now
+        alone = self.sim.now - self.met.get(controller, self.sim.now)
         if status == 200 and alone > STALE:
-            self.broke("stale", f"{refuge.name} answers directions, alone for {alone / SECOND:.1f} s")
+            self.broke("stale", f"{controller.name} answers directions, alone for {alone / SECOND:.1f} s")
         elif 400 <= status < 500:
-            self.broke("answered", f"directions: {status} from {refuge.name}")
+            self.broke("answered", f"directions: {status} from {controller.name}")
 
     def at_end(self) -> None:
         """After a calm time."""
         site, rows = self.site, []
         for process in self.processes():
-            board = self.board(process)
-            huts = {key: told["state"] == READY for key, told in board.under("hut/").items()}
+            updates = self.updates(process)
+            huts = {key: told["state"] == READY for key, told in updates.under("hut/").items()}
             steady = sorted(e.id for e in site.endpoints.values() if e.steady())
             live = {id: huts.get(id, False) for id in steady}
-            version = board.parcels.get("timetable", (None,))[0]
-            away = sorted(zone for zone, on in (board.get("evac") or {}).items() if on)
+            version = updates.entries.get("timetable", (None,))[0]
+            away = sorted(zone for zone, on in (updates.get("evac") or {}).items() if on)
             rows.append((process.name, version, away, live))
             if self.floor >= 0 and (version is None or version < self.floor):
                 self.broke("agree", f"{process.name} holds configuration {version} and not {self.floor}")
@@ -372,17 +372,17 @@
         """`endpoints`: those that ended long ago."""
         ids = {endpoint.id for endpoint in endpoints}
         for process in self.processes():
-            held = {"board": {key[4:] for key in self.board(process).parcels if key.startswith("hut/")}}
+            held = {"board": {key[4:] for key in self.updates(process).entries if key.startswith("hut/")}}
             if hasattr(process, "plane"):
-                book, disk = process.plane.book, self.site.disks[process.machine.ip]
-                held |= {"book": {*book.records, *getattr(book, "gone", ())}, "disk": {*disk.huts}}
+                registry, disk = process.plane.registry, self.site.disks[process.machine.ip]
+                held |= {"book": {*registry.records, *getattr(registry, "gone", ())}, "disk": {*disk.huts}}
             for where, found in held.items():
                 if old := sorted(found & ids):
                     self.broke("forgotten", f"{process.name}: {len(old)} of {len(ids)} in its {where}")
 
     def voters_at_end(self) -> None:
         voters, shape = self.site.voters(), self.site.shape
-        there = {m.process_address: m for m in self.site.refuges.values()}
+        there = {m.process_address: m for m in self.site.controllers.values()}
         members = set(voters.members())
         text = f"epoch {voters.epoch}: {sorted(ip for ip, _ in members)} of {sorted(ip for ip, _ in there)}"
         alive = members & set(there)
@@ -402,7 +402,7 @@
 
 def numbered(number: int, salt: int, sharded: bool) -> bytes:
     """A configuration: two operators' contents under one number differ by their salt."""
-    depots = [{"name": "plain", "cold_s": 0.0, "cold_per_s": 0.0}]
+    service_configs = [{"name": "plain", "cold_s": 0.0, "cold_per_s": 0.0}]
     rules = [
         {
             "name": f"r{salt}",
@@ -412,7 +412,7 @@
         }
     ]
     if sharded:
-        depots.append({"name": "keyed", "sharded": True, "warmup_s": 1.0})
+        service_configs.append({"name": "keyed", "sharded": True, "warmup_s": 1.0})
         rules.append(
             {
                 "name": "k",
@@ -421,5 +421,7 @@
                 "dispatch": {"line": "keyed", "deadline_ms": 3000, "tries": 2},
             }
         )
-    wickets = [{"destination": "a.example", "regulations": rules}]
-    return msgspec.json.encode({"edition": f"{number:08x}", "wickets": wickets, "depots": depots})
+    virtual_hosts = [{"destination": "a.example", "regulations": rules}]
+    return msgspec.json.encode(
+        {"edition": f"{number:08x}", "wickets": virtual_hosts, "depots": service_configs}
+    )
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -45,7 +45,7 @@
     def planted(self):
         settle(self)
         if self.acceptor:
-            self.acceptor.voting = self.bundle.address in self.group
+            self.acceptor.voting = self.peer_pool.address in self.group
 
     return planted
 
@@ -73,7 +73,7 @@
 def told_before_synced(keep):
     def planted(self, *args, **rest):
         # Down only after a while, as without a sync.
-        self.process.sim.after(SECOND // 5, self.process.host.spawn, lambda: keep(self, *args, **rest))
+        self.process.sim.after(SECOND // 5, self.process.runtime.spawn, lambda: keep(self, *args, **rest))
         return True
 
     return planted
@@ -81,8 +81,8 @@
 
 def board_goes_back(offer):
     def planted(self, key, version, value, *age):
-        if key == "timetable" and key in self.parcels and version < self.parcels[key][0]:
-            del self.parcels[key]
+        if key == "timetable" and key in self.entries and version < self.entries[key][0]:
+            del self.entries[key]
         return offer(self, key, version, value, *age)
 
     return planted
@@ -158,31 +158,31 @@
     return lambda disks, losses, calm_s: first(disks, Losses(), calm_s)
 
 
-CAIRN, REFUGE = "flintreach.consensus", "flintreach.controller"
+CONSENSUS, CONTROLLER = "flintreach.consensus", "flintreach.controller"
 PLANTS = {
     "first-accept": Plant(
-        f"{CAIRN}.proposer:Change",
+        f"{CONSENSUS}.proposer:Proposal",
         "accepted",
         first_accept,
         ("durable", "kept"),
         "a change is done when the first disk has accepted it",
     ),
     "no-write-back": Plant(
-        f"{CAIRN}.proposer:Change",
+        f"{CONSENSUS}.proposer:Proposal",
         "promised",
         no_write_back,
         ("kept", "durable"),
         "a read answers what a minority alone may hold",
     ),
     "votes-when-empty": Plant(
-        f"{CAIRN}.register:Register",
+        f"{CONSENSUS}.register:Register",
         "settle",
         votes_when_empty,
         ("kept", "durable"),
         "a disk that came back empty votes at once",
     ),
     "forgets-promises": Plant(
-        f"{CAIRN}.acceptor:Acceptor",
+        f"{CONSENSUS}.acceptor:Acceptor",
         "accept",
         forgets_promises,
         ("kept", "durable", "evacuated", "single", "refused"),
@@ -196,87 +196,87 @@
         "a disk says yes before its sync",
     ),
     "board-goes-back": Plant(
-        "flintreach.dissemination.versioned_store:Board",
+        "flintreach.dissemination.versioned_store:VersionedStore",
         "offer",
         board_goes_back,
         ("monotonic",),
         "news of an older configuration take the place of newer ones",
     ),
     "fresh-without-contact": Plant(
-        f"{REFUGE}.plane:ControlPlane",
+        f"{CONTROLLER}.plane:ControlPlane",
         "news_age",
         always_fresh,
         ("confirmed",),
         "a refuge that is cut off confirms what it holds",
     ),
     "forgets-holds": Plant(
-        "flintreach.sharding.range_lease:Keeping",
+        "flintreach.sharding.range_lease:RangeLeases",
         "stands",
         forgets_holds,
         ("owner",),
         "a new keeper does not wait for what the one before it granted",
     ),
     "frees-at-once": Plant(
-        "flintreach.sharding.range_lease:Keeping",
+        "flintreach.sharding.range_lease:RangeLeases",
         "free",
         frees_at_once,
         ("owner",),
         "keys change hands before their holder's time is over",
     ),
     "refuses-when-cut-off": Plant(
-        f"{REFUGE}.control:Control",
+        f"{CONTROLLER}.http_api:ControlApi",
         "__call__",
         refuses_when_cut_off,
         ("answered", "refused"),
         "no majority is told as a conflict",
     ),
     "settles-at-once": Plant(
-        f"{REFUGE}.voting:",
+        f"{CONTROLLER}.voting:",
         "first",
         settles_at_once,
         ("voters", "live", "kept", "durable", "known"),
         "a first start takes for voters whoever is there",
     ),
     "keeps-voters": Plant(
-        f"{REFUGE}.voting:", "wanted", nothing, ("voters", "live"), "the voters never change"
+        f"{CONTROLLER}.voting:", "wanted", nothing, ("voters", "live"), "the voters never change"
     ),
     "takes-any-number": Plant(
-        f"{REFUGE}.orders:Orders",
+        f"{CONTROLLER}.operator_requests:OperatorRequests",
         "put",
         takes_any_number,
         ("single", "refused"),
         "a second content under one number is acknowledged",
     ),
     "acknowledges-from-memory": Plant(
-        f"{REFUGE}.endpoints:Endpoints",
+        f"{CONTROLLER}.endpoint_service:EndpointService",
         "settle",
         true,
         ("known",),
         "a closing is acknowledged without a quorum",
     ),
     "ends-rivals": Plant(
-        "flintreach.endpoints.registry:Book",
+        "flintreach.endpoints.registry:EndpointRegistry",
         "hear",
         ends_rivals,
         ("ended", "agree"),
         "a late first check-in of an older life ends its successor",
     ),
     "answers-cut-off": Plant(
-        f"{REFUGE}.control:Control",
+        f"{CONTROLLER}.http_api:ControlApi",
         "refusal",
         nothing,
         ("stale", "evacuated", "kept"),
         "a refuge that slept or is cut off answers",
     ),
     "done-when-decided": Plant(
-        "flintreach.consensus.reconfiguration:Turnover",
+        "flintreach.consensus.reconfiguration:Reconfiguration",
         "told",
         true,
         ("live",),
         "an exchange of voters is done when only its proposer knows",
     ),
     "never-forgets": Plant(
-        "flintreach.dissemination.versioned_store:Board",
+        "flintreach.dissemination.versioned_store:VersionedStore",
         "expire",
         never_forgets,
         ("forgotten",),
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -15,14 +15,14 @@
 from flintreach.consensus.quorum import Voters
 from flintreach.controller import lease_owner
 from flintreach.controller.control_plane import ControlPlane
-from flintreach.controller.endpoint_service import Endpoints
-from flintreach.controller.http_api import Control
+from flintreach.controller.endpoint_service import EndpointService
+from flintreach.controller.http_api import ControlApi
 from flintreach.controller.program import SERVED
 from flintreach.controller.repair import ROLE
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
-from flintreach.dissemination.versioned_store import Board
-from flintreach.endpoints.registry import Book
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.endpoints.registry import EndpointRegistry
 from flintreach.membership.member_list import Member
 from flintreach.proxy.program import ROLE as PROXY
 from flintreach.sharding.range_lease import GRANT
@@ -39,7 +39,7 @@
     Store,
     Waiter,
 )
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_pool import PeerPool
 
 REFUGE_POST, PROXY_POST = 0, 1
 UNPACK = msgspec.msgpack.decode
@@ -72,30 +72,30 @@
         (6, 3, 2, 2, 1),
     )
 
-    def __init__(self, chance, refuges: int | None = None):
-        rows = [row for row in self.ROWS if refuges in (None, row[0])]
-        rows = rows or [(refuges, 3, 1, (refuges - 1) // 2, 0)]
-        self.refuges, zones, regions, self.machines, self.zones = chance.choice(rows)
+    def __init__(self, chance, controllers: int | None = None):
+        rows = [row for row in self.ROWS if controllers in (None, row[0])]
+        rows = rows or [(controllers, 3, 1, (controllers - 1) // 2, 0)]
+        self.controllers, zones, regions, self.machines, self.zones = chance.choice(rows)
         self.places = {f"z{n}": f"r{n % regions}" for n in range(zones)}
         self.report_ms = chance.choice((600, 1000, 1500))
         self.proxies = chance.choice((1, 2, 2, 3))
         self.sharded = chance.random() < 0.4
 
 
-class Refuge(Process):
+class SimulatedController(Process):
     """`refuge/program.py` in simulation.  `listening`: callers are answered."""
 
     def __init__(self, site: "Site", machine: Machine, first_run: bool):
         super().__init__(site.sim, machine, machine.name, site.crashed)
         self.site, self.listening, self.since = site, False, site.sim.now
         self.node = site.node(machine, ROLE, first_run)
-        self.bundle = Bundle(self.node.inner(REFUGE_POST), self.host)
+        self.peer_pool = PeerPool(self.node.inner(REFUGE_POST), self.runtime)
         me = self.node.sender
         self.store = Store(self, site.disks[machine.ip], me.node_name, first_run)
         member = Member(
             me.node_name,
             ROLE,
-            *self.bundle.address,
+            *self.peer_pool.address,
             me.zone,
             me.region,
             dict(self.node.network.posts),
@@ -103,21 +103,21 @@
             False,
             machine.wall_ms(),
         )
-        self.lookout = Sightings(self, member, self.seeds)
+        self.failure_detector = Sightings(self, member, self.seeds)
         self.plane = ControlPlane(
-            self.node, self.bundle, self.store, self.lookout.roster, self.seeds, self.begin
+            self.node, self.peer_pool, self.store, self.failure_detector.member_list, self.seeds, self.begin
         )
-        self.handlers = self.bundle.handlers
-        self.control = Control(self.plane, {name for _, names in SERVED for name in names})
-        site.hear(self, self.plane.board)
-        self.lookout.start()
+        self.handlers = self.peer_pool.handlers
+        self.control = ControlApi(self.plane, {name for _, names in SERVED for name in names})
+        site.hear(self, self.plane.updates)
+        self.failure_detector.start()
         self.plane.start()
 
     def seeds(self) -> list[tuple[str, int]]:
-        return sorted({(ip, self.bundle.address[1]) for ip in self.node.seeds()})
+        return sorted({(ip, self.peer_pool.address[1]) for ip in self.node.seeds()})
 
     def begin(self) -> None:
-        self.lookout.change(ready=True)
+        self.failure_detector.change(ready=True)
         self.listening = True
         self.sim.note(self.name, "answers callers")
         self.site.began(self)
@@ -130,12 +130,12 @@
         """SIGTERM; `ended()`: called when it has ended by itself."""
 
         def leave():
-            self.plane.care.voting.leave()
-            self.lookout.change(state=3)
+            self.plane.repair.voting.leave()
+            self.failure_detector.change(state=3)
             self.sim.after(0, self.end, True)
             self.sim.after(0, ended)
 
-        self.do(self.host.spawn, leave)
+        self.do(self.runtime.spawn, leave)
 
     def end(self, told: bool) -> None:
         super().end(told)
@@ -149,12 +149,12 @@
     def __init__(self, site: "Site", machine: Machine):
         super().__init__(site.sim, machine, machine.name, site.crashed)
         self.node = site.node(machine, PROXY, False)
-        self.bundle = Bundle(self.node.inner(PROXY_POST), self.host)
+        self.peer_pool = PeerPool(self.node.inner(PROXY_POST), self.runtime)
         me = self.node.sender
         member = Member(
             me.node_name,
             PROXY,
-            *self.bundle.address,
+            *self.peer_pool.address,
             me.zone,
             me.region,
             dict(self.node.network.posts),
@@ -162,26 +162,30 @@
             True,
             machine.wall_ms(),
         )
-        self.lookout = Sightings(self, member, lambda: [(ip, PORT) for ip in self.node.seeds()])
-        self.board = Board(self.host.now)
-        self.relay = Relay(self.bundle, self.board, self.parents)
-        self.handlers = self.bundle.handlers
-        site.hear(self, self.board)
-        self.lookout.start()
+        self.failure_detector = Sightings(self, member, lambda: [(ip, PORT) for ip in self.node.seeds()])
+        self.updates = VersionedStore(self.runtime.now)
+        self.relay = Relay(self.peer_pool, self.updates, self.parents)
+        self.handlers = self.peer_pool.handlers
+        site.hear(self, self.updates)
+        self.failure_detector.start()
         self.relay.start()
 
     def parents(self) -> list[tuple[str, int]]:
-        roster = self.lookout.roster
-        known = roster.alive(ROLE)
-        refuges = [member for member in known if member.ready] or known
-        return [m.address for m in parents(roster.me, refuges, roster.alive(PROXY))] if refuges else []
+        member_list = self.failure_detector.member_list
+        known = member_list.alive(ROLE)
+        controllers = [member for member in known if member.ready] or known
+        return (
+            [m.address for m in parents(member_list.me, controllers, member_list.alive(PROXY))]
+            if controllers
+            else []
+        )
 
 
-class Keeper(lease_owner.Keeper):
+class LeaseOwner(lease_owner.LeaseOwner):
     """Grants go to simulated endpoints."""
 
     def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
-        process = self.host.process
+        process = self.runtime.process
         site, waiter = process.site, Waiter(process)
         if kind != lease_owner.GRANT and site.on_release is not None:
             struck, site.on_release = site.on_release, None
@@ -205,18 +209,18 @@
         self.gone: list[str] = []
         self.on_answer: list = []  # called once each, with the machine that acknowledges next
         self.on_release = None  # called once, with the machine that is about to ask for keys back
-        self.refuges: dict[str, Machine] = {}
+        self.controllers: dict[str, Machine] = {}
         self.proxies: dict[str, Machine] = {}
         self.endpoints: dict[str, SimpleNamespace] = {}  # address -> who is there now
         self.number = 0
         outside = Machine(self.network, "outside", "0.0.0.0", "", "")
         outside.powered = True
         outside.process = self.outside = Process(sim, outside, "outside", self.crashed)
-        self.host = self.outside.host
+        self.runtime = self.outside.runtime
         zones = [*shape.places]
-        for n in range(shape.refuges):
-            self.machine(self.refuges, "refuge", zones[n % len(zones)])
-        self.seeds = [f"{m.ip}:8166" for m in [*self.refuges.values()][:3]]
+        for n in range(shape.controllers):
+            self.machine(self.controllers, "refuge", zones[n % len(zones)])
+        self.seeds = [f"{m.ip}:8166" for m in [*self.controllers.values()][:3]]
         for n in range(shape.proxies):
             self.machine(self.proxies, "proxy", zones[n % len(zones)])
 
@@ -229,7 +233,7 @@
         table[ip] = machine
         return machine
 
-    def node(self, machine: Machine, role: str, first_run: bool) -> settings.Node:
+    def node(self, machine: Machine, role: str, first_run: bool) -> settings.ProcessSettings:
         """The settings of a process, as the platform writes them."""
         losses = {"machines": self.shape.machines, "zones": self.shape.zones, "regions": 0}
         return msgspec.convert(
@@ -252,7 +256,7 @@
                 "carrier": {"report_ms": self.shape.report_ms},
                 "tariffs": {"losses": losses, "timetable": BOUNDS},
             },
-            settings.Node,
+            settings.ProcessSettings,
         )
 
     # Processes.
@@ -263,7 +267,7 @@
         if machine.ip in self.proxies:
             machine.process = Proxy(self, machine)
         else:
-            machine.process = Refuge(self, machine, first_run)
+            machine.process = SimulatedController(self, machine, first_run)
         self.sim.note(machine.name, "starts" + (" for the first time" if first_run else ""))
 
     def end(self, machine: Machine, power: bool = False) -> None:
@@ -284,7 +288,7 @@
         """Disks by the address of their process, with those that were lost in the last two seconds."""
         self.ghosts = [ghost for ghost in self.ghosts if self.sim.now - ghost[0] < 2 * SECOND]
         return [
-            *((m.process_address, self.disks[m.ip]) for m in self.refuges.values()),
+            *((m.process_address, self.disks[m.ip]) for m in self.controllers.values()),
             *((address, disk) for _, address, disk in self.ghosts),
         ]
 
@@ -293,11 +297,11 @@
         self.end(machine, power=True)
         self.bury(machine)
         self.gone.append(machine.ip)
-        del self.refuges[machine.ip], self.disks[machine.ip]
+        del self.controllers[machine.ip], self.disks[machine.ip]
 
     def choose_seeds(self, chance) -> None:
         """Some of the machines that the operator's list has, the newest too."""
-        there = [*self.refuges]
+        there = [*self.controllers]
         chosen = chance.sample(there, min(3, len(there)))
         if self.gone and chance.random() < 0.3:
             chosen[-1] = chance.choice(self.gone)  # the list lags
@@ -306,35 +310,35 @@
     def crashed(self, text: str) -> None:
         self.watch.broke("crash", f"a task ended by an exception:\n{text}")
 
-    def hear(self, process: Process, board: Board) -> None:
-        board.watchers.append(lambda key, version, value: self.watch.parcel(process, key, version, value))
+    def hear(self, process: Process, updates: VersionedStore) -> None:
+        updates.watchers.append(lambda key, version, value: self.watch.parcel(process, key, version, value))
 
-    def began(self, refuge: Refuge) -> None:
-        self.watch.began(refuge)
+    def began(self, controller: SimulatedController) -> None:
+        self.watch.began(controller)
 
-    def up(self) -> list[Refuge]:
+    def up(self) -> list[SimulatedController]:
         """Refuges whose process runs."""
         return [
             m.process
-            for m in self.refuges.values()
+            for m in self.controllers.values()
             if m.process is not None and m.process.alive and not m.process.frozen
         ]
 
     def voters(self) -> Voters:
         """The latest that any disk or process knows to be decided."""
         best = Voters()
-        for machine in self.refuges.values():
+        for machine in self.controllers.values():
             if kept := self.disks[machine.ip].facts.get("voters"):
                 best = max(best, Voters.of(UNPACK(bytes.fromhex(kept))), key=lambda v: v.epoch)
             if machine.process is not None and machine.process.alive:
                 best = max(best, machine.process.plane.register.voters, key=lambda v: v.epoch)
         return best
 
-    def book(self, disk: Disk) -> Book:
+    def registry(self, disk: Disk) -> EndpointRegistry:
         """What a disk holds of endpoints, read as a start reads it."""
         told = SimpleNamespace(huts=disk.huts, facts=disk.facts, voting=True)
-        plane = SimpleNamespace(host=self.host, store=told, bundle=SimpleNamespace(handlers={}))
-        return Endpoints(plane, self.shape.report_ms).book
+        plane = SimpleNamespace(runtime=self.runtime, store=told, peer_pool=SimpleNamespace(handlers={}))
+        return EndpointService(plane, self.shape.report_ms).registry
 
     def answering(self, machine: Machine, method: str) -> None:
         if method == "POST":
@@ -365,7 +369,7 @@
                 sim.after(network.delay(machine, here), waiter.wake, (0, b""))
                 return
             sim.mark(path.encode())
-            process.do(process.host.spawn, served, process)
+            process.do(process.runtime.spawn, served, process)
 
         def served(process):
             status = []
@@ -404,7 +408,7 @@
                 sim.after(network.delay(here, outside), process.do, connected)
 
         def connected():
-            if not keeper.state.goes_out(kind, r, keeper.host.now()):
+            if not keeper.state.goes_out(kind, r, keeper.runtime.now()):
                 waiter.wake((None, None))
                 return
             hold = keeper.state.hold if kind == GRANT else 0.0
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -16,7 +16,7 @@
 from flintreach.simulation.faults import Faults
 from flintreach.simulation.invariants import INVARIANTS, Watch
 from flintreach.simulation.mutants import planted
-from flintreach.simulation.site import Keeper, Shape, Site
+from flintreach.simulation.site import LeaseOwner, Shape, Site
 
 
 def course(sim: Simulation, site: Site, watch: Watch) -> None:
@@ -26,11 +26,11 @@
     faults.callers, shape = callers, site.shape
     sim.note(
         "site",
-        f"{shape.refuges} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
+        f"{shape.controllers} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
         f"or {shape.zones} zones; report {shape.report_ms} ms",
     )
-    slow = chance.choice([*site.refuges.values()]) if chance.random() < 0.2 else None
-    for machine in [*site.refuges.values(), *site.proxies.values()]:
+    slow = chance.choice([*site.controllers.values()]) if chance.random() < 0.2 else None
+    for machine in [*site.controllers.values(), *site.proxies.values()]:
         late = chance.uniform(0.5, 4.0) if machine is slow else 0.0
         if machine is slow:
             faults.take(machine)
@@ -60,16 +60,16 @@
         else:
             sim.after(int(chance.random() * 30 * MS), faults.close)
         callers.number += 1
-        site.host.spawn(callers.put, callers.number, chance.choice((0.1, 3.0)))
+        site.runtime.spawn(callers.put, callers.number, chance.choice((0.1, 3.0)))
         sim.run(sim.now + 3 * SECOND)
         faults.close()
         sim.run(sim.now + 6 * SECOND)
     sim.run(sim.now + int(5.5 * SECOND))
     callers.number += 1
     last = []
-    site.host.spawn(lambda: last.append(callers.put(callers.number, 7.0)))
+    site.runtime.spawn(lambda: last.append(callers.put(callers.number, 7.0)))
     zone = chance.choice([*shape.places])
-    site.host.spawn(lambda: last.append(callers.evacuate(zone, chance.random() < 0.5, 7.0)))
+    site.runtime.spawn(lambda: last.append(callers.evacuate(zone, chance.random() < 0.5, 7.0)))
     sim.run(sim.now + 2 * SECOND)
     if len(last) < 2:
         sim.run(sim.now + 6 * SECOND)
@@ -77,8 +77,8 @@
         watch.broke("live", "after a calm time an order is not acknowledged within receipt_ms")
     # Each refuge answers what stands.
     floor = max(watch.floor, watch.shown)
-    for machine in [*site.refuges.values()]:
-        site.host.spawn(answers, site, watch, machine, floor)
+    for machine in [*site.controllers.values()]:
+        site.runtime.spawn(answers, site, watch, machine, floor)
     sim.run(sim.now + int(5.5 * SECOND))
     callers.over = True
     watch.at_end()
@@ -89,7 +89,7 @@
 def churn(sim: Simulation, site: Site, watch: Watch, seconds: float = 60, rest: float = 160) -> None:
     """Endpoints come and go in calm, then none is new; what is left of those that are gone."""
     callers = Callers(site, watch)
-    for machine in [*site.refuges.values(), *site.proxies.values()]:
+    for machine in [*site.controllers.values(), *site.proxies.values()]:
         site.start(machine, True)
     callers.start(sim.now + int(seconds * SECOND), quiet=True)
     sim.run(sim.now + int((seconds + rest) * SECOND))
@@ -104,7 +104,7 @@
         status, body = site.call(machine, "GET", "/v1/timetable/get")
         if status == 200 or site.sim.now > until:
             break
-        site.host.sleep(0.2)  # those who ask at once stand in each other's way
+        site.runtime.sleep(0.2)  # those who ask at once stand in each other's way
     if status:
         watch.got(floor, status, body, machine.name)
     if status != 200:
@@ -139,7 +139,7 @@
     def told(what: str, fields: dict) -> None:
         sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
 
-    with mock.patch.object(log, "teller", told), mock.patch.object(load_placement, "Keeper", Keeper):
+    with mock.patch.object(log, "teller", told), mock.patch.object(load_placement, "LeaseOwner", LeaseOwner):
         yield
 
 
@@ -157,7 +157,7 @@
 
 def play(
     seed: int,
-    refuges: int | None = None,
+    controllers: int | None = None,
     on=tuple(INVARIANTS),
     kept: int = 40,
     plant: str = "",
@@ -167,9 +167,9 @@
     `plant`: a fault that is put into the text (see `simulated_plants`)."""
     sim = Simulation(seed, kept)
     with played(sim), planted(plant), uncollected():
-        outcome = Outcome(seed, f" --nodes {refuges}" if refuges else "")
+        outcome = Outcome(seed, f" --nodes {controllers}" if controllers else "")
         watch = Watch(sim, on)
-        site = watch.site = Site(sim, Shape(sim.chance, refuges), watch)
+        site = watch.site = Site(sim, Shape(sim.chance, controllers), watch)
         try:
             course(sim, site, watch)
         except Broken as error:
@@ -189,7 +189,7 @@
 
 
 def many(
-    seeds, refuges: int | None = None, on=tuple(INVARIANTS), workers: int | None = None, plant: str = ""
+    seeds, controllers: int | None = None, on=tuple(INVARIANTS), workers: int | None = None, plant: str = ""
 ):
     """Outcomes in the order of the seeds, played by `workers` processes, one a processor if not told.
 
@@ -198,15 +198,15 @@
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(workers, mp_context=context)
     try:
-        yield from pool.map(one, [(seed, refuges, on, 40, plant) for seed in seeds], chunksize=4)
+        yield from pool.map(one, [(seed, controllers, on, 40, plant) for seed in seeds], chunksize=4)
     finally:
         pool.shutdown(cancel_futures=True)  # who has seen enough waits for no more
 
 
-def show(seeds, refuges: int | None, workers: int, say, plant: str = "") -> int:
+def show(seeds, controllers: int | None, workers: int, say, plant: str = "") -> int:
     """Play seeds and say which break; 0 if none does."""
     broken, number, told = Counter(), 0, set()
-    for outcome in many(seeds, refuges, workers=workers, plant=plant):
+    for outcome in many(seeds, controllers, workers=workers, plant=plant):
         number += 1
         if outcome.broken:
             broken[outcome.broken] += 1
--- a/flintreach/soak/__main__.py
+++ b/flintreach/soak/__main__.py
@@ -13,7 +13,7 @@
     first: int = typer.Option(1, help="the first of them"),
     seconds: float = typer.Option(20.0, help="how long the troubles of each go on"),
     mix: Annotated[Mix, typer.Option(help="which troubles overlap")] = Mix.BOTH,
-    refuges: int = typer.Option(3, help="control processes"),
+    controllers: int = typer.Option(3, help="control processes"),
     proxies: int = typer.Option(3, help="data plane processes"),
     clients: int = typer.Option(12, help="clients, a third of each kind"),
     at_once: int = typer.Option(3, help="how many troubles overlap"),
@@ -21,7 +21,7 @@
     port: int = typer.Option(7700, help="the first of six ports"),
 ) -> None:
     """Play soaks; a line each, and 1 if an invariant was broken."""
-    plan, broken = SoakPlan(seconds, mix, refuges, proxies, clients, at_once), 0
+    plan, broken = SoakPlan(seconds, mix, controllers, proxies, clients, at_once), 0
     for seed in range(first, first + seeds):
         verdict = Soak(seed, plan, base, port).run()
         print(verdict.line(), flush=True)
--- a/flintreach/soak/faults.py
+++ b/flintreach/soak/faults.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from flintreach.demo.cluster import TIMETABLE, Camp, Machine
+from flintreach.demo.cluster import TIMETABLE, DemoCluster, Machine
 from flintreach.soak.ledger import SECOND, Disturbance, Ledger, Verdict
 
 GRACE_S = 6.0  # the settings' default
@@ -27,8 +27,16 @@
 class Troubles:
     """`cuts`: the file that `standins.faulty` reads."""
 
-    def __init__(self, camp: Camp, chance: random.Random, ledger: Ledger, verdict: Verdict, cuts: str):
-        self.camp, self.chance, self.ledger, self.verdict, self.cuts = camp, chance, ledger, verdict, cuts
+    def __init__(
+        self, cluster: DemoCluster, chance: random.Random, ledger: Ledger, verdict: Verdict, cuts: str
+    ):
+        self.cluster, self.chance, self.ledger, self.verdict, self.cuts = (
+            cluster,
+            chance,
+            ledger,
+            verdict,
+            cuts,
+        )
         self.pairs: list[tuple[str, str]] = []
         self.losing, self.ending = False, False
         self.timetable = copy.deepcopy(TIMETABLE)  # the newest that was sent
@@ -45,13 +53,13 @@
 
     def claim(self, machine: Machine) -> bool:
         """Whether nobody else ends or starts a machine; it is then the caller's until `busy` forgets it."""
-        if machine.name in self.busy or machine not in self.camp.machines:
+        if machine.name in self.busy or machine not in self.cluster.machines:
             return False
         self.busy.add(machine.name)
         return True
 
     def kill(self) -> None:
-        machine = self.chance.choice(self.camp.machines)
+        machine = self.chance.choice(self.cluster.machines)
         if self.spared(machine) or not self.claim(machine):
             return
         began = time.monotonic_ns()
@@ -63,13 +71,13 @@
 
     def terminate(self) -> None:
         """SIGTERM one machine, and start it again when it has ended."""
-        self.restart(self.chance.choice(self.camp.machines))
+        self.restart(self.chance.choice(self.cluster.machines))
 
     def terminate_all(self) -> None:
         """SIGTERM the machines of a role in turn, the next at times before the last is back."""
         role = self.chance.choice(("proxy", "proxy", "refuge"))
         jobs = []
-        for machine in self.camp.of(role):
+        for machine in self.cluster.of(role):
             if self.ending:
                 break
             jobs.append(gevent.spawn(self.restart, machine))
@@ -114,7 +122,7 @@
 
         It is a fault, but for a signal that came before the program's first line.
         """
-        for machine in [*self.camp.machines]:
+        for machine in [*self.cluster.machines]:
             status = machine.process.poll()
             if status is None or machine.name in self.busy:
                 continue
@@ -127,10 +135,10 @@
     def hang_up(self) -> None:
         """SIGHUP a series of machines, each with settings written anew; at times one gets several."""
         for machine in self.chance.sample(
-            self.camp.machines, self.chance.randint(1, len(self.camp.machines))
+            self.cluster.machines, self.chance.randint(1, len(self.cluster.machines))
         ):
             for _ in range(self.chance.choice((1, 1, 3))):
-                self.camp.settle(machine, first_run=False)
+                self.cluster.settle(machine, first_run=False)
                 if machine.process.poll() is None and machine.name not in self.busy:
                     machine.process.send_signal(signal.SIGHUP)
                 gevent.sleep(self.chance.uniform(0.0, 0.1))
@@ -141,7 +149,7 @@
         return f"{machine.name} paused" in self.busy
 
     def pause(self) -> None:
-        machine, began = self.chance.choice(self.camp.machines), time.monotonic_ns()
+        machine, began = self.chance.choice(self.cluster.machines), time.monotonic_ns()
         process, mark = machine.process, f"{machine.name} paused"
         if self.spared(machine) or process.poll() is not None or mark in self.busy:
             return
@@ -159,14 +167,14 @@
 
     def cut(self) -> None:
         """A proxy from all refuges, or any machine from some of them."""
-        refuges = self.camp.of("refuge")
+        controllers = self.cluster.of("refuge")
         if self.chance.random() < 0.5:
-            machine, others = self.chance.choice(self.camp.of("proxy")), refuges
+            machine, others = self.chance.choice(self.cluster.of("proxy")), controllers
         else:
-            machine = self.chance.choice(self.camp.machines)
+            machine = self.chance.choice(self.cluster.machines)
             if self.spared(machine):
                 return
-            others = [m for m in refuges if m is not machine]
+            others = [m for m in controllers if m is not machine]
             others = self.chance.sample(others, self.chance.randint(1, len(others)))
         self.apart([(machine.ip, other.ip) for other in others], self.chance.uniform(1.0, 7.0))
 
@@ -187,7 +195,7 @@
 
     def slow(self) -> None:
         """Some endpoints work slowly for a while."""
-        there = [endpoint for endpoint in self.camp.endpoints if endpoint.state == "ready"]
+        there = [endpoint for endpoint in self.cluster.endpoints if endpoint.state == "ready"]
         chosen = self.chance.sample(there, max(1, len(there) // 3)) if there else []
         usual = [endpoint.work_s for endpoint in chosen]
         for endpoint in chosen:
@@ -221,7 +229,7 @@
 
     def put(self, timetable: dict) -> None:
         """Send a configuration until it is acknowledged, or a newer one may have been."""
-        if self.camp.put(timetable, time.monotonic() + 8.0):
+        if self.cluster.put(timetable, time.monotonic() + 8.0):
             self.acknowledged = max(self.acknowledged, int(timetable["edition"], 16))
             self.verdict.configurations += 1
 
@@ -230,8 +238,8 @@
     def exchange_proxy(self) -> None:
         """A proxy joins at a new address; then one leaves for good."""
         with self.membership:
-            old = self.chance.choice(self.camp.of("proxy"))
-            new = self.camp.join("proxy", old.zone)
+            old = self.chance.choice(self.cluster.of("proxy"))
+            new = self.cluster.join("proxy", old.zone)
             new.start()
             gevent.sleep(self.chance.uniform(0.5, 2.0))
             self.remove(old)
@@ -249,8 +257,8 @@
                     self.refuges_spared = False
                     return
                 gevent.sleep(0.1)
-            old = self.chance.choice(self.camp.of("refuge"))
-            new = self.camp.join("refuge", old.zone)
+            old = self.chance.choice(self.cluster.of("refuge"))
+            new = self.cluster.join("refuge", old.zone)
             new.start()
             gevent.sleep(NEW_HOLDER_S)
             self.remove(old)
@@ -259,11 +267,11 @@
 
     def refuges_well(self) -> bool:
         """Whether no control process is lost, by the settings' reckoning."""
-        refuges = self.camp.of("refuge")
-        addresses = {machine.ip for machine in refuges}
+        controllers = self.cluster.of("refuge")
+        addresses = {machine.ip for machine in controllers}
         return all(
             machine.process.poll() is None and machine.running_for() > CATCH_UP_S and not self.paused(machine)
-            for machine in refuges
+            for machine in controllers
         ) and not any(addresses.issuperset(pair) for pair in self.pairs)
 
     def spared(self, machine: Machine) -> bool:
@@ -274,5 +282,5 @@
         while not self.claim(machine):  # somebody else ends it just now
             gevent.sleep(0.05)
         self.terminated(machine)
-        self.camp.machines.remove(machine)
+        self.cluster.machines.remove(machine)
         self.busy.discard(machine.name)
