--- a/flintreach/soak/run.py
+++ b/flintreach/soak/run.py
@@ -14,7 +14,7 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
-from flintreach.demo.cluster import TIMETABLE, ZONES, Camp, Machine
+from flintreach.demo.cluster import TIMETABLE, ZONES, DemoCluster, Machine
 from flintreach.proxy.metrics import PREFIX
 from flintreach.soak.clients import Client
 from flintreach.soak.faults import Troubles
@@ -42,7 +42,7 @@
 
     seconds: float
     mix: Mix = Mix.BOTH
-    refuges: int = 3
+    controllers: int = 3
     proxies: int = 3
     clients: int = 12
     at_once: int = 3
@@ -54,18 +54,18 @@
     def __init__(self, seed: int, plan: SoakPlan, base: str, port: int):
         self.plan, self.verdict, self.ledger = plan, Verdict(seed), Ledger()
         self.chance = random.Random(seed)
-        self.camp = Camp(base, port, plan.refuges, plan.proxies)
-        cuts = os.path.join(self.camp.folder, "cuts")
-        self.camp.module, self.camp.environ = "flintreach.standins.faulty", {VARIABLE: cuts}
-        for machine in self.camp.machines:
-            machine.module, machine.environ = self.camp.module, self.camp.environ
-        self.troubles = Troubles(self.camp, self.chance, self.ledger, self.verdict, cuts)
+        self.cluster = DemoCluster(base, port, plan.controllers, plan.proxies)
+        cuts = os.path.join(self.cluster.folder, "cuts")
+        self.cluster.module, self.cluster.environ = "flintreach.standins.faulty", {VARIABLE: cuts}
+        for machine in self.cluster.machines:
+            machine.module, machine.environ = self.cluster.module, self.cluster.environ
+        self.troubles = Troubles(self.cluster, self.chance, self.ledger, self.verdict, cuts)
         self.numbers = iter(range(DESKS + STORES, ENDPOINT_ADDRESSES))
         self.ending = False
 
     def add(self, service: str, number: int) -> Endpoint:
         zones = [*ZONES]
-        endpoint = self.camp.add(
+        endpoint = self.cluster.add(
             service, number, zones[number % len(zones)], sharded=service == "store", berths=8
         )
         endpoint.lose_answer = lambda: self.troubles.losing and self.chance.random() < 0.2
@@ -75,7 +75,7 @@
     def client(self, number: int) -> Client:
         return Client(
             f"{self.verdict.seed} {number}",
-            lambda: self.camp.of("proxy"),
+            lambda: self.cluster.of("proxy"),
             self.ledger,
             self.verdict,
             lambda: self.ending,
@@ -115,7 +115,7 @@
         leaving = []
         while not self.ending:
             gevent.sleep(self.chance.uniform(0.4, 1.2))
-            there = [e for e in self.camp.endpoints if e.state == "ready"]
+            there = [e for e in self.cluster.endpoints if e.state == "ready"]
             number = next(self.numbers, None)
             if number is None or not there:
                 break
@@ -149,10 +149,10 @@
             client.close()
 
     def read_counters(self) -> None:
-        for machine in self.camp.machines:
+        for machine in self.cluster.machines:
             if machine.process.poll() is not None:
                 self.verdict.fail("ended", f"{machine.name}: status {machine.process.returncode}")
-        for machine in self.camp.of("proxy"):
+        for machine in self.cluster.of("proxy"):
             text = (self.get(machine, "ready", "/metrics") or b"").decode()
             for name in VIOLATIONS:
                 found = re.search(rf"^{PREFIX}{name.replace(' ', '_')}_total (\d+)$", text, re.MULTILINE)
@@ -162,7 +162,11 @@
     def read_configuration(self) -> None:
         """The newest acknowledged configuration is read back, and in force at each proxy."""
         held = next(
-            (data for m in self.camp.of("refuge") if (data := self.get(m, "control", "/v1/timetable/get"))),
+            (
+                data
+                for m in self.cluster.of("refuge")
+                if (data := self.get(m, "control", "/v1/timetable/get"))
+            ),
             None,
         )
         if held is None:
@@ -175,35 +179,37 @@
         probe = table["wickets"][0]["regulations"][-1]["sorting"]["postcode"]
         headers = {"X-Shard-Key": "7"}
         limit = time.monotonic() + EDITION_S
-        for machine in self.camp.of("proxy"):
+        for machine in self.cluster.of("proxy"):
             good = lambda machine=machine: (  # noqa: E731
-                (self.camp.ask(machine, probe, headers=headers) or (0,))[0] == 200
+                (self.cluster.ask(machine, probe, headers=headers) or (0,))[0] == 200
             )
-            if not self.camp.wait(good, limit):
+            if not self.cluster.wait(good, limit):
                 self.verdict.fail("acknowledged", f"{machine.name} does not serve {probe}")
 
     def served(self) -> bool:
-        asked = [self.camp.ask(m, "/fetch/1", headers={"X-Shard-Key": "7"}) for m in self.camp.of("proxy")]
+        asked = [
+            self.cluster.ask(m, "/fetch/1", headers={"X-Shard-Key": "7"}) for m in self.cluster.of("proxy")
+        ]
         return all(answer is not None and answer[0] == 200 for answer in asked)
 
     def start(self) -> bool:
         """Whether the whole system serves in time."""
-        self.camp.start()
+        self.cluster.start()
         for number in range(DESKS + STORES):
             self.add("desk" if number < DESKS else "store", number)
         limit = time.monotonic() + 60 + self.plan.proxies
-        return self.camp.put(TIMETABLE, limit) and self.camp.wait(self.served, limit)
+        return self.cluster.put(TIMETABLE, limit) and self.cluster.wait(self.served, limit)
 
     def stop(self) -> None:
         if self.verdict.broken:
-            self.camp.own, self.verdict.logs = False, self.camp.folder
-        for machine in self.camp.machines:
+            self.cluster.own, self.verdict.logs = False, self.cluster.folder
+        for machine in self.cluster.machines:
             if machine.process is not None and machine.process.poll() is None:
                 machine.process.send_signal(signal.SIGCONT)
-        self.camp.stop()
+        self.cluster.stop()
 
     def judge(self) -> None:
-        self.ledger.judge(self.camp.endpoints, self.verdict)
+        self.ledger.judge(self.cluster.endpoints, self.verdict)
 
     def run(self) -> Verdict:
         try:
--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -12,7 +12,7 @@
 import gevent
 
 from flintreach.transport import runtime
-from flintreach.transport.peer_connection import Link
+from flintreach.transport.peer_connection import PeerConnection
 
 VARIABLE = "FLINTREACH_CUTS"
 LOOK_S = 0.02
@@ -65,7 +65,7 @@
     """Put the cuts under each link that this process dials."""
     dial = runtime.dial
 
-    def dial_held(address, handlers, timeout=1.0, **more) -> Link:
+    def dial_held(address, handlers, timeout=1.0, **more) -> PeerConnection:
         if cuts.cut(address[0]):
             gevent.sleep(timeout)
             raise TimeoutError("cut")
@@ -78,11 +78,11 @@
 
 def main() -> None:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as `program` does, which comes later here
-    from flintreach.__main__ import program
+    from flintreach.__main__ import PROGRAMS, program
     from flintreach.config import settings
 
     install(Cuts(os.environ[VARIABLE], settings.load().sender.ip))
-    program(sys.argv[1])
+    program(PROGRAMS[sys.argv[1]])
 
 
 if __name__ == "__main__":
--- a/flintreach/transport/peer_connection.py
+++ b/flintreach/transport/peer_connection.py
@@ -17,7 +17,7 @@
 from gevent import socket
 from gevent.event import AsyncResult, Event
 
-from flintreach.transport.traffic_meter import Meter
+from flintreach.transport.traffic_meter import TrafficMeter
 
 RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: a close drops what still waits to be sent
 HEAD, MOST = struct.Struct(">I"), 16 << 20
@@ -33,15 +33,17 @@
     return sock
 
 
-class Closed(Exception):
+class ConnectionClosed(Exception):
     """No answer: the link ended, time is up, or the peer could not. Whether it was acted on is not known."""
 
 
-class Link:
+class PeerConnection:
     """`handlers[kind](link, body)` runs in a greenlet of its own; what it returns is the answer."""
 
-    def __init__(self, sock, handlers: dict[str, Callable], mute_ms: int = 1500, meter: Meter | None = None):
-        self.sock, self.handlers, self.meter = braced(sock, mute_ms), handlers, meter or Meter()
+    def __init__(
+        self, sock, handlers: dict[str, Callable], mute_ms: int = 1500, meter: TrafficMeter | None = None
+    ):
+        self.sock, self.handlers, self.meter = braced(sock, mute_ms), handlers, meter or TrafficMeter()
         self.waiting: dict[int, tuple[str, AsyncResult]] = {}
         self.out, self.some, self.number = [], Event(), 0
         self.queued, self.handled = 0, 0  # bytes not yet taken by the kernel; questions worked on
@@ -73,16 +75,16 @@
         """The peer's answer.  Raises Closed when the link ends, the peer has none, or `timeout` seconds are
         over."""
         if self.closed or len(self.waiting) >= WAITING:
-            raise Closed
+            raise ConnectionClosed
         self.number += 1
         number, result = self.number, AsyncResult()
         self.waiting[number] = kind, result
         try:
             if not self.send(kind, body, number):
-                raise Closed
+                raise ConnectionClosed
             result.wait(timeout)  # a timeout of the caller's own passes through
             if not result.ready():
-                raise Closed
+                raise ConnectionClosed
             return result.get()
         finally:
             self.waiting.pop(number, None)
@@ -131,7 +133,7 @@
             asked, result = self.waiting.pop(-number, ("late", None))
             self.meter.came(f"{asked} reply", size)
             if result is not None and kind == "error":
-                result.set_exception(Closed())
+                result.set_exception(ConnectionClosed())
             elif result is not None:
                 result.set(body)
             return
@@ -176,7 +178,7 @@
         self.some.set()
         self.sock.close()
         while self.waiting:
-            self.waiting.popitem()[1][1].set_exception(Closed())
+            self.waiting.popitem()[1][1].set_exception(ConnectionClosed())
         for told in self.on_close:
             told(self)
 
@@ -186,9 +188,9 @@
     handlers: dict[str, Callable],
     timeout: float = 1.0,
     mute_ms: int = 1500,
-    meter: Meter | None = None,
-) -> Link:
+    meter: TrafficMeter | None = None,
+) -> PeerConnection:
     """A link to another pilot.  Raises OSError."""
     sock = socket.create_connection(address, timeout=timeout)
     sock.settimeout(None)
-    return Link(sock, handlers, mute_ms, meter)
+    return PeerConnection(sock, handlers, mute_ms, meter)
--- a/flintreach/transport/peer_pool.py
+++ b/flintreach/transport/peer_pool.py
@@ -6,17 +6,17 @@
 import gevent
 from gevent.server import StreamServer
 
-from flintreach.transport.peer_connection import Closed, Link
-from flintreach.transport.runtime import Host
-from flintreach.transport.traffic_meter import Meter
+from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection
+from flintreach.transport.runtime import Runtime
+from flintreach.transport.traffic_meter import TrafficMeter
 
 
-class Bundle:
+class PeerPool:
     """What this process says to others (`ask`) and what it answers (`handlers`, by kind)."""
 
-    def __init__(self, address: tuple[str, int], host: Host | None = None):
-        self.address, self.handlers, self.host = address, {}, host or Host()
-        self.links: dict[tuple[str, int], Link] = {}
+    def __init__(self, address: tuple[str, int], runtime: Runtime | None = None):
+        self.address, self.handlers, self.runtime = address, {}, runtime or Runtime()
+        self.links: dict[tuple[str, int], PeerConnection] = {}
         self.locks: dict[tuple[str, int], Any] = {}
 
     def start(self) -> None:
@@ -25,26 +25,26 @@
 
     def serve(self, sock, address) -> None:
         # The server closes the socket on return.
-        gevent.joinall(Link(sock, self.handlers, meter=self.meter).readers)
+        gevent.joinall(PeerConnection(sock, self.handlers, meter=self.meter).readers)
 
     @property
-    def meter(self) -> Meter:
-        return self.host.meter
+    def meter(self) -> TrafficMeter:
+        return self.runtime.meter
 
     def traffic(self) -> list[dict]:
         """Messages and bytes by kind since the start, as rows."""
         return self.meter.rows()
 
-    def link(self, address: tuple[str, int], timeout: float) -> Link:
+    def link(self, address: tuple[str, int], timeout: float) -> PeerConnection:
         """The link to a pilot, up within `timeout` seconds.  Raises OSError or Closed."""
-        until, lock = self.host.now() + timeout, self.locks.setdefault(address, self.host.lock())
+        until, lock = self.runtime.now() + timeout, self.locks.setdefault(address, self.runtime.lock())
         if not lock.acquire(timeout=timeout):
-            raise Closed
+            raise ConnectionClosed
         try:
             found = self.links.get(address)
             if found is None or found.closed:
-                left = max(0.001, until - self.host.now())
-                found = self.links[address] = self.host.dial(address, self.handlers, left)
+                left = max(0.001, until - self.runtime.now())
+                found = self.links[address] = self.runtime.dial(address, self.handlers, left)
             return found
         finally:
             lock.release()
@@ -58,14 +58,14 @@
     def ask(self, address: tuple[str, int], kind: str, body: Any = None, timeout: float = 1.0) -> Any:
         """The answer of the pilot at an address, or None if none came within `timeout` seconds.  It is asked
         once at the most; without an answer it may have acted all the same."""
-        asked = self.host.now()
+        asked = self.runtime.now()
         try:
             link = self.link(address, timeout)
-            left = asked + timeout - self.host.now()
+            left = asked + timeout - self.runtime.now()
             if left <= 0:
                 return None
             return link.ask(kind, body, left)
-        except (OSError, Closed):
+        except (OSError, ConnectionClosed):
             return None
 
     def gather(
@@ -82,7 +82,7 @@
         `body`: what is said, or a function of the address that gives it; `ask`: by what, if not by
         `self.ask`.
         """
-        answers, done, left = [], self.host.event(), len(addresses)
+        answers, done, left = [], self.runtime.event(), len(addresses)
 
         def one(address):
             nonlocal left
@@ -94,7 +94,7 @@
                 done.set()
 
         for address in addresses:
-            self.host.spawn(one, address)
+            self.runtime.spawn(one, address)
         if addresses:
             done.wait(timeout + 0.1)
         return [*answers]
--- a/flintreach/transport/runtime.py
+++ b/flintreach/transport/runtime.py
@@ -13,8 +13,8 @@
 from gevent.event import Event
 from gevent.lock import RLock
 
-from flintreach.transport.peer_connection import Link, dial
-from flintreach.transport.traffic_meter import Meter
+from flintreach.transport.peer_connection import PeerConnection, dial
+from flintreach.transport.traffic_meter import TrafficMeter
 
 
 class Task:
@@ -29,13 +29,13 @@
         return self.greenlet.value if self.greenlet.ready() else None
 
 
-class Host:
+class Runtime:
     """A process on gevent.  Times are seconds; `now` is the steady clock."""
 
     chance = random
 
     def __init__(self):
-        self.meter = Meter()  # of all links of the process
+        self.meter = TrafficMeter()  # of all links of the process
 
     def now(self) -> float:
         return time.monotonic()
@@ -57,7 +57,7 @@
         """With `acquire(timeout=)`, `release()`, and as a context."""
         return RLock()
 
-    def dial(self, address: tuple[str, int], handlers: dict[str, Callable], timeout: float) -> Link:
+    def dial(self, address: tuple[str, int], handlers: dict[str, Callable], timeout: float) -> PeerConnection:
         """A link to another pilot.  Raises OSError."""
         return dial(address, handlers, timeout, meter=self.meter)
 
--- a/flintreach/transport/traffic_meter.py
+++ b/flintreach/transport/traffic_meter.py
@@ -1,7 +1,7 @@
 """What goes over the links of one process: messages and bytes by kind, and what went wrong.  Pure."""
 
 
-class Meter:
+class TrafficMeter:
     """`kinds`: kind of message -> [messages out, bytes out, messages in, bytes in], an answer under the kind
     of its question with " reply" behind it; `faults`: what went wrong -> how often."""
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -14,13 +14,13 @@
 import msgspec
 
 from flintreach.config import configuration
-from flintreach.config.configuration import Standing
+from flintreach.config.configuration import ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.recovery import alone
 from flintreach.consensus.store import Store
-from flintreach.endpoints.registry import Record
+from flintreach.endpoints.registry import EndpointRecord
 from flintreach.sharding.range_assignment import Allocation
 
 DISK = Path(__file__).parents[1] / "data" / "disk"
@@ -88,10 +88,12 @@
         store = self.opened()
         self.addCleanup(self.close)
         values = {key: slot.value for key, slot in store.slots.items()}
-        standing = Standing.of(values["timetable"])
+        standing = ConfigurationHistory.of(values["timetable"])
         self.assertEqual((standing.number, len(standing)), (9, 3))
         table = configuration.check(standing.body)
-        self.assertEqual((table.number, len(table.wickets[0].regulations), len(table.depots)), (9, 2, 2))
+        self.assertEqual(
+            (table.number, len(table.virtual_hosts[0].route_rules), len(table.service_configs)), (9, 2, 2)
+        )
         # Its history confirms what was acknowledged, also what never came into force, and nothing else.
         for number, body, word in ((9, standing.body, "again"), (9, b"{}", "other content")):
             self.assertEqual(configuration.put(values["timetable"], number, body)[0], word)
@@ -104,7 +106,7 @@
 
     def test_an_older_configuration_without_a_history_is_read(self):
         body = b'{"edition": "00000009"}'
-        self.assertEqual(Standing.of(body).number, 9)
+        self.assertEqual(ConfigurationHistory.of(body).number, 9)
         self.assertEqual(configuration.put(body, 9, body)[0], "again")
         self.assertEqual(configuration.put(body, 9, b"other")[0], "other content")
 
@@ -125,7 +127,7 @@
         store = self.opened()
         self.addCleanup(self.close)
         now = 400 * SECOND
-        records = {id: Record.of(UNPACK(row), now) for id, row in store.huts.items()}
+        records = {id: EndpointRecord.of(UNPACK(row), now) for id, row in store.huts.items()}
         states = {id: (record.state, record.rank, record.seq) for id, record in records.items()}
         self.assertEqual(
             states,
@@ -146,7 +148,7 @@
         self.addCleanup(self.close)
         now = 400 * SECOND
         for id in ("desk-5", "lot-1"):
-            self.assertEqual(PACK(Record.of(UNPACK(store.huts[id]), now).row(now)), store.huts[id])
+            self.assertEqual(PACK(EndpointRecord.of(UNPACK(store.huts[id]), now).row(now)), store.huts[id])
 
     def test_the_new_text_writes_on_beside_what_stands(self):
         shutil.copytree(self.folder, self.folder / "before")
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -16,8 +16,8 @@
 
 from flintreach.api import calls
 from flintreach.config import configuration, settings
-from flintreach.controller.lease_owner import Keeper
-from flintreach.endpoints.registry import Beat
+from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.endpoints.registry import Heartbeat
 from flintreach.proxy.caller import Caller
 from flintreach.proxy.choice import Endpoint
 from flintreach.proxy.connection import ConnectionPool
@@ -179,7 +179,7 @@
     """What a key range's lease holder takes of its process."""
 
     def __init__(self):
-        self.host = self
+        self.runtime = self
 
     def now(self) -> float:
         return 100.0
@@ -189,7 +189,7 @@
     """What endpoints are asked: keys granted and taken back, and whether they are there."""
     listener, found = Listener(), {}
     try:
-        keeper = Keeper("n1", "lot", SteadyHost(), 5000, None, None, None, None)
+        keeper = LeaseOwner("n1", "lot", SteadyHost(), 5000, None, None, None, None)
         keeper.state.until = 200.0
         for kind, handover in (("grant", ""), ("grant", "h-7"), ("release", "")):
             keys = Range(0, 32767, "lot-1", 11, "held", handover, listener.addr)
@@ -238,10 +238,10 @@
     with played(sim):
         watch = Watch(sim, ())
         site = watch.site = Site(sim, Shape(sim.chance, 3), watch)
-        for machine in [*site.refuges.values(), *site.proxies.values()]:
+        for machine in [*site.controllers.values(), *site.proxies.values()]:
             site.start(machine, True)
         sim.run(sim.now + 5 * SECOND)
-        process = next(iter(site.refuges.values())).process
+        process = next(iter(site.controllers.values())).process
         program, configuration = Program(process), msgspec.json.encode(CONFIGURATION)
         beat = json.dumps(BEAT).encode()
 
@@ -296,7 +296,7 @@
                 }
             )
 
-        process.do(process.host.spawn, run)
+        process.do(process.runtime.spawn, run)
         sim.run(sim.now + 8 * SECOND)
         for machine in [*site.network.machines.values()]:
             site.end(machine, power=True)
@@ -307,7 +307,7 @@
     """All that is pinned, by part and name."""
     node = settings.parse(SETTINGS)
     table = configuration.check(msgspec.json.encode(CONFIGURATION))
-    beat = msgspec.json.decode(json.dumps(BEAT), type=Beat)
+    beat = msgspec.json.decode(json.dumps(BEAT), type=Heartbeat)
     return {
         "heads": heads(),
         "calls to endpoints": calls_to_endpoints(),
--- a/tests/test_system_answers.py
+++ b/tests/test_system_answers.py
@@ -15,18 +15,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintreach.config.configuration import Caps
-from flintreach.config.settings import Bounds
-from flintreach.dissemination.load_aggregate import Tally
-from flintreach.dissemination.versioned_store import Board
+from flintreach.config.configuration import RequestLimits
+from flintreach.config.settings import TimingBounds
+from flintreach.dissemination.load_aggregate import LoadAggregate
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import ACTS, RESET, Adversary, Asked, Pilot, packed, text
-from flintreach.transport.peer_connection import Closed, dial
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_connection import ConnectionClosed, dial
+from flintreach.transport.peer_pool import PeerPool
 
 CALM = settings(derandomize=True, deadline=None, max_examples=120)
 PROMISES = (408, 421, 429, 503)
@@ -147,7 +147,7 @@
     def __init__(self):
         self.endpoints = [Adversary("e0"), Adversary("e1"), Adversary("k0")]
         self.numbers = itertools.count(1)
-        self.front = Front(("127.0.0.1", 0), None, Caps)
+        self.front = Front(("127.0.0.1", 0), None, RequestLimits)
         self.renew()
         self.front.start()
 
@@ -155,14 +155,14 @@
         """No connection, ledger or judgement of an endpoint outlasts an example."""
         for handler in [*self.front.handlers]:
             handler.end()
-        board = Board()
-        self.view = RoutingView(board, Here("n", "r"), {"n": "r"}, time.monotonic_ns, Bounds())
-        board.offer("timetable", 1, config)
+        updates = VersionedStore()
+        self.view = RoutingView(updates, Here("n", "r"), {"n": "r"}, time.monotonic_ns, TimingBounds())
+        updates.offer("timetable", 1, config)
         for endpoint, script in itertools.zip_longest(self.endpoints, scripts, fillvalue=()):
             endpoint.forget()
             endpoint.script.extend(script)
             endpoint.portion = portion
-            board.offer(
+            updates.offer(
                 f"hut/{endpoint.id}",
                 [1, 0],
                 {
@@ -174,10 +174,10 @@
                     "cold": 0,
                 },
             )
-        board.offer("bunks/lot", [1, 1], [[0, 65535, "k0", "held"]])
+        updates.offer("bunks/lot", [1, 1], [[0, 65535, "k0", "held"]])
         self.metrics = Metrics()
-        bounds = Bounds(retry_slack=1000)
-        self.front.carrier = self.carrier = Carrier(self.view, bounds, self.metrics, Tally())
+        bounds = TimingBounds(retry_slack=1000)
+        self.front.carrier = self.carrier = Carrier(self.view, bounds, self.metrics, LoadAggregate())
 
     def request(self, kind: str) -> Sent:
         id = f"{next(self.numbers):016x}"
@@ -582,10 +582,10 @@
         self.pilots, self.bundles = [], []
 
     def tearDown(self):
-        for bundle in self.bundles:
-            for link in bundle.links.values():
+        for peer_pool in self.bundles:
+            for link in peer_pool.links.values():
                 link.close()
-            bundle.server.stop(timeout=0)
+            peer_pool.server.stop(timeout=0)
         for pilot in self.pilots:
             pilot.stop()
 
@@ -593,18 +593,18 @@
         self.pilots.append(Pilot(script))
         return self.pilots[-1]
 
-    def bundle(self, **handlers) -> Bundle:
-        self.bundles.append(Bundle(("127.0.0.1", 0)))
+    def peer_pool(self, **handlers) -> PeerPool:
+        self.bundles.append(PeerPool(("127.0.0.1", 0)))
         self.bundles[-1].handlers |= handlers
         self.bundles[-1].start()
         return self.bundles[-1]
 
     def ask(self, link, body, timeout=5.0, kind="k"):
-        """The answer, or Closed."""
+        """The answer, or ConnectionClosed."""
         try:
             return link.ask(kind, body, timeout)
-        except Closed:
-            return Closed
+        except ConnectionClosed:
+            return ConnectionClosed
 
     PEERS = st.sampled_from(
         [
@@ -636,7 +636,7 @@
                     jobs = [gevent.spawn(self.ask, link, n, slow) for n in range(at, at + ahead)]
                     found += [(n, job.get()) for n, job in enumerate(jobs, at)]
                 for number, got in found:
-                    self.assertIn(got, (number, Closed))
+                    self.assertIn(got, (number, ConnectionClosed))
                 self.assertEqual(link.waiting, {})
                 numbers = [number for number, _, _ in pilot.asked]
                 self.assertEqual(len(numbers), len({*numbers}))  # each went out once
@@ -648,7 +648,7 @@
     @given(st.binary(max_size=60), st.integers(0, 80))
     def test_any_bytes_end_their_link_and_nothing_else(self, data, told):
         """Whole messages that say anything, with a length that is right, and bytes without one."""
-        peer = self.bundles[0] if self.bundles else self.bundle(good=lambda link, body: 1)
+        peer = self.bundles[0] if self.bundles else self.peer_pool(good=lambda link, body: 1)
         with mock.patch.object(gevent.get_hub(), "handle_error") as fell, gevent.Timeout(5):
             for said in (
                 len(data).to_bytes(4) + data,
@@ -674,7 +674,9 @@
 
     def test_an_answer_after_its_time_meets_no_later_question(self):
         link = dial(self.pilot("late", "answer").address, {})
-        self.assertEqual([self.ask(link, "first", 0.02), self.ask(link, "second")], [Closed, "second"])
+        self.assertEqual(
+            [self.ask(link, "first", 0.02), self.ask(link, "second")], [ConnectionClosed, "second"]
+        )
         self.assertEqual(self.ask(link, "third"), "third")
         self.assertEqual(link.meter.kinds["late reply"][2], 1)
         link.close()
@@ -692,13 +694,13 @@
             raise KeyError(body)
 
         peer, mine = (
-            self.bundle(
+            self.peer_pool(
                 raises=raises,
                 odd=lambda link, body: object(),
                 good=lambda link, body: 1,
                 long=lambda link, body: b"x" * 5000,
             ),
-            self.bundle(),
+            self.peer_pool(),
         )
         with (
             mock.patch("flintreach.transport.peer_connection.MOST", 4000),
@@ -714,7 +716,7 @@
         )
 
     def test_a_message_that_is_too_long_fails_where_it_is_sent(self):
-        peer, mine = self.bundle(good=lambda link, body: 1), self.bundle()
+        peer, mine = self.peer_pool(good=lambda link, body: 1), self.peer_pool()
         at = peer.server.address
         with mock.patch("flintreach.transport.peer_connection.MOST", 4000), gevent.Timeout(2):
             self.assertEqual(mine.ask(at, "good"), 1)
@@ -732,7 +734,7 @@
         def raises(link, rows):
             raise KeyError(rows)
 
-        peer = self.bundle(news=raises)
+        peer = self.peer_pool(news=raises)
         link = dial(peer.server.address, {})
         with mock.patch.object(gevent.get_hub(), "handle_error") as told, gevent.Timeout(2):
             link.send("news", [])
@@ -747,20 +749,20 @@
             while link.send("news", b"x" * 65536):
                 sent += 1
                 gevent.sleep(0)
-            self.assertIs(job.get(), Closed)
+            self.assertIs(job.get(), ConnectionClosed)
         self.assertTrue(link.closed and not link.out and not link.waiting)
         self.assertEqual(link.meter.faults, {"peer does not read": 1})
 
     def test_a_peer_that_asks_without_end_is_told_no(self):
         gate = Event()
-        peer = self.bundle(hold=lambda link, body: gate.wait())
+        peer = self.peer_pool(hold=lambda link, body: gate.wait())
         link = dial(peer.server.address, {})
         with mock.patch("flintreach.transport.peer_connection.HANDLED", 5), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0, "hold") for n in range(9)]
             gevent.joinall(jobs, count=4)
-            self.assertEqual([job.value for job in jobs], [None] * 5 + [Closed] * 4)
+            self.assertEqual([job.value for job in jobs], [None] * 5 + [ConnectionClosed] * 4)
             gate.set()
-            self.assertEqual([job.get() for job in jobs], [True] * 5 + [Closed] * 4)
+            self.assertEqual([job.get() for job in jobs], [True] * 5 + [ConnectionClosed] * 4)
         link.close()
 
     def test_questions_without_an_answer_are_bounded(self):
@@ -768,35 +770,35 @@
         with mock.patch("flintreach.transport.peer_connection.WAITING", 3), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0) for n in range(5)]
             gevent.joinall(jobs, count=2)
-            self.assertEqual([job.value for job in jobs], [None] * 3 + [Closed] * 2)
+            self.assertEqual([job.value for job in jobs], [None] * 3 + [ConnectionClosed] * 2)
             link.close()
-            self.assertEqual([job.get() for job in jobs], [Closed] * 5)
+            self.assertEqual([job.get() for job in jobs], [ConnectionClosed] * 5)
 
     def test_a_time_limit_of_the_caller_passes_through(self):
-        mine, at = self.bundle(), self.pilot("stops reading").address
+        mine, at = self.peer_pool(), self.pilot("stops reading").address
         with self.assertRaises(gevent.Timeout):
             with gevent.Timeout(0.02):
                 mine.ask(at, "k", None, 30.0)
         self.assertEqual(mine.links[at].waiting, {})
 
     def test_one_time_limit_holds_for_the_link_and_the_answer(self):
-        mine, now = self.bundle(), [100.0]
+        mine, now = self.peer_pool(), [100.0]
 
         def link(address, timeout):
             now[0] += 0.7
             return SimpleNamespace(ask=lambda kind, body, timeout: timeout)
 
-        with mock.patch.object(mine, "link", link), mock.patch.object(mine.host, "now", lambda: now[0]):
+        with mock.patch.object(mine, "link", link), mock.patch.object(mine.runtime, "now", lambda: now[0]):
             self.assertAlmostEqual(mine.ask(("10.0.0.1", 7), "k", None, 1.0), 0.3)
             self.assertIsNone(mine.ask(("10.0.0.1", 7), "k", None, 0.5))
 
     def test_messages_and_bytes_are_counted_by_kind(self):
-        peer, mine = self.bundle(echo=lambda link, body: body), self.bundle()
+        peer, mine = self.peer_pool(echo=lambda link, body: body), self.peer_pool()
         for _ in range(3):
             mine.ask(peer.server.address, "echo", b"x" * 1000)
         mine.links[peer.server.address].send("stray", 1)
         mine.ask(peer.server.address, "echo")
-        ours, theirs = ({row["kind"]: row for row in bundle.traffic()} for bundle in (mine, peer))
+        ours, theirs = ({row["kind"]: row for row in peer_pool.traffic()} for peer_pool in (mine, peer))
         self.assertEqual(
             [
                 (
--- a/tests/test_system_carrying.py
+++ b/tests/test_system_carrying.py
@@ -10,12 +10,12 @@
 import msgspec
 from gevent.event import Event
 
-from flintreach.config.settings import Bounds
+from flintreach.config.settings import TimingBounds
 from flintreach.consensus.quorum import Voters
-from flintreach.controller.load_placement import TTL, Placing, leader
-from flintreach.controller.quorum_contact import NEVER, Contact
-from flintreach.dissemination.load_aggregate import Tally
-from flintreach.dissemination.versioned_store import Board
+from flintreach.controller.load_placement import TTL, LoadPlacement, leader
+from flintreach.controller.quorum_contact import NEVER, QuorumContact
+from flintreach.dissemination.load_aggregate import LoadAggregate
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.member_list import Member
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import SECOND, Here
@@ -74,12 +74,12 @@
 
 def world(config, endpoints, clock=None):
     """A world told by news; `endpoints`: id -> zone."""
-    board, clock = Board(), clock or Clock()
-    made = RoutingView(board, Here("n", "r"), {"n": "r", "s": "q"}, clock, Bounds())
-    board.offer("timetable", 1, config)
+    updates, clock = VersionedStore(), clock or Clock()
+    made = RoutingView(updates, Here("n", "r"), {"n": "r", "s": "q"}, clock, TimingBounds())
+    updates.offer("timetable", 1, config)
     for number, (id, zone) in enumerate(endpoints.items()):
-        board.offer(f"hut/{id}", [1, 0], told(zone, number))
-    return made, board, clock
+        updates.offer(f"hut/{id}", [1, 0], told(zone, number))
+    return made, updates, clock
 
 
 def told(zone, number=0, state="ready"):
@@ -97,7 +97,7 @@
     """`script`: what comes of each attempt, in their order; "hang" waits for `let_go`."""
 
     def __init__(self, made, script):
-        super().__init__(made, Bounds(retry_slack=100), Metrics(), Tally())
+        super().__init__(made, TimingBounds(retry_slack=100), Metrics(), LoadAggregate())
         self.script, self.sent, self.let_go = script, [], Event()
 
     def attempt(self, request, line, endpoint, until):
@@ -200,7 +200,7 @@
 
     def test_one_that_gets_no_turn_is_sent_away_with_a_time_to_come_back(self):
         made, _, _ = world(configured("outbound_post"), {"e0": "n"})
-        carrier = Carrier(made, Bounds(), Metrics(), Tally(), mbps=0.01)
+        carrier = Carrier(made, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
         self.assertTrue(carrier.gate.enter(FIRST, None))  # the link is taken
         answer = carrier.carry(Request("GET", "/x/1", [], low={"host": "a"}, came=time.monotonic_ns()))
         self.assertEqual((answer.status, answer.headers), (503, [("Retry-After", "0.1")]))
@@ -213,22 +213,22 @@
         return sorted(endpoint.id for endpoint in made.able(route, "desk", key, set()))
 
     def test_who_leaves_or_stands_in_an_evacuated_zone_gets_nothing_more(self):
-        made, board, clock = world(configured(), {"a": "n", "b": "n", "c": "s"})
-        board.offer("hut/a", [2, 0], told("n", 0, "closing"))
+        made, updates, clock = world(configured(), {"a": "n", "b": "n", "c": "s"})
+        updates.offer("hut/a", [2, 0], told("n", 0, "closing"))
         self.assertEqual(self.able(made), ["b", "c"])
-        board.offer("evac", 1, {"s": True})
+        updates.offer("evac", 1, {"s": True})
         self.assertEqual(self.able(made), ["b"])
-        board.offer("evac", 2, {"s": False})
+        updates.offer("evac", 2, {"s": False})
         self.assertEqual(self.able(made), ["b", "c"])
-        board.offer("hut/a", [1, 9], told("n", 0))  # late news change nothing
+        updates.offer("hut/a", [1, 9], told("n", 0))  # late news change nothing
         self.assertEqual(self.able(made), ["b", "c"])
 
     def test_what_waited_for_a_connection_is_not_sent_to_one_that_leaves_meanwhile(self):
-        made, board, clock = world(configured(), {"e0": "n"})
+        made, updates, clock = world(configured(), {"e0": "n"})
         endpoint, sent = made.endpoints["e0"], []
 
         def connect(timeout):
-            board.offer("hut/e0", [2, 0], told("n", 0, "closing"))
+            updates.offer("hut/e0", [2, 0], told("n", 0, "closing"))
             here, there = gevent.socket.socketpair()
             sent.append(there)
             return Connection(here)
@@ -250,36 +250,36 @@
 
     def test_keys_are_used_where_they_are_until_they_move_but_not_for_long(self):
         """The trace of an evacuation: the holder was shut out at once, its keys got 503 until they moved."""
-        made, board, clock = world(configured(sharded=True), {"a": "n", "b": "s"})
-        board.offer("bunks/desk", [1, 1], [[0, 99, "a", "held"], [100, 65535, "b", "held"]])
+        made, updates, clock = world(configured(sharded=True), {"a": "n", "b": "s"})
+        updates.offer("bunks/desk", [1, 1], [[0, 99, "a", "held"], [100, 65535, "b", "held"]])
         self.assertEqual([self.able(made, key) for key in (0, 99, 100, 65535)], [["a"], ["a"], ["b"], ["b"]])
-        board.offer("evac", 1, {"n": True})
+        updates.offer("evac", 1, {"n": True})
         self.assertEqual(self.able(made, 5), ["a"])
         clock.now += made.evacuation.send_for
         self.assertEqual(self.able(made, 5), [])
-        board.offer("bunks/desk", [1, 2], [[0, 65535, "b", "held"]])
+        updates.offer("bunks/desk", [1, 2], [[0, 65535, "b", "held"]])
         self.assertEqual(self.able(made, 5), ["b"])
-        board.offer("hut/b", [2, 0], told("s", 1, "closing"))
+        updates.offer("hut/b", [2, 0], told("s", 1, "closing"))
         self.assertEqual(self.able(made, 5), ["b"])
         clock.now += made.departure.send_for
         self.assertEqual(self.able(made, 5), [])
-        bounds = Bounds()
+        bounds = TimingBounds()
         self.assertLess(made.departure.send_for, bounds.last_call_ms * 1e6)
         self.assertLess(made.evacuation.send_for, bounds.evacuate_ms * 1e6)
 
     def test_an_evacuated_zone_comes_back_cold(self):
         config = configured().replace(b'"sharded":false', b'"sharded":false,"cold_s":3')
-        made, board, clock = world(config, {"a": "n", "c": "s"})
-        board.offer("evac", 1, {"s": True})
-        board.offer("evac", 2, {"s": False})
+        made, updates, clock = world(config, {"a": "n", "c": "s"})
+        updates.offer("evac", 1, {"s": True})
+        updates.offer("evac", 2, {"s": False})
         self.assertEqual(made.endpoints["c"].cold_until, clock.now + 3 * SECOND)
         self.assertEqual(made.endpoints["a"].cold_until, 0)
 
 
-class Refuges(unittest.TestCase):
+class Controllers(unittest.TestCase):
     def test_alone_means_without_a_word_from_a_majority(self):
         circle = [(f"10.0.0.{i}", 7) for i in range(5)]
-        voters, contact = Voters(1, tuple((address, "") for address in circle)), Contact()
+        voters, contact = Voters(1, tuple((address, "") for address in circle)), QuorumContact()
         for address, at, age in ((0, 59.0, NEVER), (1, 50.0, NEVER), (3, 30.0, 30.0), (2, 40.0, 20.0)):
             contact.heard(circle[address], at, {}, at)
             self.assertEqual(contact.age(voters, 60.0), age)
@@ -293,14 +293,14 @@
         self.assertIsNone(leader(members[:1]))
 
     def test_the_directory_is_asked_often_until_it_has_much_to_answer(self):
-        plane = SimpleNamespace(node=SimpleNamespace(bounds=Bounds()))
-        refuge = SimpleNamespace(ttl=TTL[0], asked=0, asked_in=0.0, plane=plane)
+        plane = SimpleNamespace(node=SimpleNamespace(bounds=TimingBounds()))
+        controller = SimpleNamespace(ttl=TTL[0], asked=0, asked_in=0.0, plane=plane)
         for clients, least, most in ((30, 0.5, 0.5), (400, 1.1, 1.5), (30, 0.5, 0.5)):
-            now = refuge.asked_in
+            now = controller.asked_in
             for _ in range(12):  # each client comes back when its answer is over
-                for _ in range(int(clients / refuge.ttl)):
-                    now += refuge.ttl / clients
-                    told = Placing.valid(refuge, now)
+                for _ in range(int(clients / controller.ttl)):
+                    now += controller.ttl / clients
+                    told = LoadPlacement.valid(controller, now)
             self.assertTrue(least <= told <= most, (clients, told))
 
 
--- a/tests/test_system_departures.py
+++ b/tests/test_system_departures.py
@@ -10,9 +10,9 @@
 import msgspec
 from gevent import socket
 
-from flintreach.config.settings import Bounds
-from flintreach.dissemination.load_aggregate import Tally
-from flintreach.dissemination.versioned_store import Board
+from flintreach.config.settings import TimingBounds
+from flintreach.dissemination.load_aggregate import LoadAggregate
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.lease import ARRIVE_PART, SEND_PART
@@ -42,23 +42,23 @@
 
     def __init__(self, sharded=False, addr="10.0.0.1:80", last_call_ms=LAST_CALL_MS):
         self.now, self.confirmed, self.seq = 100 * SECOND, 100 * SECOND, 0
-        self.board, self.addr = Board(), addr
+        self.updates, self.addr = VersionedStore(), addr
         self.view = RoutingView(
-            self.board,
+            self.updates,
             Here("n", "r"),
             {"n": "r"},
             lambda: self.now,
-            Bounds(last_call_ms=last_call_ms),
+            TimingBounds(last_call_ms=last_call_ms),
             lambda: self.confirmed,
             Metrics(),
         )
-        self.board.offer("timetable", 1, configuration(sharded))
+        self.updates.offer("timetable", 1, configuration(sharded))
         self.tell("ready")
 
     def tell(self, state):
         self.seq += 1
         fields = {"line": "desk", "addr": self.addr, "zone": "n", "berths": 2, "state": state, "cold": 0}
-        self.board.offer("hut/e", [0, self.seq, 0], fields)
+        self.updates.offer("hut/e", [0, self.seq, 0], fields)
 
     def later(self, ms, confirmed=True):
         """Time passes; the view is confirmed all the while, or not at all."""
@@ -92,7 +92,7 @@
         """A proxy that starts, or returns after long, takes over records of departures without their time."""
         fixture = Fixture(sharded=True)
         fixture.tell("gone")
-        fixture.board.drop("hut/e")
+        fixture.updates.drop("hut/e")
         fixture.tell("closing")
         self.assertFalse(fixture.takes())
 
@@ -124,8 +124,8 @@
         self.fixture.view.clock = time.monotonic_ns
         self.held = self.fixture.view.endpoints["e"]
         self.metrics = Metrics()
-        bounds = Bounds(last_call_ms=600_000)
-        self.carrier = Carrier(self.fixture.view, bounds, self.metrics, Tally())
+        bounds = TimingBounds(last_call_ms=600_000)
+        self.carrier = Carrier(self.fixture.view, bounds, self.metrics, LoadAggregate())
 
     def carry(self, id):
         low = {"host": "a", "x-try-id": id}
@@ -193,7 +193,7 @@
         fixture = Fixture(addr=slow.addr, last_call_ms=1000)
         fixture.view.clock = time.monotonic_ns
         fixture.confirmed = time.monotonic_ns()
-        carrier = Carrier(fixture.view, Bounds(last_call_ms=1000), Metrics(), Tally())
+        carrier = Carrier(fixture.view, TimingBounds(last_call_ms=1000), Metrics(), LoadAggregate())
         request = Request(
             "POST", "/x/1", [], bytes(8 << 20), time.monotonic_ns(), {"host": "a", "x-try-id": "1"}
         )
--- a/tests/test_system_endpoints.py
+++ b/tests/test_system_endpoints.py
@@ -8,21 +8,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintreach.config.settings import Bounds
+from flintreach.config.settings import TimingBounds
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
 from flintreach.controller.control_plane import ControlPlane
-from flintreach.controller.endpoint_service import Endpoints
-from flintreach.controller.load_placement import Placing
-from flintreach.controller.operator_requests import Orders
-from flintreach.dissemination.relay import MARK, STALE, Follow, Relay
+from flintreach.controller.endpoint_service import EndpointService
+from flintreach.controller.load_placement import LoadPlacement
+from flintreach.controller.operator_requests import OperatorRequests
+from flintreach.dissemination.relay import MARK, STALE, Relay, Subscription
 from flintreach.dissemination.versioned_store import (
     BUCKETS,
     HORIZON,
     MOST_BYTES,
     MOST_ROWS,
     STALE_BOARD,
-    Board,
+    VersionedStore,
 )
 from flintreach.endpoints.registry import (
     CLOSES,
@@ -33,17 +33,17 @@
     READY,
     SERVES,
     SILENT,
-    Beat,
-    Book,
-    Record,
+    EndpointRecord,
+    EndpointRegistry,
+    Heartbeat,
 )
 from flintreach.proxy.choice import Here
 from flintreach.proxy.view import RoutingView
-from flintreach.sharding.key_load import Warmth
-from flintreach.sharding.range_assignment import Allocation, Heat
-from flintreach.sharding.range_lease import Keeping
-from flintreach.transport.peer_connection import Closed
-from flintreach.transport.peer_pool import Bundle
+from flintreach.sharding.key_load import KeyLoad
+from flintreach.sharding.range_assignment import Allocation, LoadDistribution
+from flintreach.sharding.range_lease import RangeLeases
+from flintreach.transport.peer_connection import ConnectionClosed
+from flintreach.transport.peer_pool import PeerPool
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
@@ -60,10 +60,10 @@
     def now_ns(self):
         return int(self.at * 1e9)
 
-    def board(self, name, board=None):
-        board = board or Board(self.now)
-        self.relays[name] = Relay(mock.Mock(handlers={}, host=self), board)
-        return board
+    def updates(self, name, updates=None):
+        updates = updates or VersionedStore(self.now)
+        self.relays[name] = Relay(mock.Mock(handlers={}, runtime=self), updates)
+        return updates
 
     def dial(self, address, handlers, timeout):
         self.links.append(Wire(self, self.relays[address], handlers))
@@ -81,9 +81,9 @@
     def ask(self, kind, body, timeout):
         if self.cut:
             self.clock.at += timeout
-            raise Closed
+            raise ConnectionClosed
         self.relay.root_age = lambda: self.age
-        answer = self.relay.bundle.handlers[kind](self, UNPACK(PACK(body)))
+        answer = self.relay.peer_pool.handlers[kind](self, UNPACK(PACK(body)))
         self.clock.at += self.slow
         self.asked.append(kind)
         self.sizes += [len(PACK(body)), len(PACK(answer))]
@@ -125,11 +125,11 @@
 class Follows(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.parent = self.clock.board("parent")
-        self.child = Board(self.clock.now)
+        self.parent = self.clock.updates("parent")
+        self.child = VersionedStore(self.clock.now)
 
     def follow(self, **options):
-        follow = Follow(self.clock, self.child, "parent")
+        follow = Subscription(self.clock, self.child, "parent")
         follow.begin(**options)
         return follow, self.clock.links[-1]
 
@@ -143,9 +143,9 @@
             rows.append((len(portion), follow.fresh_at))
             self.child.take(portion)
 
-        follow = Follow(self.clock, self.child, "parent", take)
+        follow = Subscription(self.clock, self.child, "parent", take)
         follow.begin()
-        self.assertEqual(self.child.parcels, self.parent.parcels)
+        self.assertEqual(self.child.entries, self.parent.entries)
         self.assertGreater(len(rows), 12)
         self.assertLessEqual(max(count for count, _ in rows), MOST_ROWS)
         self.assertEqual({fresh for _, fresh in rows}, {rows[0][1]}, "a part of it was taken for fresh news")
@@ -156,8 +156,8 @@
 
     def test_equal_boards_find_it_by_a_digest_of_one_size(self):
         for number in range(3000):
-            for board in (self.parent, self.child):
-                board.offer(f"hut/i-{number}", [number, 0], hut())
+            for updates in (self.parent, self.child):
+                updates.offer(f"hut/i-{number}", [number, 0], hut())
         follow, link = self.follow()
         self.assertEqual(link.asked, ["follow"])
         self.assertLess(sum(link.sizes), 8 * BUCKETS + 64)
@@ -172,7 +172,7 @@
         for number in range(200):
             self.parent.offer(f"hut/i-{number}", [number, 0], hut())
         _, link = self.follow()
-        self.assertEqual((link.asked, self.child.parcels), (["follow"], self.parent.parcels))
+        self.assertEqual((link.asked, self.child.entries), (["follow"], self.parent.entries))
 
     def test_a_long_snapshot_is_followed_by_a_mark(self):
         for number in range(900):
@@ -196,7 +196,7 @@
             follow.mark()
         link.cut, heard = True, follow.fresh_at
         self.clock.at += MARK
-        with self.assertRaises(Closed):
+        with self.assertRaises(ConnectionClosed):
             follow.mark()
         self.assertLessEqual(self.clock.at - heard, STALE + 1e-6)
 
@@ -209,25 +209,27 @@
         self.assertEqual(self.child.age("hut/a"), 40.0)
         follow.close()
         self.parent.offer("hut/b", [0, 1, 0], hut())
-        self.assertEqual(([*self.child.parcels], self.clock.relays["parent"].children), (["hut/a"], {}))
+        self.assertEqual(([*self.child.entries], self.clock.relays["parent"].children), (["hut/a"], {}))
         link.handlers["news"](link, [["hut/c", [0, 1, 0], hut(), 0.0]])  # what its end left in a buffer
-        self.assertNotIn("hut/c", self.child.parcels)
+        self.assertNotIn("hut/c", self.child.entries)
 
     def test_a_parent_with_old_news_is_not_taken(self):
-        follow = Follow(self.clock, self.child, "parent")
+        follow = Subscription(self.clock, self.child, "parent")
         self.parent.offer("hut/a", [1, 0], hut())
         self.clock.dial = dialling(self.clock.dial, age=1.5)
         self.assertFalse(follow.begin(oldest=STALE))
-        self.assertFalse(self.child.parcels)
+        self.assertFalse(self.child.entries)
 
 
 class Tombstones(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.a, self.b = self.clock.board("a"), self.clock.board("b")
+        self.a, self.b = self.clock.updates("a"), self.clock.updates("b")
 
     def spread(self, one, other, **options):
-        follow = Follow(self.clock, other, next(n for n, r in self.clock.relays.items() if r.board is one))
+        follow = Subscription(
+            self.clock, other, next(n for n, r in self.clock.relays.items() if r.updates is one)
+        )
         follow.begin(**options)
         follow.close()
 
@@ -242,7 +244,7 @@
         self.clock.at += 1.5
         self.a.expire()
         self.b.expire()
-        self.assertEqual((self.a.parcels, self.b.parcels), ({}, {}))
+        self.assertEqual((self.a.entries, self.b.entries), ({}, {}))
         self.assertEqual((self.a.digest(), self.a.digest()), (self.b.digest(), bytes(8 * BUCKETS)))
 
     def test_one_that_was_forgotten_does_not_come_back_from_who_still_holds_it(self):
@@ -251,14 +253,14 @@
         self.clock.at += HORIZON + 1
         self.a.expire()
         self.spread(self.b, self.a)
-        self.assertFalse(self.a.parcels)
+        self.assertFalse(self.a.entries)
 
     def test_who_was_long_without_news_takes_a_snapshot(self):
         """The trace of a parcel that would stand for ever: its tombstone came and went meanwhile."""
-        for board in (self.a, self.b):
-            board.offer("hut/old", [1, 0], hut())
-            board.offer("hut/both", [1, 0], hut())
-            board.offer("timetable", 3, b"conf")
+        for updates in (self.a, self.b):
+            updates.offer("hut/old", [1, 0], hut())
+            updates.offer("hut/both", [1, 0], hut())
+            updates.offer("timetable", 3, b"conf")
         self.b.offer("hut/both", [2, 0], hut("closing"))
         dropped = []
         self.b.droppers.append(dropped.append)
@@ -267,7 +269,7 @@
         self.a.expire()
         self.a.offer("hut/new", [1, 0], hut())
         self.spread(self.a, self.b, renew=True)
-        self.assertEqual(sorted(self.b.parcels), ["hut/both", "hut/new", "timetable"])
+        self.assertEqual(sorted(self.b.entries), ["hut/both", "hut/new", "timetable"])
         self.assertEqual(self.b.get("hut/both")["state"], "closing", "what is held never goes back")
         self.assertEqual(dropped, ["hut/old"])
 
@@ -289,24 +291,24 @@
         self.b.offer("hut/y", [1, 0], hut())  # told to the board before, by another parent
         self.b.offer("hut/z", [1, 0], hut())
         self.spread(self.a, self.b, renew=True)
-        self.assertEqual(sorted(self.b.parcels), ["hut/a", "hut/x", "hut/y"])
+        self.assertEqual(sorted(self.b.entries), ["hut/a", "hut/x", "hut/y"])
         self.assertEqual(self.b.watchers, [self.clock.relays["b"].spread])
 
     def test_a_bothy_forgets_what_is_dropped(self):
-        board = Board(self.clock.now)
-        known = RoutingView(board, Here("n", "r"), {"north": "r"}, self.clock.now_ns, Bounds())
+        updates = VersionedStore(self.clock.now)
+        known = RoutingView(updates, Here("n", "r"), {"north": "r"}, self.clock.now_ns, TimingBounds())
         for id in ("y", "z"):
-            board.offer(f"hut/{id}", [1, 0], hut(addr="10.9.9.9:80"))
-            board.offer(f"slice/r {id}", 1, ["z"])
-            board.offer(f"bunks/{id}", [1, 1], [[0, 9, "z", "held"]])
-        board.offer("slice/r z", 2, None)
-        board.offer("bunks/z", [1, 1, 1], None)
-        board.drop("hut/z")
+            updates.offer(f"hut/{id}", [1, 0], hut(addr="10.9.9.9:80"))
+            updates.offer(f"slice/r {id}", 1, ["z"])
+            updates.offer(f"bunks/{id}", [1, 1], [[0, 9, "z", "held"]])
+        updates.offer("slice/r z", 2, None)
+        updates.offer("bunks/z", [1, 1, 1], None)
+        updates.drop("hut/z")
         self.assertEqual(
             [[*held] for held in (known.endpoints, known.tables, known.keys, known.services["desk"])],
             [["y"], ["r y"], ["y"], ["y"]],
         )
-        board.drop("hut/y")
+        updates.drop("hut/y")
         self.assertEqual(known.services, {})
 
 
@@ -327,13 +329,13 @@
         names = [(f"10.0.0.{number}", 7) for number in range(size)]
         lives = tuple((name, "") for name in names[: voters or size])
         self.voters = Voters(1, lives)
-        self.refuges = {name: Refuge(self, name, Disk()) for name in names}
+        self.controllers = {name: ControllerProcess(self, name, Disk()) for name in names}
 
     def __getitem__(self, number):
-        return [*self.refuges.values()][number]
+        return [*self.controllers.values()][number]
 
     def __iter__(self):
-        return iter(self.refuges.values())
+        return iter(self.controllers.values())
 
     def sleep(self, seconds):
         self.at += seconds
@@ -352,31 +354,31 @@
         inside = {self[number].address for number in numbers}
         self.cut |= {
             (one, other)
-            for one in self.refuges
-            for other in self.refuges
+            for one in self.controllers
+            for other in self.controllers
             if (one in inside) != (other in inside)
         }
 
     def restart(self, number):
         """A refuge's process ends; another begins on the same disk."""
         old = self[number]
-        self.refuges[old.address] = Refuge(self, old.address, old.store, serving=False)
-        return self.refuges[old.address]
+        self.controllers[old.address] = ControllerProcess(self, old.address, old.store, serving=False)
+        return self.controllers[old.address]
 
-    def follow(self, board):
+    def follow(self, updates):
         """A proxy's board comes up to the first refuge's."""
-        self.board("first", self[0].board)
-        follow = Follow(self, board, "first")
+        self.updates("first", self[0].updates)
+        follow = Subscription(self, updates, "first")
         follow.begin()
         follow.close()
 
     def carry(self):
         """All news to everybody who is reached, until there are none."""
-        while any(refuge.news for refuge in self):
-            for refuge in self:
-                rows, refuge.news = refuge.news, []
+        while any(controller.news for controller in self):
+            for controller in self:
+                rows, controller.news = controller.news, []
                 for other in self:
-                    if other is not refuge and (refuge.address, other.address) not in self.cut:
+                    if other is not controller and (controller.address, other.address) not in self.cut:
                         for row in rows:
                             other.hear(UNPACK(PACK(row)))
 
@@ -401,25 +403,25 @@
 
     def rank(self, id):
         """The rank at which an endpoint stands here; -1: it does not."""
-        return Record.of(UNPACK(self.huts[id]), 0).rank if id in self.huts else -1
+        return EndpointRecord.of(UNPACK(self.huts[id]), 0).rank if id in self.huts else -1
 
 
-class Refuge:
+class ControllerProcess:
     """A plane with endpoints alone; `deaf`: seconds since it was in touch."""
 
     def __init__(self, net, address, store, serving=True):
         self.net, self.address, self.store, self.serving, self.deaf = net, address, store, serving, 0.0
-        self.bundle, self.host, self.board, self.handlers = self, net, Board(net.now), {}
+        self.peer_pool, self.runtime, self.updates, self.handlers = self, net, VersionedStore(net.now), {}
         self.news = []
-        self.board.watchers.append(lambda *row: self.news.append([*row, self.board.age(row[0])]))
+        self.updates.watchers.append(lambda *row: self.news.append([*row, self.updates.age(row[0])]))
         self.register = Register(self, net.voters, store)
-        self.endpoints = Endpoints(self, 1500)
+        self.endpoints = EndpointService(self, 1500)
 
     group = property(lambda self: self.register.group)
-    book = property(lambda self: self.endpoints.book)
+    registry = property(lambda self: self.endpoints.registry)
 
     def peers(self):
-        return [address for address in self.net.refuges if address != self.address]
+        return [address for address in self.net.controllers if address != self.address]
 
     def enough(self):
         return len(self.group) // 2 + 1
@@ -430,7 +432,7 @@
     contact_age = news_age
 
     def ask(self, address, kind, body, timeout):
-        other = self.net.refuges[address]
+        other = self.net.controllers[address]
         self.net.asked.append((kind, self.address, address))
         if (self.address, address) in self.net.cut:
             return None
@@ -446,20 +448,20 @@
         key, version, value, age = row
         if key.startswith("hut/"):
             self.endpoints.heard_of(key.partition("/")[2], version, value, age)
-        self.board.offer(key, version, value, age)
+        self.updates.offer(key, version, value, age)
 
     def call(self, id, seq, state=READY, addr="10.0.0.9:80"):
-        return self.endpoints.beat(id, Beat("desk", addr, "north", 2, state, seq))
+        return self.endpoints.beat(id, Heartbeat("desk", addr, "north", 2, state, seq))
 
     def state(self, id):
         """What this refuge knows, and what it tells others."""
-        held, told = self.book.records.get(id), self.board.get(f"hut/{id}")
+        held, told = self.registry.records.get(id), self.updates.get(f"hut/{id}")
         return held and held.state, told and told["state"]
 
 
 def on_disks(net, id, rank):
     """Whether the disks of a quorum hold an endpoint at least at a rank."""
-    return net.voters.met(refuge.address for refuge in net if refuge.store.rank(id) >= rank)
+    return net.voters.met(controller.address for controller in net if controller.store.rank(id) >= rank)
 
 
 class Acknowledged(unittest.TestCase):
@@ -480,7 +482,7 @@
         net = Net(5)
         net.part(0, 1)  # the first two do not reach a quorum of the five
         self.assertFalse(net[0].call("e", 1, CLOSING))
-        self.assertEqual(net[1].book.records["e"].rank, CLOSES)
+        self.assertEqual(net[1].registry.records["e"].rank, CLOSES)
         self.assertFalse(net[1].call("e", 1, CLOSING))
         net.cut.clear()
         net.carry()  # by news all know, and no third disk holds it
@@ -496,11 +498,11 @@
         net = Net()
         self.assertTrue(net[0].call("e", 1))
         self.assertTrue(net[0].call("e", 2, CLOSING))
-        writes, net.cut = [refuge.store.writes for refuge in net], set()
+        writes, net.cut = [controller.store.writes for controller in net], set()
         net.part(0)
         self.assertTrue(net[0].call("e", 2, CLOSING))
         self.assertTrue(net[0].call("e", 1))  # a late call of the same life
-        self.assertEqual([refuge.store.writes for refuge in net], writes)
+        self.assertEqual([controller.store.writes for controller in net], writes)
         self.assertFalse(net[0].endpoints.leave("e"))
 
     def test_a_sign_off_is_on_a_quorum_s_disks_though_nobody_knew_the_endpoint(self):
@@ -514,7 +516,7 @@
         for number in range(3):
             net.restart(number).endpoints.begin()
         self.assertTrue(net[1].call("e", 9))  # a late call of one that has ended is acknowledged
-        self.assertEqual(net[1].book.records["e"].state, GONE)
+        self.assertEqual(net[1].registry.records["e"].state, GONE)
 
     def test_spares_and_mute_disks_are_no_part_of_a_majority(self):
         net = Net(size=6, voters=3)
@@ -553,15 +555,15 @@
 
     def test_news_that_come_while_a_call_waits_are_kept_and_not_acknowledged_with_it(self):
         net = Net()
-        ask = Refuge.ask
+        ask = ControllerProcess.ask
 
-        def later(refuge, *args):
+        def later(controller, *args):
             net[0].hear(["hut/e", [CLOSES, 6, 0], hut("closing"), 0.0])
-            return ask(refuge, *args)
+            return ask(controller, *args)
 
-        with mock.patch.object(Refuge, "ask", later):
+        with mock.patch.object(ControllerProcess, "ask", later):
             self.assertTrue(net[0].call("e", 5))
-        record = net[0].book.records["e"]
+        record = net[0].registry.records["e"]
         self.assertEqual((net[0].state("e"), record.version), ((CLOSING, CLOSING), [CLOSES, 6, 0]))
         self.assertEqual(record.durable, SERVES)
         net.part(0)
@@ -616,11 +618,11 @@
     def test_books_come_in_portions(self):
         net = Net()
         for number in range(1300):
-            beat = Beat("desk", f"10.1.1.1:{number}", "north", 2, READY, 1)
-            net[0].book.hear(f"i-{number}", beat, net.now_ns())
+            beat = Heartbeat("desk", f"10.1.1.1:{number}", "north", 2, READY, 1)
+            net[0].registry.hear(f"i-{number}", beat, net.now_ns())
         fresh = net.restart(2)
         self.assertTrue(fresh.endpoints.begin())
-        self.assertEqual(len(fresh.book.records), 1300)
+        self.assertEqual(len(fresh.registry.records), 1300)
         self.assertEqual(len(fresh.store.huts), 1300)
         size = max(len(PACK(net[0].endpoints.on_book(None, [1, after]))) for after in ("", "i-5"))
         self.assertLess(size, MOST_BYTES)
@@ -629,7 +631,7 @@
         net = Net()
         self.assertTrue(net[2].call("old", 1))
         for number in (0, 1):
-            net[number].book.forget("old")  # long over, and forgotten
+            net[number].registry.forget("old")  # long over, and forgotten
         net[0].call("new", 1, addr="10.0.0.8:80")
         fresh = net.restart(2)
         self.assertTrue(fresh.endpoints.begin())
@@ -656,18 +658,18 @@
         net = Net()
         net[0].call("old", 1)
         net.restart(0)
-        for refuge in net:
-            refuge.book.records.pop("old", None)
-            refuge.book.claims.clear()
+        for controller in net:
+            controller.registry.records.pop("old", None)
+            controller.registry.claims.clear()
         net[0].call("new", 4)
         net[0].call("old", 1)  # late, and new here
         net.carry()
-        self.assertEqual({refuge.state("new") for refuge in net}, {(GONE, GONE)})
+        self.assertEqual({controller.state("new") for controller in net}, {(GONE, GONE)})
         net[1].call("new", 5)
         net.carry()
-        self.assertEqual({refuge.state("new") for refuge in net}, {(READY, READY)})
-        self.assertEqual({refuge.state("old") for refuge in net}, {(GONE, GONE)})
-        self.assertFalse(any(refuge.endpoints.ended(id) for refuge in net for id in ("old", "new")))
+        self.assertEqual({controller.state("new") for controller in net}, {(READY, READY)})
+        self.assertEqual({controller.state("old") for controller in net}, {(GONE, GONE)})
+        self.assertFalse(any(controller.endpoints.ended(id) for controller in net for id in ("old", "new")))
 
     def test_two_that_were_restored_with_one_address_are_told_apart_by_the_next_beat(self):
         rows = [
@@ -675,13 +677,15 @@
             ["b", "desk", "x:1", "n", 2, "", CLOSING, 9, 0, 0, CLOSES, 0],
         ]
         for order in (rows, rows[::-1]):
-            book = Book(1500)
+            registry = EndpointRegistry(1500)
             for row in order:
-                book.join(Record.of(row, 0), 0)
-            self.assertEqual(book.hear("a", Beat("desk", "x:1", "n", 2, READY, 4), MS), ["b"])
-            self.assertEqual((book.records["a"].state, book.records["b"].state), (READY, GONE))
-            self.assertEqual(book.hear("b", Beat("desk", "x:1", "n", 2, "closing", 10), 2 * MS), ["b", "a"])
-            self.assertEqual((book.records["a"].state, book.records["b"].state), (GONE, CLOSING))
+                registry.join(EndpointRecord.of(row, 0), 0)
+            self.assertEqual(registry.hear("a", Heartbeat("desk", "x:1", "n", 2, READY, 4), MS), ["b"])
+            self.assertEqual((registry.records["a"].state, registry.records["b"].state), (READY, GONE))
+            self.assertEqual(
+                registry.hear("b", Heartbeat("desk", "x:1", "n", 2, "closing", 10), 2 * MS), ["b", "a"]
+            )
+            self.assertEqual((registry.records["a"].state, registry.records["b"].state), (GONE, CLOSING))
 
 
 class Verdicts(unittest.TestCase):
@@ -701,7 +705,7 @@
         net.cut.clear()
         net.carry()
         net[0].endpoints.offer(["e"])
-        self.assertEqual(net[0].board.parcels["hut/e"][0], [SERVES, 7, 0])
+        self.assertEqual(net[0].updates.entries["hut/e"][0], [SERVES, 7, 0])
 
     def test_a_verdict_that_is_learned_is_no_beat(self):
         """The trace of an endpoint that stayed hidden: known as silent by news, then heard again."""
@@ -709,12 +713,12 @@
         net[0].call("e", 1)
         net.at += 5
         net[0].endpoints.turn(0.0)
-        fresh = net.refuges[net[1].address] = Refuge(net, net[1].address, Disk())
+        fresh = net.controllers[net[1].address] = ControllerProcess(net, net[1].address, Disk())
         net.carry()
         self.assertEqual(fresh.state("e"), (SILENT, SILENT))
         fresh.call("e", 2)
         net.carry()
-        self.assertEqual({refuge.state("e") for refuge in net}, {(READY, READY)})
+        self.assertEqual({controller.state("e") for controller in net}, {(READY, READY)})
 
     def test_who_was_out_of_touch_gives_no_verdicts_on_what_it_missed(self):
         net = Net()
@@ -739,17 +743,17 @@
                 net[2].call(id, 8)  # it has not heard of 7
             net.cut.clear()
             net.carry()
-            self.assertEqual({refuge.state(id) for refuge in net}, {(CLOSING, CLOSING)})
+            self.assertEqual({controller.state(id) for controller in net}, {(CLOSING, CLOSING)})
             net[2].call(id, 9)
             net.carry()
-            self.assertEqual({refuge.state(id) for refuge in net}, {(CLOSING, CLOSING)})
+            self.assertEqual({controller.state(id) for controller in net}, {(CLOSING, CLOSING)})
 
     def test_a_closing_that_comes_late_counts(self):
         net = Net()
         net[0].call("e", 8)
         self.assertTrue(net[1].call("e", 7, "closing"))
         net.carry()
-        self.assertEqual({refuge.state("e") for refuge in net}, {(CLOSING, CLOSING)})
+        self.assertEqual({controller.state("e") for controller in net}, {(CLOSING, CLOSING)})
 
 
 class Bounded(unittest.TestCase):
@@ -757,9 +761,9 @@
         """2,000 lives of endpoints, ten at a time, a third of which crash; 500 changes of the map; a crowd of
         ids that nobody else ever heard of."""
         net, draw = Net(), random.Random(5)
-        proxy = Board(net.now)
-        world = RoutingView(proxy, Here("n", "r"), {"north": "r"}, net.now_ns, Bounds())
-        orders = [Orders(refuge) for refuge in net]
+        proxy = VersionedStore(net.now)
+        world = RoutingView(proxy, Here("n", "r"), {"north": "r"}, net.now_ns, TimingBounds())
+        orders = [OperatorRequests(controller) for controller in net]
         live, begun, sizes, digests = {}, 0, [], set()
         while begun < 2000 or live:
             net.at += 1.0
@@ -783,9 +787,9 @@
                 value = PACK([number, {f"r{number + n} desk": sorted(live)[:3] for n in range(5)}])
                 for order in orders:
                     order.learn("map", value)
-            for refuge in net:
-                refuge.endpoints.turn(0.0)
-                refuge.board.expire()
+            for controller in net:
+                controller.endpoints.turn(0.0)
+                controller.updates.expire()
             net.carry()
             net.follow(proxy)
             proxy.expire()
@@ -798,18 +802,18 @@
                         for kinds in zip(
                             *(
                                 [
-                                    len(r.board.parcels),
-                                    len(r.book.records),
-                                    len(r.book.claims),
+                                    len(r.updates.entries),
+                                    len(r.registry.records),
+                                    len(r.registry.claims),
                                     len(r.store.huts),
                                     len(r.endpoints.on_disk),
-                                    len(r.board.told_at),
+                                    len(r.updates.told_at),
                                 ]
                                 for r in net
                             )
                         )
                     ),
-                    len(proxy.parcels),
+                    len(proxy.entries),
                     len(world.endpoints),
                     len(world.tables),
                 ]
@@ -834,22 +838,24 @@
         self.assertEqual(digests, {8 * BUCKETS})
         for _ in range(150):
             net.at += 1.0
-            for refuge in net:
-                refuge.endpoints.turn(0.0)
-                refuge.board.expire()
+            for controller in net:
+                controller.endpoints.turn(0.0)
+                controller.updates.expire()
             net.carry()
             net.follow(proxy)
             proxy.expire()
-        for refuge in net:
-            self.assertEqual((refuge.book.records, refuge.book.claims, refuge.store.huts), ({}, {}, {}))
-            self.assertEqual(len(refuge.board.parcels), 6)  # the map and its five tables
+        for controller in net:
+            self.assertEqual(
+                (controller.registry.records, controller.registry.claims, controller.store.huts), ({}, {}, {})
+            )
+            self.assertEqual(len(controller.updates.entries), 6)  # the map and its five tables
         self.assertEqual(
-            (len(proxy.parcels), len(world.tables), world.endpoints, world.services), (6, 5, {}, {})
+            (len(proxy.entries), len(world.tables), world.endpoints, world.services), (6, 5, {}, {})
         )
-        self.assertEqual(proxy.digest(), net[0].board.digest())
+        self.assertEqual(proxy.digest(), net[0].updates.digest())
 
     def test_notes_on_grants_stand_as_long_as_their_ranges(self):
-        keeping, held = Keeping("k", 10), Allocation.of(None)
+        keeping, held = RangeLeases("k", 10), Allocation.of(None)
         able = {f"e{n}": (1.0, f"10.0.0.{n}:80") for n in range(4)}
         for turn in range(400):
             now = float(turn)
@@ -857,7 +863,7 @@
                 able.pop(next(iter(able)))
                 able[f"e{turn + 9}"] = (1.0, f"10.0.1.{turn}:80")
             keeping.due(held, now)
-            if keeping.step(held, now, able, lambda id: id not in able, Heat(), set()):
+            if keeping.step(held, now, able, lambda id: id not in able, LoadDistribution(), set()):
                 keeping.stands(held, now, now)
             for kind, r in keeping.calls(now):
                 status = 200 if turn % 3 else 0
@@ -870,38 +876,41 @@
             self.assertLess(len(notes), 25)
 
     def test_nothing_is_kept_for_services_that_are_no_more(self):
-        board = Board()
-        board.offer("bunks/old", [3, 9], [[0, 9, "e", "held"]])
-        board.offer("bunks/new", [3, 9], [[0, 9, "e", "held"]])
-        placing = Placing.__new__(Placing)
-        placing.plane, placing.warmth = mock.Mock(board=board), Warmth()
-        placing.keepers, placing.leans = dict.fromkeys(("old", "new")), dict.fromkeys(("old", "new"))
-        placing.warmth.keys, placing.warmth.bytes = {"old": {}}, {"old": 1.0, "new": 2.0}
-        placing.forget_services({"new"})
+        updates = VersionedStore()
+        updates.offer("bunks/old", [3, 9], [[0, 9, "e", "held"]])
+        updates.offer("bunks/new", [3, 9], [[0, 9, "e", "held"]])
+        load_placement = LoadPlacement.__new__(LoadPlacement)
+        load_placement.plane, load_placement.key_load = mock.Mock(updates=updates), KeyLoad()
+        load_placement.lease_owners, load_placement.leans = (
+            dict.fromkeys(("old", "new")),
+            dict.fromkeys(("old", "new")),
+        )
+        load_placement.key_load.keys, load_placement.key_load.bytes = {"old": {}}, {"old": 1.0, "new": 2.0}
+        load_placement.forget_services({"new"})
         self.assertEqual(
             [
                 [*table]
                 for table in (
-                    placing.keepers,
-                    placing.leans,
-                    placing.warmth.keys,
-                    placing.warmth.bytes,
-                    board.under("bunks/"),
+                    load_placement.lease_owners,
+                    load_placement.leans,
+                    load_placement.key_load.keys,
+                    load_placement.key_load.bytes,
+                    updates.under("bunks/"),
                 )
             ],
             [["new"], ["new"], [], ["new"], ["new"]],
         )
-        self.assertTrue(board.offer("bunks/old", [3, 10], []), "its next keeper is heard")
+        self.assertTrue(updates.offer("bunks/old", [3, 10], []), "its next keeper is heard")
 
     def test_links_to_who_left_are_closed_and_forgotten(self):
-        bundle, link = Bundle(("10.0.0.1", 7), mock.Mock()), mock.Mock()
-        for table in (bundle.links, bundle.locks):
+        peer_pool, link = PeerPool(("10.0.0.1", 7), mock.Mock()), mock.Mock()
+        for table in (peer_pool.links, peer_pool.locks):
             table.update({("10.0.0.2", 7): link, ("10.0.0.3", 7): link})
-        roster = mock.Mock(members={"b": mock.Mock(address=("10.0.0.2", 7))})
-        plane = mock.Mock(bundle=bundle, roster=roster, group=[], seeds=list)
+        member_list = mock.Mock(members={"b": mock.Mock(address=("10.0.0.2", 7))})
+        plane = mock.Mock(peer_pool=peer_pool, member_list=member_list, group=[], seeds=list)
         ControlPlane.forget_left(plane)
         ControlPlane.forget_left(plane)
-        self.assertEqual([[*table] for table in (bundle.links, bundle.locks)], [[("10.0.0.2", 7)]] * 2)
+        self.assertEqual([[*table] for table in (peer_pool.links, peer_pool.locks)], [[("10.0.0.2", 7)]] * 2)
         link.close.assert_called_once()
 
 
@@ -935,11 +944,13 @@
     def __init__(self):
         self.net, self.seqs, self.acked, self.ranks, self.news = Net(), [0, 0, 0], [-1, -1, -1], {}, []
         self.left = set()
-        for refuge in self.net:
-            self.watch(refuge)
+        for controller in self.net:
+            self.watch(controller)
 
-    def watch(self, refuge):
-        refuge.board.watchers.append(lambda *row: self.news.append([*row, refuge.board.age(row[0])]))
+    def watch(self, controller):
+        controller.updates.watchers.append(
+            lambda *row: self.news.append([*row, controller.updates.age(row[0])])
+        )
 
     def id(self, number):
         return f"e{number}"
@@ -949,81 +960,83 @@
             self.acked[number] = max(self.acked[number], CLOSES if state == "closing" else SERVES)
 
     def step(self, what, number, at, draw):
-        net, refuge = self.net, self.net[at]
+        net, controller = self.net, self.net[at]
         if what in ("beat", "closing"):
             late = draw % 3 == 0 and self.seqs[number]
             self.seqs[number] += not late
             seq = draw % self.seqs[number] + 1 if late else self.seqs[number]
             self.call(number, at, seq, "closing" if what == "closing" else READY)
-        elif what == "leave" and refuge.serving:
+        elif what == "leave" and controller.serving:
             self.left.add(self.id(number))
-            if refuge.endpoints.leave(self.id(number)):
+            if controller.endpoints.leave(self.id(number)):
                 self.acked[number] = ENDS
         elif what == "turn":
             net.at += draw / 20
-            refuge.endpoints.turn(0.0)
+            controller.endpoints.turn(0.0)
         elif what == "carry":
             net.carry()
         elif what == "some" and self.news:
-            refuge.hear(UNPACK(PACK(self.news[draw % len(self.news)])))  # old, twice, out of order
+            controller.hear(UNPACK(PACK(self.news[draw % len(self.news)])))  # old, twice, out of order
         elif what == "again":
-            refuge.endpoints.collect()
+            controller.endpoints.collect()
         elif what == "restart" or what == "wipe" and all(other.endpoints.complete for other in net):
             if what == "wipe":
-                refuge.store = Disk(voting=False)
+                controller.store = Disk(voting=False)
             self.watch(net.restart(at))
             net[at].register.acceptor.voting = True  # it has read the register anew
-            self.ranks = {key: rank for key, rank in self.ranks.items() if key[0] != refuge.address}
+            self.ranks = {key: rank for key, rank in self.ranks.items() if key[0] != controller.address}
             self.start(net[at])
         elif what == "cut":
             net.cut.add((net[at].address, net[draw % 3].address))
         elif what == "heal":
             net.cut.clear()
-            refuge.store.refuses = False
+            controller.store.refuses = False
         elif what == "refuse":
-            refuge.store.refuses = True
+            controller.store.refuses = True
         self.check()
 
-    def start(self, refuge):
-        refuge.serving = refuge.endpoints.begin()
-        refuge.deaf = 0.0 if refuge.serving else 86400.0
+    def start(self, controller):
+        controller.serving = controller.endpoints.begin()
+        controller.deaf = 0.0 if controller.serving else 86400.0
         for number, rank in enumerate(self.acked):
-            record = refuge.book.records.get(self.id(number))
-            assert rank < 0 or not refuge.serving or record and record.rank >= rank, "not known after a start"
+            record = controller.registry.records.get(self.id(number))
+            assert rank < 0 or not controller.serving or record and record.rank >= rank, (
+                "not known after a start"
+            )
 
     def check(self):
         for number, rank in enumerate(self.acked):
             holders = {
-                refuge.address
-                for refuge in self.net
-                if refuge.store.rank(self.id(number)) >= rank or not refuge.endpoints.complete
+                controller.address
+                for controller in self.net
+                if controller.store.rank(self.id(number)) >= rank or not controller.endpoints.complete
             }
             assert rank < 0 or self.net.voters.met(holders), "not on a quorum's disks"
-        for refuge in self.net:
-            for id, record in refuge.book.records.items():
-                key = refuge.address, id
+        for controller in self.net:
+            for id, record in controller.registry.records.items():
+                key = controller.address, id
                 assert record.rank < ENDS or id in self.left, "ended without a sign-off"
                 assert record.rank >= self.ranks.get(key, -1), "taken back"
                 self.ranks[key] = record.rank
-                told = refuge.board.get(f"hut/{id}")
+                told = controller.updates.get(f"hut/{id}")
                 assert told is None or told["state"] == record.state, "others are told something else"
 
     def end(self):
         """All is healed and heard, and the first at each address beats once more: then all know the same."""
         net = self.net
         net.cut.clear()
-        for refuge in net:
-            refuge.store.refuses = False
-        for refuge in sorted(net, key=lambda refuge: not refuge.endpoints.complete):
-            if not refuge.serving:
-                self.start(refuge)
-                assert refuge.serving, "no start though all are there"
+        for controller in net:
+            controller.store.refuses = False
+        for controller in sorted(net, key=lambda controller: not controller.endpoints.complete):
+            if not controller.serving:
+                self.start(controller)
+                assert controller.serving, "no start though all are there"
         for one in net:  # links that broke come up again, and what was missed is asked for
-            net.board("one", one.board)
+            net.updates("one", one.updates)
             for other in net:
                 if other is not one:
-                    follow = Follow(
-                        net, other.board, "one", lambda rows, other=other: [other.hear(row) for row in rows]
+                    follow = Subscription(
+                        net, other.updates, "one", lambda rows, other=other: [other.hear(row) for row in rows]
                     )
                     follow.begin()
                     follow.close()
@@ -1034,12 +1047,12 @@
         net.carry()
         self.check()
         for id in ("e0", "e2"):
-            known = {refuge.state(id) for refuge in net}
+            known = {controller.state(id) for controller in net}
             assert len(known) == 1 and known < {(state, state) for state in (READY, CLOSING, GONE)}, known
-        ranks = [{id: r.rank for id, r in refuge.book.records.items()} for refuge in net]
+        ranks = [{id: r.rank for id, r in controller.registry.records.items()} for controller in net]
         assert all(held == ranks[0] for held in ranks), ranks
-        for refuge in net:
-            alive = {id for id in ("e0", "e1") if refuge.state(id)[0] in (READY, CLOSING)}
+        for controller in net:
+            alive = {id for id in ("e0", "e1") if controller.state(id)[0] in (READY, CLOSING)}
             assert len(alive) < 2, "two alive at one address"
 
 
@@ -1057,8 +1070,8 @@
         play(steps)
 
     def test_planted_faults_are_found(self):
-        hear, join, settle = Book.hear, Book.join, Endpoints.settle
-        answer, init = Endpoints.answer, Endpoints.__init__
+        hear, join, settle = EndpointRegistry.hear, EndpointRegistry.join, EndpointService.settle
+        answer, init = EndpointService.answer, EndpointService.__init__
 
         def repeat(self, id, rank, *rest):
             asked = self.__dict__.setdefault("asked", set())
@@ -1067,7 +1080,7 @@
             return known or settle(self, id, rank, *rest)
 
         def hearsay(self, epoch, id, rank, ids):
-            self.book.records[id].durable = max(self.book.records[id].durable, rank)
+            self.registry.records[id].durable = max(self.registry.records[id].durable, rank)
             return answer(self, epoch, id, rank, ids)
 
         def back(self, id, beat, now, age=0):
@@ -1095,17 +1108,21 @@
             self.complete = True
 
         planted = {
-            "none": (Endpoints, "ended", Endpoints.ended),
-            "a repeat is acknowledged at once": (Endpoints, "settle", repeat),
-            "a word is answered before the disk took it": (Endpoints, "hold", lambda self, id, rank: True),
-            "what others say counts as a quorum": (Endpoints, "answer", hearsay),
-            "a later beat takes back that it leaves": (Book, "hear", back),
-            "of two records the later number stands": (Book, "join", newest),
-            "an address given anew ends its first owner": (Book, "hear", ending),
-            "an empty disk is counted": (Endpoints, "__init__", counted),
-            "a start waits for nobody": (Endpoints, "collect", lambda self: True),
+            "none": (EndpointService, "ended", EndpointService.ended),
+            "a repeat is acknowledged at once": (EndpointService, "settle", repeat),
+            "a word is answered before the disk took it": (
+                EndpointService,
+                "hold",
+                lambda self, id, rank: True,
+            ),
+            "what others say counts as a quorum": (EndpointService, "answer", hearsay),
+            "a later beat takes back that it leaves": (EndpointRegistry, "hear", back),
+            "of two records the later number stands": (EndpointRegistry, "join", newest),
+            "an address given anew ends its first owner": (EndpointRegistry, "hear", ending),
+            "an empty disk is counted": (EndpointService, "__init__", counted),
+            "a start waits for nobody": (EndpointService, "collect", lambda self: True),
             "one answer is a quorum": (Voters, "met", lambda self, heard: len({*heard}) > 0),
-            "news that are not agreed with are passed on": (Endpoints, "heard_of", lambda *_: None),
+            "news that are not agreed with are passed on": (EndpointService, "heard_of", lambda *_: None),
         }
         for name, (owner, method, fault) in planted.items():
             draw, steps, found = random.Random(11), 0, None
--- a/tests/test_system_fuzz.py
+++ b/tests/test_system_fuzz.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from flintreach.config import configuration
-from flintreach.config.configuration import Caps
-from flintreach.membership.member_list import Member, Roster
+from flintreach.config.configuration import RequestLimits
+from flintreach.membership.member_list import Member, MemberList
 from flintreach.proxy.front import FrontHandler
 from flintreach.proxy.intake import BadRequest, Source, parse
 from flintreach.proxy.reply import HTTPParseError, Replies
@@ -83,7 +83,7 @@
         self.handlers, self.carrier, self.came, self.hangups = set(), self, [], NoHangups()
 
     def limits(self):
-        return Caps(envelope_bytes=500, contents_bytes=1000)
+        return RequestLimits(envelope_bytes=500, contents_bytes=1000)
 
     def alike(self, request):
         return False
@@ -173,13 +173,13 @@
         )
     )
     def test_a_datagram_of_any_shape_leaves_the_roster_standing(self, message):
-        roster = Roster(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
+        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
         try:
-            roster.hear(("10.0.0.2", 7), msgspec.msgpack.decode(msgspec.msgpack.encode(message)), 0)
+            member_list.hear(("10.0.0.2", 7), msgspec.msgpack.decode(msgspec.msgpack.encode(message)), 0)
         except (TypeError, ValueError, OverflowError):  # what the socket's loop passes over
             pass
-        self.assertIn("a", roster.members)
-        self.assertEqual(roster.me.name, "a")
+        self.assertIn("a", member_list.members)
+        self.assertEqual(member_list.me.name, "a")
 
 
 if __name__ == "__main__":
--- a/tests/test_system_hangups.py
+++ b/tests/test_system_hangups.py
@@ -8,10 +8,10 @@
 import msgspec
 from gevent import socket
 
-from flintreach.config.configuration import Caps
-from flintreach.config.settings import Bounds
-from flintreach.dissemination.load_aggregate import Tally
-from flintreach.dissemination.versioned_store import Board
+from flintreach.config.configuration import RequestLimits
+from flintreach.config.settings import TimingBounds
+from flintreach.dissemination.load_aggregate import LoadAggregate
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
@@ -57,13 +57,13 @@
     def __init__(self, mbps: float = 0.0):
         self.endpoints = [Adversary("e0"), Adversary("e1")]
         self.ids = (f"{number:016x}" for number in itertools.count(1))
-        self.board, self.metrics = Board(), Metrics()
+        self.updates, self.metrics = VersionedStore(), Metrics()
         self.confirmed = (
             time.monotonic_ns
         )  # the view is confirmed all the while, unless a case says otherwise
-        bounds = Bounds(last_call_ms=600_000, retry_slack=1000)
+        bounds = TimingBounds(last_call_ms=600_000, retry_slack=1000)
         self.view = RoutingView(
-            self.board,
+            self.updates,
             Here("n", "r"),
             {"n": "r"},
             time.monotonic_ns,
@@ -71,12 +71,12 @@
             lambda: self.confirmed(),
             self.metrics,
         )
-        self.board.offer("timetable", 1, configuration())
+        self.updates.offer("timetable", 1, configuration())
         for endpoint in self.endpoints:
             fields = {"line": "desk", "addr": endpoint.addr, "zone": "n", "berths": 4}
-            self.board.offer(f"hut/{endpoint.id}", [1, 0], {**fields, "state": "ready", "cold": 0})
-        self.carrier = Carrier(self.view, bounds, self.metrics, Tally(), mbps)
-        self.front = Front(("127.0.0.1", 0), self.carrier, Caps)
+            self.updates.offer(f"hut/{endpoint.id}", [1, 0], {**fields, "state": "ready", "cold": 0})
+        self.carrier = Carrier(self.view, bounds, self.metrics, LoadAggregate(), mbps)
+        self.front = Front(("127.0.0.1", 0), self.carrier, RequestLimits)
         self.front.start()
 
     def stop(self) -> None:
@@ -378,8 +378,8 @@
     def test_for_keys_between_two_holders(self):
         self.leaves_while_waiting("/k/1")
         fields = {"line": "lot", "addr": self.site.endpoints[0].addr, "zone": "n", "berths": 4}
-        self.site.board.offer("hut/e0", [1, 1], {**fields, "state": "ready", "cold": 0})
-        self.site.board.offer("bunks/lot", [1, 1], [[0, 65535, "e0", "held"]])
+        self.site.updates.offer("hut/e0", [1, 1], {**fields, "state": "ready", "cold": 0})
+        self.site.updates.offer("bunks/lot", [1, 1], [[0, 65535, "e0", "held"]])
         gevent.sleep(0.1)
         self.assertEqual(self.site.came(), [])
 
--- a/tests/test_system_keys.py
+++ b/tests/test_system_keys.py
@@ -12,14 +12,14 @@
 import gevent
 from gevent import socket
 
-from flintreach.controller.lease_owner import Keeper
+from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.sharding import range_assignment, range_lease, region_affinity
-from flintreach.sharding.key_load import Warmth
-from flintreach.sharding.range_assignment import KEYS, Allocation, Heat
-from flintreach.sharding.range_lease import GRANT, NET, Keeping
-from flintreach.transport.runtime import Host
+from flintreach.sharding.key_load import KeyLoad
+from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution
+from flintreach.sharding.range_lease import GRANT, NET, RangeLeases
+from flintreach.transport.runtime import Runtime
 
-EVEN = Heat()
+EVEN = LoadDistribution()
 SAMPLES = [0, 1, 4000, 8191, 8192, 20000, 40000, 65535]
 
 
@@ -51,18 +51,18 @@
 class Night:
     """Some seconds of a service with keys.  `rows`: the register, one value that changes at once."""
 
-    def __init__(self, seed, endpoints=4, keepers=2, calm=False):
+    def __init__(self, seed, endpoints=4, lease_owners=2, calm=False):
         self.draw, self.now, self.calm = random.Random(seed), 0.0, calm
         self.endpoints = {f"e{i}": Endpoint(f"e{i}") for i in range(endpoints)}
-        self.keepers = [Keeping(f"k{i}", 10.0) for i in range(keepers)]
-        self.asleep = [0.0] * keepers
+        self.lease_owners = [RangeLeases(f"k{i}", 10.0) for i in range(lease_owners)]
+        self.asleep = [0.0] * lease_owners
         self.rows, self.wire, self.number, self.moves = None, [], endpoints, 0
 
     def able(self):
         return {id: (1.0, f"{id}:80") for id, e in self.endpoints.items() if e.heard(self.now)}
 
     def tick(self, place):
-        state, began = self.keepers[place], self.now
+        state, began = self.lease_owners[place], self.now
         if not state.due(Allocation.of(self.rows), began):
             return
         held = Allocation.of(self.rows)
@@ -76,7 +76,7 @@
             self.wire.append((self.now + delay, "go", place, kind, r))
 
     def go(self, place, kind, r):
-        state = self.keepers[place]
+        state = self.lease_owners[place]
         if not self.endpoints[r.holder].heard(self.now):
             return state.answered(kind, r, 0, "", self.now)
         if not state.goes_out(kind, r, self.now):
@@ -87,10 +87,10 @@
     def arrive(self, place, kind, r):
         endpoint, answer = self.endpoints[r.holder], (0, "")
         if endpoint.up:
-            answer = endpoint.take(kind, (r.low, r.high, r.fence, self.keepers[place].hold), self.now)
+            answer = endpoint.take(kind, (r.low, r.high, r.fence, self.lease_owners[place].hold), self.now)
         if not self.calm and self.draw.random() < 0.1:
             answer = 0, ""  # lost on its way back
-        self.keepers[place].answered(kind, r, *answer, self.now)
+        self.lease_owners[place].answered(kind, r, *answer, self.now)
 
     def play(self, seconds):
         """What went wrong, or None."""
@@ -105,7 +105,7 @@
                     self.wire.append((self.asleep[place], what, place, *rest))
                 else:
                     getattr(self, what)(place, *rest)
-            for place in range(len(self.keepers)):
+            for place in range(len(self.lease_owners)):
                 if self.asleep[place] <= self.now and self.draw.random() < 0.3:
                     self.tick(place)
             holders = {}
@@ -118,7 +118,9 @@
 
     def trouble(self):
         if self.draw.random() < 0.02:
-            self.asleep[self.draw.randrange(len(self.keepers))] = self.now + self.draw.choice([0.5, 2.0, 4.0])
+            self.asleep[self.draw.randrange(len(self.lease_owners))] = self.now + self.draw.choice(
+                [0.5, 2.0, 4.0]
+            )
         if self.draw.random() < 0.01:
             endpoint = self.draw.choice([*self.endpoints.values()])
             # Cut off, not dead: it goes on to hold what it has, and nobody can tell.
@@ -137,7 +139,7 @@
         self.assertIsNone(first_breach(range(120)))
 
     def test_planted_faults_are_seen(self):
-        with mock.patch.object(Keeping, "goes_out", lambda self, kind, r, now: True):
+        with mock.patch.object(RangeLeases, "goes_out", lambda self, kind, r, now: True):
             self.assertIn("is held by", first_breach(range(120)) or "")
         with mock.patch.object(range_lease, "SLOW", 0.5):
             self.assertIn("is held by", first_breach(range(120)) or "")
@@ -146,7 +148,7 @@
 
     def test_a_dead_holders_keys_wait_for_its_last_grant_alone(self):
         """Calls whose connection does not come up leave its time as it is."""
-        night = Night(5, keepers=1, calm=True)
+        night = Night(5, lease_owners=1, calm=True)
         night.play(8)
         night.endpoints["e1"].up = False
         died, waits = night.now, []
@@ -155,13 +157,13 @@
             served = {key for e in night.endpoints.values() for key in e.held(night.now)}
             if len(served) < len(SAMPLES):
                 waits.append(night.now - died)
-        state = night.keepers[0]
+        state = night.lease_owners[0]
         self.assertLess(max(waits), state.hold * range_lease.SLOW + NET + range_lease.SPARE + 1.5)
 
     def test_a_change_that_did_not_stand_keeps_the_handover(self):
-        night = Night(1, keepers=1, calm=True)
+        night = Night(1, lease_owners=1, calm=True)
         night.play(6)
-        state, held = night.keepers[0], Allocation.of(night.rows)
+        state, held = night.lease_owners[0], Allocation.of(night.rows)
         range_assignment.evict(held, {"e1"})
         leaving = next(r for r in held.ranges if r.holder == "e1")
         night.rows = held.rows()
@@ -169,21 +171,21 @@
         state.answered("release", leaving, 200, "proof", night.now)
         for _ in range(2):  # the register was taken by another writer: the same step once more
             again = Allocation.of(night.rows)
-            state.step(again, night.now, night.able(), lambda id: False, Heat(), set())
+            state.step(again, night.now, night.able(), lambda id: False, LoadDistribution(), set())
             self.assertIn("proof", [r.handover for r in again.ranges])
 
     def test_a_hold_that_an_older_text_granted_is_waited_for(self):
-        rows = Night(1, keepers=1, calm=True)
+        rows = Night(1, lease_owners=1, calm=True)
         rows.play(6)
         held = Allocation.of([*rows.rows[:5], 9.0])
-        rows.keepers[0].step(held, rows.now, rows.able(), lambda id: False, Heat(), set())
+        rows.lease_owners[0].step(held, rows.now, rows.able(), lambda id: False, LoadDistribution(), set())
         self.assertEqual(held.hold, 9.0)
         self.assertEqual(Allocation.of(rows.rows[:5]).hold, 0.0)  # as it was written before there was one
 
 
 class Warm(unittest.TestCase):
     def test_parts_add_up_and_sizes_answer_them(self):
-        heat = Heat({3: 500, 700: 100})
+        heat = LoadDistribution({3: 500, 700: 100})
         self.assertAlmostEqual(heat.part(0, KEYS - 1), 1.0)
         self.assertAlmostEqual(heat.part(0, 999) + heat.part(1000, KEYS - 1), 1.0)
         self.assertGreater(heat.part(192, 255), 0.5)
@@ -191,13 +193,13 @@
             size = heat.size(low, part)
             self.assertLessEqual(heat.part(low, low + size - 1), part + 1e-9)
             self.assertGreater(heat.part(low, low + size), part - 1e-9)
-        self.assertAlmostEqual(Heat().part(0, KEYS // 2 - 1), 0.5)
+        self.assertAlmostEqual(LoadDistribution().part(0, KEYS // 2 - 1), 0.5)
 
     def test_a_hot_stretch_is_divided_until_nobody_bears_far_too_much(self):
         allocation, able = Allocation.of(None), {f"e{i}": 1.0 for i in range(8)}
         addrs = {id: f"{id}:80" for id in able}
-        range_assignment.fill(allocation, able, addrs, Heat())
-        heat, moved = Heat(dict.fromkeys(range(10, 14), 400) | dict.fromkeys(range(1024), 1)), 0
+        range_assignment.fill(allocation, able, addrs, LoadDistribution())
+        heat, moved = LoadDistribution(dict.fromkeys(range(10, 14), 400) | dict.fromkeys(range(1024), 1)), 0
         hot = max(range_assignment.borne(allocation, able, heat).items(), key=lambda row: row[1])[0]
         self.assertFalse(range_assignment.spread(allocation, able, heat, set()), "it has room: nothing moves")
         while range_assignment.spread(allocation, able, heat, {hot}) and moved < 40:
@@ -211,7 +213,7 @@
         self.assertLess(moved, 12)
 
     def test_sums_fade_and_others_hear_of_them(self):
-        here, there = Warmth(), Warmth()
+        here, there = KeyLoad(), KeyLoad()
         told = None
         for _ in range(10):
             told = (
@@ -260,7 +262,7 @@
         self.assertTrue(region_affinity.carried(1e9, [0.0, 0.0]), "the settings tell no link")
 
     def test_no_more_keys_lie_in_a_region_than_its_endpoints_bear(self):
-        berths, lean = {"n": 8.0, "s": 8.0}, region_affinity.Lean()
+        berths, lean = {"n": 8.0, "s": 8.0}, region_affinity.RegionBias()
         self.assertEqual(lean.weigh("n", berths, None), {"n": 1.0, "s": 1.0})
         for busy, most, least in ((1.8, 1.0, 1.0), (4.8, 0.8, 0.7), (16.0, 0.56, 0.44), (1.0, 1.0, 1.0)):
             for _ in range(60):
@@ -294,9 +296,9 @@
         self.addCleanup(listener.close)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        register = SimpleNamespace(acceptor=None, host=Host())
-        keeper = Keeper("a", "lot", register, 10_000, dict, lambda id: False, None, None)
-        keeper.state.until = keeper.host.now() + 5
+        register = SimpleNamespace(acceptor=None, runtime=Runtime())
+        keeper = LeaseOwner("a", "lot", register, 10_000, dict, lambda id: False, None, None)
+        keeper.state.until = keeper.runtime.now() + 5
         r = range_assignment.Range(
             0, 9, "e0", 1, range_assignment.HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}"
         )
--- a/tests/test_system_orders.py
+++ b/tests/test_system_orders.py
@@ -15,26 +15,41 @@
 
 from flintreach.api import calls
 from flintreach.config import configuration, settings
-from flintreach.config.configuration import AGAIN, FORGOTTEN, KEPT, OTHER, OVERTAKEN, TAKEN, Standing
+from flintreach.config.configuration import (
+    AGAIN,
+    FORGOTTEN,
+    KEPT,
+    OTHER,
+    OVERTAKEN,
+    TAKEN,
+    ConfigurationHistory,
+)
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
 from flintreach.controller import quorum_contact
 from flintreach.controller.control_plane import ControlPlane
-from flintreach.controller.http_api import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, Control, Handler
-from flintreach.controller.lease_owner import Keeper
-from flintreach.controller.operator_requests import DROPPED, LATE, Orders
-from flintreach.controller.peer_exchange import Mesh
-from flintreach.controller.quorum_contact import AFTER_S, GAP_S, NEVER, PATIENCE_S, Awake, Contact
-from flintreach.controller.repair import Care
+from flintreach.controller.http_api import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, ControlApi, Handler
+from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.controller.operator_requests import DROPPED, LATE, OperatorRequests
+from flintreach.controller.peer_exchange import PeerExchange
+from flintreach.controller.quorum_contact import (
+    AFTER_S,
+    GAP_S,
+    NEVER,
+    PATIENCE_S,
+    QuorumContact,
+    SuspendDetector,
+)
+from flintreach.controller.repair import Repair
 from flintreach.dissemination import relay
-from flintreach.dissemination.versioned_store import Board
-from flintreach.membership.member_list import ALIVE, DEAD, SUSPECTED, Member, Roster
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.membership.member_list import ALIVE, DEAD, SUSPECTED, Member, MemberList
 from flintreach.membership.member_list import LEFT as LEFT_
-from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, Heat, Range
-from flintreach.sharding.range_lease import GRANT, SEND, Keeping
+from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, LoadDistribution, Range
+from flintreach.sharding.range_lease import GRANT, SEND, RangeLeases
 from flintreach.transport import peer_connection
-from flintreach.transport.peer_pool import Bundle
+from flintreach.transport.peer_pool import PeerPool
 
 CALLS = {"beat", "leave", "put", "get", "evacuate", "resume", "resolve"}
 
@@ -55,7 +70,7 @@
         return data
 
 
-def table(number, host="a.example"):
+def table(number, runtime="a.example"):
     """A configuration, as it is put."""
     return msgspec.json.encode(
         {
@@ -63,7 +78,7 @@
             "depots": [{"name": "desk"}],
             "wickets": [
                 {
-                    "destination": host,
+                    "destination": runtime,
                     "regulations": [
                         {
                             "name": "r",
@@ -104,8 +119,12 @@
     """What `Control` takes of a refuge, with a clock of the test's: in touch until time passes."""
 
     def __init__(self, **parts):
-        self.host, self.time = self, 100.0
-        self.contact, self.awake, self.refusals = Contact(), Awake(self.time), []
+        self.runtime, self.time = self, 100.0
+        self.quorum_contact, self.suspend_detector, self.refusals = (
+            QuorumContact(),
+            SuspendDetector(self.time),
+            [],
+        )
         self.touch()
         vars(self).update(parts)
 
@@ -114,17 +133,17 @@
 
     def touch(self):
         for address in (ME, *PEERS):
-            self.contact.heard(address, self.time, {}, self.time)
+            self.quorum_contact.heard(address, self.time, {}, self.time)
 
     def passes(self, seconds, asleep=False):
         until = self.time + seconds
         while not asleep and self.time < until - 0.1:
             self.time += 0.1
-            self.awake.look(self.time)
+            self.suspend_detector.look(self.time)
         self.time = until
 
     def contact_age(self):
-        return self.contact.age(THREE, self.time)
+        return self.quorum_contact.age(THREE, self.time)
 
     def refused(self, reason):
         self.refusals.append(reason)
@@ -182,16 +201,20 @@
 
     def __init__(self, world, address, slots=None):
         self.world, self.address, self.handlers, self.chance = world, address, {}, world.chance
-        self.board, self.bundle, self.host = Board(), self, self
+        self.updates, self.peer_pool, self.runtime = VersionedStore(), self, self
         disk = SimpleNamespace(
             life=f"life {address}", voting=True, slots=dict(slots or {}), facts={}, keep=lambda *rows: True
         )
         self.register = Register(self, world.voters, disk)
         self.serving, self.refusals = True, []
-        self.contact, self.awake = Contact(), Awake(world.now)
+        self.quorum_contact, self.suspend_detector = QuorumContact(), SuspendDetector(world.now)
         self.contact_age = lambda: 0.0  # where a test is about contact it asks `contact` itself
-        self.orders, self.care, self.mesh = Orders(self), Care(self), Mesh(self)
-        self.control = Control(self, CALLS)
+        self.operator_requests, self.repair, self.peer_exchange = (
+            OperatorRequests(self),
+            Repair(self),
+            PeerExchange(self),
+        )
+        self.control = ControlApi(self, CALLS)
 
     def refused(self, reason):
         self.refusals.append(reason)
@@ -231,7 +254,7 @@
     def setUp(self):
         self.put = []
         orders = SimpleNamespace(put=lambda number, body, still: self.put.append(body) or TAKEN)
-        self.control = Control(Plane(orders=orders), CALLS)
+        self.control = ControlApi(Plane(operator_requests=orders), CALLS)
 
     def test_a_body_that_links_would_not_carry_is_told_by_its_length_and_left_unread(self):
         self.assertLessEqual(2 * LARGE, peer_connection.MOST)
@@ -265,12 +288,14 @@
 
     def play(self, order, lost, numbers=(7, 7)):
         world = World(3)
-        world.nodes[2].orders.put(5, table(5))
+        world.nodes[2].operator_requests.put(5, table(5))
         bodies = [table(numbers[0], "one.example"), table(numbers[1], "two.example")]
         world.cut = {(world.addresses[who], world.addresses[to]) for who, to in lost}
 
         def put(place):
-            return lambda: [world.nodes[place].orders.put(numbers[place], bodies[place]) for _ in range(3)]
+            return lambda: [
+                world.nodes[place].operator_requests.put(numbers[place], bodies[place]) for _ in range(3)
+            ]
 
         return world, bodies, world.play([put(0), put(1)], order)
 
@@ -289,27 +314,32 @@
                 self.assertEqual(loser[-1], OTHER, (order, lost, answers))
                 for node in world.nodes:
                     world.cut = set()
-                    self.assertEqual(node.orders.get(), (True, bodies[yes[0]]))
-                    self.assertEqual(node.orders.put(7, bodies[yes[0]]), AGAIN)
-                    self.assertEqual(node.orders.put(7, bodies[1 - yes[0]]), OTHER)
+                    self.assertEqual(node.operator_requests.get(), (True, bodies[yes[0]]))
+                    self.assertEqual(node.operator_requests.put(7, bodies[yes[0]]), AGAIN)
+                    self.assertEqual(node.operator_requests.put(7, bodies[1 - yes[0]]), OTHER)
                 count += 1
         self.assertEqual(count, 924 * 3)
 
     def test_contents_that_race_under_an_overtaken_number_are_not_both_confirmed(self):
         world = World(3)
         one, two = table(3, "one.example"), table(3, "two.example")
-        self.assertEqual(world.nodes[0].orders.put(5, table(5)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(5, table(5)), TAKEN)
         words = world.play(
-            [lambda: world.nodes[0].orders.put(3, one), lambda: world.nodes[1].orders.put(3, two)]
+            [
+                lambda: world.nodes[0].operator_requests.put(3, one),
+                lambda: world.nodes[1].operator_requests.put(3, two),
+            ]
         )
         self.assertEqual(sorted(words), [OTHER, OVERTAKEN])
-        self.assertEqual([node.orders.get() for node in world.nodes], [(True, table(5))] * 3)
-        self.assertEqual(world.nodes[0].board.parcels["timetable"], (5, table(5)), "news are the body alone")
+        self.assertEqual([node.operator_requests.get() for node in world.nodes], [(True, table(5))] * 3)
+        self.assertEqual(
+            world.nodes[0].updates.entries["timetable"], (5, table(5)), "news are the body alone"
+        )
 
     def test_what_was_taken_is_acknowledged_again_after_thousands_of_changes_and_a_full_restart(self):
         world, count = World(3), 3000
         for number in range(1, count + 1):
-            self.assertEqual(world.nodes[number % 3].orders.put(number, table(number)), TAKEN)
+            self.assertEqual(world.nodes[number % 3].operator_requests.put(number, table(number)), TAKEN)
         world = World(3, world.disks())
         lowest = count - KEPT + 1
         cases = [
@@ -321,28 +351,30 @@
         ]
         for number, word in cases:
             for node in world.nodes:
-                self.assertEqual(node.orders.put(number, table(number)), word, number)
-                other = node.orders.put(number, table(number, "other.example"))
+                self.assertEqual(node.operator_requests.put(number, table(number)), word, number)
+                other = node.operator_requests.put(number, table(number, "other.example"))
                 self.assertEqual(other, OTHER if word == AGAIN else FORGOTTEN)
         self.assertLess(len(world.disks()[world.addresses[0]]["timetable"].value), 32 << 10)
 
     def test_an_older_change_that_arrives_again_changes_nothing_and_is_acknowledged(self):
         world = World(3)
         words = [
-            node.orders.put(number, table(number)) for number in (2, 9, 2, 4, 4, 9) for node in world.nodes
+            node.operator_requests.put(number, table(number))
+            for number in (2, 9, 2, 4, 4, 9)
+            for node in world.nodes
         ]
         self.assertEqual(
             words, [TAKEN, AGAIN, AGAIN] * 2 + [AGAIN] * 3 + [OVERTAKEN, AGAIN, AGAIN] + [AGAIN] * 6
         )
-        self.assertEqual(world.nodes[1].orders.get(), (True, table(9)))
+        self.assertEqual(world.nodes[1].operator_requests.get(), (True, table(9)))
 
     def test_what_earlier_texts_kept_is_read(self):
-        held = Standing.of(table(6))
+        held = ConfigurationHistory.of(table(6))
         self.assertEqual((held.number, held.body, len(held)), (6, table(6), 1))
         self.assertEqual(configuration.put(table(6), 6, table(6)), (AGAIN, None))
         self.assertEqual(configuration.put(table(6), 6, table(6, "b.example"))[0], OTHER)
         word, value = configuration.put(table(6), 8, table(8))
-        self.assertEqual((word, Standing.of(value).number), (TAKEN, 8))
+        self.assertEqual((word, ConfigurationHistory.of(value).number), (TAKEN, 8))
         self.assertEqual(configuration.put(value, 6, table(6)), (AGAIN, None))
 
     def test_the_history_stays_sorted_and_bounded_whatever_comes(self):
@@ -353,7 +385,7 @@
             self.assertNotEqual(word, OTHER)
             value = fresh or value
             taken[number] = word
-        held = Standing.of(value)
+        held = ConfigurationHistory.of(value)
         numbers = [held.entry(place)[0] for place in range(len(held))]
         self.assertEqual(numbers, sorted(set(numbers)))
         self.assertEqual(len(held), KEPT)
@@ -371,7 +403,7 @@
         ):
             orders = SimpleNamespace(put=lambda number, body, still, word=word: word)
             got, told, headers, _ = call(
-                Control(Plane(orders=orders), CALLS), "POST", "/v1/timetable/put", table(1)
+                ControlApi(Plane(operator_requests=orders), CALLS), "POST", "/v1/timetable/put", table(1)
             )
             self.assertEqual(
                 (got, "fault" in told, "Retry-After" in headers), (status, status != 200, status == 503), word
@@ -425,7 +457,7 @@
                         late.dead or late.switch()
                     world.now += 1.0
                     for node in world.nodes[slept:]:
-                        node.awake.last = world.now  # these ran all the while
+                        node.suspend_detector.last = world.now  # these ran all the while
                     left.append(True)
                     self.later(world, word)
                     while not late.dead:
@@ -441,7 +473,7 @@
             self.later(world, word)
             world.now += 5.0
             for node in world.nodes[1:]:
-                node.awake.last = world.now  # these ran all the while
+                node.suspend_detector.last = world.now  # these ran all the while
             late = world.nodes[0]
             for waited in (0.0, AFTER_S / 2):
                 world.now += waited
@@ -469,7 +501,9 @@
                 return True, [step(None) for _ in may][-1]
 
             looks = iter(may)
-            orders = Orders(SimpleNamespace(register=SimpleNamespace(change=change), board=Board()))
+            orders = OperatorRequests(
+                SimpleNamespace(register=SimpleNamespace(change=change), updates=VersionedStore())
+            )
             self.assertEqual(orders.evacuate("north", True, lambda: next(looks)), word)  # noqa: B023
 
     def test_a_repeat_is_acknowledged_and_is_no_change(self):
@@ -537,15 +571,17 @@
             return answer
 
         plane = Plane(
-            orders=SimpleNamespace(
+            operator_requests=SimpleNamespace(
                 put=waits("put", TAKEN),
                 evacuate=waits("order", TAKEN),
                 get=waits("get", lambda: (True, self.value)),
             ),
             endpoints=SimpleNamespace(beat=waits("beat", True), leave=waits("leave", True)),
-            placing=SimpleNamespace(directions=waits("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5),
+            load_placement=SimpleNamespace(
+                directions=waits("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5
+            ),
         )
-        return plane, Control(plane, CALLS)
+        return plane, ControlApi(plane, CALLS)
 
     def each(self):
         for name, (method, path, body) in REQUESTS.items():
@@ -575,7 +611,7 @@
 
     def test_never_in_touch(self):
         for name, plane, ask, _, _ in self.each():
-            plane.contact = Contact()
+            plane.quorum_contact = QuorumContact()
             self.assertEqual(ask()[:2], (503, {"fault": ALONE}), name)
 
     def test_what_lay_unread_while_it_slept_is_not_answered(self):
@@ -609,18 +645,18 @@
 class Status(unittest.TestCase):
     def test_an_operator_sees_how_old_contact_is_and_what_was_refused(self):
         clock = [100.0]
-        host = SimpleNamespace(
+        runtime = SimpleNamespace(
             now=lambda: clock[0], now_ns=lambda: int(clock[0] * 1e9), spawn=None, lock=Lock
         )
         node = settings.parse(
             "sender: {node_name: n, ip: 10.0.0.0, zone: z, region: r}\n"
             "network: {posts: {}, spare_ports: [7, 8]}\n"
         )
-        plane = ControlPlane(node, Bundle(ME, host), None, None, list)
+        plane = ControlPlane(node, PeerPool(ME, runtime), None, None, list)
         self.assertEqual(plane.show("status")[0]["contact_s"], NEVER)
         plane.register.voters, plane.serving = THREE, True
         for address, at in zip([ME, *PEERS], (99.0, 97.0, 90.0)):
-            plane.contact.heard(address, at, {}, 100.0)
+            plane.quorum_contact.heard(address, at, {}, 100.0)
         for reason in (ALONE, SLEPT, ALONE):
             plane.refused(reason)
         clock[0] += 2.0
@@ -631,10 +667,10 @@
 
 
 class Marks(unittest.TestCase):
-    """What counts as contact: `Contact` by itself."""
+    """What counts as contact: `QuorumContact` by itself."""
 
     def contact(self, *asked):
-        found = Contact()
+        found = QuorumContact()
         for address, at in zip([ME, *PEERS], asked):
             found.heard(address, at, {}, at)
         return found
@@ -682,7 +718,7 @@
         self.assertEqual(len(found.open[ME]), quorum_contact.OPEN)
 
     def test_a_sleep_is_noticed_by_whoever_looks_first(self):
-        awake = Awake(10.0)
+        awake = SuspendDetector(10.0)
         trace = [(10.1, True), (10.45, True), (11.0, False), (11.1, False), (11.26, True), (20.0, False)]
         self.assertEqual([awake.look(at) for at, _ in trace], [good for _, good in trace])
         self.assertEqual(awake.sleeps, 2)
@@ -698,8 +734,8 @@
         ):
             plane, register = mock.Mock(), mock.Mock(fetch=mock.Mock(return_value=slot))
             care = SimpleNamespace(plane=plane, register=register, learned={})
-            Care.fetch(care, "evac", (2, "a"), PEERS[0])
-            self.assertEqual(plane.orders.learn.mock_calls, told)
+            Repair.fetch(care, "evac", (2, "a"), PEERS[0])
+            self.assertEqual(plane.operator_requests.learn.mock_calls, told)
             self.assertEqual(care.learned, {"evac": (2, "a")} if told else {})
 
 
@@ -710,57 +746,57 @@
         """Node `at` asks others, and itself, for marks, as its mesh does."""
         me = world.nodes[at]
         for node in (me, *(world.nodes[other] for other in others)):
-            me.mesh.marked(node.address, world.now, node.mesh.on_mark(None, None))
-        return me.contact.age(world.voters, world.now)
+            me.peer_exchange.marked(node.address, world.now, node.peer_exchange.on_mark(None, None))
+        return me.quorum_contact.age(world.voters, world.now)
 
     def test_what_a_refuge_confirmed_before_it_died_is_learned_by_the_next_marks(self):
         """It told no news; the stamps tell of it, and the age counts from before until it is known."""
         world = World(3)
         world.nodes[0].register.lives = {address: f"life {address}" for address in world.addresses}
         self.assertEqual(self.marks(world, 1, 2), 0.0)
-        self.assertEqual(world.nodes[0].orders.put(4, table(4)), TAKEN)
-        world.nodes[0].orders.evacuate("north", True)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
+        world.nodes[0].operator_requests.evacuate("north", True)
         world.now += 1.0
         world.cut = {(world.addresses[0], address) for address in world.addresses[1:]}
         self.assertEqual(self.marks(world, 1, 2), 0.0)
         self.assertEqual(
-            world.nodes[1].board.parcels, {"timetable": (4, table(4)), "evac": (1, {"north": True})}
+            world.nodes[1].updates.entries, {"timetable": (4, table(4)), "evac": (1, {"north": True})}
         )
 
     def test_until_it_is_learned_the_age_counts_from_before(self):
         world = World(3)
         self.marks(world, 1, 2)
-        world.nodes[0].orders.put(4, table(4))
+        world.nodes[0].operator_requests.put(4, table(4))
         world.now += 1.0
-        with mock.patch.object(Mesh, "seek", lambda self, key: None):
+        with mock.patch.object(PeerExchange, "seek", lambda self, key: None):
             self.assertEqual(self.marks(world, 1, 2), 1.0)
 
     def test_what_stands_on_a_minority_of_those_in_reach_is_read_after_a_moment(self):
         """Five disks; the order is on three, two of which died: a mark tells of it, and a read settles it."""
         world = World(5)
         self.marks(world, 4, 2, 3)
-        self.assertEqual(world.nodes[0].orders.put(4, table(4)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
         world.cut = {
             (world.addresses[lost], world.addresses[other]) for lost in (0, 1) for other in (2, 3, 4)
         }
         began = world.now
         world.now += 0.1
         self.assertAlmostEqual(self.marks(world, 4, 2, 3), 0.1)
-        self.assertEqual(world.nodes[4].board.parcels, {})
+        self.assertEqual(world.nodes[4].updates.entries, {})
         world.now = began + 0.11 + PATIENCE_S
         self.marks(world, 4, 2, 3)
-        self.assertEqual(world.nodes[4].board.get("timetable"), table(4))
+        self.assertEqual(world.nodes[4].updates.get("timetable"), table(4))
         world.now += 0.1
         self.assertEqual(self.marks(world, 4, 2, 3), 0.0)
 
     def test_a_change_that_never_stood_is_settled_too(self):
         """A lone accept of a writer that died: a read whose quorum lacks it covers its ballot."""
         world = World(3)
-        world.nodes[0].orders.put(4, table(4))
+        world.nodes[0].operator_requests.put(4, table(4))
         for node in world.nodes:
             self.marks(world, world.nodes.index(node), 0, 1, 2)
         slots = world.nodes[2].register.acceptor.slots
-        slots["timetable"] = Slot((50, "x"), (50, "x"), Standing.of(table(9)).value())
+        slots["timetable"] = Slot((50, "x"), (50, "x"), ConfigurationHistory.of(table(9)).value())
         for _ in range(3):
             world.now += PATIENCE_S
             age = self.marks(world, 0, 1, 2)
@@ -779,7 +815,7 @@
     def test_a_disk_that_may_not_vote_gives_no_mark(self):
         world = World(3)
         world.nodes[2].register.acceptor.voting = False
-        self.assertIsNone(world.nodes[2].mesh.on_mark(None, None))
+        self.assertIsNone(world.nodes[2].peer_exchange.on_mark(None, None))
         self.assertEqual(self.marks(world, 1, 2), NEVER)
 
     def test_a_link_on_which_nothing_comes_any_more_is_left(self):
@@ -793,7 +829,7 @@
                 answer = next(answers, None)
                 if answer is None:
                     world.now += timeout
-                    raise peer_connection.Closed
+                    raise peer_connection.ConnectionClosed
                 world.now += 0.4  # it lay in a buffer, or was long on its way
                 return answer
 
@@ -802,10 +838,12 @@
 
         node.dial = lambda address, handlers, timeout: Half()
         node.news_age = lambda: 9.0
-        node.mesh.followed.add(PEERS[0])
-        node.mesh.follow(PEERS[0])
-        self.assertEqual((closed, node.mesh.followed), ([True], set()))
-        self.assertAlmostEqual(node.contact.asked[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking")
+        node.peer_exchange.followed.add(PEERS[0])
+        node.peer_exchange.follow(PEERS[0])
+        self.assertEqual((closed, node.peer_exchange.followed), ([True], set()))
+        self.assertAlmostEqual(
+            node.quorum_contact.asked[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking"
+        )
         self.assertGreater(world.now, 102.4)
 
     def test_an_answer_that_lay_in_a_buffer_counts_from_its_asking(self):
@@ -816,7 +854,7 @@
             def ask(self, kind, body, timeout):
                 answer = next(answers, None)
                 if answer is None:
-                    raise peer_connection.Closed
+                    raise peer_connection.ConnectionClosed
                 world.now += 5.0 if kind == "accepted" else 0.0  # it lay there while this process slept
                 return answer
 
@@ -824,8 +862,8 @@
                 pass
 
         node.dial, node.news_age = lambda address, handlers, timeout: Slow(), lambda: 9.0
-        node.mesh.follow(PEERS[0])
-        self.assertEqual(node.contact.asked, {PEERS[0]: 100.0})
+        node.peer_exchange.follow(PEERS[0])
+        self.assertEqual(node.quorum_contact.asked, {PEERS[0]: 100.0})
         self.assertGreaterEqual(world.now, 105.0)
 
 
@@ -834,8 +872,8 @@
 
     def keeping(self):
         """A keeper whose change stood at 10.0, and a range that it grants."""
-        state, held = Keeping("k0", 10.0), Allocation.of(None)
-        state.step(held, 10.0, {}, lambda id: False, Heat(), set())
+        state, held = RangeLeases("k0", 10.0), Allocation.of(None)
+        state.step(held, 10.0, {}, lambda id: False, LoadDistribution(), set())
         state.stands(held, 10.0, 10.0)
         return state, held
 
@@ -854,10 +892,10 @@
 
     def test_a_sleep_while_the_connection_comes_up_sends_nothing(self):
         clock = [10.0]
-        keeper = Keeper(
+        keeper = LeaseOwner(
             "k0",
             "store",
-            SimpleNamespace(host=SimpleNamespace(now=lambda: clock[0])),
+            SimpleNamespace(runtime=SimpleNamespace(now=lambda: clock[0])),
             10000,
             dict,
             None,
@@ -899,7 +937,7 @@
         self.assertFalse(state.goes_out(GRANT, held.ranges[0], 16.0))
         # And once it takes over again, what it was told in the earlier epoch is forgotten.
         self.assertTrue(state.due(after, 18.0))
-        self.assertTrue(state.step(after, 18.0, {}, lambda id: False, Heat(), set()))
+        self.assertTrue(state.step(after, 18.0, {}, lambda id: False, LoadDistribution(), set()))
         self.assertEqual(after.ranges[0].state, LEAVING)
         state.stands(after, 18.0, 18.0)
         self.assertEqual(state.released, {})
@@ -908,13 +946,13 @@
         """Its life comes from the time of day, so it is lower than what the others know of the one before."""
         for state in (ALIVE, SUSPECTED, DEAD, LEFT_):
             member = lambda name, ip, life: Member(name, "refuge", ip, 7, "z", "r", life=life)  # noqa: E731
-            others = Roster(member("b", "10.0.0.2", 5), lambda n: 0)
+            others = MemberList(member("b", "10.0.0.2", 5), lambda n: 0)
             before = member("a", "10.0.0.1", 9000)
             others.take([before.row()], 0)  # of one that nobody knew a death is no news
             before.state, before.ready = state, True
             others.take([before.row()], 0)
             self.assertEqual(others.members["a"].state, state)
-            again = Roster(member("a", "10.0.0.1", 4), lambda n: 0)
+            again = MemberList(member("a", "10.0.0.1", 4), lambda n: 0)
             mail = again.join([("10.0.0.2", 7)])
             for _ in range(4):
                 back = [m for _, message in mail for m in others.hear(("10.0.0.1", 7), message, 1)]
--- a/tests/test_system_parts.py
+++ b/tests/test_system_parts.py
@@ -14,12 +14,12 @@
 from flintreach.config import configuration, settings
 from flintreach.consensus import voter_selection as wishes
 from flintreach.consensus.acceptor import Acceptor, merged
-from flintreach.consensus.proposer import Change
+from flintreach.consensus.proposer import Proposal
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register as Register_
-from flintreach.dissemination.load_aggregate import Tally
+from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.relay_tree import BORNE, FAN, parents
-from flintreach.dissemination.versioned_store import Board
+from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import (
     CLOSES,
     CLOSING,
@@ -29,12 +29,12 @@
     READY,
     SERVES,
     SILENT,
-    Beat,
-    Book,
-    Record,
+    EndpointRecord,
+    EndpointRegistry,
+    Heartbeat,
 )
-from flintreach.membership.member_list import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, Roster, bucket
-from flintreach.placement.placer import Place, Ridge
+from flintreach.membership.member_list import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, MemberList, bucket
+from flintreach.placement.placer import Candidate, Placer
 from flintreach.proxy.choice import (
     SECOND,
     Budget,
@@ -51,8 +51,8 @@
 from flintreach.proxy.exchange import UNSENT, ExchangeTerms, exchange
 from flintreach.proxy.reply import HTTPParseError, Replies
 from flintreach.sharding import range_assignment
-from flintreach.sharding.range_assignment import FREE, HELD, KEYS, LEAVING, Allocation, Heat
-from flintreach.transport.runtime import Host
+from flintreach.sharding.range_assignment import FREE, HELD, KEYS, LEAVING, Allocation, LoadDistribution
+from flintreach.transport.runtime import Runtime
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
@@ -106,7 +106,7 @@
         for order in orders:
             for reach in (("d0", "d1"), ("d1", "d2"), ("d0", "d2")):
                 disks = Disks(3)
-                writers = {"a": Change(most(3), (1, "a"), added), "b": Change(most(3), (2, "b"), added)}
+                writers = {"a": Proposal(most(3), (1, "a"), added), "b": Proposal(most(3), (2, "b"), added)}
                 turn = {"a": 0, "b": 0}
                 for who in order:
                     change, at = writers[who], turn[who]
@@ -119,7 +119,7 @@
                 done = [change for change in writers.values() if change.state == "done"]
                 longest = max((len(change.value) for change in done), default=0)
                 self.assertGreaterEqual(longest, len(done), order)  # one that is not done may stand too
-                reader = Change(most(3), (9, "r"), lambda old: None)
+                reader = Proposal(most(3), (9, "r"), lambda old: None)
                 for name in disks.disks:
                     disks.prepare(reader, name)
                 self.assertGreaterEqual(len(reader.value or b""), longest)
@@ -129,11 +129,11 @@
     def test_a_promise_of_a_lost_disk_does_not_count(self):
         """The trace of a lost update: d0 promises, is wiped and relearns, and is told to accept."""
         disks = Disks(3)
-        first = Change(most(3), (5, "a"), added)
+        first = Proposal(most(3), (5, "a"), added)
         disks.prepare(first, "d0")
         self.assertTrue(disks.wipe("d0", ["d1", "d2"]))
         disks.prepare(first, "d1")
-        second = Change(most(3), (4, "b"), added)
+        second = Proposal(most(3), (4, "b"), added)
         disks.prepare(second, "d0")
         disks.prepare(second, "d2")
         disks.accept(second, "d0")
@@ -145,7 +145,7 @@
 
     def test_an_empty_disk_is_mute_until_it_knows(self):
         disks = Disks(3)
-        change = Change(most(3), (1, "a"), added)
+        change = Proposal(most(3), (1, "a"), added)
         for name in ("d0", "d1"):
             disks.prepare(change, name)
         for name in ("d0", "d1"):
@@ -157,11 +157,11 @@
 
     def test_what_a_minority_holds_is_told_again_before_it_is_answered(self):
         disks = Disks(3)
-        change = Change(most(3), (1, "a"), added)
+        change = Proposal(most(3), (1, "a"), added)
         disks.prepare(change, "d0")
         disks.prepare(change, "d1")
         disks.accept(change, "d0")  # and the writer dies
-        reader = Change(most(3), (2, "r"), lambda old: None)
+        reader = Proposal(most(3), (2, "r"), lambda old: None)
         disks.prepare(reader, "d0")
         disks.prepare(reader, "d2")
         self.assertEqual(reader.state, "accept")
@@ -172,7 +172,7 @@
         sent, slot = [], [[0, ""], [0, ""], None]
 
         class Quiet:
-            address, handlers, host = ("10.0.0.1", 7), {}, Host()
+            address, handlers, runtime = ("10.0.0.1", 7), {}, Runtime()
 
             def gather(self, group, kind, body, enough, timeout, ask):
                 if kind == "prepare":
@@ -222,7 +222,7 @@
 
 class Hutbook(unittest.TestCase):
     def beat(self, seq, state=READY, cold=0, addr="10.0.0.9:80"):
-        return Beat("desk", addr, "north", 2, state, seq, "v1", cold)
+        return Heartbeat("desk", addr, "north", 2, state, seq, "v1", cold)
 
     def test_traces(self):
         """(what came, milliseconds, told ids, state after)"""
@@ -239,81 +239,81 @@
             (("leave",), 8000, ["e"], GONE),
             (("beat", 9, READY), 8100, [], GONE),
         ]
-        book = Book(1500)
+        registry = EndpointRegistry(1500)
         for what, at, told, state in trace:
             now = at * MS
             if what[0] == "beat":
-                got = book.hear("e", self.beat(*what[1:]), now)
+                got = registry.hear("e", self.beat(*what[1:]), now)
             else:
-                got = book.tick(now) if what[0] == "tick" else book.leave("e", now)
-            self.assertEqual((got, book.records["e"].state), (told, state), what)
+                got = registry.tick(now) if what[0] == "tick" else registry.leave("e", now)
+            self.assertEqual((got, registry.records["e"].state), (told, state), what)
 
     def test_a_late_call_that_says_that_it_leaves_counts(self):
         """It is acknowledged, and from then on counts as known, whoever heard what first."""
         for order in ((5, READY), (4, "closing")), ((4, "closing"), (5, READY)):
-            book = Book(1500)
-            told = [book.hear("e", self.beat(*call), 0) for call in order]
+            registry = EndpointRegistry(1500)
+            told = [registry.hear("e", self.beat(*call), 0) for call in order]
             self.assertEqual(told, [["e"], ["e"] if order[0][0] == 5 else []])
-            self.assertEqual(book.records["e"].state, CLOSING)
-            self.assertEqual(book.records["e"].version, [CLOSES, 5, 0])
+            self.assertEqual(registry.records["e"].state, CLOSING)
+            self.assertEqual(registry.records["e"].version, [CLOSES, 5, 0])
 
     def test_an_address_given_to_another_takes_it_from_the_first_until_it_is_heard_again(self):
-        book = Book(1500)
-        book.hear("old", self.beat(5), 0)
-        self.assertEqual(book.hear("new", self.beat(1), 10 * MS), ["new", "old"])
-        self.assertEqual((book.records["old"].state, book.records["old"].rank), (GONE, SERVES))
-        self.assertEqual(book.hear("old", self.beat(5), 20 * MS), [], "a late call takes nothing back")
-        self.assertEqual(book.hear("old", self.beat(6), 30 * MS), ["old", "new"])
-        self.assertEqual([book.records[id].state for id in ("old", "new")], [READY, GONE])
-        self.assertEqual(book.leave("old", 40 * MS), ["old"])
-        self.assertEqual(book.hear("old", self.beat(7), 50 * MS), [])
-        self.assertEqual(book.hear("new", self.beat(2), 60 * MS), ["new"])
-        self.assertEqual([book.records[id].state for id in ("old", "new")], [GONE, READY])
+        registry = EndpointRegistry(1500)
+        registry.hear("old", self.beat(5), 0)
+        self.assertEqual(registry.hear("new", self.beat(1), 10 * MS), ["new", "old"])
+        self.assertEqual((registry.records["old"].state, registry.records["old"].rank), (GONE, SERVES))
+        self.assertEqual(registry.hear("old", self.beat(5), 20 * MS), [], "a late call takes nothing back")
+        self.assertEqual(registry.hear("old", self.beat(6), 30 * MS), ["old", "new"])
+        self.assertEqual([registry.records[id].state for id in ("old", "new")], [READY, GONE])
+        self.assertEqual(registry.leave("old", 40 * MS), ["old"])
+        self.assertEqual(registry.hear("old", self.beat(7), 50 * MS), [])
+        self.assertEqual(registry.hear("new", self.beat(2), 60 * MS), ["new"])
+        self.assertEqual([registry.records[id].state for id in ("old", "new")], [GONE, READY])
 
     def test_what_has_ended_is_forgotten_after_the_horizon(self):
-        book = Book(1500)
-        book.hear("signed", self.beat(1), 0)
-        book.hear("crashed", self.beat(1, addr="10.0.0.8:80"), 0)
-        book.leave("signed", SECOND)
-        book.leave("unknown", SECOND)
+        registry = EndpointRegistry(1500)
+        registry.hear("signed", self.beat(1), 0)
+        registry.hear("crashed", self.beat(1, addr="10.0.0.8:80"), 0)
+        registry.leave("signed", SECOND)
+        registry.leave("unknown", SECOND)
         for at in range(2, 139):
-            book.tick(at * SECOND)
+            registry.tick(at * SECOND)
             if at in (120, 122):
-                self.assertEqual("signed" in book.records, at == 120)
-        self.assertEqual([*book.records], ["crashed"])
-        self.assertEqual((book.tick(140 * SECOND), book.records, book.claims), ([], {}, {}))
+                self.assertEqual("signed" in registry.records, at == 120)
+        self.assertEqual([*registry.records], ["crashed"])
+        self.assertEqual((registry.tick(140 * SECOND), registry.records, registry.claims), ([], {}, {}))
 
     def test_a_cold_time_that_runs_off_is_no_news_and_one_that_begins_is(self):
-        book = Book(1500)
-        book.hear("e", self.beat(1, cold=3000), 0)
-        self.assertEqual(book.hear("e", self.beat(2, cold=1500), 1500 * MS), [])
-        self.assertEqual(book.hear("e", self.beat(3, cold=3000), 3000 * MS), ["e"])
+        registry = EndpointRegistry(1500)
+        registry.hear("e", self.beat(1, cold=3000), 0)
+        self.assertEqual(registry.hear("e", self.beat(2, cold=1500), 1500 * MS), [])
+        self.assertEqual(registry.hear("e", self.beat(3, cold=3000), 3000 * MS), ["e"])
 
     def test_a_restart_knows_what_was_told_before(self):
-        book, again = Book(1500), Book(1500)
-        book.hear("e", self.beat(4, CLOSING), 0)
-        again.join(Record.of(book.records["e"].row(0), 0), 0)
+        registry, again = EndpointRegistry(1500), EndpointRegistry(1500)
+        registry.hear("e", self.beat(4, CLOSING), 0)
+        again.join(EndpointRecord.of(registry.records["e"].row(0), 0), 0)
         older = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", READY, 3, 0, 0]  # a disk of an older text
-        again.join(Record.of(older, 0), 0)
+        again.join(EndpointRecord.of(older, 0), 0)
         self.assertEqual(again.records["e"].state, CLOSING)
-        again.join(Record.of([*older[:6], GONE, 1 << 62, 3, 0], 0), 0)
+        again.join(EndpointRecord.of([*older[:6], GONE, 1 << 62, 3, 0], 0), 0)
         self.assertEqual((again.records["e"].state, again.records["e"].rank), (GONE, ENDS))
 
 
-class Lookout(unittest.TestCase):
+class FailureDetector(unittest.TestCase):
     def play(self, down=(), until=8000, size=5, seed=1):
         """Members in one world of 100 ms turns; `down`: (name, from ms).  What each believes at the end."""
         draw = random.Random(seed)
         names = [f"n{i}" for i in range(size)]
         nodes = {
-            name: Roster(Member(name, "bothy", f"10.0.0.{i}", 7, "z", "r", life=1), draw.randrange)
+            name: MemberList(Member(name, "bothy", f"10.0.0.{i}", 7, "z", "r", life=1), draw.randrange)
             for i, name in enumerate(names)
         }
-        by = {roster.me.address: name for name, roster in nodes.items()}
+        by = {member_list.me.address: name for name, member_list in nodes.items()}
         mail = [
             (to, name, message)
-            for name, roster in nodes.items()
-            for to, message in roster.join([nodes["n0"].me.address])
+            for name, member_list in nodes.items()
+            for to, message in member_list.join([nodes["n0"].me.address])
         ]
         for at in range(0, until, 100):
             dead = {name for name, since in down if at >= since}
@@ -325,27 +325,29 @@
                         (out, target, m)
                         for out, m in nodes[target].hear(nodes[name].me.address, message, now)
                     ]
-            for name, roster in nodes.items():
+            for name, member_list in nodes.items():
                 if name not in dead:
-                    mail += [(out, name, message) for out, message in roster.tick(now)]
+                    mail += [(out, name, message) for out, message in member_list.tick(now)]
         return nodes
 
     def test_all_find_each_other_and_a_dead_one_is_found_out(self):
         nodes = self.play(down=[("n3", 3000)], until=9000)
-        for name, roster in nodes.items():
+        for name, member_list in nodes.items():
             if name != "n3":
-                states = {m.name: m.state for m in roster.members.values()}
+                states = {m.name: m.state for m in member_list.members.values()}
                 self.assertEqual(states, {"n0": 0, "n1": 0, "n2": 0, "n3": DEAD, "n4": 0}, name)
 
     def test_one_that_is_suspected_contradicts(self):
-        roster = Roster(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
-        roster.take([["a", "bothy", "10.0.0.1", 7, "z", "r", {}, False, False, 5, SUSPECTED]], 0)
-        self.assertEqual((roster.me.life, roster.me.state), (6, ALIVE))
+        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
+        member_list.take([["a", "bothy", "10.0.0.1", 7, "z", "r", {}, False, False, 5, SUSPECTED]], 0)
+        self.assertEqual((member_list.me.life, member_list.me.state), (6, ALIVE))
 
     def known(self, name, others, life=1):
-        roster = Roster(Member(name, "bothy", f"ip-{name}", 7, "z", "r", life=life), lambda n: 0)
-        roster.take([Member(other, "bothy", f"ip-{other}", 7, "z", "r", life=1).row() for other in others], 0)
-        return roster
+        member_list = MemberList(Member(name, "bothy", f"ip-{name}", 7, "z", "r", life=life), lambda n: 0)
+        member_list.take(
+            [Member(other, "bothy", f"ip-{other}", 7, "z", "r", life=1).row() for other in others], 0
+        )
+        return member_list
 
     def asked(self, one, other, now=0):
         """Rows that one pilot is told by another when it joins there."""
@@ -378,32 +380,32 @@
     def test_the_dead_are_forgotten_though_others_still_tell_of_them(self):
         """Each forgets at a time of its own: told back and forth they would stand for ever."""
         one, other = self.known("a", ["b", "x"]), self.known("b", ["a", "x"])
-        for roster, at in ((one, 0), (other, 60)):
-            roster.members["x"].state = DEAD
-            roster.news("x", at * SECOND)
+        for member_list, at in ((one, 0), (other, 60)):
+            member_list.members["x"].state = DEAD
+            member_list.news("x", at * SECOND)
         for second in range(0, 300, 3):
-            for roster in (one, other):
-                roster.changed.update(a=0, b=0)
-                roster.tick(second * SECOND)
+            for member_list in (one, other):
+                member_list.changed.update(a=0, b=0)
+                member_list.tick(second * SECOND)
             one.take(UNPACK(PACK([m.row() for m in other.members.values()])), second * SECOND)
             other.take(UNPACK(PACK([m.row() for m in one.members.values()])), second * SECOND)
             self.asked(one, other, second * SECOND)
             self.asked(other, one, second * SECOND)
         self.assertNotIn("x", {**one.members, **other.members})
 
-    def fleet(self, fronts, zones=4, refuges=5):
+    def fleet(self, fronts, zones=4, controllers=5):
         def member(name, zone, role="bothy"):
             return Member(name, role, "ip-" + name, 7, zone, zone[0])
 
         return (
-            [member(f"r{i}", f"{'ab'[i % 2]}{i % zones}", "refuge") for i in range(refuges)],
+            [member(f"r{i}", f"{'ab'[i % 2]}{i % zones}", "refuge") for i in range(controllers)],
             [member(f"f{i:04}", f"{'ab'[i % 2]}{i % zones}") for i in range(fronts)],
         )
 
     def test_a_small_fleet_hears_from_refuges_and_a_large_one_through_relays(self):
         for fronts, direct in ((12, True), (80, True), (1000, False)):
-            refuges, all_fronts = self.fleet(fronts)
-            known = {m.name: [p.name for p in parents(m, refuges, all_fronts)[:2]] for m in all_fronts}
+            controllers, all_fronts = self.fleet(fronts)
+            known = {m.name: [p.name for p in parents(m, controllers, all_fronts)[:2]] for m in all_fronts}
             children = Counter(parent for names in known.values() for parent in names)
             self.assertLessEqual(
                 max(count for name, count in children.items() if name[0] == "f") if not direct else 0,
@@ -414,14 +416,15 @@
                 self.assertEqual(len(set(known[m.name])), 2)
                 self.assertTrue(all(name[0] == "r" or name < m.name for name in known[m.name]))
             self.assertLessEqual(
-                sum(count for name, count in children.items() if name[0] == "r"), BORNE * len(refuges) + 2 * 4
+                sum(count for name, count in children.items() if name[0] == "r"),
+                BORNE * len(controllers) + 2 * 4,
             )
 
     def test_no_single_loss_takes_the_news_from_a_pilot(self):
-        refuges, fronts = self.fleet(1000)
-        known = {m.name: [p.name for p in parents(m, refuges, fronts)[:2]] for m in fronts}
-        for lost in [m.name for m in refuges + fronts[:40]]:
-            heard = {m.name for m in refuges} - {lost}
+        controllers, fronts = self.fleet(1000)
+        known = {m.name: [p.name for p in parents(m, controllers, fronts)[:2]] for m in fronts}
+        for lost in [m.name for m in controllers + fronts[:40]]:
+            heard = {m.name for m in controllers} - {lost}
             for name, above in sorted(known.items()):
                 if name != lost and heard & set(above):
                     heard.add(name)
@@ -430,14 +433,14 @@
 
 class News(unittest.TestCase):
     def test_what_is_held_never_goes_back(self):
-        board, seen = Board(), []
-        board.watchers.append(lambda key, version, value: seen.append((key, version)))
+        updates, seen = VersionedStore(), []
+        updates.watchers.append(lambda key, version, value: seen.append((key, version)))
         for version, value in ((2, b"new"), (1, b"old"), (2, b"twin"), (3, b"newer")):
-            board.offer("timetable", version, value)
-        self.assertEqual((seen, board.get("timetable")), ([("timetable", 2), ("timetable", 3)], b"newer"))
+            updates.offer("timetable", version, value)
+        self.assertEqual((seen, updates.get("timetable")), ([("timetable", 2), ("timetable", 3)], b"newer"))
 
     def test_a_gap_is_filled_from_what_the_child_tells(self):
-        parent, child = Board(), Board()
+        parent, child = VersionedStore(), VersionedStore()
         for number in range(4):
             parent.offer(f"hut/{number}", [number, 0], {"n": number})
         child.offer("hut/1", [1, 0], {"n": 1})
@@ -446,10 +449,10 @@
         rows += parent.missing(child.versions(buckets))[0]
         self.assertEqual(sorted(row[0] for row in rows), ["hut/0", "hut/2", "hut/3"])
         child.take(rows)
-        self.assertEqual((child.digest(), child.parcels), (parent.digest(), parent.parcels))
+        self.assertEqual((child.digest(), child.entries), (parent.digest(), parent.entries))
 
     def test_sums_of_relays_add_up(self):
-        top, low = Tally(), Tally()
+        top, low = LoadAggregate(), LoadAggregate()
         low.request("s")
         low.key("k", 7)
         low.answer("k", 900)
@@ -482,7 +485,7 @@
             for r in allocation.ranges:
                 if r.state == LEAVING and draw.random() < 0.5:
                     r.state, r.holder = FREE, ""
-            heat = Heat({draw.randrange(1024): 300.0 for _ in range(3)})
+            heat = LoadDistribution({draw.randrange(1024): 300.0 for _ in range(3)})
             range_assignment.fill(allocation, able, addrs, heat)
             range_assignment.spread(allocation, able, heat, {*able})
             self.whole(allocation)
@@ -669,46 +672,48 @@
 
 class Placement(unittest.TestCase):
     def places(self, count=8, far=4):
-        return [Place(f"e{i}", "desk", "s" if i < far else "r", 2 if i % 2 else 4) for i in range(count)]
+        return [Candidate(f"e{i}", "desk", "s" if i < far else "r", 2 if i % 2 else 4) for i in range(count)]
 
-    def run_for(self, ridge, counts, seconds, places, start=0):
+    def run_for(self, placer, counts, seconds, places, start=0):
         for second in range(start, start + seconds):
-            ridge.heard(counts, second * SECOND)
-            for _ in ridge.run(places, second * SECOND):
+            placer.heard(counts, second * SECOND)
+            for _ in placer.run(places, second * SECOND):
                 pass
 
     def test_hot_slices_gain_copies_within_their_homes_and_quiet_ones_stay_where_they_are(self):
-        ridge, places = Ridge(1), self.places()
-        ridge.slices([("hot desk", "desk", ()), ("home desk", "desk", ("r",)), ("idle desk", "desk", ())], {})
-        self.run_for(ridge, {"hot desk": 80, "home desk": 20, "idle desk": 1}, 30, places)
-        want = {name: unit.want for name, unit in ridge.units.items()}
+        placer, places = Placer(1), self.places()
+        placer.slices(
+            [("hot desk", "desk", ()), ("home desk", "desk", ("r",)), ("idle desk", "desk", ())], {}
+        )
+        self.run_for(placer, {"hot desk": 80, "home desk": 20, "idle desk": 1}, 30, places)
+        want = {name: unit.want for name, unit in placer.units.items()}
         self.assertGreaterEqual(len(want["hot desk"]), 6)
         self.assertEqual(len(want["idle desk"]), 1)
         self.assertLessEqual(want["home desk"], {"e4", "e5", "e6", "e7"})
 
     def test_a_lost_endpoint_is_left_at_once_and_little_else_moves(self):
-        ridge, places = Ridge(1), self.places(far=0)
+        placer, places = Placer(1), self.places(far=0)
         names = [f"s{i} desk" for i in range(12)]
-        ridge.slices([(name, "desk", ()) for name in names], {})
-        self.run_for(ridge, dict.fromkeys(names, 5), 25, places)
-        before = {name: set(unit.want) for name, unit in ridge.units.items()}
+        placer.slices([(name, "desk", ()) for name in names], {})
+        self.run_for(placer, dict.fromkeys(names, 5), 25, places)
+        before = {name: set(unit.want) for name, unit in placer.units.items()}
         lost = next(iter(before[names[0]]))
-        self.run_for(ridge, dict.fromkeys(names, 5), 1, [p for p in places if p.id != lost], start=25)
-        after = {name: set(unit.want) for name, unit in ridge.units.items()}
+        self.run_for(placer, dict.fromkeys(names, 5), 1, [p for p in places if p.id != lost], start=25)
+        after = {name: set(unit.want) for name, unit in placer.units.items()}
         self.assertTrue(all(lost not in ids for ids in after.values()))
         moved = [name for name in names if lost not in before[name] and before[name] != after[name]]
         self.assertLessEqual(len(moved), 4)
 
     def test_a_cold_endpoint_gains_at_most_one_slice_a_run(self):
-        ridge, places = Ridge(1), self.places(far=0)
+        placer, places = Placer(1), self.places(far=0)
         names = [f"s{i} desk" for i in range(12)]
-        ridge.slices([(name, "desk", ()) for name in names], {})
-        self.run_for(ridge, dict.fromkeys(names, 5), 25, places)
-        fresh = Place("new", "desk", "r", 4, cold=True)
+        placer.slices([(name, "desk", ()) for name in names], {})
+        self.run_for(placer, dict.fromkeys(names, 5), 25, places)
+        fresh = Candidate("new", "desk", "r", 4, cold=True)
         held = 0
         for second in range(25, 60):
-            self.run_for(ridge, dict.fromkeys(names, 5), 1, [*places, fresh], start=second)
-            now = sum("new" in unit.want for unit in ridge.units.values())
+            self.run_for(placer, dict.fromkeys(names, 5), 1, [*places, fresh], start=second)
+            now = sum("new" in unit.want for unit in placer.units.values())
             self.assertLessEqual(now, held + 1)
             held = now
 
@@ -753,8 +758,8 @@
     def test_the_longest_prefix_wins(self):
         routes = configuration.Routes(self.check())
         found = [
-            routes.find(host, path)
-            for host, path in (
+            routes.find(runtime, path)
+            for runtime, path in (
                 ("a.example", "/x/1"),
                 ("A.example", "/x/y/1"),
                 ("a.example", "/z"),
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -7,7 +7,16 @@
 import unittest
 from pathlib import Path
 
-from flintreach.simulation.engine import SECOND, Closed, Link, Machine, Network, Process, Simulation, Store
+from flintreach.simulation.engine import (
+    SECOND,
+    ConnectionClosed,
+    Machine,
+    Network,
+    PeerConnection,
+    Process,
+    Simulation,
+    Store,
+)
 from flintreach.simulation.engine import Disk as Plate
 from flintreach.simulation.invariants import INVARIANTS, Put, Watch, edition, numbered
 from flintreach.simulation.mutants import PLANTS, applies
@@ -99,9 +108,9 @@
     def run(self, seconds):
         self.sim.run(self.sim.now + int(seconds * SECOND))
 
-    def linked(self) -> Link:
+    def linked(self) -> PeerConnection:
         found = []
-        self.a.host.spawn(lambda: found.append(self.a.host.dial(("10.0.0.2", 1), {}, 1.0)))
+        self.a.runtime.spawn(lambda: found.append(self.a.runtime.dial(("10.0.0.2", 1), {}, 1.0)))
         self.run(0.1)
         return found[0]
 
@@ -131,17 +140,17 @@
         def ask():
             try:
                 told.append(link.ask("n", 7, 0.5))
-            except Closed:
+            except ConnectionClosed:
                 told.append("closed")
 
-        world.a.host.spawn(ask)
+        world.a.runtime.spawn(ask)
         world.run(1)
         self.assertEqual((came, told), ([7], ["closed"]))
 
     def test_a_frozen_process_reads_what_came_after_its_thaw_and_a_dead_one_never(self):
         for end in (False, True):
             world, came = World(), []
-            now = world.b.host.now
+            now = world.b.runtime.now
             world.b.handlers["n"] = lambda link, body, came=came, now=now: came.append((body, now()))
             link = world.linked()
             began = now()
@@ -169,7 +178,7 @@
                     if store.keep({}, {f"f{n}": "x"}):
                         told.append(f"f{n}")
 
-            world.a.host.spawn(write)
+            world.a.runtime.spawn(write)
             world.run(0.03)
             world.a.end(told=False)
             store.end()
@@ -180,7 +189,7 @@
             kept, lost = kept + (len(there) > len(told)), lost + (len(there) == len(told))
             plate.trouble = "full"
             again = Store(world.b, plate, "a", False)
-            world.b.host.spawn(lambda again=again, told=told: told.append(again.keep({}, {"g": "x"})))
+            world.b.runtime.spawn(lambda again=again, told=told: told.append(again.keep({}, {"g": "x"})))
             world.run(1)
             self.assertIs(told[-1], False)
             self.assertNotIn("g", plate.facts)
@@ -188,19 +197,19 @@
 
     def test_a_lock_goes_to_who_waits_longest_and_is_reentrant(self):
         world, order = World(), []
-        lock = world.a.host.lock()
+        lock = world.a.runtime.lock()
 
         def hold(name, timeout):
             if lock.acquire(timeout=timeout):
                 with lock:
                     order.append(name)
-                    world.a.host.sleep(1.0)
+                    world.a.runtime.sleep(1.0)
                 lock.release()
             else:
                 order.append(f"not {name}")
 
         for name, timeout in (("first", 5.0), ("second", 0.5), ("third", 5.0)):
-            world.a.host.spawn(hold, name, timeout)
+            world.a.runtime.spawn(hold, name, timeout)
         world.run(4)
         self.assertEqual(order, ["first", "not second", "third"])
 
--- a/tests/test_system_soak.py
+++ b/tests/test_system_soak.py
@@ -26,12 +26,12 @@
         run = soak(1, 0, Mix.UNPLANNED)
         self.addCleanup(run.stop)
         self.assertTrue(run.start())
-        proxy, refuges = run.camp.of("proxy")[0], run.camp.of("refuge")
-        gevent.spawn(run.troubles.apart, [(proxy.ip, refuge.ip) for refuge in refuges], 30)
+        proxy, controllers = run.cluster.of("proxy")[0], run.cluster.of("refuge")
+        gevent.spawn(run.troubles.apart, [(proxy.ip, controller.ip) for controller in controllers], 30)
         gevent.sleep(0.3)
         jobs = [gevent.spawn(Client.ask_once_each, run.client(number)) for number in range(12)]
         gevent.sleep(0.3)
-        leaving = run.camp.endpoints[0]
+        leaving = run.cluster.endpoints[0]
         self.assertTrue(leaving.leave())
         gevent.sleep(LAST_CALL_S + 1.5)
         run.ending = True
--- a/tests/test_system_voters.py
+++ b/tests/test_system_voters.py
@@ -15,7 +15,7 @@
 from flintreach.consensus import recovery
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
-from flintreach.consensus.reconfiguration import Turnover
+from flintreach.consensus.reconfiguration import Reconfiguration
 from flintreach.consensus.register import Register
 from flintreach.consensus.store import LOG_BYTES, Store, StoreError
 from flintreach.consensus.voter_selection import (
@@ -29,7 +29,7 @@
     ordered,
     wanted,
 )
-from flintreach.controller.voter_management import Voting
+from flintreach.controller.voter_management import VoterManager
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
@@ -154,7 +154,7 @@
     def settle(self):
         super().settle()
         if self.voters.epoch:
-            self.acceptor.voting = self.bundle.address in self.voters.members()
+            self.acceptor.voting = self.peer_pool.address in self.voters.members()
 
 
 LATE = {"w": 3}  # a writer whose ballots are above those of the change of voters
@@ -205,7 +205,7 @@
     """The process that asked is dead."""
 
 
-class Host:
+class Runtime:
     """A clock that sleeps move, one thing at a time."""
 
     def __init__(self):
@@ -227,9 +227,9 @@
             call()
 
 
-class Bundle:
+class PeerPool:
     def __init__(self, net, address):
-        self.net, self.address, self.host, self.handlers = net, address, net.host, {}
+        self.net, self.address, self.runtime, self.handlers = net, address, net.runtime, {}
 
     def ask(self, address, kind, body=None, timeout=1.0):
         if self.address == self.net.mortal:
@@ -271,15 +271,15 @@
     """Registers and their turnovers, one process each, by name."""
 
     def __init__(self, names, start):
-        self.host, self.bundles, self.down = Host(), {}, set()
+        self.runtime, self.bundles, self.down = Runtime(), {}, set()
         self.mortal, self.breath, self.registers, self.turnovers, self.collected = None, 0, {}, {}, []
         for name in names:
             self.join(name, voters(1, start), name in start)
 
     def join(self, name, known, voting, life="0"):
-        bundle = self.bundles[at(name)] = Bundle(self, at(name))
-        register = self.registers[name] = Register(bundle, known, Platter(f"{name}{life}", voting))
-        self.turnovers[name] = Turnover(register, lambda: self.collected.append(name) or True)
+        peer_pool = self.bundles[at(name)] = PeerPool(self, at(name))
+        register = self.registers[name] = Register(peer_pool, known, Platter(f"{name}{life}", voting))
+        self.turnovers[name] = Reconfiguration(register, lambda: self.collected.append(name) or True)
         return register
 
     def exchange(self, by, out, into):
@@ -404,7 +404,7 @@
         self.assertEqual(fresh.voters.lives(at("c")), {"c1"})
         self.assertEqual((fresh.voters.epoch, fresh.acceptor.slots["k"].value), (2, b"1"))
         self.assertEqual(fresh.store.facts["voting"], "1")
-        before = Register(Bundle(net, at("c")), fresh.voters, Platter("c0"))
+        before = Register(PeerPool(net, at("c")), fresh.voters, Platter("c0"))
         self.assertFalse(before.votes(), "the disk of before came back")
 
     def test_what_is_accepted_while_the_epoch_moves_does_not_count(self):
@@ -439,9 +439,9 @@
 class Starts(unittest.TestCase):
     def plane(self, net, name, coming, machines=2):
         """A refuge's plane as far as `Voting` needs it; `coming`: (from which second, name, zone)."""
-        register, host = net.registers[name], net.host
+        register, runtime = net.registers[name], net.runtime
 
-        class Roster:
+        class MemberList:
             @property
             def members(self):
                 return {
@@ -449,15 +449,15 @@
                         name=n, role="refuge", address=at(n), zone=zone, region="r", state=0, counted=True
                     )
                     for since, n, zone in coming
-                    if host.now() >= since
+                    if runtime.now() >= since
                 }
 
         losses = SimpleNamespace(machines=machines, zones=1, regions=0)
         return SimpleNamespace(
-            host=host,
+            runtime=runtime,
             register=register,
-            bundle=register.bundle,
-            roster=Roster(),
+            peer_pool=register.peer_pool,
+            member_list=MemberList(),
             first_run=True,
             node=SimpleNamespace(tariffs=SimpleNamespace(losses=losses)),
             seeds=lambda: [at(n) for n in "abc"],
@@ -468,7 +468,7 @@
         net = Net("abcde", "abcde")
         for register in net.registers.values():
             register.voters = Voters()
-        voting = Voting(self.plane(net, "a", coming))
+        voting = VoterManager(self.plane(net, "a", coming))
         voting.find()
         return net, voting
 
@@ -477,27 +477,27 @@
         coming = [(0, "a", "v"), (0, "b", "w"), (3.1, "c", "x"), (3.2, "d", "y"), (5.5, "e", "z")]
         net, voting = self.started(coming)
         self.assertEqual(voting.register.voters, voters(1, "abcde"))
-        self.assertLess(net.host.now(), 7.0)
+        self.assertLess(net.runtime.now(), 7.0)
         self.assertEqual(Voters.kept(voting.register.store.facts), voters(1, "abcde"))
 
     def test_fewer_are_settled_for_when_no_more_come(self):
         net, voting = self.started([(0, "a", "v"), (0, "b", "w")])
         self.assertEqual(voting.register.voters.members(), [at("a"), at("b")])
-        self.assertGreaterEqual(net.host.now(), 6.0)
+        self.assertGreaterEqual(net.runtime.now(), 6.0)
 
     def test_no_growth_around_a_voter_that_nobody_has_met_since_all_were_killed(self):
         """One was gone for good before: its successor came in beside it, a set of four with one dead, and the
         next loss took the majority (simulated seed 337)."""
         net = Net("abcd", "abc")
         net.down.add(at("c"))
-        voting = Voting(self.plane(net, "a", [(0, "a", "v"), (0, "b", "w"), (0, "d", "x")], machines=1))
+        voting = VoterManager(self.plane(net, "a", [(0, "a", "v"), (0, "b", "w"), (0, "d", "x")], machines=1))
         self.assertTrue(net.turnovers["d"].catch_up())
         seen = []
-        while net.host.now() < 8.0:
+        while net.runtime.now() < 8.0:
             voting.turn()
             if not seen or seen[-1] != net.registers["a"].voters:
                 seen.append(net.registers["a"].voters)
-            net.host.sleep(0.25)
+            net.runtime.sleep(0.25)
         self.assertEqual((seen[0], seen[-1]), (voters(1, "abc"), voters(3, "abd")))
         self.assertNotIn({at(name) for name in "abcd"}, [one for held in seen for one in held.sets])
 
@@ -518,16 +518,16 @@
         for silent in (False, True):
             net = Net("abcd", "abc")
             plane = Starts().plane(net, "a", [(0, name, zone) for name, zone in zip("abcd", "xyzz")])
-            plane.roster = SimpleNamespace(
+            plane.member_list = SimpleNamespace(
                 members={
                     name: SimpleNamespace(**(vars(m) | {"state": 2 if name == "c" else 0}))
-                    for name, m in plane.roster.members.items()
+                    for name, m in plane.member_list.members.items()
                 }
             )
             self.assertTrue(net.turnovers["d"].catch_up())
             if silent:
                 net.down.add(at("c"))
-            Voting(plane).turn()
+            VoterManager(plane).turn()
             self.assertEqual(net.registers["a"].voters, voters(3, "abd") if silent else voters(1, "abc"))
 
 
--- a/tests/voters_model.py
+++ b/tests/voters_model.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from flintreach.consensus.acceptor import Slot, merged
-from flintreach.consensus.proposer import Change
+from flintreach.consensus.proposer import Proposal
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
 
@@ -108,9 +108,9 @@
     @staticmethod
     def made(register, name):
         host = SimpleNamespace(lock=contextlib.nullcontext, now=lambda: 0.0)
-        bundle = SimpleNamespace(address=NAMES[name], handlers={}, host=host)
+        peer_pool = SimpleNamespace(address=NAMES[name], handlers={}, runtime=host)
         store = SimpleNamespace(life="", voting=False, slots={}, facts={}, keep=lambda *_: True)
-        return register(bundle, Voters(), store)
+        return register(peer_pool, Voters(), store)
 
     def load(self, name, node):
         register = self.registers[name]
@@ -151,13 +151,13 @@
                 wish = known.renewed(NAMES[name], f"{name}1")
             else:
                 wish = Voters(known.epoch + 1, known.new) if known.joint else joint(known, goal)
-            change = Change(
+            change = Proposal(
                 known.met, attempt.ballot, lambda old: None if old and old.epoch > known.epoch else wish
             )
         elif kind in "PQ":
-            change = Change(attempt.voters.met, attempt.ballot, lambda old: None)
+            change = Proposal(attempt.voters.met, attempt.ballot, lambda old: None)
         else:
-            change = Change(attempt.voters.met, attempt.ballot, lambda old: (old or "") + kind)
+            change = Proposal(attempt.voters.met, attempt.ballot, lambda old: (old or "") + kind)
         for name, life, accepted, value in attempt.promises:
             change.promised(NAMES[name], life, accepted, value)
         for name in attempt.taken:
