--- a/tests/test_system_voters.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -10,7 +10,6 @@
 from types import SimpleNamespace
 
 import msgspec
-from voters_model import Model
 
 from flintreach.consensus import recovery
 from flintreach.consensus.acceptor import Slot
@@ -30,6 +29,7 @@
     wanted,
 )
 from flintreach.controller.voter_management import VoterManager
+from tests.consensus.voters_model import Model
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
--- a/tests/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -14,7 +14,6 @@
 
 import pytest
 import uvloop
-from helpers import Fleet, Log, Recorder
 
 from flintreach.cores.block import Block
 from flintreach.cores.care import LIFE, Life, Owners
@@ -31,6 +30,7 @@
 from flintreach.standins.platform import listing, row, told
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
+from tests.helpers import Fleet, Log, Recorder
 
 OWN = 'cores {\n workers = 2\n hang = "1s"\n pause_first = "50ms"\n}\n'
 AGENT = b'{"msg":"agent","site":"north"}\n'
--- a/tests/test_evidence.py
+++ b/tests/evidence/test_evidence.py
@@ -6,7 +6,6 @@
 import socket
 
 import pytest
-from helpers import Fleet, Log, Loop, Recorder
 
 from flintreach.evidence import packet
 from flintreach.evidence.block import Block
@@ -19,6 +18,7 @@
 from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
 from flintreach.standins.platform import told
+from tests.helpers import Fleet, Log, Loop, Recorder
 
 T = 1_700_000_000 * SECOND
 KEYS = {"anna": "secret", "bo": "other"}
--- a/tests/test_net.py
+++ b/tests/net/test_net.py
@@ -3,7 +3,6 @@
 import json
 
 import pytest
-from helpers import Log, Loop, Pipe, Recorder, Wire
 
 from flintreach.net import config, http, relay, roster, servers
 from flintreach.net.clients import Client
@@ -13,6 +12,7 @@
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
 from flintreach.standins.platform import listing, row, stands, told
+from tests.helpers import Log, Loop, Pipe, Recorder, Wire
 
 
 @pytest.fixture
--- a/tests/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -1,11 +1,11 @@
 """The decisions, by cases, with no bench."""
 
 import pytest
-from helpers import Fleet
 
 from flintreach.pilot import interface as face
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import MODES, Partition, Ring
+from tests.helpers import Fleet
 
 
 @pytest.mark.parametrize(
--- a/tests/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -5,7 +5,6 @@
 import random
 
 import pytest
-from helpers import Fleet, Log, Loop, Pipe, Recorder
 
 from flintreach.net import config
 from flintreach.net.clients import Client
@@ -14,6 +13,7 @@
 from flintreach.pilot import logic
 from flintreach.pilot.interface import SECOND
 from flintreach.standins.platform import told
+from tests.helpers import Fleet, Log, Loop, Pipe, Recorder
 
 WIDE = {"servers": 120, "slices": 960, "proxies": 4, "channel_limit": 1e6}
 
--- /dev/null
+++ b/tests/proxy/test_front.py
@@ -0,0 +1,45 @@
+"""Clients' connections."""
+
+import unittest
+from types import SimpleNamespace
+
+
+class Fronts(unittest.TestCase):
+    def test_what_two_readers_could_take_for_two_things_is_refused(self):
+        from flintreach.proxy.intake import BadRequest, parse
+
+        good = b"POST /a%2Fb?q=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3"
+        self.assertEqual(parse(good).target, "/a%2Fb?q=1")
+        bad = [
+            good + b"\r\nContent-Length: 3",
+            good + b"\r\nTransfer-Encoding: chunked",
+            good + b"\r\n folded: 1",
+            b"GET / HTTP/1.1",
+            b"GET / HTTP/1.1\r\nHost: a\nX: 1",
+            b"GET  / HTTP/1.1\r\nHost: a",
+            b"GET /a b HTTP/1.1\r\nHost: a",
+            b"GET / HTTP/1.1\r\nHost : a",
+            good.replace(b" 3", b" +3"),
+            b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked",
+            b"GET / HTTP/1.1\r\nHost: a\r\nHost: b",
+        ]
+        for head in bad:
+            with self.assertRaises(BadRequest, msg=head):
+                parse(head)
+
+    def test_a_request_under_way_is_not_idle(self):
+        """The trace of LOST on a hunted day: the leaving loop closed a connection that worked."""
+        from flintreach.proxy.front import FrontHandler
+
+        class Quiet:
+            def recv(self, *_):
+                raise BlockingIOError
+
+        handler = FrontHandler(SimpleNamespace(_sock=Quiet()), None, None)
+        self.assertTrue(handler.idle())
+        handler.pending = 1
+        self.assertFalse(handler.idle())
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_system_simulation.py
+++ b/tests/simulation/test_trial.py
@@ -28,7 +28,7 @@
 SEEDS, MOST = 500, 100  # played; in which a plant must be found
 # Seed -> checksum of all events, checksum of the messages between processes alone, number of events.  Where
 # only the words of a note change, the first is taken anew and the other two stay.
-RECORDED = json.loads((Path(__file__).parent / "data" / "simulation.json").read_text())
+RECORDED = json.loads((Path(__file__).parents[1] / "data" / "simulation.json").read_text())
 RARE = ("no-write-back", "votes-when-empty")
 PLAY = """
 import json, sys
--- a/tests/test_system_soak.py
+++ b/tests/soak/test_run.py
@@ -12,7 +12,7 @@
 from flintreach.soak.ledger import LAST_CALL_S, SECOND, Disturbance, Ledger, SentRequest, Verdict
 from flintreach.soak.run import Mix, Soak, SoakPlan
 from flintreach.standins.endpoint import Run, RunEnd
-from tests.test_system_camp import free_port
+from tests.demo.test_cluster import free_port
 
 
 def soak(seed: int, seconds: float, mix: Mix) -> Soak:
