--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -24,7 +24,7 @@
     503: "Service Unavailable",
 }
 # A configuration goes through links inside a message that also holds other keys: far below what ends a link.
-LARGE, SMALL = peer_connection.MOST // 2, 64 << 10  # bytes of a configuration; of any other body
+LARGE, SMALL = peer_connection.MAX_MESSAGE_BYTES // 2, 64 << 10  # bytes of a configuration; of any other body
 AGAIN_S = "0.2"  # Retry-After: another refuge may answer at once
 GONE = "flintreach.gone"  # in the environ: whether the caller went away
 # Why a call is answered 503: the process slept; no contact with a quorum; read too long ago; caller gone.
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -12,7 +12,7 @@
 from flintreach.config.settings import place
 from flintreach.sharding.range_assignment import Allocation
 from flintreach.sharding.range_lease import GRANT, RangeLeases
-from flintreach.transport.peer_connection import RESET, braced
+from flintreach.transport.peer_connection import RESET, configure_socket
 
 PATHS = {GRANT: calls.GRANT, "release": calls.RELEASE}
 MUTE_MS = 900  # a call without a sign of its arrival for so long is dropped by this machine
@@ -85,7 +85,7 @@
             if not self.state.goes_out(kind, r, self.runtime.now()):
                 raise Late
             # Given up, it must not arrive later: after a close in order the kernel would send it for minutes.
-            braced(sock, MUTE_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
+            configure_socket(sock, MUTE_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
 
         client._connection_pool.after_connect = connected  # the pool's own hook, meant to be overridden
         try:
--- a/flintreach/transport/peer_pool.py
+++ b/flintreach/transport/peer_pool.py
@@ -1,100 +1,158 @@
-"""Links to other pilots by their address, opened when first used and dialled anew after their end."""
+"""Connections to other processes by address, opened when first used and dialled anew after their end."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import gevent
+from gevent import socket
 from gevent.server import StreamServer
 
-from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection
-from flintreach.transport.runtime import Runtime
+from flintreach.transport.peer_connection import Address, ConnectionClosed, MessageHandlers, PeerConnection
+from flintreach.transport.runtime import LockInterface, Runtime, RuntimeInterface
 from flintreach.transport.traffic_meter import TrafficMeter
 
+LISTEN_BACKLOG = 256
+MIN_DIAL_TIMEOUT_S = 0.001
+GATHER_GRACE_S = 0.1  # behind the questions' own time-out, by which they normally end
+
+Answers = list[tuple[Address, Any]]  # who answered, and what
+Ask = Callable[[Address, str, Any, float], Any]  # as `PeerPool.ask`
+
 
 class PeerPool:
-    """What this process says to others (`ask`) and what it answers (`handlers`, by kind)."""
+    """What this process asks others, and what it answers them.
 
-    def __init__(self, address: tuple[str, int], runtime: Runtime | None = None):
-        self.address, self.handlers, self.runtime = address, {}, runtime or Runtime()
-        self.links: dict[tuple[str, int], PeerConnection] = {}
-        self.locks: dict[tuple[str, int], Any] = {}
+    Attributes:
+        address: where this process listens.
+        handlers: what this process answers, by kind of message.
+        links: connections that this process dialled, by address.
+        locks: held while a connection to an address is dialled.
+    """
+
+    def __init__(self, address: Address, runtime: RuntimeInterface | None = None) -> None:
+        """Make a pool without connections.
+
+        Args:
+            address: where `start` listens.
+            runtime: clock, tasks and connections; by default those of gevent.
+        """
+        self.address = address
+        self.handlers: MessageHandlers = {}
+        self.runtime = runtime or Runtime()
+        self.links: dict[Address, PeerConnection] = {}
+        self.locks: dict[Address, LockInterface] = {}
 
     def start(self) -> None:
-        self.server = StreamServer(self.address, self.serve, backlog=256)
+        """Listen for other processes."""
+        self.server = StreamServer(self.address, self.serve, backlog=LISTEN_BACKLOG)
         self.server.start()
 
-    def serve(self, sock, address) -> None:
+    def serve(self, sock: socket.socket, address: Address) -> None:
+        """Serve a connection that another process dialled, until it ends."""
         # The server closes the socket on return.
         gevent.joinall(PeerConnection(sock, self.handlers, meter=self.meter).readers)
 
     @property
     def meter(self) -> TrafficMeter:
+        """Counts the traffic of all connections of the process."""
         return self.runtime.meter
 
-    def traffic(self) -> list[dict]:
-        """Messages and bytes by kind since the start, as rows."""
+    def traffic(self) -> list[dict[str, str | int]]:
+        """Give messages and bytes by kind since the start, as rows; see `TrafficMeter.rows`."""
         return self.meter.rows()
 
-    def link(self, address: tuple[str, int], timeout: float) -> PeerConnection:
-        """The link to a pilot, up within `timeout` seconds.  Raises OSError or Closed."""
-        until, lock = self.runtime.now() + timeout, self.locks.setdefault(address, self.runtime.lock())
+    def link(self, address: Address, timeout: float) -> PeerConnection:
+        """Give the connection to a process, dialled if there is none.
+
+        Args:
+            address: of the process.
+            timeout: seconds in which the connection must be up.
+
+        Raises:
+            OSError: no connection came up.
+            ConnectionClosed: another caller was still dialling when the time was over.
+        """
+        deadline = self.runtime.now() + timeout
+        lock = self.locks.setdefault(address, self.runtime.lock())
         if not lock.acquire(timeout=timeout):
             raise ConnectionClosed
         try:
-            found = self.links.get(address)
-            if found is None or found.closed:
-                left = max(0.001, until - self.runtime.now())
-                found = self.links[address] = self.runtime.dial(address, self.handlers, left)
-            return found
+            connection = self.links.get(address)
+            if connection is None or connection.closed:
+                remaining = max(MIN_DIAL_TIMEOUT_S, deadline - self.runtime.now())
+                connection = self.runtime.dial(address, self.handlers, remaining)
+                self.links[address] = connection
+            return connection
         finally:
             lock.release()
 
-    def forget(self, address: tuple[str, int]) -> None:
-        """Nothing is said any more to a pilot that has left: keep no note of it."""
-        if (link := self.links.pop(address, None)) is not None:
-            link.close()
+    def forget(self, address: Address) -> None:
+        """Close the connection to a process that has left, and keep nothing of it."""
+        connection = self.links.pop(address, None)
+        if connection is not None:
+            connection.close()
         self.locks.pop(address, None)
 
-    def ask(self, address: tuple[str, int], kind: str, body: Any = None, timeout: float = 1.0) -> Any:
-        """The answer of the pilot at an address, or None if none came within `timeout` seconds.  It is asked
-        once at the most; without an answer it may have acted all the same."""
-        asked = self.runtime.now()
+    def ask(self, address: Address, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
+        """Ask a process, once at the most.
+
+        Args:
+            address: of the process.
+            kind: of the question.
+            body: of the question.
+            timeout: seconds for the connection and the answer together.
+
+        Returns:
+            The answer, or None if none came in time; the process may have acted all the same.
+        """
+        asked_at = self.runtime.now()
         try:
-            link = self.link(address, timeout)
-            left = asked + timeout - self.runtime.now()
-            if left <= 0:
+            connection = self.link(address, timeout)
+            remaining = asked_at + timeout - self.runtime.now()
+            if remaining <= 0:
                 return None
-            return link.ask(kind, body, left)
+            return connection.ask(kind, body, remaining)
         except (OSError, ConnectionClosed):
             return None
 
     def gather(
         self,
-        addresses: list[tuple[str, int]],
+        addresses: Sequence[Address],
         kind: str,
         body: Any,
-        enough: Callable[[list], bool],
+        enough: Callable[[Answers], Any],
         timeout: float = 1.0,
-        ask: Callable | None = None,
-    ) -> list:
-        """Answers of several, in the order of arrival, until `enough(answers)` holds or time is up.
-
-        `body`: what is said, or a function of the address that gives it; `ask`: by what, if not by
-        `self.ask`.
+        ask: Ask | None = None,
+    ) -> Answers:
+        """Ask several processes beside each other, until `enough(answers)` holds or time is up.
+
+        Args:
+            addresses: of the processes.
+            kind: of the question.
+            body: of the question, or a function that gives it for an address.
+            enough: whether these answers suffice; called after each question's end.
+            timeout: seconds for each question.
+            ask: by what to ask, if not by `self.ask`.
+
+        Returns:
+            Who answered and what, in the order of arrival.
         """
-        answers, done, left = [], self.runtime.event(), len(addresses)
-
-        def one(address):
-            nonlocal left
-            answer = (ask or self.ask)(address, kind, body(address) if callable(body) else body, timeout)
-            left -= 1
+        answers: Answers = []
+        done = self.runtime.event()
+        unfinished = len(addresses)
+
+        def ask_process(address: Address) -> None:
+            nonlocal unfinished
+            own_body = body(address) if callable(body) else body
+            answer = (ask or self.ask)(address, kind, own_body, timeout)
+            unfinished -= 1
             if answer is not None:
                 answers.append((address, answer))
-            if enough(answers) or not left:
+            if enough(answers) or not unfinished:
                 done.set()
 
         for address in addresses:
-            self.runtime.spawn(one, address)
+            self.runtime.spawn(ask_process, address)
         if addresses:
-            done.wait(timeout + 0.1)
+            done.wait(timeout + GATHER_GRACE_S)
         return [*answers]
--- a/tests/transport/test_peer_connection.py
+++ b/tests/transport/test_peer_connection.py
@@ -79,7 +79,7 @@
                     found += [(n, job.get()) for n, job in enumerate(jobs, at)]
                 for number, got in found:
                     self.assertIn(got, (number, ConnectionClosed))
-                self.assertEqual(link.waiting, {})
+                self.assertEqual(link.pending, {})
                 numbers = [number for number, _, _ in pilot.asked]
                 self.assertEqual(len(numbers), len({*numbers}))  # each went out once
         finally:
@@ -120,7 +120,7 @@
             [self.ask(link, "first", 0.02), self.ask(link, "second")], [ConnectionClosed, "second"]
         )
         self.assertEqual(self.ask(link, "third"), "third")
-        self.assertEqual(link.meter.kinds["late reply"][2], 1)
+        self.assertEqual(link.meter.kinds["late reply"].received_messages, 1)
         link.close()
 
     def test_an_answer_stands_whatever_comes_behind_it(self):
@@ -145,7 +145,7 @@
             self.peer_pool(),
         )
         with (
-            mock.patch("flintreach.transport.peer_connection.MOST", 4000),
+            mock.patch("flintreach.transport.peer_connection.MAX_MESSAGE_BYTES", 4000),
             gevent.Timeout(2),
             mock.patch.object(gevent.get_hub(), "handle_error"),
         ):
@@ -160,7 +160,7 @@
     def test_a_message_that_is_too_long_fails_where_it_is_sent(self):
         peer, mine = self.peer_pool(good=lambda link, body: 1), self.peer_pool()
         at = peer.server.address
-        with mock.patch("flintreach.transport.peer_connection.MOST", 4000), gevent.Timeout(2):
+        with mock.patch("flintreach.transport.peer_connection.MAX_MESSAGE_BYTES", 4000), gevent.Timeout(2):
             self.assertEqual(mine.ask(at, "good"), 1)
             link = mine.links[at]
             self.assertIsNone(mine.ask(at, "good", b"x" * 4000, 30.0))
@@ -185,21 +185,21 @@
 
     def test_a_peer_that_does_not_read_can_not_hold_memory_without_end(self):
         link, sent = dial(self.pilot("stops reading").address, {}), 0
-        with mock.patch("flintreach.transport.peer_connection.QUEUED", 1 << 20), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.MAX_QUEUED_BYTES", 1 << 20), gevent.Timeout(5):
             job = gevent.spawn(self.ask, link, "held", 30.0)
             gevent.sleep(0)
             while link.send("news", b"x" * 65536):
                 sent += 1
                 gevent.sleep(0)
             self.assertIs(job.get(), ConnectionClosed)
-        self.assertTrue(link.closed and not link.out and not link.waiting)
+        self.assertTrue(link.closed and not link.outgoing and not link.pending)
         self.assertEqual(link.meter.faults, {"peer does not read": 1})
 
     def test_a_peer_that_asks_without_end_is_told_no(self):
         gate = Event()
         peer = self.peer_pool(hold=lambda link, body: gate.wait())
         link = dial(peer.server.address, {})
-        with mock.patch("flintreach.transport.peer_connection.HANDLED", 5), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.MAX_RUNNING_HANDLERS", 5), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0, "hold") for n in range(9)]
             gevent.joinall(jobs, count=4)
             self.assertEqual([job.value for job in jobs], [None] * 5 + [ConnectionClosed] * 4)
@@ -209,7 +209,7 @@
 
     def test_questions_without_an_answer_are_bounded(self):
         link = dial(self.pilot("stops reading").address, {})
-        with mock.patch("flintreach.transport.peer_connection.WAITING", 3), gevent.Timeout(5):
+        with mock.patch("flintreach.transport.peer_connection.MAX_PENDING_QUESTIONS", 3), gevent.Timeout(5):
             jobs = [gevent.spawn(self.ask, link, n, 30.0) for n in range(5)]
             gevent.joinall(jobs, count=2)
             self.assertEqual([job.value for job in jobs], [None] * 3 + [ConnectionClosed] * 2)
@@ -221,7 +221,7 @@
         with self.assertRaises(gevent.Timeout):
             with gevent.Timeout(0.02):
                 mine.ask(at, "k", None, 30.0)
-        self.assertEqual(mine.links[at].waiting, {})
+        self.assertEqual(mine.links[at].pending, {})
 
     def test_one_time_limit_holds_for_the_link_and_the_answer(self):
         mine, now = self.peer_pool(), [100.0]
