--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from flintreach.dissemination.versioned_store import MOST_ROWS, STALE_BOARD
+from flintreach.dissemination.versioned_store import MAX_PORTION_ROWS, SNAPSHOT_AFTER_S
 from flintreach.endpoints.registry import (
     ENDS,
     GONE,
@@ -157,10 +157,10 @@
         if not self.plane.register.votes() or not self.complete:
             return None
         now = self.runtime.now_ns()
-        ids = sorted(id for id in self.registry.records if id > after)[:MOST_ROWS]
+        ids = sorted(id for id in self.registry.records if id > after)[:MAX_PORTION_ROWS]
         return [
             [self.registry.records[id].row(now) for id in ids],
-            ids[-1] if len(ids) == MOST_ROWS else "",
+            ids[-1] if len(ids) == MAX_PORTION_ROWS else "",
             self.plane.news_age() <= ALONE_S,
         ]
 
@@ -243,7 +243,7 @@
         now = self.runtime.now_ns()
         if deaf > ALONE_S:
             self.blind = True  # beats went elsewhere, or lie unread: its silence is not theirs
-            self.behind |= self.plane.serving and deaf > STALE_BOARD
+            self.behind |= self.plane.serving and deaf > SNAPSHOT_AFTER_S
         elif self.behind:
             # Others may have forgotten tombstones that it never saw: it starts anew, from their books.
             if self.collect():
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -89,7 +89,7 @@
             keys[place] = keys.get(place, 0.0) + (high - low + 1) / KEYS
         found = target(set.union(*homes), keys, berths)
         links = [
-            float(m.posts.get("mbps", 0))
+            float(m.listen_addresses.get("mbps", 0))
             for m in self.plane.member_list.alive("bothy")
             if m.region == found and m.ready
         ]
@@ -149,7 +149,7 @@
             self.runtime.sleep(PLACE_S)
             body, routes = self.load_aggregate.take(), self.plane.routes
             first = leader(self.plane.member_list.alive(ROLE))
-            if first is not self.plane.member_list.me:
+            if first is not self.plane.member_list.local_member:
                 if body and first is not None:
                     self.runtime.spawn(self.plane.peer_pool.ask, first.address, "counts", body, 0.8)
                 continue
@@ -249,4 +249,4 @@
         for near in (own, [m for m in fronts if m.region == region], fronts):
             if len(near) >= 2:
                 break
-        return [m.posts["front"] for m in near][:64]
+        return [m.listen_addresses["front"] for m in near][:64]
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -1,7 +1,7 @@
 """News among the refuges: each follows the boards of all others, and asks them for marks (see `contact`)."""
 
 from flintreach.controller.quorum_contact import KEYS
-from flintreach.dissemination.relay import ASK_S, MARK, Subscription
+from flintreach.dissemination.relay import ASK_TIMEOUT_S, FRESHNESS_POLL_S, Subscription
 from flintreach.transport.peer_connection import ConnectionClosed
 
 LOOK_S = 0.3  # seconds between looks for refuges
@@ -32,8 +32,8 @@
             while True:
                 # On the link that brings the news: one on which nothing comes any more is noticed by this.
                 asked = self.runtime.now()
-                self.marked(address, asked, follow.link.ask("accepted", None, ASK_S))
-                self.runtime.sleep(MARK)
+                self.marked(address, asked, follow.link.ask("accepted", None, ASK_TIMEOUT_S))
+                self.runtime.sleep(FRESHNESS_POLL_S)
         except (OSError, ConnectionClosed, TypeError, ValueError):
             self.runtime.sleep(LOOK_S if self.plane.news_age() < 1.0 else LOOK_S / 3)
         finally:
--- a/flintreach/endpoints/registry.py
+++ b/flintreach/endpoints/registry.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from flintreach.dissemination.versioned_store import HORIZON
+from flintreach.dissemination.versioned_store import TOMBSTONE_HORIZON_S
 
 MS, SECOND = 1_000_000, 1_000_000_000
 READY, CLOSING, SILENT, GONE = "ready", "closing", "silent", "gone"
@@ -209,7 +209,7 @@
     def join(self, found: EndpointRecord, now: int) -> None:
         """What a disk or another refuge knows; of each field the later word stands."""
         held = self.records.get(found.id)
-        if held is None and found.state == GONE and now - found.over_at >= HORIZON * SECOND:
+        if held is None and found.state == GONE and now - found.over_at >= TOMBSTONE_HORIZON_S * SECOND:
             return  # others are about to forget it
         if held is None:
             self.records[found.id] = found
@@ -243,7 +243,7 @@
         for record in [*self.records.values()]:
             quiet = 0 if record.heard is None else now - record.heard
             if record.state == GONE:
-                if now - record.over_at >= HORIZON * SECOND:
+                if now - record.over_at >= TOMBSTONE_HORIZON_S * SECOND:
                     self.forget(record.id)
             elif quiet > LOST_BEATS * self.report:
                 self.judge(record, LOST, now)
--- a/flintreach/membership/failure_detector.py
+++ b/flintreach/membership/failure_detector.py
@@ -1,80 +1,140 @@
-"""The roster on a socket: datagrams in, datagrams out, joining by seeds that may be old or down."""
+"""The member list on a UDP socket: datagrams in, datagrams out, joining by seeds that may be old or down."""
+
+from collections.abc import Callable, Iterable
+from typing import Any
 
 import msgspec
 from gevent import socket
 
-from flintreach.membership.member_list import MS, Member, MemberList
-from flintreach.transport.runtime import Runtime
+from flintreach.membership.member_list import (
+    MS,
+    PING,
+    ROLE_CONTROLLER,
+    Address,
+    Datagrams,
+    Member,
+    MemberList,
+)
+from flintreach.transport.runtime import Runtime, RuntimeInterface
+
+MAX_DATAGRAM_BYTES = 65536
+TICK_MS = 100
+JOIN_PERIOD_ALONE_MS = 100
+JOIN_PERIOD_MS = 3000
+TOLD_AT_ONCE = 6  # members that hear of a change of this process without waiting for a probe
 
-PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
+encode = msgspec.msgpack.encode
+decode = msgspec.msgpack.decode
 
 
 class FailureDetector:
-    """`seeds()`: addresses to join by, asked anew each time: the settings file may change."""
+    """Runs a member list, and tells watchers when it changed.
+
+    Attributes:
+        member_list: what is believed of all processes.
+        watchers: called without arguments after changes of the list.
+    """
+
+    def __init__(
+        self,
+        local_member: Member,
+        seeds: Callable[[], Iterable[Address]],
+        tick_ms: int = TICK_MS,
+        runtime: RuntimeInterface | None = None,
+    ) -> None:
+        """Open the socket; `start` begins to use it.
 
-    def __init__(self, me: Member, seeds, tick_ms: int = 100, runtime: Runtime | None = None):
+        Args:
+            local_member: this process.
+            seeds: gives addresses to join by; asked anew each time, as the settings file may change.
+            tick_ms: milliseconds between ticks of the member list.
+            runtime: clock, tasks and chance; by default those of gevent.
+        """
         self.runtime = runtime or Runtime()
-        self.member_list = MemberList(me, self.runtime.chance.randrange, self.runtime.now_ns())
-        self.seeds, self.tick_ms, self.watchers = seeds, tick_ms, []
-        self.seen = -1
+        self.member_list = MemberList(local_member, self.runtime.chance.randrange, self.runtime.now_ns())
+        self.seeds = seeds
+        self.tick_ms = tick_ms
+        self.watchers: list[Callable[[], None]] = []
+        self.notified_version = -1
         self.open()
 
     def open(self) -> None:
+        """Bind the socket to this process's address.  Raises OSError."""
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.bind(self.member_list.me.address)
+        self.sock.bind(self.member_list.local_member.address)
 
     def start(self) -> None:
+        """Begin to receive and to probe."""
         self.runtime.spawn(self.listen)
         self.runtime.spawn(self.run)
 
-    def say(self, data: bytes, address: tuple[str, int]) -> None:
+    def send_datagram(self, data: bytes, address: Address) -> None:
+        """Send one datagram, if that is possible now."""
         try:
             self.sock.sendto(data, address)
         except OSError:  # a full link drops datagrams; the next period asks again
             pass
 
-    def send(self, out) -> None:
-        for address, message in out:
-            self.say(PACK(message), tuple(address))
+    def send(self, datagrams: Datagrams) -> None:
+        """Send messages of the member list."""
+        for address, message in datagrams:
+            self.send_datagram(encode(message), tuple(address))
 
     def listen(self) -> None:
+        """Receive datagrams, for ever."""
         while True:
             try:
-                data, source = self.sock.recvfrom(65536)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 continue
-            self.heard(data, source)
+            self.on_datagram(data, source)
 
-    def heard(self, data: bytes, source: tuple[str, int]) -> None:
-        """One datagram, whatever it holds."""
+    def on_datagram(self, data: bytes, source: Address) -> None:
+        """Take one datagram, whatever it holds."""
         try:
-            self.send(self.member_list.hear(source, UNPACK(data), self.runtime.now_ns()))
+            self.send(self.member_list.receive(source, decode(data), self.runtime.now_ns()))
         except (msgspec.DecodeError, TypeError, ValueError):
             return
-        self.tell()
+        self.notify()
 
     def run(self) -> None:
-        joined_at: int | None = None
+        """Join, probe and notify at each tick, for ever."""
+        joined_ns: int | None = None
         while True:
             now = self.runtime.now_ns()
-            alone = len(self.member_list.alive("refuge")) - (self.member_list.me.role == "refuge") < 1
-            # Alone a pilot asks often; later now and then, so that two halves with other seeds meet.
-            if joined_at is None or now >= joined_at + (100 if alone else 3000) * MS:
-                joined_at = now
+            # Alone a process asks often; later now and then, so that two halves with other seeds meet.
+            period_ms = JOIN_PERIOD_ALONE_MS if self._knows_no_other_controller() else JOIN_PERIOD_MS
+            if joined_ns is None or now >= joined_ns + period_ms * MS:
+                joined_ns = now
                 self.send(self.member_list.join(self.seeds()))
             self.send(self.member_list.tick(now))
-            self.tell()
+            self.notify()
             self.runtime.sleep(self.tick_ms / 1000)
 
-    def tell(self) -> None:
-        if self.member_list.version != self.seen:
-            self.seen = self.member_list.version
-            for watcher in self.watchers:
-                watcher()
-
-    def change(self, **changes) -> None:
-        """Tell others something new of this process, at once to a few of them."""
-        self.member_list.tell_of_me(self.runtime.now_ns(), **changes)
-        others = [m for m in self.member_list.alive() if m is not self.member_list.me]
-        for member in sorted(others, key=lambda m: (m.role != "refuge", self.runtime.chance.random()))[:6]:
-            self.send([(member.address, self.member_list.message("ping", 0))])
+    def _knows_no_other_controller(self) -> bool:
+        """Whether no controller but this process is believed alive."""
+        controllers = len(self.member_list.alive(ROLE_CONTROLLER))
+        if self.member_list.local_member.role == ROLE_CONTROLLER:
+            controllers -= 1
+        return controllers < 1
+
+    def notify(self) -> None:
+        """Call the watchers if the list has changed since they were called last."""
+        if self.member_list.version == self.notified_version:
+            return
+        self.notified_version = self.member_list.version
+        for watcher in self.watchers:
+            watcher()
+
+    def change(self, **changes: Any) -> None:
+        """Change fields of this process, and send that at once to a few others, controllers first.
+
+        Args:
+            **changes: new values by field of `Member`.
+        """
+        member_list = self.member_list
+        member_list.update_local(self.runtime.now_ns(), **changes)
+        others = [member for member in member_list.alive() if member is not member_list.local_member]
+        others.sort(key=lambda member: (member.role != ROLE_CONTROLLER, self.runtime.chance.random()))
+        for member in others[:TOLD_AT_ONCE]:
+            self.send([(member.address, member_list.message(PING, 0))])
--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -122,7 +122,7 @@
             load = [number(part.strip()) for part in (message.get("x-endpoint-load") or "").split(",")]
             if len(load) == 3 and None not in load:
                 endpoint.hears(load[0], load[1], now)
-                self.load_aggregate.told(endpoint.id, (load[0] + load[1]) / endpoint.berths)
+                self.load_aggregate.reported_load(endpoint.id, (load[0] + load[1]) / endpoint.berths)
         if outcome.kind == ANSWERED:
             endpoint.well()
             if self.view.sharded(service):
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -85,7 +85,7 @@
         controllers = [member for member in known if member.ready] or known
         if not controllers:
             return []
-        found = parents(member_list.me, controllers, member_list.alive(ROLE))
+        found = parents(member_list.local_member, controllers, member_list.alive(ROLE))
         return [member.address for member in found]
 
     def recount(self) -> None:
@@ -110,7 +110,7 @@
         while True:
             gevent.sleep(TALLY_S)
             if body := self.load_aggregate.take():
-                self.relay.say_up(body)
+                self.relay.send_up(body)
 
     def prune(self) -> None:
         while True:
--- a/flintreach/simulation/engine.py
+++ b/flintreach/simulation/engine.py
@@ -577,13 +577,13 @@
         super().__init__(me, seeds, runtime=process.runtime)
 
     def open(self) -> None:
-        port = self.member_list.me.port
-        self.process.on_datagram = lambda data, machine: self.heard(data, (machine.ip, port))
+        port = self.member_list.local_member.port
+        self.process.on_datagram = lambda data, machine: self.on_datagram(data, (machine.ip, port))
 
     def start(self) -> None:
         self.runtime.spawn(self.run)
 
-    def say(self, data: bytes, address) -> None:
+    def send_datagram(self, data: bytes, address) -> None:
         if self.process.alive:
             self.process.machine.network.datagram(self.process.machine, address, data)
 
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -175,7 +175,7 @@
         known = member_list.alive(ROLE)
         controllers = [member for member in known if member.ready] or known
         return (
-            [m.address for m in parents(member_list.me, controllers, member_list.alive(PROXY))]
+            [m.address for m in parents(member_list.local_member, controllers, member_list.alive(PROXY))]
             if controllers
             else []
         )
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -18,8 +18,8 @@
 from flintreach.dissemination.relay import Relay, Subscription
 from flintreach.dissemination.versioned_store import (
     BUCKETS,
-    MOST_BYTES,
-    STALE_BOARD,
+    MAX_PORTION_BYTES,
+    SNAPSHOT_AFTER_S,
     VersionedStore,
 )
 from flintreach.endpoints.registry import (
@@ -421,7 +421,7 @@
         self.assertEqual(len(fresh.registry.records), 1300)
         self.assertEqual(len(fresh.store.huts), 1300)
         size = max(len(PACK(net[0].endpoints.on_book(None, [1, after]))) for after in ("", "i-5"))
-        self.assertLess(size, MOST_BYTES)
+        self.assertLess(size, MAX_PORTION_BYTES)
 
     def test_what_only_an_old_disk_holds_is_not_told_as_alive(self):
         net = Net()
@@ -439,7 +439,7 @@
         net = Net()
         net[0].call("e", 1)
         net.part(2)
-        net[2].deaf = STALE_BOARD + 1
+        net[2].deaf = SNAPSHOT_AFTER_S + 1
         net[0].endpoints.leave("e")
         net[2].endpoints.turn(net[2].deaf)
         self.assertTrue(net[2].endpoints.behind)
@@ -603,7 +603,7 @@
                                     len(r.registry.claims),
                                     len(r.store.huts),
                                     len(r.endpoints.on_disk),
-                                    len(r.updates.told_at),
+                                    len(r.updates.tombstoned_at),
                                 ]
                                 for r in net
                             )
--- a/tests/controller/test_fuzz.py
+++ b/tests/controller/test_fuzz.py
@@ -44,13 +44,13 @@
         )
     )
     def test_a_datagram_of_any_shape_leaves_the_roster_standing(self, message):
-        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
+        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", incarnation=5), lambda n: 0)
         try:
-            member_list.hear(("10.0.0.2", 7), msgspec.msgpack.decode(msgspec.msgpack.encode(message)), 0)
+            member_list.receive(("10.0.0.2", 7), msgspec.msgpack.decode(msgspec.msgpack.encode(message)), 0)
         except (TypeError, ValueError, OverflowError):  # what the socket's loop passes over
             pass
         self.assertIn("a", member_list.members)
-        self.assertEqual(member_list.me.name, "a")
+        self.assertEqual(member_list.local_member.name, "a")
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -257,7 +257,7 @@
         self.control = ControlApi(Plane(operator_requests=orders), CALLS)
 
     def test_a_body_that_links_would_not_carry_is_told_by_its_length_and_left_unread(self):
-        self.assertLessEqual(2 * LARGE, peer_connection.MOST)
+        self.assertLessEqual(2 * LARGE, peer_connection.MAX_MESSAGE_BYTES)
         for path, most in (
             ("/v1/timetable/put", LARGE),
             ("/v1/endpoints/e/check-in", SMALL),
@@ -842,7 +842,7 @@
         node.peer_exchange.follow(PEERS[0])
         self.assertEqual((closed, node.peer_exchange.followed), ([True], set()))
         self.assertAlmostEqual(
-            node.quorum_contact.asked[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking"
+            node.quorum_contact.asked[PEERS[0]], 100.8 + relay.FRESHNESS_POLL_S, msg="the last one's asking"
         )
         self.assertGreater(world.now, 102.4)
 
@@ -945,21 +945,23 @@
     def test_a_process_that_starts_again_after_its_time_of_day_went_back_is_believed(self):
         """Its life comes from the time of day, so it is lower than what the others know of the one before."""
         for state in (ALIVE, SUSPECTED, DEAD, LEFT_):
-            member = lambda name, ip, life: Member(name, "refuge", ip, 7, "z", "r", life=life)  # noqa: E731
+            member = lambda name, ip, life: Member(name, "refuge", ip, 7, "z", "r", incarnation=life)  # noqa: E731
             others = MemberList(member("b", "10.0.0.2", 5), lambda n: 0)
             before = member("a", "10.0.0.1", 9000)
-            others.take([before.row()], 0)  # of one that nobody knew a death is no news
+            others.merge([before.row()], 0)  # of one that nobody knew a death is no news
             before.state, before.ready = state, True
-            others.take([before.row()], 0)
+            others.merge([before.row()], 0)
             self.assertEqual(others.members["a"].state, state)
             again = MemberList(member("a", "10.0.0.1", 4), lambda n: 0)
             mail = again.join([("10.0.0.2", 7)])
             for _ in range(4):
-                back = [m for _, message in mail for m in others.hear(("10.0.0.1", 7), message, 1)]
-                mail = [m for _, message in back for m in again.hear(("10.0.0.2", 7), message, 1)]
+                back = [m for _, message in mail for m in others.receive(("10.0.0.1", 7), message, 1)]
+                mail = [m for _, message in back for m in again.receive(("10.0.0.2", 7), message, 1)]
                 mail += [(("10.0.0.2", 7), again.message("ping", 1))]
             found = others.members["a"]
-            self.assertEqual((found.state, found.ready, found.life > 9000), (ALIVE, False, True), state)
+            self.assertEqual(
+                (found.state, found.ready, found.incarnation > 9000), (ALIVE, False, True), state
+            )
 
 
 if __name__ == "__main__":
--- a/tests/dissemination/test_relay.py
+++ b/tests/dissemination/test_relay.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from flintreach.config.settings import TimingBounds
-from flintreach.dissemination.relay import MARK, STALE, Relay, Subscription
+from flintreach.dissemination.relay import FRESHNESS_POLL_S, STALE_AFTER_S, Relay, Subscription
 from flintreach.dissemination.versioned_store import (
     BUCKETS,
-    HORIZON,
-    MOST_BYTES,
-    MOST_ROWS,
-    STALE_BOARD,
+    MAX_PORTION_BYTES,
+    MAX_PORTION_ROWS,
+    SNAPSHOT_AFTER_S,
+    TOMBSTONE_HORIZON_S,
     VersionedStore,
 )
 from flintreach.proxy.choice import Here
@@ -110,7 +110,7 @@
     def test_a_snapshot_comes_in_portions_and_counts_as_fresh_after_the_last(self):
         for number in range(6000):
             self.parent.offer(f"hut/i-{number}", [number, 0], hut())
-        self.parent.offer("timetable", 7, b"x" * 3 * MOST_BYTES)
+        self.parent.offer("timetable", 7, b"x" * 3 * MAX_PORTION_BYTES)
         rows = []
 
         def take(portion):
@@ -121,12 +121,14 @@
         follow.begin()
         self.assertEqual(self.child.entries, self.parent.entries)
         self.assertGreater(len(rows), 12)
-        self.assertLessEqual(max(count for count, _ in rows), MOST_ROWS)
+        self.assertLessEqual(max(count for count, _ in rows), MAX_PORTION_ROWS)
         self.assertEqual({fresh for _, fresh in rows}, {rows[0][1]}, "a part of it was taken for fresh news")
         self.assertEqual(follow.fresh_at, self.clock.at)
         sizes = self.clock.links[-1].sizes
-        self.assertLessEqual(sorted(sizes)[-2], MOST_BYTES + 1024)
-        self.assertLess(sorted(sizes)[-1], 3 * MOST_BYTES + 1024)  # one parcel that is larger goes alone
+        self.assertLessEqual(sorted(sizes)[-2], MAX_PORTION_BYTES + 1024)
+        self.assertLess(
+            sorted(sizes)[-1], 3 * MAX_PORTION_BYTES + 1024
+        )  # one parcel that is larger goes alone
 
     def test_equal_boards_find_it_by_a_digest_of_one_size(self):
         for number in range(3000):
@@ -159,20 +161,20 @@
     def test_an_answer_that_lay_in_a_buffer_while_the_process_slept_is_not_fresh(self):
         follow, link = self.follow()
         link.slow = 30.0
-        follow.mark()
+        follow.check_freshness()
         self.assertEqual(self.clock.at - follow.fresh_at, 30.0)
-        self.assertTrue(follow.stale())
+        self.assertTrue(follow.is_stale())
 
     def test_a_link_that_is_cut_one_way_is_noticed_in_time(self):
         follow, link = self.follow()
         for _ in range(8):
-            self.clock.at += MARK
-            follow.mark()
+            self.clock.at += FRESHNESS_POLL_S
+            follow.check_freshness()
         link.cut, heard = True, follow.fresh_at
-        self.clock.at += MARK
+        self.clock.at += FRESHNESS_POLL_S
         with self.assertRaises(ConnectionClosed):
-            follow.mark()
-        self.assertLessEqual(self.clock.at - heard, STALE + 1e-6)
+            follow.check_freshness()
+        self.assertLessEqual(self.clock.at - heard, STALE_AFTER_S + 1e-6)
 
     def test_what_is_new_is_pushed_until_the_link_ends(self):
         self.parent.offer("hut/a", [1, 0, 0], hut())
@@ -191,7 +193,7 @@
         follow = Subscription(self.clock, self.child, "parent")
         self.parent.offer("hut/a", [1, 0], hut())
         self.clock.dial = dialling(self.clock.dial, age=1.5)
-        self.assertFalse(follow.begin(oldest=STALE))
+        self.assertFalse(follow.begin(max_age_s=STALE_AFTER_S))
         self.assertFalse(self.child.entries)
 
 
@@ -211,7 +213,7 @@
         self.a.offer("hut/e", [1, 0], hut())
         self.spread(self.a, self.b)
         self.a.offer("hut/e", [2, 0], hut("gone"))
-        self.clock.at += HORIZON - 1
+        self.clock.at += TOMBSTONE_HORIZON_S - 1
         self.spread(self.a, self.b)  # b learns of it a second before its end
         self.assertEqual(self.b.get("hut/e")["state"], "gone")
         self.assertFalse(self.b.offer("hut/e", [1, 0], hut()))  # an older parcel is warded off
@@ -224,7 +226,7 @@
     def test_one_that_was_forgotten_does_not_come_back_from_who_still_holds_it(self):
         self.a.offer("hut/e", [1, 2], hut("gone"))
         self.spread(self.a, self.b)
-        self.clock.at += HORIZON + 1
+        self.clock.at += TOMBSTONE_HORIZON_S + 1
         self.a.expire()
         self.spread(self.b, self.a)
         self.assertFalse(self.a.entries)
@@ -239,10 +241,10 @@
         dropped = []
         self.b.droppers.append(dropped.append)
         self.a.offer("hut/old", [1, 2], hut("gone"))
-        self.clock.at += HORIZON + STALE_BOARD
+        self.clock.at += TOMBSTONE_HORIZON_S + SNAPSHOT_AFTER_S
         self.a.expire()
         self.a.offer("hut/new", [1, 0], hut())
-        self.spread(self.a, self.b, renew=True)
+        self.spread(self.a, self.b, take_snapshot=True)
         self.assertEqual(sorted(self.b.entries), ["hut/both", "hut/new", "timetable"])
         self.assertEqual(self.b.get("hut/both")["state"], "closing", "what is held never goes back")
         self.assertEqual(dropped, ["hut/old"])
@@ -264,7 +266,7 @@
         self.clock.dial = busy
         self.b.offer("hut/y", [1, 0], hut())  # told to the board before, by another parent
         self.b.offer("hut/z", [1, 0], hut())
-        self.spread(self.a, self.b, renew=True)
+        self.spread(self.a, self.b, take_snapshot=True)
         self.assertEqual(sorted(self.b.entries), ["hut/a", "hut/x", "hut/y"])
         self.assertEqual(self.b.watchers, [self.clock.relays["b"].spread])
 
--- a/tests/dissemination/test_relay_tree.py
+++ b/tests/dissemination/test_relay_tree.py
@@ -32,7 +32,7 @@
         low.key("k", 7)
         low.answer("k", 900)
         top.key("k", 7, 2)
-        low.told("e", 0.5)
+        low.reported_load("e", 0.5)
         top.request("s")
         top.add(low.take())
         self.assertEqual(
--- a/tests/membership/test_member_list.py
+++ b/tests/membership/test_member_list.py
@@ -6,8 +6,16 @@
 
 import msgspec
 
-from flintreach.dissemination.relay_tree import BORNE, FAN, parents
-from flintreach.membership.member_list import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, MemberList, bucket
+from flintreach.dissemination.relay_tree import CONTROLLER_FANOUT, FANOUT, parents
+from flintreach.membership.member_list import (
+    ALIVE,
+    DEAD,
+    DIGEST_BUCKETS,
+    SUSPECTED,
+    Member,
+    MemberList,
+    digest_bucket,
+)
 from flintreach.proxy.choice import (
     SECOND,
 )
@@ -21,14 +29,14 @@
         draw = random.Random(seed)
         names = [f"n{i}" for i in range(size)]
         nodes = {
-            name: MemberList(Member(name, "bothy", f"10.0.0.{i}", 7, "z", "r", life=1), draw.randrange)
+            name: MemberList(Member(name, "bothy", f"10.0.0.{i}", 7, "z", "r", incarnation=1), draw.randrange)
             for i, name in enumerate(names)
         }
-        by = {member_list.me.address: name for name, member_list in nodes.items()}
+        by = {member_list.local_member.address: name for name, member_list in nodes.items()}
         mail = [
             (to, name, message)
             for name, member_list in nodes.items()
-            for to, message in member_list.join([nodes["n0"].me.address])
+            for to, message in member_list.join([nodes["n0"].local_member.address])
         ]
         for at in range(0, until, 100):
             dead = {name for name, since in down if at >= since}
@@ -38,7 +46,7 @@
                 if target not in dead and name not in dead:
                     mail += [
                         (out, target, m)
-                        for out, m in nodes[target].hear(nodes[name].me.address, message, now)
+                        for out, m in nodes[target].receive(nodes[name].local_member.address, message, now)
                     ]
             for name, member_list in nodes.items():
                 if name not in dead:
@@ -53,23 +61,25 @@
                 self.assertEqual(states, {"n0": 0, "n1": 0, "n2": 0, "n3": DEAD, "n4": 0}, name)
 
     def test_one_that_is_suspected_contradicts(self):
-        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
-        member_list.take([["a", "bothy", "10.0.0.1", 7, "z", "r", {}, False, False, 5, SUSPECTED]], 0)
-        self.assertEqual((member_list.me.life, member_list.me.state), (6, ALIVE))
-
-    def known(self, name, others, life=1):
-        member_list = MemberList(Member(name, "bothy", f"ip-{name}", 7, "z", "r", life=life), lambda n: 0)
-        member_list.take(
-            [Member(other, "bothy", f"ip-{other}", 7, "z", "r", life=1).row() for other in others], 0
+        member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", incarnation=5), lambda n: 0)
+        member_list.merge([["a", "bothy", "10.0.0.1", 7, "z", "r", {}, False, False, 5, SUSPECTED]], 0)
+        self.assertEqual((member_list.local_member.incarnation, member_list.local_member.state), (6, ALIVE))
+
+    def known(self, name, others, incarnation=1):
+        member_list = MemberList(
+            Member(name, "bothy", f"ip-{name}", 7, "z", "r", incarnation=incarnation), lambda n: 0
+        )
+        member_list.merge(
+            [Member(other, "bothy", f"ip-{other}", 7, "z", "r", incarnation=1).row() for other in others], 0
         )
         return member_list
 
     def asked(self, one, other, now=0):
         """Rows that one pilot is told by another when it joins there."""
-        ((_, message),) = one.join([other.me.address])
-        answers = other.hear(one.me.address, UNPACK(PACK(message)), now)
+        ((_, message),) = one.join([other.local_member.address])
+        answers = other.receive(one.local_member.address, UNPACK(PACK(message)), now)
         for _, answer in answers:
-            one.hear(other.me.address, answer, now)
+            one.receive(other.local_member.address, answer, now)
         return [row for _, answer in answers for row in answer[3]]
 
     def test_who_believes_the_same_is_told_nothing_and_else_what_differs(self):
@@ -77,12 +87,12 @@
         names = [f"m{number:03}" for number in range(200)]
         one, other = self.known("m000", names), self.known("m001", names)
         self.assertEqual(self.asked(one, other), [])
-        self.assertEqual(len(one.join([other.me.address])[0][1][-1]), 8 * BUCKETS)
+        self.assertEqual(len(one.join([other.local_member.address])[0][1][-1]), 8 * DIGEST_BUCKETS)
         gone = other.members["m077"]
         gone.state = DEAD
-        other.news("m077", 1)
+        other.note_change("m077", 1)
         told = self.asked(one, other)
-        self.assertEqual({bucket(row[0]) for row in told}, {bucket("m077")})
+        self.assertEqual({digest_bucket(row[0]) for row in told}, {digest_bucket("m077")})
         self.assertLess(len(told), 20)
         self.assertEqual(one.members["m077"].state, DEAD)
         self.assertEqual(self.asked(one, other), [])
@@ -90,20 +100,20 @@
         self.assertGreaterEqual(len(self.asked(fresh, other)), 199)
         self.assertEqual({*fresh.members} - {"m777"}, {*names} - {"m077"})
         with self.assertRaises(ValueError):
-            other.crowd(b"short")
+            other.differing_rows(b"short")
 
     def test_the_dead_are_forgotten_though_others_still_tell_of_them(self):
         """Each forgets at a time of its own: told back and forth they would stand for ever."""
         one, other = self.known("a", ["b", "x"]), self.known("b", ["a", "x"])
         for member_list, at in ((one, 0), (other, 60)):
             member_list.members["x"].state = DEAD
-            member_list.news("x", at * SECOND)
+            member_list.note_change("x", at * SECOND)
         for second in range(0, 300, 3):
             for member_list in (one, other):
-                member_list.changed.update(a=0, b=0)
+                member_list.changed_ns.update(a=0, b=0)
                 member_list.tick(second * SECOND)
-            one.take(UNPACK(PACK([m.row() for m in other.members.values()])), second * SECOND)
-            other.take(UNPACK(PACK([m.row() for m in one.members.values()])), second * SECOND)
+            one.merge(UNPACK(PACK([m.row() for m in other.members.values()])), second * SECOND)
+            other.merge(UNPACK(PACK([m.row() for m in one.members.values()])), second * SECOND)
             self.asked(one, other, second * SECOND)
             self.asked(other, one, second * SECOND)
         self.assertNotIn("x", {**one.members, **other.members})
@@ -124,7 +134,7 @@
             children = Counter(parent for names in known.values() for parent in names)
             self.assertLessEqual(
                 max(count for name, count in children.items() if name[0] == "f") if not direct else 0,
-                2 * FAN + 2,
+                2 * FANOUT + 2,
             )
             self.assertEqual(all(name[0] == "r" for names in known.values() for name in names), direct)
             for m in all_fronts:  # relays stand before those that hear from them: nothing goes round
@@ -132,7 +142,7 @@
                 self.assertTrue(all(name[0] == "r" or name < m.name for name in known[m.name]))
             self.assertLessEqual(
                 sum(count for name, count in children.items() if name[0] == "r"),
-                BORNE * len(controllers) + 2 * 4,
+                CONTROLLER_FANOUT * len(controllers) + 2 * 4,
             )
 
     def test_no_single_loss_takes_the_news_from_a_pilot(self):
