--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -1,7 +1,7 @@
-"""The control plane of one refuge: register, endpoints, orders, news and keys, without sockets of its own.
+"""The control plane of one controller, without sockets of its own: it assembles the parts and starts them.
 
-Fed by a program from real links, or by a simulation with a clock and links of its own: all that it takes
-from outside is its `host`, its `bundle` of links, its `store` and the `roster` of the pilots that are known.
+A program feeds it from real connections, a simulation from a clock and connections of its own: all that it
+takes from outside is its pool of peers with their runtime, its store and the list of members.
 """
 
 from collections.abc import Callable
@@ -12,43 +12,79 @@
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
+from flintreach.consensus.store import Store
+from flintreach.controller import views
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.load_placement import LoadPlacement
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.controller.peer_exchange import PeerExchange
-from flintreach.controller.quorum_contact import GAP_S, NEVER, QuorumContact, SuspendDetector
-from flintreach.controller.repair import ROLE, Repair
+from flintreach.controller.quorum_contact import (
+    CONFIGURATION_KEY,
+    EVACUATION_KEY,
+    MAX_CHECK_GAP_S,
+    NEVER,
+    QuorumContact,
+    SuspendDetector,
+)
+from flintreach.controller.repair import Repair
+from flintreach.controller.views import RefusalCount
+from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.endpoints.registry import EndpointRegistry
+from flintreach.membership.member_list import MemberList
+from flintreach.transport.peer_pool import PeerPool
+
+Address = tuple[str, int]
+
+
+def do_nothing() -> None:
+    """Stand in for a callback that nobody wants."""
 
 
 class ControlPlane:
-    """`roster`: who is known, with `alive(role)`; `seeds()`: addresses to join by, as settings name them now;
-    `on_begin()`: called once, when callers may be answered."""
+    """The parts of one controller, and what they share.
+
+    Attributes:
+        serving: whether callers may be answered: the start is over.
+        updates: what this controller disseminates.
+        routes: those of the configuration that stands; None before there is one.
+        refusals: calls that were not confirmed, by reason.
+    """
 
     def __init__(
         self,
         node: ProcessSettings,
-        peer_pool,
-        store,
-        member_list,
-        seeds: Callable[[], list],
-        on_begin: Callable[[], None] = lambda: None,
-    ):
-        self.node, self.peer_pool, self.runtime, self.store, self.member_list = (
-            node,
-            peer_pool,
-            peer_pool.runtime,
-            store,
-            member_list,
-        )
-        self.seeds, self.on_begin = seeds, on_begin
+        peer_pool: PeerPool,
+        store: Store | None,
+        member_list: MemberList,
+        seeds: Callable[[], list[Address]],
+        on_begin: Callable[[], None] = do_nothing,
+    ) -> None:
+        """Assemble the parts; nothing runs before `start`.
+
+        Args:
+            node: settings of this process.
+            peer_pool: connections to the peers, and the runtime.
+            store: this process's disk; None where it has none.
+            member_list: the processes that are known.
+            seeds: returns the addresses to join by, as the settings name them now.
+            on_begin: called once, when callers may be answered.
+        """
+        self.node = node
+        self.peer_pool = peer_pool
+        self.runtime = peer_pool.runtime
+        self.store = store
+        self.member_list = member_list
+        self.seeds = seeds
+        self.on_begin = on_begin
         self.first_run = node.sender.first_run
         self.updates = VersionedStore(self.runtime.now)
         self.register = Register(peer_pool, Voters.kept(store.facts if store else {}), store)
         self.serving = False
-        self.quorum_contact, self.suspend_detector = QuorumContact(), SuspendDetector(self.runtime.now())
-        self.refusals: dict[str, list] = {}  # reason -> [calls refused, when the last was]
+        self.quorum_contact = QuorumContact()
+        self.suspend_detector = SuspendDetector(self.runtime.now())
+        self.refusals: dict[str, RefusalCount] = {}
         self.routes: Routes | None = None
         self.endpoints = EndpointService(self, node.carrier.report_ms)
         self.operator_requests = OperatorRequests(self)
@@ -56,141 +92,97 @@
         self.peer_exchange = PeerExchange(self)
         self.load_placement = LoadPlacement(self)
         self.relay = Relay(peer_pool, self.updates, None, self.load_placement.hear_tally, self.news_age)
-        self.updates.watchers.append(self.on_parcel)
+        self.updates.watchers.append(self.on_update)
+
+    def start(self) -> None:
+        """Start the loops of all parts."""
+        self.relay.start()
+        for loop in (
+            self.watch_clock,
+            self.repair.sweep,
+            self.peer_exchange.run,
+            self.endpoints.look,
+            self.load_placement.keys,
+            self.load_placement.run,
+        ):
+            self.runtime.spawn(loop)
+
+    def begin(self) -> bool:
+        """Let callers in, once what stands in the register is known here.
+
+        Returns:
+            Whether what a quorum knows of endpoints is known here too; before that nobody may call.
+        """
+        if not self.endpoints.begin():
+            return False
+        self.serving = True
+        self.on_begin()
+        return True
+
+    # Who the others are.
 
     @property
-    def group(self) -> list[tuple[str, int]]:
+    def group(self) -> list[Address]:
+        """Return the addresses of the voters; empty until they are known."""
         return self.register.group
 
     @property
-    def registry(self):
+    def registry(self) -> EndpointRegistry:
+        """Return the registry of endpoints."""
         return self.endpoints.registry
 
-    def peers(self) -> list[tuple[str, int]]:
-        me = self.peer_pool.address
-        found = {m.address for m in self.member_list.alive(ROLE)} | set(self.group)
-        return sorted(found - {me})
+    def peers(self) -> list[Address]:
+        """Return the addresses of the other controllers that are alive or vote."""
+        addresses = {member.address for member in self.member_list.alive(ROLE)} | set(self.group)
+        return sorted(addresses - {self.peer_pool.address})
 
     def forget_left(self) -> None:
-        """Keep no links to refuges that have left: a fleet may change all its machines in time."""
-        known = {member.address for member in self.member_list.members.values()} | {
-            *self.group,
-            *self.seeds(),
-        }
+        """Close connections to controllers that have left: a fleet may change all its machines in time."""
+        known = {member.address for member in self.member_list.members.values()}
+        known |= {*self.group, *self.seeds()}
         for address in sorted(self.peer_pool.locks.keys() - known):
             self.peer_pool.forget(address)
 
+    # How current this controller is.
+
     def contact_age(self) -> float:
-        """Seconds since a time up to which all that was acknowledged is known here."""
+        """Return the seconds since a time up to which all that was acknowledged is known here."""
         return self.quorum_contact.age(self.register.voters, self.runtime.now())
 
     def news_age(self) -> float:
-        """The same for what is told as news; a day before this refuge's start is over, and while it catches
-        up after a long time out of touch."""
-        return NEVER if not self.serving or self.endpoints.behind else self.contact_age()
+        """Return the age of the updates that this controller passes on, in seconds.
 
-    def refused(self, reason: str) -> None:
-        count, _ = self.refusals.get(reason, (0, 0.0))
-        self.refusals[reason] = [count + 1, self.runtime.now()]
+        As `contact_age`; NEVER before its start is over, and while it catches up after a long time out of
+        contact.
+        """
+        if not self.serving or self.endpoints.behind:
+            return NEVER
+        return self.contact_age()
 
-    def watch(self) -> None:
+    def watch_clock(self) -> None:
+        """Check the clock often enough to notice each suspension of this process."""
         while True:
-            self.suspend_detector.look(self.runtime.now())
-            self.runtime.sleep(GAP_S / 4)
+            self.suspend_detector.is_current(self.runtime.now())
+            self.runtime.sleep(MAX_CHECK_GAP_S / 4)
+
+    # What was published or refused.
 
-    def on_parcel(self, key: str, version, value) -> None:
-        if key == "timetable":
+    def on_update(self, key: str, version: object, value: bytes) -> None:
+        """Take a new configuration into force."""
+        if key == CONFIGURATION_KEY:
             self.routes = Routes(msgspec.json.decode(value, type=Configuration))
 
     def away(self) -> set[str]:
-        """Zones that are evacuated."""
-        return {zone for zone, on in (self.updates.get("evac") or {}).items() if on}
-
-    def begin(self) -> bool:
-        """What stands in the register is known.  Whether that of endpoints is too: then others may call."""
-        if not self.endpoints.begin():
-            return False
-        self.serving = True
-        self.on_begin()
-        return True
-
-    def start(self) -> None:
-        self.relay.start()
-        for loop in (
-            self.watch,
-            self.repair.sweep,
-            self.peer_exchange.run,
-            self.endpoints.look,
-            self.load_placement.keys,
-            self.load_placement.run,
-        ):
-            self.runtime.spawn(loop)
-
-    # What callers may ask (see `control.Control`).
-
-    def show(self, what: str):
-        """Rows of one view, as `flintreach show` prints them; None for a view that there is not."""
-        now = self.runtime.now_ns()
-        if what == "members":
-            return [
-                {
-                    "name": m.name,
-                    "role": m.role,
-                    "zone": m.zone,
-                    "address": f"{m.ip}:{m.port}",
-                    "ready": m.ready,
-                    "state": ("alive", "suspected", "dead", "left")[m.state],
-                }
-                for m in sorted(self.member_list.members.values(), key=lambda m: m.name)
-            ]
-        if what == "endpoints":
-            return [
-                {
-                    "id": r.id,
-                    "line": r.line,
-                    "addr": r.addr,
-                    "zone": r.zone,
-                    "state": r.state,
-                    "berths": r.berths,
-                    "cold_ms": max(0, r.cold_until - now) // 1_000_000,
-                    "heard_ms": None if r.heard is None else (now - r.heard) // 1_000_000,
-                }
-                for r in sorted(self.registry.records.values(), key=lambda r: (r.line, r.id))
-            ]
-        if what == "tables":
-            return [
-                {"slice": name, "endpoints": len(ids), "ids": " ".join(ids)}
-                for name, ids in sorted(self.updates.under("slice/").items())
-            ]
-        if what == "keys":
-            return [
-                {"line": line, "from": low, "to": high, "holder": holder, "state": state}
-                for line, rows in sorted(self.updates.under("bunks/").items())
-                for low, high, holder, state in rows
-            ]
-        if what == "traffic":
-            return self.peer_pool.traffic()
-        if what == "voters":
-            return self.repair.voting.rows()
-        if what == "status":
-            now = self.runtime.now()
-            refused = sorted(self.refusals.items(), key=lambda row: -row[1][0])
-            ages = sorted(self.quorum_contact.asked.items())
-            return [
-                {
-                    "node": self.node.sender.node_name,
-                    "ready": self.serving,
-                    "edition": f"{self.routes.number:08x}" if self.routes else "",
-                    "refused": ", ".join(
-                        f"{count} {reason} ({now - at:.1f} s ago)" for reason, (count, at) in refused
-                    ),
-                    "refused_by_disk": self.register.refused,
-                    "sleeps": self.suspend_detector.sleeps,
-                    "disks": len(self.group),
-                    "votes": self.register.votes(),
-                    "contact_s": round(self.contact_age(), 1),
-                    "contacts_s": " ".join(f"{ip} {now - at:.1f}" for (ip, _), at in ages),
-                    "evacuated": " ".join(sorted(self.away())),
-                }
-            ]
-        return None
+        """Return the zones that are evacuated."""
+        zones = self.updates.get(EVACUATION_KEY) or {}
+        return {zone for zone, is_evacuated in zones.items() if is_evacuated}
+
+    def count_refusal(self, reason: str) -> None:
+        """Count a call that was not confirmed, for the operator to see."""
+        refusal = self.refusals.setdefault(reason, RefusalCount())
+        refusal.count += 1
+        refusal.last_at = self.runtime.now()
+
+    def show(self, view: str) -> list[views.Row] | None:
+        """Return the rows of a view, as `flintreach show` prints them; None where there is no such view."""
+        return views.show(self, view)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from flintreach.controller.lease_owner import LeaseOwner
-from flintreach.controller.repair import ROLE
+from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.endpoints.registry import READY
 from flintreach.membership.member_list import ALIVE, Member
@@ -200,7 +200,7 @@
 
         done, value = self.plane.register.change("map", step, 1.0)
         if done:
-            self.plane.operator_requests.learn("map", value)
+            self.plane.operator_requests.publish("map", value)
 
     def homes(self, name: str) -> set[str] | None:
         """Home regions of a host, empty where its routes are bound to keys alone; None where one is free."""
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -1,105 +1,193 @@
-"""News among the refuges: each follows the boards of all others, and asks them for marks (see `contact`)."""
+"""Exchange between controllers: each follows the updates of all others, and asks for their accepted ballots.
 
-from flintreach.controller.quorum_contact import KEYS
+The ballots tell since when this controller is up to date (see `quorum_contact`), and which values it must
+still learn though nobody may ever send them as updates.
+"""
+
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from flintreach.consensus.quorum import Address
+from flintreach.consensus.register import Register
+from flintreach.controller.operator_requests import REGISTER_TIMEOUT_S, OperatorRequests
+from flintreach.controller.quorum_contact import KEYS, NO_BALLOT, Ballot, QuorumContact
 from flintreach.dissemination.relay import ASK_S, MARK, Subscription
-from flintreach.transport.peer_connection import ConnectionClosed
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection
+from flintreach.transport.peer_pool import PeerPool
+from flintreach.transport.runtime import Runtime
+
+PEER_CHECK_S = 0.3  # between two checks for controllers that are not followed yet
+STARTING_PEER_CHECK_S = PEER_CHECK_S / 6  # as long as callers wait for the start to be over
+OUT_OF_CONTACT_S = 1.0  # with updates older than this, a peer is dialled again sooner
+SOON_REDIAL_S = PEER_CHECK_S / 3
+ACCEPTED_BALLOTS_MESSAGE = "accepted"  # kind of the question for ballots, as earlier releases have it
+ENDPOINT_KEY_KIND = "hut"  # what stands before the slash in keys of endpoints
+
+
+class EndpointUpdates(Protocol):
+    """What `PeerExchange` takes of the endpoint service."""
+
+    def heard_of(self, id: str, version: list[int], value: dict[str, Any]) -> None:
+        """Take a peer's update of an endpoint."""
 
-LOOK_S = 0.3  # seconds between looks for refuges
+
+class ExchangePlane(Protocol):
+    """What `PeerExchange` takes of the control plane."""
+
+    runtime: Runtime
+    peer_pool: PeerPool
+    register: Register
+    updates: VersionedStore
+    quorum_contact: QuorumContact
+    operator_requests: OperatorRequests
+    endpoints: EndpointUpdates
+    serving: bool
+
+    def peers(self) -> list[Address]:
+        """Return the addresses of the other controllers."""
+
+    def news_age(self) -> float:
+        """Return the age of the updates that this controller passes on, in seconds."""
 
 
 class PeerExchange:
-    def __init__(self, plane):
-        self.plane, self.runtime = plane, plane.runtime
-        self.followed: set = set()
-        self.sought: set[str] = set()  # keys of which something unlearned is being looked for
-        plane.peer_pool.handlers["accepted"] = self.on_mark
+    """Follows the other controllers, and keeps `quorum_contact` informed."""
+
+    def __init__(self, plane: ExchangePlane) -> None:
+        self.plane = plane
+        self.runtime = plane.runtime
+        self.followed: set[Address] = set()
+        self.resolving: set[str] = set()  # keys of which an unknown value is being looked for
+        plane.peer_pool.handlers[ACCEPTED_BALLOTS_MESSAGE] = self.on_accepted_ballots
+
+    # Updates.
 
     def run(self) -> None:
-        me = self.plane.peer_pool.address
+        """Follow each peer that is not followed yet, and report this disk's own ballots, again and again."""
+        own_address = self.plane.peer_pool.address
         while True:
             for address in self.plane.peers():
                 if address not in self.followed:
                     self.followed.add(address)
                     self.runtime.spawn(self.follow, address)
             now = self.runtime.now()
-            self.marked(me, now, self.on_mark(None, None))
-            self.runtime.sleep(LOOK_S if self.plane.serving else LOOK_S / 6)
+            self.record_ballots(own_address, now, self.on_accepted_ballots(None, None))
+            self.runtime.sleep(PEER_CHECK_S if self.plane.serving else STARTING_PEER_CHECK_S)
 
-    def follow(self, address) -> None:
-        follow = Subscription(self.runtime, self.plane.updates, address, self.take)
+    def follow(self, address: Address) -> None:
+        """Take a peer's updates, and ask for its ballots, until its connection ends or falls silent."""
+        subscription = Subscription(self.runtime, self.plane.updates, address, self.apply_updates)
         try:
-            follow.begin()
+            subscription.begin()
             while True:
-                # On the link that brings the news: one on which nothing comes any more is noticed by this.
-                asked = self.runtime.now()
-                self.marked(address, asked, follow.link.ask("accepted", None, ASK_S))
+                # On the connection that brings the updates: so one that has fallen silent is noticed.
+                asked_at = self.runtime.now()
+                ballots = subscription.link.ask(ACCEPTED_BALLOTS_MESSAGE, None, ASK_S)
+                self.record_ballots(address, asked_at, ballots)
                 self.runtime.sleep(MARK)
         except (OSError, ConnectionClosed, TypeError, ValueError):
-            self.runtime.sleep(LOOK_S if self.plane.news_age() < 1.0 else LOOK_S / 3)
+            # TypeError and ValueError: answers of the peer that make no sense.
+            is_in_contact = self.plane.news_age() < OUT_OF_CONTACT_S
+            self.runtime.sleep(PEER_CHECK_S if is_in_contact else SOON_REDIAL_S)
         finally:
-            follow.close()
+            subscription.close()
             self.followed.discard(address)
 
-    def take(self, rows) -> None:
+    def apply_updates(self, rows: list[list[Any]]) -> None:
+        """Take a peer's updates: rows of key, version, value and the age of a tombstone."""
         for row in rows:
-            self.hear(*row)
+            self.apply_update(*row)
+
+    def apply_update(self, key: str, version: Any, value: Any, age: float = 0.0) -> None:
+        """Take one update; one of an endpoint goes to the registry of endpoints first.
 
-    def hear(self, key: str, version, value, age: float = 0.0) -> None:
+        Args:
+            key: of the update.
+            version: of the value; the highest stands.
+            value: what is told; None or a final state in a tombstone.
+            age: seconds since a tombstone was first told anywhere.
+        """
         kind, _, id = key.partition("/")
-        if kind == "hut" and isinstance(value, dict):
+        if kind == ENDPOINT_KEY_KIND and isinstance(value, dict):
             self.plane.endpoints.heard_of(id, version, value)
         self.plane.updates.offer(key, version, value, age)
 
-    # Marks.
+    # Accepted ballots.
 
-    def on_mark(self, link, body):
-        """What this disk accepted of the orders' keys; None where it does not vote."""
+    def on_accepted_ballots(
+        self, connection: PeerConnection | None, body: None
+    ) -> dict[str, list[Any]] | None:
+        """Answer which ballots this disk has accepted of the reported keys; None where it does not vote."""
         register = self.plane.register
         if not register.votes():
             return None
         slots = register.acceptor.slots
         return {key: list(slots[key].accepted) for key in KEYS if key in slots}
 
-    def marked(self, address, asked: float, told) -> None:
-        if told is None:
+    def record_ballots(
+        self, address: Address, asked_at: float, ballots: Mapping[str, list[Any]] | None
+    ) -> None:
+        """Take a peer's answer, and look for the values that it shows to be unknown here.
+
+        Args:
+            address: whose disk it is.
+            asked_at: when the question was sent, in seconds.
+            ballots: its answer; None from a disk that does not vote.
+        """
+        if ballots is None:
             return
         contact = self.plane.quorum_contact
-        contact.heard(address, asked, {key: tuple(stamp) for key, stamp in told.items()}, self.runtime.now())
+        report = {key: tuple(ballot) for key, ballot in ballots.items()}
+        contact.record_report(address, asked_at, report, self.runtime.now())
         for key in KEYS:
-            if key not in self.sought and contact.unlearned(key):
-                self.sought.add(key)
-                self.runtime.spawn(self.seek, key)
+            if key not in self.resolving and contact.has_unknown(key):
+                self.resolving.add(key)
+                self.runtime.spawn(self.resolve_unknown, key)
 
-    def seek(self, key: str) -> None:
-        """Learn what a mark told of and no news may bring: who confirmed it may have died at once."""
+    def resolve_unknown(self, key: str) -> None:
+        """Learn the value behind the newest reported ballot.
+
+        No update may ever bring it: the controller that acknowledged it may have died at once.
+        """
         try:
-            contact, register, orders = (
-                self.plane.quorum_contact,
-                self.plane.register,
-                self.plane.operator_requests,
-            )
-            stamp, holders = contact.newest(key)
-            told, value = self.fetch(key, stamp, holders)
-            if told >= stamp and orders.holds(key, value):
-                return contact.learn(key, told)
-            if told == stamp and register.voters.met(holders):
-                orders.learn(key, value)
-                return contact.learn(key, stamp)
-            if contact.waited(key, self.runtime.now()):
-                # On a minority it may be decided or not: a read settles that, for all ballots up to here.
-                done, value = register.read(key, 0.85)
-                if done:
-                    orders.learn(key, value)
-                    contact.learn(key, stamp)
+            self._resolve(key)
         finally:
-            self.sought.discard(key)
+            self.resolving.discard(key)
+
+    def _resolve(self, key: str) -> None:
+        contact = self.plane.quorum_contact
+        register = self.plane.register
+        requests = self.plane.operator_requests
+        newest, holders = contact.newest_ballot(key)
+        fetched_ballot, value = self.fetch(key, newest, holders)
+        if fetched_ballot >= newest and requests.is_published(key, value):
+            contact.record_known(key, fetched_ballot)
+            return
+        if fetched_ballot == newest and register.voters.met(holders):
+            requests.publish(key, value)
+            contact.record_known(key, newest)
+            return
+        if not contact.is_stalled(key, self.runtime.now()):
+            return
+        # On a minority it may be decided or not: a read settles that, for all ballots up to this one.
+        is_done, value = register.read(key, REGISTER_TIMEOUT_S)
+        if is_done:
+            requests.publish(key, value)
+            contact.record_known(key, newest)
+
+    def fetch(self, key: str, ballot: Ballot, holders: list[Address]) -> tuple[Ballot, bytes | None]:
+        """Return the ballot and value of a key as this disk has it, or else the first of the holders.
 
-    def fetch(self, key: str, stamp, holders) -> tuple:
-        """(stamp, value) of a key as this disk has it, or one of the holders."""
-        own = self.plane.register.acceptor
-        if own is not None and key in own.slots and own.slots[key].accepted >= stamp:
-            return own.slots[key].accepted, own.slots[key].value
+        (NO_BALLOT, None) where neither has the ballot, or a later one.
+        """
+        acceptor = self.plane.register.acceptor
+        if acceptor is not None and key in acceptor.slots:
+            slot = acceptor.slots[key]
+            if slot.accepted >= ballot:
+                return slot.accepted, slot.value
         for address in holders[:1]:
-            if (found := self.plane.register.fetch(address, key, stamp)) is not None:
-                return found.accepted, found.value
-        return (0, ""), None
+            fetched = self.plane.register.fetch(address, key, ballot)
+            if fetched is not None:
+                return fetched.accepted, fetched.value
+        return NO_BALLOT, None
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -203,7 +203,7 @@
         "news of an older configuration take the place of newer ones",
     ),
     "fresh-without-contact": Plant(
-        f"{CONTROLLER}.plane:ControlPlane",
+        f"{CONTROLLER}.control_plane:ControlPlane",
         "news_age",
         always_fresh,
         ("confirmed",),
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -18,7 +18,7 @@
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.http_api import ControlApi
 from flintreach.controller.program import SERVED
-from flintreach.controller.repair import ROLE
+from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
 from flintreach.dissemination.versioned_store import VersionedStore
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -582,7 +582,7 @@
             if net.at % 4 == 0 and (number := int(net.at - 1000) // 4) <= 500:
                 value = PACK([number, {f"r{number + n} desk": sorted(live)[:3] for n in range(5)}])
                 for order in orders:
-                    order.learn("map", value)
+                    order.publish("map", value)
             for controller in net:
                 controller.endpoints.turn(0.0)
                 controller.updates.expire()
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -15,29 +15,29 @@
 
 from flintreach.api import calls
 from flintreach.config import configuration, settings
-from flintreach.config.configuration import (
-    AGAIN,
-    FORGOTTEN,
-    KEPT,
-    OTHER,
-    OVERTAKEN,
-    TAKEN,
-    ConfigurationHistory,
-)
+from flintreach.config.configuration import KEPT, ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
 from flintreach.controller import quorum_contact
 from flintreach.controller.control_plane import ControlPlane
-from flintreach.controller.http_api import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, ControlApi, Handler
+from flintreach.controller.http_api import (
+    ENVIRON_CALLER_GONE,
+    MAX_BODY_BYTES,
+    MAX_CONFIGURATION_BYTES,
+    CallName,
+    ControlApi,
+    Refusal,
+    RequestHandler,
+)
 from flintreach.controller.lease_owner import LeaseOwner
-from flintreach.controller.operator_requests import DROPPED, LATE, OperatorRequests
+from flintreach.controller.operator_requests import OperatorRequests, RequestOutcome
 from flintreach.controller.peer_exchange import PeerExchange
 from flintreach.controller.quorum_contact import (
-    AFTER_S,
-    GAP_S,
+    CHANGE_PATIENCE_S,
+    MAX_CHECK_GAP_S,
     NEVER,
-    PATIENCE_S,
+    RESUME_DELAY_S,
     QuorumContact,
     SuspendDetector,
 )
@@ -45,13 +45,13 @@
 from flintreach.dissemination import relay
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.member_list import ALIVE, DEAD, SUSPECTED, Member, MemberList
-from flintreach.membership.member_list import LEFT as LEFT_
+from flintreach.membership.member_list import LEFT as MEMBER_LEFT
 from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, LoadDistribution, Range
 from flintreach.sharding.range_lease import GRANT, SEND, RangeLeases
 from flintreach.transport import peer_connection
 from flintreach.transport.peer_pool import PeerPool
 
-CALLS = {"beat", "leave", "put", "get", "evacuate", "resume", "resolve"}
+CALLS = {*CallName}
 
 
 class Coming(io.BytesIO):
@@ -101,7 +101,7 @@
         "REQUEST_METHOD": method,
         "PATH_INFO": path,
         "QUERY_STRING": query,
-        GONE: gone,
+        ENVIRON_CALLER_GONE: gone,
         "wsgi.input": pywsgi.Input(coming, length, chunked_input=chunked),
     }
     if length is not None:
@@ -133,19 +133,19 @@
 
     def touch(self):
         for address in (ME, *PEERS):
-            self.quorum_contact.heard(address, self.time, {}, self.time)
+            self.quorum_contact.record_report(address, self.time, {}, self.time)
 
     def passes(self, seconds, asleep=False):
         until = self.time + seconds
         while not asleep and self.time < until - 0.1:
             self.time += 0.1
-            self.suspend_detector.look(self.time)
+            self.suspend_detector.is_current(self.time)
         self.time = until
 
     def contact_age(self):
         return self.quorum_contact.age(THREE, self.time)
 
-    def refused(self, reason):
+    def count_refusal(self, reason):
         self.refusals.append(reason)
 
 
@@ -216,7 +216,7 @@
         )
         self.control = ControlApi(self, CALLS)
 
-    def refused(self, reason):
+    def count_refusal(self, reason):
         self.refusals.append(reason)
 
     def spawn(self, function, *args):
@@ -253,15 +253,17 @@
 class Bodies(unittest.TestCase):
     def setUp(self):
         self.put = []
-        orders = SimpleNamespace(put=lambda number, body, still: self.put.append(body) or TAKEN)
+        orders = SimpleNamespace(
+            put=lambda number, body, still: self.put.append(body) or RequestOutcome.ACCEPTED
+        )
         self.control = ControlApi(Plane(operator_requests=orders), CALLS)
 
     def test_a_body_that_links_would_not_carry_is_told_by_its_length_and_left_unread(self):
-        self.assertLessEqual(2 * LARGE, peer_connection.MOST)
+        self.assertLessEqual(2 * MAX_CONFIGURATION_BYTES, peer_connection.MOST)
         for path, most in (
-            ("/v1/timetable/put", LARGE),
-            ("/v1/endpoints/e/check-in", SMALL),
-            ("/v1/evacuate/north/start", SMALL),
+            ("/v1/timetable/put", MAX_CONFIGURATION_BYTES),
+            ("/v1/endpoints/e/check-in", MAX_BODY_BYTES),
+            ("/v1/evacuate/north/start", MAX_BODY_BYTES),
         ):
             status, told, headers, taken = call(self.control, "POST", path, b" " * 1000, told=most + 1)
             self.assertEqual((status, taken, headers["Connection"]), (413, 0, "close"), path)
@@ -271,10 +273,10 @@
         body = b"10000\r\n" + b" " * 65536 + b"\r\n"
         status, _, _, taken = call(self.control, "POST", "/v1/timetable/put", body * 200, chunked=True)
         self.assertEqual(status, 413)
-        self.assertLess(taken, LARGE + 70000)
+        self.assertLess(taken, MAX_CONFIGURATION_BYTES + 70000)
 
     def test_a_body_at_the_bound_is_read_whole(self):
-        body = table(1) + b" " * (LARGE - len(table(1)))
+        body = table(1) + b" " * (MAX_CONFIGURATION_BYTES - len(table(1)))
         self.assertEqual(call(self.control, "POST", "/v1/timetable/put", body)[0], 200)
         self.assertEqual(self.put, [body])
 
@@ -307,30 +309,36 @@
             order = [0 if place in first else 1 for place in range(12)]
             for lost in ((), ((0, 2),), ((1, 2),)):
                 world, bodies, answers = self.play(order, lost)
-                yes = [place for place in (0, 1) if {TAKEN, AGAIN} & {*answers[place]}]
+                yes = [
+                    place
+                    for place in (0, 1)
+                    if {RequestOutcome.ACCEPTED, RequestOutcome.REPEATED} & {*answers[place]}
+                ]
                 self.assertEqual(len(yes), 1, (order, lost, answers))
                 winner, loser = answers[yes[0]], answers[1 - yes[0]]
-                self.assertEqual(winner[-1], AGAIN)
-                self.assertEqual(loser[-1], OTHER, (order, lost, answers))
+                self.assertEqual(winner[-1], RequestOutcome.REPEATED)
+                self.assertEqual(loser[-1], RequestOutcome.CONFLICT, (order, lost, answers))
                 for node in world.nodes:
                     world.cut = set()
                     self.assertEqual(node.operator_requests.get(), (True, bodies[yes[0]]))
-                    self.assertEqual(node.operator_requests.put(7, bodies[yes[0]]), AGAIN)
-                    self.assertEqual(node.operator_requests.put(7, bodies[1 - yes[0]]), OTHER)
+                    self.assertEqual(node.operator_requests.put(7, bodies[yes[0]]), RequestOutcome.REPEATED)
+                    self.assertEqual(
+                        node.operator_requests.put(7, bodies[1 - yes[0]]), RequestOutcome.CONFLICT
+                    )
                 count += 1
         self.assertEqual(count, 924 * 3)
 
     def test_contents_that_race_under_an_overtaken_number_are_not_both_confirmed(self):
         world = World(3)
         one, two = table(3, "one.example"), table(3, "two.example")
-        self.assertEqual(world.nodes[0].operator_requests.put(5, table(5)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(5, table(5)), RequestOutcome.ACCEPTED)
         words = world.play(
             [
                 lambda: world.nodes[0].operator_requests.put(3, one),
                 lambda: world.nodes[1].operator_requests.put(3, two),
             ]
         )
-        self.assertEqual(sorted(words), [OTHER, OVERTAKEN])
+        self.assertEqual(sorted(words), [RequestOutcome.CONFLICT, RequestOutcome.SUPERSEDED])
         self.assertEqual([node.operator_requests.get() for node in world.nodes], [(True, table(5))] * 3)
         self.assertEqual(
             world.nodes[0].updates.entries["timetable"], (5, table(5)), "news are the body alone"
@@ -339,21 +347,28 @@
     def test_what_was_taken_is_acknowledged_again_after_thousands_of_changes_and_a_full_restart(self):
         world, count = World(3), 3000
         for number in range(1, count + 1):
-            self.assertEqual(world.nodes[number % 3].operator_requests.put(number, table(number)), TAKEN)
+            self.assertEqual(
+                world.nodes[number % 3].operator_requests.put(number, table(number)), RequestOutcome.ACCEPTED
+            )
         world = World(3, world.disks())
         lowest = count - KEPT + 1
         cases = [
-            (1, FORGOTTEN),
-            (lowest - 1, FORGOTTEN),
-            (lowest, AGAIN),
-            (count // 2 + 700, AGAIN),
-            (count, AGAIN),
+            (1, RequestOutcome.HISTORY_EXPIRED),
+            (lowest - 1, RequestOutcome.HISTORY_EXPIRED),
+            (lowest, RequestOutcome.REPEATED),
+            (count // 2 + 700, RequestOutcome.REPEATED),
+            (count, RequestOutcome.REPEATED),
         ]
         for number, word in cases:
             for node in world.nodes:
                 self.assertEqual(node.operator_requests.put(number, table(number)), word, number)
                 other = node.operator_requests.put(number, table(number, "other.example"))
-                self.assertEqual(other, OTHER if word == AGAIN else FORGOTTEN)
+                self.assertEqual(
+                    other,
+                    RequestOutcome.CONFLICT
+                    if word == RequestOutcome.REPEATED
+                    else RequestOutcome.HISTORY_EXPIRED,
+                )
         self.assertLess(len(world.disks()[world.addresses[0]]["timetable"].value), 32 << 10)
 
     def test_an_older_change_that_arrives_again_changes_nothing_and_is_acknowledged(self):
@@ -364,25 +379,29 @@
             for node in world.nodes
         ]
         self.assertEqual(
-            words, [TAKEN, AGAIN, AGAIN] * 2 + [AGAIN] * 3 + [OVERTAKEN, AGAIN, AGAIN] + [AGAIN] * 6
+            words,
+            [RequestOutcome.ACCEPTED, RequestOutcome.REPEATED, RequestOutcome.REPEATED] * 2
+            + [RequestOutcome.REPEATED] * 3
+            + [RequestOutcome.SUPERSEDED, RequestOutcome.REPEATED, RequestOutcome.REPEATED]
+            + [RequestOutcome.REPEATED] * 6,
         )
         self.assertEqual(world.nodes[1].operator_requests.get(), (True, table(9)))
 
     def test_what_earlier_texts_kept_is_read(self):
         held = ConfigurationHistory.of(table(6))
         self.assertEqual((held.number, held.body, len(held)), (6, table(6), 1))
-        self.assertEqual(configuration.put(table(6), 6, table(6)), (AGAIN, None))
-        self.assertEqual(configuration.put(table(6), 6, table(6, "b.example"))[0], OTHER)
+        self.assertEqual(configuration.put(table(6), 6, table(6)), (RequestOutcome.REPEATED, None))
+        self.assertEqual(configuration.put(table(6), 6, table(6, "b.example"))[0], RequestOutcome.CONFLICT)
         word, value = configuration.put(table(6), 8, table(8))
-        self.assertEqual((word, ConfigurationHistory.of(value).number), (TAKEN, 8))
-        self.assertEqual(configuration.put(value, 6, table(6)), (AGAIN, None))
+        self.assertEqual((word, ConfigurationHistory.of(value).number), (RequestOutcome.ACCEPTED, 8))
+        self.assertEqual(configuration.put(value, 6, table(6)), (RequestOutcome.REPEATED, None))
 
     def test_the_history_stays_sorted_and_bounded_whatever_comes(self):
         draw, value, taken = random.Random(4), None, {}
         for _ in range(4 * KEPT):
             number = draw.randrange(3 * KEPT)
             word, fresh = configuration.put(value, number, b"%d" % number)
-            self.assertNotEqual(word, OTHER)
+            self.assertNotEqual(word, RequestOutcome.CONFLICT)
             value = fresh or value
             taken[number] = word
         held = ConfigurationHistory.of(value)
@@ -394,12 +413,12 @@
     def test_statuses(self):
         """Only another content is refused; what can't be told has no clear answer, and when to ask again."""
         for word, status in (
-            (TAKEN, 200),
-            (AGAIN, 200),
-            (OVERTAKEN, 200),
-            (OTHER, 409),
-            (FORGOTTEN, 503),
-            (LATE, 503),
+            (RequestOutcome.ACCEPTED, 200),
+            (RequestOutcome.REPEATED, 200),
+            (RequestOutcome.SUPERSEDED, 200),
+            (RequestOutcome.CONFLICT, 409),
+            (RequestOutcome.HISTORY_EXPIRED, 503),
+            (RequestOutcome.UNKNOWN, 503),
         ):
             orders = SimpleNamespace(put=lambda number, body, still, word=word: word)
             got, told, headers, _ = call(
@@ -457,7 +476,7 @@
                         late.dead or late.switch()
                     world.now += 1.0
                     for node in world.nodes[slept:]:
-                        node.suspend_detector.last = world.now  # these ran all the while
+                        node.suspend_detector.last_check_at = world.now  # these ran all the while
                     left.append(True)
                     self.later(world, word)
                     while not late.dead:
@@ -473,14 +492,16 @@
             self.later(world, word)
             world.now += 5.0
             for node in world.nodes[1:]:
-                node.suspend_detector.last = world.now  # these ran all the while
+                node.suspend_detector.last_check_at = world.now  # these ran all the while
             late = world.nodes[0]
-            for waited in (0.0, AFTER_S / 2):
+            for waited in (0.0, RESUME_DELAY_S / 2):
                 world.now += waited
                 status, told, headers, _ = call(late.control, "POST", ZONE + word)
-                self.assertEqual((status, told, "Retry-After" in headers), (503, {"fault": SLEPT}, True))
+                self.assertEqual(
+                    (status, told, "Retry-After" in headers), (503, {"fault": Refusal.SUSPENDED}, True)
+                )
             self.assertEqual({*self.away(world)}, {on})
-            world.now += AFTER_S
+            world.now += RESUME_DELAY_S
             self.assertEqual(call(late.control, "POST", ZONE + word)[0], 200, "callers of now are served")
 
     def test_an_order_of_a_caller_that_went_away_changes_nothing_before_accepts_go_out(self):
@@ -489,13 +510,17 @@
             looks = itertools.count(1)
             gone = lambda looks=looks, asked=asked: next(looks) >= asked  # noqa: E731
             status, told, _, _ = call(world.nodes[0].control, "POST", ZONE + "start", gone=gone)
-            self.assertEqual((status, told), (503, {"fault": LEFT}))
+            self.assertEqual((status, told), (503, {"fault": Refusal.CALLER_GONE}))
             self.assertEqual({*self.away(world)}, {False})
-        self.assertEqual(world.nodes[0].refusals, [LEFT] * 2)
+        self.assertEqual(world.nodes[0].refusals, [Refusal.CALLER_GONE] * 2)
 
     def test_an_order_given_up_after_accepts_went_out_has_no_clear_answer(self):
         """Its first attempt was told to acceptors and lost: that nothing changed may not be said."""
-        for may, word in (([False], DROPPED), ([True, False], LATE), ([True, True], TAKEN)):
+        for may, word in (
+            ([False], RequestOutcome.ABANDONED),
+            ([True, False], RequestOutcome.UNKNOWN),
+            ([True, True], RequestOutcome.ACCEPTED),
+        ):
 
             def change(key, step, timeout, may=may):
                 return True, [step(None) for _ in may][-1]
@@ -515,16 +540,16 @@
 
     def test_who_sees_that_its_caller_went(self):
         here, there = gevent.socket.socketpair()
-        handler = Handler.__new__(Handler)
+        handler = RequestHandler.__new__(RequestHandler)
         handler.socket = here
-        self.assertFalse(handler.gone())
+        self.assertFalse(handler.caller_gone())
         there.sendall(b"GET ")  # the next request
-        self.assertFalse(handler.gone())
+        self.assertFalse(handler.caller_gone())
         here.recv(4)
         there.close()
-        self.assertTrue(handler.gone())
+        self.assertTrue(handler.caller_gone())
         here.close()
-        self.assertTrue(handler.gone())
+        self.assertTrue(handler.caller_gone())
 
 
 REQUESTS = {
@@ -572,8 +597,8 @@
 
         plane = Plane(
             operator_requests=SimpleNamespace(
-                put=waits("put", TAKEN),
-                evacuate=waits("order", TAKEN),
+                put=waits("put", RequestOutcome.ACCEPTED),
+                evacuate=waits("order", RequestOutcome.ACCEPTED),
                 get=waits("get", lambda: (True, self.value)),
             ),
             endpoints=SimpleNamespace(beat=waits("beat", True), leave=waits("leave", True)),
@@ -606,19 +631,25 @@
             plane.passes(bound + 0.01)
             at = plane.time
             status, told, headers = ask()
-            self.assertEqual((status, told, plane.time, self.done), (503, {"fault": ALONE}, at, []), name)
-            self.assertEqual((headers["Retry-After"], plane.refusals), ("0.2", [ALONE]))
+            self.assertEqual(
+                (status, told, plane.time, self.done),
+                (503, {"fault": Refusal.NO_QUORUM_CONTACT}, at, []),
+                name,
+            )
+            self.assertEqual((headers["Retry-After"], plane.refusals), ("0.2", [Refusal.NO_QUORUM_CONTACT]))
 
     def test_never_in_touch(self):
         for name, plane, ask, _, _ in self.each():
             plane.quorum_contact = QuorumContact()
-            self.assertEqual(ask()[:2], (503, {"fault": ALONE}), name)
+            self.assertEqual(ask()[:2], (503, {"fault": Refusal.NO_QUORUM_CONTACT}), name)
 
     def test_what_lay_unread_while_it_slept_is_not_answered(self):
         for name, plane, ask, bound, within in self.each():
-            plane.passes(GAP_S + 0.05, asleep=True)
-            self.assertEqual(ask()[:2], (503, {"fault": SLEPT}) if within else (200, ask()[1]), name)
-            plane.passes(AFTER_S + 0.01)
+            plane.passes(MAX_CHECK_GAP_S + 0.05, asleep=True)
+            self.assertEqual(
+                ask()[:2], (503, {"fault": Refusal.SUSPENDED}) if within else (200, ask()[1]), name
+            )
+            plane.passes(RESUME_DELAY_S + 0.01)
             plane.touch()
             self.assertEqual(ask()[0], 200, name)
 
@@ -630,13 +661,13 @@
             for name, _, ask, _, _ in self.each():
                 status, told, _ = ask()
                 self.assertEqual((status, len(self.done)), (503, 1), name)
-                self.assertIn(told["fault"], (SLEPT, ALONE))
+                self.assertIn(told["fault"], (Refusal.SUSPENDED, Refusal.NO_QUORUM_CONTACT))
 
     def test_what_took_longer_than_callers_wait_is_not_confirmed(self):
         for name, plane, ask, _, within in self.each():
             if within:
                 self.during = within + 0.05, False
-                self.assertEqual(ask()[:2], (503, {"fault": TIMED}), name)
+                self.assertEqual(ask()[:2], (503, {"fault": Refusal.TOO_LATE}), name)
                 self.during = within - 0.05, False
                 plane.touch()
                 self.assertEqual(ask()[0], 200, name)
@@ -656,9 +687,9 @@
         self.assertEqual(plane.show("status")[0]["contact_s"], NEVER)
         plane.register.voters, plane.serving = THREE, True
         for address, at in zip([ME, *PEERS], (99.0, 97.0, 90.0)):
-            plane.quorum_contact.heard(address, at, {}, 100.0)
-        for reason in (ALONE, SLEPT, ALONE):
-            plane.refused(reason)
+            plane.quorum_contact.record_report(address, at, {}, 100.0)
+        for reason in (Refusal.NO_QUORUM_CONTACT, Refusal.SUSPENDED, Refusal.NO_QUORUM_CONTACT):
+            plane.count_refusal(reason)
         clock[0] += 2.0
         status = plane.show("status")[0]
         self.assertEqual((status["contact_s"], plane.news_age()), (5.0, 5.0))
@@ -672,7 +703,7 @@
     def contact(self, *asked):
         found = QuorumContact()
         for address, at in zip([ME, *PEERS], asked):
-            found.heard(address, at, {}, at)
+            found.record_report(address, at, {}, at)
         return found
 
     def test_a_quorum_counts_from_its_latest_common_asking(self):
@@ -686,19 +717,19 @@
         joint, found = Voters(2, old, new), self.contact(9, 9, 9)
         self.assertEqual(found.age(joint, 10.0), NEVER)
         for address, _ in new[:2]:
-            found.heard(address, 6.0, {}, 9.0)
+            found.record_report(address, 6.0, {}, 9.0)
         self.assertEqual((found.age(joint, 10.0), found.age(THREE, 10.0)), (4.0, 1.0))
 
     def test_a_mark_counts_once_what_it_told_of_is_learned_and_from_its_asking(self):
         found, stamp = self.contact(1, 1, 1), (4, "a")
         for at in (5.0, 6.0):
             for address in PEERS:
-                found.heard(address, at, {"timetable": stamp}, at + 0.1)
-        self.assertEqual((found.age(THREE, 7.0), found.unlearned("timetable")), (6.0, True))
-        found.learn("timetable", (3, "z"))
+                found.record_report(address, at, {"timetable": stamp}, at + 0.1)
+        self.assertEqual((found.age(THREE, 7.0), found.has_unknown("timetable")), (6.0, True))
+        found.record_known("timetable", (3, "z"))
         self.assertEqual(found.age(THREE, 7.0), 6.0)
-        found.learn("timetable", (5, "b"))  # a later one covers it
-        self.assertEqual((found.age(THREE, 7.0), found.unlearned("timetable")), (1.0, False))
+        found.record_known("timetable", (5, "b"))  # a later one covers it
+        self.assertEqual((found.age(THREE, 7.0), found.has_unknown("timetable")), (1.0, False))
 
     def test_a_key_that_changes_with_each_mark_makes_nothing_stale(self):
         """News of a change come a moment after the mark that told of it, again and again."""
@@ -706,22 +737,22 @@
         for turn in range(40):
             at = 2.0 + turn / 4
             for address in (ME, *PEERS):
-                found.heard(address, at, {"evac": (turn + 1, "a")}, at + 0.1)
+                found.record_report(address, at, {"evac": (turn + 1, "a")}, at + 0.1)
             self.assertLessEqual(found.age(THREE, at + 0.1), 0.36 if turn else 2.0)
-            found.learn("evac", (turn + 1, "a"))
-        self.assertLessEqual(len(found.open[ME]), 1)
+            found.record_known("evac", (turn + 1, "a"))
+        self.assertLessEqual(len(found.pending[ME]), 1)
 
     def test_marks_that_wait_are_bounded(self):
         found = self.contact(1, 1, 1)
         for turn in range(100):
-            found.heard(ME, 2.0 + turn, {"evac": (9, "a")}, 2.0 + turn)
-        self.assertEqual(len(found.open[ME]), quorum_contact.OPEN)
+            found.record_report(ME, 2.0 + turn, {"evac": (9, "a")}, 2.0 + turn)
+        self.assertEqual(len(found.pending[ME]), quorum_contact.MAX_PENDING_REPORTS)
 
     def test_a_sleep_is_noticed_by_whoever_looks_first(self):
         awake = SuspendDetector(10.0)
         trace = [(10.1, True), (10.45, True), (11.0, False), (11.1, False), (11.26, True), (20.0, False)]
-        self.assertEqual([awake.look(at) for at, _ in trace], [good for _, good in trace])
-        self.assertEqual(awake.sleeps, 2)
+        self.assertEqual([awake.is_current(at) for at, _ in trace], [good for _, good in trace])
+        self.assertEqual(awake.suspensions, 2)
 
 
 class Sweep(unittest.TestCase):
@@ -733,10 +764,10 @@
             (Slot((2, "a"), (2, "a"), b"old"), [mock.call("evac", b"old")]),
         ):
             plane, register = mock.Mock(), mock.Mock(fetch=mock.Mock(return_value=slot))
-            care = SimpleNamespace(plane=plane, register=register, learned={})
+            care = SimpleNamespace(plane=plane, register=register, published={})
             Repair.fetch(care, "evac", (2, "a"), PEERS[0])
-            self.assertEqual(plane.operator_requests.learn.mock_calls, told)
-            self.assertEqual(care.learned, {"evac": (2, "a")} if told else {})
+            self.assertEqual(plane.operator_requests.publish.mock_calls, told)
+            self.assertEqual(care.published, {"evac": (2, "a")} if told else {})
 
 
 class Following(unittest.TestCase):
@@ -746,7 +777,9 @@
         """Node `at` asks others, and itself, for marks, as its mesh does."""
         me = world.nodes[at]
         for node in (me, *(world.nodes[other] for other in others)):
-            me.peer_exchange.marked(node.address, world.now, node.peer_exchange.on_mark(None, None))
+            me.peer_exchange.record_ballots(
+                node.address, world.now, node.peer_exchange.on_accepted_ballots(None, None)
+            )
         return me.quorum_contact.age(world.voters, world.now)
 
     def test_what_a_refuge_confirmed_before_it_died_is_learned_by_the_next_marks(self):
@@ -754,7 +787,7 @@
         world = World(3)
         world.nodes[0].register.lives = {address: f"life {address}" for address in world.addresses}
         self.assertEqual(self.marks(world, 1, 2), 0.0)
-        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), RequestOutcome.ACCEPTED)
         world.nodes[0].operator_requests.evacuate("north", True)
         world.now += 1.0
         world.cut = {(world.addresses[0], address) for address in world.addresses[1:]}
@@ -768,14 +801,14 @@
         self.marks(world, 1, 2)
         world.nodes[0].operator_requests.put(4, table(4))
         world.now += 1.0
-        with mock.patch.object(PeerExchange, "seek", lambda self, key: None):
+        with mock.patch.object(PeerExchange, "resolve_unknown", lambda self, key: None):
             self.assertEqual(self.marks(world, 1, 2), 1.0)
 
     def test_what_stands_on_a_minority_of_those_in_reach_is_read_after_a_moment(self):
         """Five disks; the order is on three, two of which died: a mark tells of it, and a read settles it."""
         world = World(5)
         self.marks(world, 4, 2, 3)
-        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), RequestOutcome.ACCEPTED)
         world.cut = {
             (world.addresses[lost], world.addresses[other]) for lost in (0, 1) for other in (2, 3, 4)
         }
@@ -783,7 +816,7 @@
         world.now += 0.1
         self.assertAlmostEqual(self.marks(world, 4, 2, 3), 0.1)
         self.assertEqual(world.nodes[4].updates.entries, {})
-        world.now = began + 0.11 + PATIENCE_S
+        world.now = began + 0.11 + CHANGE_PATIENCE_S
         self.marks(world, 4, 2, 3)
         self.assertEqual(world.nodes[4].updates.get("timetable"), table(4))
         world.now += 0.1
@@ -798,7 +831,7 @@
         slots = world.nodes[2].register.acceptor.slots
         slots["timetable"] = Slot((50, "x"), (50, "x"), ConfigurationHistory.of(table(9)).value())
         for _ in range(3):
-            world.now += PATIENCE_S
+            world.now += CHANGE_PATIENCE_S
             age = self.marks(world, 0, 1, 2)
         self.assertEqual(age, 0.0)
 
@@ -815,7 +848,7 @@
     def test_a_disk_that_may_not_vote_gives_no_mark(self):
         world = World(3)
         world.nodes[2].register.acceptor.voting = False
-        self.assertIsNone(world.nodes[2].peer_exchange.on_mark(None, None))
+        self.assertIsNone(world.nodes[2].peer_exchange.on_accepted_ballots(None, None))
         self.assertEqual(self.marks(world, 1, 2), NEVER)
 
     def test_a_link_on_which_nothing_comes_any_more_is_left(self):
@@ -842,7 +875,7 @@
         node.peer_exchange.follow(PEERS[0])
         self.assertEqual((closed, node.peer_exchange.followed), ([True], set()))
         self.assertAlmostEqual(
-            node.quorum_contact.asked[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking"
+            node.quorum_contact.confirmed_at[PEERS[0]], 100.8 + relay.MARK, msg="the last one's asking"
         )
         self.assertGreater(world.now, 102.4)
 
@@ -863,7 +896,7 @@
 
         node.dial, node.news_age = lambda address, handlers, timeout: Slow(), lambda: 9.0
         node.peer_exchange.follow(PEERS[0])
-        self.assertEqual(node.quorum_contact.asked, {PEERS[0]: 100.0})
+        self.assertEqual(node.quorum_contact.confirmed_at, {PEERS[0]: 100.0})
         self.assertGreaterEqual(world.now, 105.0)
 
 
@@ -944,7 +977,7 @@
 
     def test_a_process_that_starts_again_after_its_time_of_day_went_back_is_believed(self):
         """Its life comes from the time of day, so it is lower than what the others know of the one before."""
-        for state in (ALIVE, SUSPECTED, DEAD, LEFT_):
+        for state in (ALIVE, SUSPECTED, DEAD, MEMBER_LEFT):
             member = lambda name, ip, life: Member(name, "refuge", ip, 7, "z", "r", life=life)  # noqa: E731
             others = MemberList(member("b", "10.0.0.2", 5), lambda n: 0)
             before = member("a", "10.0.0.1", 9000)
--- a/tests/proxy/test_carry.py
+++ b/tests/proxy/test_carry.py
@@ -281,7 +281,7 @@
         circle = [(f"10.0.0.{i}", 7) for i in range(5)]
         voters, contact = Voters(1, tuple((address, "") for address in circle)), QuorumContact()
         for address, at, age in ((0, 59.0, NEVER), (1, 50.0, NEVER), (3, 30.0, 30.0), (2, 40.0, 20.0)):
-            contact.heard(circle[address], at, {}, at)
+            contact.record_report(circle[address], at, {}, at)
             self.assertEqual(contact.age(voters, 60.0), age)
 
     def test_one_that_has_just_started_leads_nothing(self):
