--- /dev/null
+++ b/tests/controller/simulated_peers.py
@@ -0,0 +1,280 @@
+"""Controllers without sockets, for the tests of this package: calls, clocks and messages are the tests'."""
+
+import io
+import itertools
+import random
+from collections.abc import Callable, Iterable, Iterator
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+from gevent import pywsgi
+from greenlet import greenlet
+
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.quorum import Address, Voters
+from flintreach.consensus.register import Register
+from flintreach.controller.http_api import ENVIRON_CALLER_GONE, CallName, ControlApi
+from flintreach.controller.operator_requests import OperatorRequests
+from flintreach.controller.peer_exchange import PeerExchange
+from flintreach.controller.quorum_contact import QuorumContact, SuspendDetector
+from flintreach.controller.repair import Repair
+from flintreach.dissemination.versioned_store import VersionedStore
+
+ALL_CALLS = frozenset(CallName)
+OWN_ADDRESS = ("10.0.0.0", 7)
+PEER_ADDRESSES = [("10.0.0.1", 7), ("10.0.0.2", 7)]
+THREE_VOTERS = Voters(1, tuple((address, "") for address in [OWN_ADDRESS, *PEER_ADDRESSES]))
+MESSAGE_S = 0.01  # how long one message takes in a cluster
+
+
+class CountingInput(io.BytesIO):
+    """A caller's bytes, with a count of what was read of them."""
+
+    read_bytes = 0
+
+    def read(self, size: int | None = -1) -> bytes:
+        data = super().read(size)
+        self.read_bytes += len(data)
+        return data
+
+    def readline(self, size: int | None = -1) -> bytes:
+        data = super().readline(size)
+        self.read_bytes += len(data)
+        return data
+
+
+def configuration_body(number: int, host: str = "a.example") -> bytes:
+    """A configuration, as it is put."""
+    return msgspec.json.encode(
+        {
+            "edition": f"{number:08x}",
+            "depots": [{"name": "desk"}],
+            "wickets": [
+                {
+                    "destination": host,
+                    "regulations": [
+                        {
+                            "name": "r",
+                            "kind": "safe",
+                            "sorting": {"postcode": "/x/"},
+                            "dispatch": {"line": "desk", "deadline_ms": 2000, "tries": 2},
+                        }
+                    ],
+                }
+            ],
+        }
+    )
+
+
+def never_gone() -> bool:
+    """A caller that stays."""
+    return False
+
+
+def call_api(
+    api: ControlApi,
+    method: str,
+    path: str,
+    body: bytes = b"",
+    content_length: int | None = None,
+    chunked: bool = False,
+    caller_gone: Callable[[], bool] = never_gone,
+) -> tuple[int, Any, dict[str, str], int]:
+    """One call as gevent's server makes it: status, decoded body, headers, count of the bytes read."""
+    counting_input = CountingInput(body)
+    if chunked:
+        length = None
+    else:
+        length = len(body) if content_length is None else content_length
+    environ = {
+        "REQUEST_METHOD": method,
+        "PATH_INFO": path,
+        "QUERY_STRING": "",
+        ENVIRON_CALLER_GONE: caller_gone,
+        "wsgi.input": pywsgi.Input(counting_input, length, chunked_input=chunked),
+    }
+    if length is not None:
+        environ["CONTENT_LENGTH"] = str(length)
+    started: list[Any] = []
+
+    def start_response(status: str, headers: list[tuple[str, str]]) -> None:
+        started.extend((status, dict(headers)))
+
+    data = b"".join(api(environ, start_response))
+    environ["wsgi.input"]._discard()  # as the server does after each answer
+    status_line, headers = started
+    return int(status_line.split()[0]), msgspec.json.decode(data), headers, counting_input.read_bytes
+
+
+class FakePlane:
+    """What `ControlApi` takes of a control plane, with the test's clock: in contact until time passes."""
+
+    def __init__(self, **parts: Any) -> None:
+        self.runtime = self
+        self.time = 100.0
+        self.quorum_contact = QuorumContact()
+        self.suspend_detector = SuspendDetector(self.time)
+        self.refusals: list[str] = []
+        self.make_contact()
+        vars(self).update(parts)
+
+    def now(self) -> float:
+        return self.time
+
+    def make_contact(self) -> None:
+        """All voters report now."""
+        for address in (OWN_ADDRESS, *PEER_ADDRESSES):
+            self.quorum_contact.record_report(address, self.time, {}, self.time)
+
+    def pass_time(self, seconds: float, suspended: bool = False) -> None:
+        """Let time pass, with the process running or suspended."""
+        until = self.time + seconds
+        while not suspended and self.time < until - 0.1:
+            self.time += 0.1
+            self.suspend_detector.is_current(self.time)
+        self.time = until
+
+    def contact_age(self) -> float:
+        return self.quorum_contact.age(THREE_VOTERS, self.time)
+
+    def count_refusal(self, reason: str) -> None:
+        self.refusals.append(reason)
+
+
+class UncontendedLock:
+    """For what never waits while it holds the lock."""
+
+    def __enter__(self) -> "UncontendedLock":
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        pass
+
+
+class Cluster:
+    """Controllers whose messages are function calls: each is a turn, and a test may order the turns.
+
+    `cut`: pairs (from, to) of addresses between which nothing goes.  `now` moves with sleeps alone.
+    """
+
+    def __init__(self, size: int, disks: dict[Address, dict[str, Slot]] | None = None) -> None:
+        self.now = 100.0
+        self.cut: set[tuple[Address, Address]] = set()
+        self.chance = random.Random(1)
+        self.addresses = [(f"10.0.0.{number}", 7) for number in range(size)]
+        self.voters = Voters(1, tuple((address, "") for address in self.addresses))
+        self.nodes = [Node(self, address, (disks or {}).get(address)) for address in self.addresses]
+
+    def disks(self) -> dict[Address, dict[str, Slot]]:
+        """What the disks have, for a cluster that starts with them."""
+        return {node.address: node.register.acceptor.slots for node in self.nodes}
+
+    def yield_turn(self) -> None:
+        """Let another task go on, where several run."""
+        parent = greenlet.getcurrent().parent
+        if parent:
+            parent.switch()
+
+    def run_interleaved(self, functions: list[Callable[[], Any]], order: Iterable[int] = ()) -> list[Any]:
+        """Results of functions that run side by side: turns go by `order`, then round."""
+        results: dict[int, Any] = {}
+
+        def run(index: int, function: Callable[[], Any]) -> None:
+            results[index] = function()
+
+        tasks = [
+            greenlet(lambda index=index, function=function: run(index, function))
+            for index, function in enumerate(functions)
+        ]
+        for index in itertools.chain(order, itertools.cycle(range(len(tasks)))):
+            if all(task.dead for task in tasks):
+                break
+            if not tasks[index].dead:
+                tasks[index].switch()
+        return [results[index] for index in range(len(tasks))]
+
+    def evacuated(self, zone: str) -> Iterator[bool]:
+        """Whether a zone is evacuated, as each controller reads it."""
+        for node in self.nodes:
+            is_done, value = node.register.read("evac")
+            if not is_done:
+                raise AssertionError("a controller does not know what stands")
+            yield msgspec.msgpack.decode(value)[1].get(zone, False) if value else False
+
+
+class Node:
+    """One controller's register and requests, and the pool, the runtime and the plane that they take."""
+
+    def __init__(self, cluster: Cluster, address: Address, slots: dict[str, Slot] | None = None) -> None:
+        self.cluster = cluster
+        self.address = address
+        self.handlers: dict[str, Callable[..., Any]] = {}
+        self.chance = cluster.chance
+        self.updates = VersionedStore()
+        self.peer_pool = self
+        self.runtime = self
+        disk = SimpleNamespace(
+            life=f"life {address}", voting=True, slots=dict(slots or {}), facts={}, keep=lambda *rows: True
+        )
+        self.register = Register(self, cluster.voters, disk)
+        self.serving = True
+        self.refusals: list[str] = []
+        self.quorum_contact = QuorumContact()
+        self.suspend_detector = SuspendDetector(cluster.now)
+        self.operator_requests = OperatorRequests(self)
+        self.repair = Repair(self)
+        self.peer_exchange = PeerExchange(self)
+        self.api = ControlApi(self, ALL_CALLS)
+
+    # The plane.
+
+    def contact_age(self) -> float:
+        return 0.0  # where a test is about contact it asks `quorum_contact` itself
+
+    def count_refusal(self, reason: str) -> None:
+        self.refusals.append(reason)
+
+    # The runtime.
+
+    def now(self) -> float:
+        return self.cluster.now
+
+    def sleep(self, seconds: float) -> None:
+        self.cluster.now += seconds
+        for _ in range(1 + int(seconds / MESSAGE_S)):  # a message is a turn: who waits lets others go
+            self.cluster.yield_turn()
+
+    def spawn(self, function: Callable[..., Any], *args: Any) -> None:
+        function(*args)
+
+    def lock(self) -> UncontendedLock:
+        return UncontendedLock()
+
+    # The pool of peers.
+
+    def ask(self, address: Address, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
+        self.cluster.yield_turn()
+        if {(self.address, address), (address, self.address)} & self.cluster.cut:
+            return None
+        peer = self.cluster.nodes[self.cluster.addresses.index(address)]
+        return peer.handlers[kind](None, body)
+
+    def gather(
+        self,
+        addresses: list[Address],
+        kind: str,
+        body: Any,
+        enough: Callable[[list], bool],
+        timeout: float = 1.0,
+        ask: Callable[..., Any] | None = None,
+    ) -> list[tuple[Address, Any]]:
+        answers: list[tuple[Address, Any]] = []
+        own_index = self.cluster.addresses.index(self.address)
+        for address in [*addresses[own_index:], *addresses[:own_index]]:  # the nearest disk first
+            question = body(address) if callable(body) else body
+            answer = (ask or self.ask)(address, kind, question, timeout)
+            if answer is not None:
+                answers.append((address, answer))
+                enough(answers)
+        return answers
--- a/tests/controller/test_fuzz.py
+++ b/tests/controller/test_fuzz.py
@@ -1,6 +1,7 @@
-"""Bytes of any shape at what a control process reads."""
+"""Bytes of any shape at what a control process reads: answers, configurations, messages of members."""
 
 import unittest
+from typing import Any
 
 import msgspec
 from hypothesis import given, settings
@@ -10,32 +11,32 @@
 from flintreach.membership.member_list import Member, MemberList
 from flintreach.proxy.reply import HTTPParseError, Replies
 
-CALM = settings(derandomize=True, deadline=None, max_examples=150)
+REPRODUCIBLE = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-class Intakes(unittest.TestCase):
-    @CALM
+class AnyBytes(unittest.TestCase):
+    @REPRODUCIBLE
     @given(st.binary(max_size=200), st.binary(max_size=40), st.integers(1, 60))
-    def test_an_answer_is_whole_or_is_not_there(self, body, tail, portion):
+    def test_a_reply_is_parsed_whole_or_not_at_all(self, body: bytes, tail: bytes, portion: int) -> None:
         data = b"HTTP/1.1 200 OK\r\nX-Try-Id: 7\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body) + tail
         replies = Replies()
         try:
-            for at in range(0, len(data), portion):
-                replies.feed(data[at : at + portion])
+            for offset in range(0, len(data), portion):
+                replies.feed(data[offset : offset + portion])
         except HTTPParseError:
             pass
         self.assertEqual(bytes(replies.whole[0].body), body)
         self.assertEqual(replies.whole[0].get("x-try-id"), "7")
 
-    @CALM
+    @REPRODUCIBLE
     @given(st.binary(max_size=300))
-    def test_a_configuration_is_taken_or_refused(self, data):
+    def test_a_configuration_is_accepted_or_rejected(self, data: bytes) -> None:
         try:
             configuration.check(data)
         except configuration.ConfigError:
             pass
 
-    @CALM
+    @REPRODUCIBLE
     @given(
         st.recursive(
             st.none() | st.booleans() | st.integers() | st.text(max_size=5),
@@ -43,11 +44,15 @@
             max_leaves=12,
         )
     )
-    def test_a_datagram_of_any_shape_leaves_the_roster_standing(self, message):
+    def test_a_datagram_of_any_shape_leaves_the_member_list_standing(self, message: Any) -> None:
         member_list = MemberList(Member("a", "bothy", "10.0.0.1", 7, "z", "r", life=5), lambda n: 0)
         try:
             member_list.hear(("10.0.0.2", 7), msgspec.msgpack.decode(msgspec.msgpack.encode(message)), 0)
-        except (TypeError, ValueError, OverflowError):  # what the socket's loop passes over
+        except (
+            TypeError,
+            ValueError,
+            OverflowError,
+        ):  # what the socket's loop ignores, and numbers that no datagram has
             pass
         self.assertIn("a", member_list.members)
         self.assertEqual(member_list.me.name, "a")
--- /dev/null
+++ b/tests/controller/test_http_api.py
@@ -0,0 +1,233 @@
+"""Calls of a controller: their bodies, their statuses, and when one must not be confirmed."""
+
+import unittest
+from collections.abc import Callable, Iterator
+from types import SimpleNamespace
+from typing import Any
+
+import gevent
+import gevent.socket
+import msgspec
+
+from flintreach.api import calls
+from flintreach.controller.http_api import (
+    MAX_BODY_BYTES,
+    MAX_CONFIGURATION_BYTES,
+    ControlApi,
+    Refusal,
+    RequestHandler,
+)
+from flintreach.controller.operator_requests import RequestOutcome
+from flintreach.controller.quorum_contact import MAX_CHECK_GAP_S, RESUME_DELAY_S, QuorumContact
+from flintreach.transport import peer_connection
+from tests.controller.simulated_peers import ALL_CALLS, FakePlane, call_api, configuration_body
+
+PUT_PATH = "/v1/timetable/put"
+HEARTBEAT_BODY = msgspec.json.encode(
+    {
+        "line": "desk",
+        "addr": "10.0.0.9:80",
+        "zone": "north",
+        "berths": 2,
+        "state": "ready",
+        "call_seq": 1,
+        "edition": "v1",
+        "cold_left_ms": 0,
+    }
+)
+REQUESTS = {
+    "resolve": ("GET", "/v1/directions", b""),
+    "put": ("POST", PUT_PATH, configuration_body(3)),
+    "get": ("GET", "/v1/timetable/get", b""),
+    "evacuate": ("POST", "/v1/evacuate/north/start", b""),
+    "resume": ("POST", "/v1/evacuate/north/finish", b""),
+    "leave": ("POST", "/v1/endpoints/e/sign-off", b""),
+    "beat": ("POST", "/v1/endpoints/e/check-in", HEARTBEAT_BODY),
+}
+
+
+class BodySizes(unittest.TestCase):
+    def setUp(self) -> None:
+        self.put_bodies: list[bytes] = []
+
+        def put(number: int, body: bytes, may_proceed: Callable[[], bool]) -> RequestOutcome:
+            self.put_bodies.append(body)
+            return RequestOutcome.ACCEPTED
+
+        self.api = ControlApi(FakePlane(operator_requests=SimpleNamespace(put=put)), ALL_CALLS)
+
+    def test_a_body_too_large_for_a_connection_is_rejected_by_its_length_and_left_unread(self) -> None:
+        self.assertLessEqual(2 * MAX_CONFIGURATION_BYTES, peer_connection.MOST)
+        for path, max_bytes in (
+            (PUT_PATH, MAX_CONFIGURATION_BYTES),
+            ("/v1/endpoints/e/check-in", MAX_BODY_BYTES),
+            ("/v1/evacuate/north/start", MAX_BODY_BYTES),
+        ):
+            status, answer, headers, read_bytes = call_api(
+                self.api, "POST", path, b" " * 1000, content_length=max_bytes + 1
+            )
+            self.assertEqual((status, read_bytes, headers["Connection"]), (413, 0, "close"), path)
+            self.assertIn(str(max_bytes), answer["fault"])
+
+    def test_a_chunked_body_is_left_as_soon_as_it_passes_the_bound(self) -> None:
+        chunk = b"10000\r\n" + b" " * 65536 + b"\r\n"
+        status, _, _, read_bytes = call_api(self.api, "POST", PUT_PATH, chunk * 200, chunked=True)
+        self.assertEqual(status, 413)
+        self.assertLess(read_bytes, MAX_CONFIGURATION_BYTES + 70000)
+
+    def test_a_body_at_the_bound_is_read_whole(self) -> None:
+        configuration = configuration_body(1)
+        body = configuration + b" " * (MAX_CONFIGURATION_BYTES - len(configuration))
+        self.assertEqual(call_api(self.api, "POST", PUT_PATH, body)[0], 200)
+        self.assertEqual(self.put_bodies, [body])
+
+    def test_a_body_that_ends_early_is_a_bad_request(self) -> None:
+        status, answer, _, _ = call_api(self.api, "POST", PUT_PATH, b"{", content_length=50)
+        self.assertEqual((status, answer["fault"][:5]), (400, "body:"))
+
+
+class PutStatuses(unittest.TestCase):
+    def test_only_another_content_is_rejected(self) -> None:
+        """What can't be told has no clear answer, and when to ask again."""
+        for outcome, expected_status in (
+            (RequestOutcome.ACCEPTED, 200),
+            (RequestOutcome.REPEATED, 200),
+            (RequestOutcome.SUPERSEDED, 200),
+            (RequestOutcome.CONFLICT, 409),
+            (RequestOutcome.HISTORY_EXPIRED, 503),
+            (RequestOutcome.UNKNOWN, 503),
+        ):
+            requests = SimpleNamespace(put=lambda number, body, may_proceed, outcome=outcome: outcome)
+            api = ControlApi(FakePlane(operator_requests=requests), ALL_CALLS)
+            status, answer, headers, _ = call_api(api, "POST", PUT_PATH, configuration_body(1))
+            self.assertEqual(
+                (status, "fault" in answer, "Retry-After" in headers),
+                (expected_status, expected_status != 200, expected_status == 503),
+                outcome,
+            )
+
+
+class CallerConnection(unittest.TestCase):
+    def test_a_closed_connection_is_noticed_and_a_next_request_is_not_taken_for_one(self) -> None:
+        server_socket, caller_socket = gevent.socket.socketpair()
+        handler = RequestHandler.__new__(RequestHandler)
+        handler.socket = server_socket
+        self.assertFalse(handler.caller_gone())
+        caller_socket.sendall(b"GET ")  # the next request
+        self.assertFalse(handler.caller_gone())
+        server_socket.recv(4)
+        caller_socket.close()
+        self.assertTrue(handler.caller_gone())
+        server_socket.close()
+        self.assertTrue(handler.caller_gone())
+
+
+class QuorumContactBeforeAnswering(unittest.TestCase):
+    """Each call of the table: in contact, cut off, after a suspension, across a suspension."""
+
+    def setUp(self) -> None:
+        self.handled: list[str] = []
+        self.handling_s = 0.0
+        self.suspended_while_handled = False
+        self.configuration: bytes | None = b"{}"
+
+    def plane_and_api(self) -> tuple[FakePlane, ControlApi]:
+        """A controller whose calls take `handling_s`, and which may be suspended through them."""
+
+        def handles(name: str, result: Any) -> Callable[..., Any]:
+            def handle(*args: Any) -> Any:
+                self.handled.append(name)
+                plane.pass_time(self.handling_s, self.suspended_while_handled)
+                return result() if callable(result) else result
+
+            return handle
+
+        plane = FakePlane(
+            operator_requests=SimpleNamespace(
+                put=handles("put", RequestOutcome.ACCEPTED),
+                evacuate=handles("evacuate", RequestOutcome.ACCEPTED),
+                get=handles("get", lambda: (True, self.configuration)),
+            ),
+            endpoints=SimpleNamespace(beat=handles("beat", True), leave=handles("leave", True)),
+            load_placement=SimpleNamespace(
+                directions=handles("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5
+            ),
+        )
+        return plane, ControlApi(plane, ALL_CALLS)
+
+    def each_call(self) -> Iterator[tuple[str, FakePlane, Callable[[], tuple], float, float | None]]:
+        """Name, plane, a function that makes the call, bounds of contact and of the call's age."""
+        for name, (method, path, body) in REQUESTS.items():
+            plane, api = self.plane_and_api()
+            self.handled.clear()
+
+            def ask(api=api, method=method, path=path, body=body) -> tuple:
+                return call_api(api, method, path, body)[:3]
+
+            yield name, plane, ask, *calls.BOUNDS[name]
+
+    def test_every_call_that_a_controller_answers_has_its_case_and_its_bound(self) -> None:
+        self.assertEqual({*REQUESTS}, ALL_CALLS)
+        self.assertEqual({*REQUESTS} | {"ready"}, {*calls.BOUNDS})
+        for name in REQUESTS:
+            contact_s, call_age_s = calls.BOUNDS[name]
+            self.assertTrue(contact_s <= 2.0 and (name == "resolve" or call_age_s < 1.0), name)
+
+    def test_in_contact_each_call_is_answered(self) -> None:
+        for name, plane, ask, contact_s, _ in self.each_call():
+            plane.pass_time(contact_s - 0.01)
+            self.assertEqual((ask()[0], len(self.handled)), (200, 1), name)
+
+    def test_cut_off_it_answers_at_once_that_it_does_not_know(self) -> None:
+        for name, plane, ask, contact_s, _ in self.each_call():
+            plane.pass_time(contact_s + 0.01)
+            asked_at = plane.time
+            status, answer, headers = ask()
+            self.assertEqual(
+                (status, answer, plane.time, self.handled),
+                (503, {"fault": Refusal.NO_QUORUM_CONTACT}, asked_at, []),
+                name,
+            )
+            self.assertEqual((headers["Retry-After"], plane.refusals), ("0.2", [Refusal.NO_QUORUM_CONTACT]))
+
+    def test_before_its_first_contact_it_answers_no_call(self) -> None:
+        for name, plane, ask, _, _ in self.each_call():
+            plane.quorum_contact = QuorumContact()
+            self.assertEqual(ask()[:2], (503, {"fault": Refusal.NO_QUORUM_CONTACT}), name)
+
+    def test_what_lay_unread_through_a_suspension_is_not_answered(self) -> None:
+        for name, plane, ask, _, call_age_s in self.each_call():
+            plane.pass_time(MAX_CHECK_GAP_S + 0.05, suspended=True)
+            status, answer, _ = ask()
+            if call_age_s:
+                self.assertEqual((status, answer), (503, {"fault": Refusal.SUSPENDED}), name)
+            else:
+                self.assertEqual((status, answer), (200, ask()[1]), name)
+            plane.pass_time(RESUME_DELAY_S + 0.01)
+            plane.make_contact()
+            self.assertEqual(ask()[0], 200, name)
+
+    def test_a_suspension_between_the_last_wait_and_the_answer_confirms_nothing(self) -> None:
+        """Also no 4xx: what `get` found before the suspension does not say what stands now."""
+        self.handling_s = 5.0
+        self.suspended_while_handled = True
+        for configuration in (b"{}", None):
+            self.configuration = configuration
+            for name, _, ask, _, _ in self.each_call():
+                status, answer, _ = ask()
+                self.assertEqual((status, len(self.handled)), (503, 1), name)
+                self.assertIn(answer["fault"], (Refusal.SUSPENDED, Refusal.NO_QUORUM_CONTACT))
+
+    def test_what_took_longer_than_callers_wait_is_not_confirmed(self) -> None:
+        for name, plane, ask, _, call_age_s in self.each_call():
+            if not call_age_s:
+                continue
+            self.handling_s = call_age_s + 0.05
+            self.assertEqual(ask()[:2], (503, {"fault": Refusal.TOO_LATE}), name)
+            self.handling_s = call_age_s - 0.05
+            plane.make_contact()
+            self.assertEqual(ask()[0], 200, name)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/controller/test_suspended_process.py
@@ -0,0 +1,126 @@
+"""Processes that were suspended, or whose time of day went back: leases of key ranges, and membership."""
+
+import unittest
+from types import SimpleNamespace
+
+import gevent
+import gevent.socket
+
+from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.membership.member_list import ALIVE, DEAD, LEFT, SUSPECTED, Member, MemberList
+from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, LoadDistribution, Range
+from flintreach.sharding.range_lease import GRANT, SEND, RangeLeases
+
+GRANTED_RANGE = Range(0, 9, "e", 3, HELD)
+
+
+def never_ended(endpoint_id: str) -> bool:
+    """No endpoint has signed off."""
+    return False
+
+
+def leases_since_10() -> tuple[RangeLeases, Allocation]:
+    """A lease owner whose change stood at 10.0, and the allocation that it wrote."""
+    leases = RangeLeases("k0", 10.0)
+    allocation = Allocation.of(None)
+    leases.step(allocation, 10.0, {}, never_ended, LoadDistribution(), set())
+    leases.stands(allocation, 10.0, 10.0)
+    return leases, allocation
+
+
+class SuspendedLeaseOwner(unittest.TestCase):
+    def test_a_grant_leaves_only_within_the_lease_whenever_the_process_was_suspended(self) -> None:
+        leases, _ = leases_since_10()
+        for late_s in (0.0, SEND - 0.01, SEND, SEND + 5):
+            self.assertEqual(leases.goes_out(GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < SEND, late_s)
+        leases.lost()
+        self.assertFalse(leases.goes_out(GRANT, GRANTED_RANGE, 10.0))
+
+    def test_a_process_suspended_while_its_change_was_written_may_send_nothing(self) -> None:
+        """The lease counts from the beginning of the change, not from the answer."""
+        leases, allocation = leases_since_10()
+        leases.stands(allocation, 20.0, 26.0)
+        self.assertFalse(leases.goes_out(GRANT, GRANTED_RANGE, 26.0))
+
+    def test_a_suspension_while_the_connection_comes_up_sends_nothing(self) -> None:
+        clock = [10.0]
+        plane = SimpleNamespace(runtime=SimpleNamespace(now=lambda: clock[0]))
+        owner = LeaseOwner("k0", "store", plane, 10000, dict, None, None, None)
+        owner.state, _ = leases_since_10()
+        received: list[bytes] = []
+        listener = gevent.socket.socket()
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        self.addCleanup(listener.close)
+
+        def serve() -> None:
+            while True:
+                connection, _ = listener.accept()
+                received.append(connection.recv(100))
+                connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                connection.close()
+
+        server = gevent.spawn(serve)
+        self.addCleanup(server.kill)
+        granted = Range(0, 9, "e", 3, HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}")
+        self.assertEqual(owner.exchange(GRANT, granted), (200, None))
+        clock[0] += 5.0
+        self.assertEqual(owner.exchange(GRANT, granted), (None, None))
+        gevent.sleep(0)
+        self.assertEqual([bool(data) for data in received], [True, False][: len(received)])
+
+    def test_the_answer_to_a_release_that_lay_in_a_buffer_gives_nothing_away(self) -> None:
+        """Another has taken over meanwhile: the first may not change the allocation by what it reads late."""
+        leases, allocation = leases_since_10()
+        allocation.ranges = [Range(0, KEYS - 1, "e0", 3, LEAVING, addr="e0:80")]
+        leases.stands(allocation, 10.0, 10.0)
+        self.assertEqual([kind for kind, _ in leases.calls(10.0)], ["release"])
+        later = Allocation.of(allocation.rows())
+        later.keeper = "k1"
+        later.epoch = allocation.epoch + 1
+        later.beat = allocation.beat + 1
+        leases.answered("release", allocation.ranges[0], 200, "handover", 16.0)
+        self.assertFalse(leases.due(later, 16.0))
+        self.assertFalse(leases.goes_out(GRANT, allocation.ranges[0], 16.0))
+        # And once it takes over again, what it was told in the earlier epoch is forgotten.
+        self.assertTrue(leases.due(later, 18.0))
+        self.assertTrue(leases.step(later, 18.0, {}, never_ended, LoadDistribution(), set()))
+        self.assertEqual(later.ranges[0].state, LEAVING)
+        leases.stands(later, 18.0, 18.0)
+        self.assertEqual(leases.released, {})
+
+
+class TimeOfDayWentBack(unittest.TestCase):
+    def test_a_process_that_starts_again_with_a_lower_incarnation_is_believed(self) -> None:
+        """Its incarnation comes from the time of day, so it is lower than what the others know of the one
+        before."""
+
+        def member(name: str, ip: str, incarnation: int) -> Member:
+            return Member(name, "refuge", ip, 7, "z", "r", life=incarnation)
+
+        restarted_address = ("10.0.0.1", 7)
+        other_address = ("10.0.0.2", 7)
+        for state in (ALIVE, SUSPECTED, DEAD, LEFT):
+            others = MemberList(member("b", "10.0.0.2", 5), lambda n: 0)
+            before = member("a", "10.0.0.1", 9000)
+            others.take([before.row()], 0)  # the death of one that nobody knew would be ignored
+            before.state = state
+            before.ready = True
+            others.take([before.row()], 0)
+            self.assertEqual(others.members["a"].state, state)
+            restarted = MemberList(member("a", "10.0.0.1", 4), lambda n: 0)
+            messages = restarted.join([other_address])
+            for _ in range(4):
+                replies = [
+                    reply for _, message in messages for reply in others.hear(restarted_address, message, 1)
+                ]
+                messages = [
+                    reply for _, message in replies for reply in restarted.hear(other_address, message, 1)
+                ]
+                messages.append((other_address, restarted.message("ping", 1)))
+            known = others.members["a"]
+            self.assertEqual((known.state, known.ready, known.life > 9000), (ALIVE, False, True), state)
+
+
+if __name__ == "__main__":
+    unittest.main()
