--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -13,9 +13,13 @@
 from flintreach.api import calls
 from flintreach.common.log import say
 from flintreach.config.configuration import ConfigError, check
-from flintreach.controller.operator_requests import RequestOutcome
+from flintreach.controller.endpoint_service import EndpointService
+from flintreach.controller.load_placement import LoadPlacement
+from flintreach.controller.operator_requests import OperatorRequests, RequestOutcome
+from flintreach.controller.quorum_contact import SuspendDetector
 from flintreach.endpoints.registry import Heartbeat
 from flintreach.transport import peer_connection
+from flintreach.transport.runtime import Runtime
 
 # A configuration goes to peers inside a message that also has other keys: far below what ends a connection.
 MAX_CONFIGURATION_BYTES = peer_connection.MOST // 2
@@ -88,61 +92,14 @@
     """A body that ended before its length, or is not chunked as it should be."""
 
 
-class Clock(Protocol):
-    """What `ControlApi` takes of the runtime."""
-
-    def now(self) -> float:
-        """Return the steady clock, in seconds."""
-
-
-class Detector(Protocol):
-    """What `ControlApi` takes of the suspend detector."""
-
-    def is_current(self, now: float) -> bool:
-        """Return whether what is read now was sent while this process ran."""
-
-
-class EndpointCalls(Protocol):
-    """What `ControlApi` takes of the endpoint service."""
-
-    def beat(self, id: str, beat: Heartbeat) -> bool:
-        """Take a heartbeat; whether a quorum has what it tells."""
-
-    def leave(self, id: str) -> bool:
-        """Take an endpoint's sign-off; whether a quorum has it."""
-
-
-class OperatorCalls(Protocol):
-    """What `ControlApi` takes of the operator's requests."""
-
-    def put(self, number: int, body: bytes, may_proceed: Callable[[], bool]) -> RequestOutcome:
-        """Put a configuration."""
-
-    def get(self) -> tuple[bool, bytes | None]:
-        """Read whether it is known what stands, and the configuration."""
-
-    def evacuate(self, zone: str, is_evacuated: bool, may_proceed: Callable[[], bool]) -> RequestOutcome:
-        """Begin or end the evacuation of a zone."""
-
-
-class Directory(Protocol):
-    """What `ControlApi` takes of load placement."""
-
-    def directions(self, name: str, region: str, zone: str) -> list[str]:
-        """Return addresses of proxies for clients of a host."""
-
-    def valid(self, now: float) -> float:
-        """Return for how many seconds such an answer holds."""
-
-
 class ControlApiPlane(Protocol):
     """What `ControlApi` takes of the control plane."""
 
-    runtime: Clock
-    suspend_detector: Detector
-    endpoints: EndpointCalls
-    operator_requests: OperatorCalls
-    load_placement: Directory
+    runtime: Runtime
+    suspend_detector: SuspendDetector
+    endpoints: EndpointService
+    operator_requests: OperatorRequests
+    load_placement: LoadPlacement
 
     def contact_age(self) -> float:
         """Return the seconds since a time up to which all that was acknowledged is known here."""
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -9,6 +9,7 @@
 
 from flintreach.consensus.quorum import Address
 from flintreach.consensus.register import Register
+from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.operator_requests import REGISTER_TIMEOUT_S, OperatorRequests
 from flintreach.controller.quorum_contact import KEYS, NO_BALLOT, Ballot, QuorumContact
 from flintreach.dissemination.relay import ASK_S, MARK, Subscription
@@ -25,13 +26,6 @@
 ENDPOINT_KEY_KIND = "hut"  # what stands before the slash in keys of endpoints
 
 
-class EndpointUpdates(Protocol):
-    """What `PeerExchange` takes of the endpoint service."""
-
-    def heard_of(self, id: str, version: list[int], value: dict[str, Any]) -> None:
-        """Take a peer's update of an endpoint."""
-
-
 class ExchangePlane(Protocol):
     """What `PeerExchange` takes of the control plane."""
 
@@ -41,7 +35,7 @@
     updates: VersionedStore
     quorum_contact: QuorumContact
     operator_requests: OperatorRequests
-    endpoints: EndpointUpdates
+    endpoints: EndpointService
     serving: bool
 
     def peers(self) -> list[Address]:
@@ -105,8 +99,8 @@
         Args:
             key: of the update.
             version: of the value; the highest stands.
-            value: what is told; None or a final state in a tombstone.
-            age: seconds since a tombstone was first told anywhere.
+            value: of the key; None or a final state in a tombstone.
+            age: seconds since a tombstone was first offered to any controller.
         """
         kind, _, id = key.partition("/")
         if kind == ENDPOINT_KEY_KIND and isinstance(value, dict):
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -156,7 +156,7 @@
     def fetch(self, key: str, ballot: Ballot, holder: Address) -> None:
         """Publish the value of a ballot that a quorum holds, as one of the holders has it."""
         slot = self.register.fetch(holder, key, ballot)
-        # What the holder has accepted since may never stand: a quorum told of this ballot only.
+        # What the holder has accepted since may never stand: a quorum reported this ballot only.
         if slot and slot.accepted == ballot:
             self.published[key] = ballot
             self.plane.operator_requests.publish(key, slot.value)
--- a/tests/controller/test_http_api.py
+++ b/tests/controller/test_http_api.py
@@ -161,7 +161,9 @@
             plane, api = self.plane_and_api()
             self.handled.clear()
 
-            def ask(api=api, method=method, path=path, body=body) -> tuple:
+            def ask(
+                api: ControlApi = api, method: str = method, path: str = path, body: bytes = body
+            ) -> tuple:
                 return call_api(api, method, path, body)[:3]
 
             yield name, plane, ask, *calls.BOUNDS[name]
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -251,7 +251,7 @@
         for gone_at_check in range(1, 3):  # the caller is checked before the call, and before the accepts
             checks = itertools.count(1)
 
-            def caller_gone(checks=checks, gone_at_check=gone_at_check) -> bool:
+            def caller_gone(checks: Iterator[int] = checks, gone_at_check: int = gone_at_check) -> bool:
                 return next(checks) >= gone_at_check
 
             status, answer, _, _ = call_api(
