--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -10,7 +10,7 @@
 
 from flintreach.config.configuration import Configuration, Routes
 from flintreach.config.settings import ProcessSettings
-from flintreach.consensus.quorum import Voters
+from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.register import Register
 from flintreach.consensus.store import Store
 from flintreach.controller import views
@@ -35,8 +35,6 @@
 from flintreach.membership.member_list import MemberList
 from flintreach.transport.peer_pool import PeerPool
 
-Address = tuple[str, int]
-
 
 def do_nothing() -> None:
     """Stand in for a callback that nobody wants."""
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -11,8 +11,9 @@
 from flintreach.common.log import say
 from flintreach.config import settings
 from flintreach.config.settings import place
+from flintreach.consensus.quorum import Address
 from flintreach.consensus.store import Store, StoreError
-from flintreach.controller.control_plane import Address, ControlPlane
+from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.http_api import CallName, listen
 from flintreach.controller.views import Row
 from flintreach.controller.voter_management import ROLE
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -84,19 +84,19 @@
 def endpoint_rows(plane: ViewedPlane) -> list[Row]:
     """Return a row for each endpoint, by service and id."""
     now_ns = plane.runtime.now_ns()
-    records = sorted(plane.registry.records.values(), key=lambda r: (r.line, r.id))
+    records = sorted(plane.registry.records.values(), key=lambda record: (record.line, record.id))
     return [
         {
-            "id": r.id,
-            "line": r.line,
-            "addr": r.addr,
-            "zone": r.zone,
-            "state": r.state,
-            "berths": r.berths,
-            "cold_ms": max(0, r.cold_until - now_ns) // NS_PER_MS,
-            "heard_ms": None if r.heard is None else (now_ns - r.heard) // NS_PER_MS,
+            "id": record.id,
+            "line": record.line,
+            "addr": record.addr,
+            "zone": record.zone,
+            "state": record.state,
+            "berths": record.berths,
+            "cold_ms": max(0, record.cold_until - now_ns) // NS_PER_MS,
+            "heard_ms": None if record.heard is None else (now_ns - record.heard) // NS_PER_MS,
         }
-        for r in records
+        for record in records
     ]
 
 
