--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -203,7 +203,7 @@
         "news of an older configuration take the place of newer ones",
     ),
     "fresh-without-contact": Plant(
-        f"{CONTROLLER}.plane:ControlPlane",
+        f"{CONTROLLER}.control_plane:ControlPlane",
         "news_age",
         always_fresh,
         ("confirmed",),
@@ -231,14 +231,14 @@
         "no majority is told as a conflict",
     ),
     "settles-at-once": Plant(
-        f"{CONTROLLER}.voting:",
+        f"{CONTROLLER}.voter_management:",
         "first",
         settles_at_once,
         ("voters", "live", "kept", "durable", "known"),
         "a first start takes for voters whoever is there",
     ),
     "keeps-voters": Plant(
-        f"{CONTROLLER}.voting:", "wanted", nothing, ("voters", "live"), "the voters never change"
+        f"{CONTROLLER}.voter_management:", "wanted", nothing, ("voters", "live"), "the voters never change"
     ),
     "takes-any-number": Plant(
         f"{CONTROLLER}.operator_requests:OperatorRequests",
