--- a/flintreach/__main__.py
+++ b/flintreach/__main__.py
@@ -128,7 +128,7 @@
     return app
 
 
-def program(name: str) -> None:
+def run_program(name: str) -> None:
     """A program of the whole system; it loads nothing of the pilot in service, nor that of it."""
     import importlib
 
@@ -142,6 +142,6 @@
     if sys.argv[1:] == ["serve"]:
         run(None)
     elif len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
-        program(PROGRAMS[sys.argv[1]])
+        run_program(PROGRAMS[sys.argv[1]])
     else:
         commands()()
--- a/flintreach/cli/system.py
+++ b/flintreach/cli/system.py
@@ -47,7 +47,7 @@
         if data.lstrip().startswith(b"{"):
             table = configuration.check(data)
             routes = sum(len(host.route_rules) for host in table.virtual_hosts)
-            return f"{path}: edition {table.edition}, {routes} routes, {len(table.service_configs)} services"
+            return f"{path}: edition {table.version}, {routes} routes, {len(table.service_configs)} services"
         node = settings.parse(data.decode(), str(path))
         return f"{path}: {node.sender.node_name} in {node.sender.zone}, serves {' '.join(node.sender.serves)}"
     except OSError as error:
--- a/flintreach/config/__init__.py
+++ b/flintreach/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process and the operator's configuration: read, checked, typed."""
+"""What a process goes by: its settings file, and the operator's configuration."""
--- a/flintreach/config/configuration.py
+++ b/flintreach/config/configuration.py
@@ -1,22 +1,19 @@
-"""The operator's configuration: msgspec structs, its checks, and the choice of a route.
+"""The operator's configuration: typed, and checked before it may come into force.
 
-Source: the wire's page, "The operator".  A configuration is kept as the operator wrote it, since it is read
-back as it was put; the structs are what the programs act on.
+A configuration is stored and read back as the operator wrote it (see `configuration_history`); these types
+are what the programs act on, and `routing` looks routes up by them.  This module alone knows the names that
+the wire uses: where a field's name here differs, `name=` gives that of the wire.  Errors go to the operator,
+so they call fields by the wire's names.
 
-What stands of it lasts with a history: which content each number had (see `Standing`).
+Source: the wire's page, "The operator".
 """
 
 import string
-import struct
-from bisect import bisect_left
-from hashlib import sha256
 
 import msgspec
 
-KINDS = ("safe", "unsafe", "outbound_post")
-ENTRY, KEPT = struct.Struct(">I8s"), 2048  # number, digest; entries at most
-# What becomes of a configuration that is put.
-TAKEN, AGAIN, OVERTAKEN, OTHER, FORGOTTEN = "taken", "again", "overtaken", "other content", "forgotten"
+ROUTE_KINDS = ("safe", "unsafe", "outbound_post")
+VERSION_DIGITS = 8
 
 
 class ConfigError(ValueError):
@@ -24,228 +21,198 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    line: str
+    """A service, and its weight among those that share a route's requests."""
+
+    service: str = msgspec.field(name="line")
     weight: float
 
 
 class Dispatch(msgspec.Struct, frozen=True):
+    """Where a route's requests go, for how long and how often they are tried."""
+
     deadline_ms: float
-    tries: int
-    line: str | None = None
-    apportion: tuple[WeightedService, ...] = ()
+    attempts: int = msgspec.field(name="tries")
+    service: str | None = msgspec.field(default=None, name="line")
+    weighted_services: tuple[WeightedService, ...] = msgspec.field(default=(), name="apportion")
     home_regions: tuple[str, ...] = ()
 
+    def service_names(self) -> list[str | None]:
+        """The services that requests may go to: those with weights, or else the only one."""
+        return [share.service for share in self.weighted_services] or [self.service]
+
 
-class Sorting(msgspec.Struct, frozen=True):
-    postcode: str
+class RouteMatch(msgspec.Struct, frozen=True):
+    """Which requests a route takes."""
+
+    path_prefix: str = msgspec.field(name="postcode")
 
 
 class RouteRule(msgspec.Struct, frozen=True):
+    """One route of a virtual host."""
+
     name: str
-    kind: str
-    sorting: Sorting
+    kind: str  # one of ROUTE_KINDS
+    match: RouteMatch = msgspec.field(name="sorting")
     dispatch: Dispatch
-    target_ms: float = 1000
+    latency_target_ms: float = msgspec.field(default=1000, name="target_ms")
     precedence: int = 0
 
 
-class VirtualHost(msgspec.Struct, frozen=True, rename={"route_rules": "regulations"}):
-    destination: str
-    route_rules: tuple[RouteRule, ...] = ()
+class VirtualHost(msgspec.Struct, frozen=True):
+    """A host name, and its routes."""
+
+    host: str = msgspec.field(name="destination")
+    route_rules: tuple[RouteRule, ...] = msgspec.field(default=(), name="regulations")
 
 
 class ServiceConfig(msgspec.Struct, frozen=True):
+    """How a service's endpoints are used."""
+
     name: str
-    checkup: str = "/health"
-    berth_cap: int = 100
+    health_path: str = msgspec.field(default="/health", name="checkup")
+    connection_limit: int = msgspec.field(
+        default=100, name="berth_cap"
+    )  # connections that one endpoint accepts
     protocol: str = "h1"
-    sealed: bool = False
-    cold_s: float = 0.0
-    cold_per_s: float = 0.0
+    encrypted: bool = msgspec.field(default=False, name="sealed")
+    slow_start_s: float = msgspec.field(default=0.0, name="cold_s")
+    slow_start_per_s: float = msgspec.field(
+        default=0.0, name="cold_per_s"
+    )  # requests that an endpoint takes meanwhile
     sharded: bool = False
     warmup_s: float = 0.0
     permits: str = "call"
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    envelope_bytes: int = 16384
-    contents_bytes: int = 67108864
-    envelope_ms: float = 3000
-    dwell_ms: float = 15000
+    """What a proxy takes of a client: sizes, and how long it waits for them."""
 
+    header_bytes: int = msgspec.field(default=16384, name="envelope_bytes")
+    body_bytes: int = msgspec.field(default=67108864, name="contents_bytes")
+    header_ms: float = msgspec.field(default=3000, name="envelope_ms")
+    idle_ms: float = msgspec.field(default=15000, name="dwell_ms")
 
-# Python name -> the name that the pages give it.
-CONFIGURATION_NAMES = {"virtual_hosts": "wickets", "service_configs": "depots"}
 
+class Configuration(msgspec.Struct, frozen=True):
+    """One version of the operator's configuration."""
 
-class Configuration(msgspec.Struct, frozen=True, rename=CONFIGURATION_NAMES):
-    edition: str
-    virtual_hosts: tuple[VirtualHost, ...]
-    service_configs: tuple[ServiceConfig, ...]
+    version: str = msgspec.field(name="edition")  # eight hexadecimal digits
+    virtual_hosts: tuple[VirtualHost, ...] = msgspec.field(name="wickets")
+    service_configs: tuple[ServiceConfig, ...] = msgspec.field(name="depots")
     limits: RequestLimits = RequestLimits()
 
     @property
     def number(self) -> int:
-        return int(self.edition, 16)
-
-
-class Route:
-    """A route as the carrying path uses it: services with weights, times in nanoseconds."""
-
-    __slots__ = (
-        "name",
-        "kind",
-        "repeatable",
-        "prefix",
-        "services",
-        "deadline",
-        "aim",
-        "tries",
-        "homes",
-        "precedence",
-    )
-
-    def __init__(self, rule: RouteRule):
-        to = rule.dispatch
-        self.name, self.kind, self.prefix = rule.name, rule.kind, rule.sorting.postcode
-        self.repeatable = rule.kind != "unsafe"
-        self.services = [(share.line, share.weight) for share in to.apportion if share.weight > 0] or [
-            (to.line or "", 1.0)
-        ]
-        self.deadline, self.aim = int(to.deadline_ms * 1e6), int(rule.target_ms * 1e6)
-        self.tries, self.homes, self.precedence = max(1, to.tries), to.home_regions, rule.precedence
-
-
-class Routes:
-    """All routes of one configuration, looked up by host and path: the longest prefix wins."""
-
-    def __init__(self, table: Configuration):
-        self.table, self.number = table, table.number
-        self.service_configs = {
-            service_config.name: service_config for service_config in table.service_configs
-        }
-        self.hosts: dict[str, list[Route]] = {}
-        for virtual_host in table.virtual_hosts:
-            rows = self.hosts.setdefault(virtual_host.destination.lower(), [])
-            rows += [Route(rule) for rule in virtual_host.route_rules]
-        for rows in self.hosts.values():
-            rows.sort(key=lambda route: -len(route.prefix))
-        self.all = [route for rows in self.hosts.values() for route in rows]
-
-    def find(self, host: str, path: str) -> Route | None:
-        for route in self.hosts.get(host.lower(), ()):
-            if path.startswith(route.prefix):
-                return route
-        return None
-
-
-def edition(text: object) -> int:
-    """A version as the wire has it: eight hexadecimal digits."""
+        """The version as a number: the higher one is the newer one."""
+        return int(self.version, 16)
+
+
+def parse_version(text: object) -> int:
+    """The number of a version as the wire writes it: eight hexadecimal digits.
+
+    Raises:
+        ConfigError: the text is anything else.
+    """
     # `int` alone would take signs, underscores and digits of other scripts too.
-    if not isinstance(text, str) or len(text) != 8 or not set(text) <= set(string.hexdigits):
+    if not isinstance(text, str) or len(text) != VERSION_DIGITS or not set(text) <= set(string.hexdigits):
         raise ConfigError("edition: expected eight hexadecimal digits")
     return int(text, 16)
 
 
 def check(body: bytes) -> Configuration:
-    """A configuration that may come into force.  Raises ConfigError."""
+    """Decode a configuration and check that it may come into force.
+
+    Args:
+        body: JSON, as the operator put it.
+
+    Raises:
+        ConfigError: the first fault that was found, by field and reason.
+    """
     try:
-        table = msgspec.json.decode(body, type=Configuration)
+        configuration = msgspec.json.decode(body, type=Configuration)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise ConfigError(str(error)) from None
-    edition(table.edition)
-    known, places = {service_config.name for service_config in table.service_configs}, set()
-    if len(known) != len(table.service_configs):
-        raise ConfigError("depots: a name stands twice")
-    for virtual_host in table.virtual_hosts:
-        if not virtual_host.destination:
+    parse_version(configuration.version)
+    services = check_service_names(configuration)
+    matches: set[tuple[str, str]] = set()
+    for virtual_host in configuration.virtual_hosts:
+        if not virtual_host.host:
             raise ConfigError("wickets: destination: must not be empty")
         for rule in virtual_host.route_rules:
-            where, to = f"regulations: {rule.name or '?'}", rule.dispatch
-            if rule.kind not in KINDS:
-                raise ConfigError(f"{where}: kind: expected one of {', '.join(KINDS)}")
-            if any(not share.weight >= 0 for share in to.apportion):
-                raise ConfigError(f"{where}: apportion: a weight is below 0")
-            if to.apportion and not sum(share.weight for share in to.apportion) > 0:
-                raise ConfigError(f"{where}: apportion: the weights sum to 0")
-            if not to.apportion and not to.line:
-                raise ConfigError(f"{where}: dispatch: names no line")
-            for line in [share.line for share in to.apportion] or [to.line]:
-                if line not in known:
-                    raise ConfigError(f"{where}: dispatch: unknown line {line!r:.40}")
-            if not rule.sorting.postcode.startswith("/") or not rule.sorting.postcode.endswith("/"):
-                raise ConfigError(f"{where}: postcode: must begin and end with a slash")
-            if not to.deadline_ms > 0:
-                raise ConfigError(f"{where}: deadline_ms: must be above 0")
-            place = virtual_host.destination.lower(), rule.sorting.postcode
-            if place in places:
-                raise ConfigError(f"{where}: postcode: stands twice under {virtual_host.destination}")
-            places.add(place)
-    return table
-
-
-def digest(body: bytes) -> bytes:
-    """What tells one content from another: eight bytes, against mistakes, not against a forger."""
-    return sha256(body).digest()[:8]
-
-
-class ConfigurationHistory:
-    """What the register holds: the newest body, as it was put, and which content each number had.
-
-    The history is sorted, its highest entry is that of the body, and it keeps the KEPT highest: an order
-    that was taken can be acknowledged again, and its number never confirms another content.  The pattern is
-    that of idempotency keys (IETF draft "The Idempotency-Key HTTP Header Field"), the number being the key.
-    """
+            check_route(rule, services)
+            check_match_is_new(virtual_host, rule, matches)
+    return configuration
 
-    __slots__ = ("body", "history")
 
-    def __init__(self, body: bytes, history: bytes):
-        self.body, self.history = body, history
+def check_service_names(configuration: Configuration) -> set[str]:
+    """The names of all services.
 
-    @classmethod
-    def of(cls, value: bytes) -> "ConfigurationHistory":
-        """From the register.  Earlier texts kept the body alone, which is JSON and begins otherwise."""
-        if value[:1] == b"\x92":
-            return cls(*msgspec.msgpack.decode(value))
-        number = int(msgspec.json.decode(value)["edition"], 16)
-        return cls(value, ENTRY.pack(number, digest(value)))
+    Raises:
+        ConfigError: two services have the same name.
+    """
+    names = {service_config.name for service_config in configuration.service_configs}
+    if len(names) != len(configuration.service_configs):
+        raise ConfigError("depots: a name stands twice")
+    return names
 
-    def value(self) -> bytes:
-        return msgspec.msgpack.encode([self.body, self.history])
 
-    def __len__(self) -> int:
-        return len(self.history) // ENTRY.size
+def check_route(rule: RouteRule, services: set[str]) -> None:
+    """Check one route by itself.
 
-    def entry(self, place: int) -> tuple[int, bytes]:
-        return ENTRY.unpack_from(self.history, place * ENTRY.size)
+    Args:
+        rule: the route.
+        services: the names that it may refer to.
 
-    @property
-    def number(self) -> int:
-        return self.entry(len(self) - 1)[0]
-
-    def put(self, number: int, body: bytes) -> tuple[str, "ConfigurationHistory | None"]:
-        """What becomes of a configuration, and what is to stand from then on, None where nothing changes."""
-        mark, place = digest(body), bisect_left(range(len(self)), number, key=lambda at: self.entry(at)[0])
-        if place < len(self) and self.entry(place)[0] == number:
-            return (AGAIN if self.entry(place)[1] == mark else OTHER), None
-        if place == 0 and len(self) == KEPT:
-            return FORGOTTEN, None  # it may have had any content
-        at = place * ENTRY.size
-        history = (self.history[:at] + ENTRY.pack(number, mark) + self.history[at:])[-KEPT * ENTRY.size :]
-        if place == len(self):
-            return TAKEN, ConfigurationHistory(body, history)
-        # It changes nothing, but is acknowledged: noted first, lest another content is too.
-        return OVERTAKEN, ConfigurationHistory(self.body, history)
-
-
-def put(held: bytes | None, number: int, body: bytes) -> tuple[str, bytes | None]:
-    """A change of the register by a configuration: (what becomes of it, the value; None: nothing changes).
-
-    >>> word, value = put(None, 7, b'{"edition": "00000007"}')
-    >>> word, put(value, 7, b'{"edition": "00000007"}'), put(value, 7, b"other")[0], put(value, 3, b"")[0]
-    ('taken', ('again', None), 'other content', 'overtaken')
+    Raises:
+        ConfigError: the first fault that was found.
+    """
+    if rule.kind not in ROUTE_KINDS:
+        raise ConfigError(f"{field_path(rule)}: kind: expected one of {', '.join(ROUTE_KINDS)}")
+    check_services(rule, services)
+    prefix = rule.match.path_prefix
+    if not prefix.startswith("/") or not prefix.endswith("/"):
+        raise ConfigError(f"{field_path(rule)}: postcode: must begin and end with a slash")
+    # "not above" and not "at most": no comparison with NaN is true.
+    if not rule.dispatch.deadline_ms > 0:
+        raise ConfigError(f"{field_path(rule)}: deadline_ms: must be above 0")
+
+
+def check_services(rule: RouteRule, services: set[str]) -> None:
+    """Check that a route's requests have somewhere to go.
+
+    Raises:
+        ConfigError: a weight is below 0, all are 0, or a service is missing or unknown.
     """
-    word, fresh = (ConfigurationHistory.of(held) if held is not None else ConfigurationHistory(b"", b"")).put(
-        number, body
-    )
-    return word, fresh and fresh.value()
+    dispatch = rule.dispatch
+    weights = [share.weight for share in dispatch.weighted_services]
+    if any(not weight >= 0 for weight in weights):
+        raise ConfigError(f"{field_path(rule)}: apportion: a weight is below 0")
+    if weights and not sum(weights) > 0:
+        raise ConfigError(f"{field_path(rule)}: apportion: the weights sum to 0")
+    if not weights and not dispatch.service:
+        raise ConfigError(f"{field_path(rule)}: dispatch: names no line")
+    for service in dispatch.service_names():
+        if service not in services:
+            raise ConfigError(f"{field_path(rule)}: dispatch: unknown line {service!r:.40}")
+
+
+def check_match_is_new(virtual_host: VirtualHost, rule: RouteRule, matches: set[tuple[str, str]]) -> None:
+    """Check that no earlier route takes the same requests, and note this one.
+
+    Args:
+        virtual_host: the host that the route belongs to.
+        rule: the route.
+        matches: (host in lower case, path prefix) of the earlier routes; this one is added.
+
+    Raises:
+        ConfigError: an earlier route has the same host and prefix.
+    """
+    match = (virtual_host.host.lower(), rule.match.path_prefix)
+    if match in matches:
+        raise ConfigError(f"{field_path(rule)}: postcode: stands twice under {virtual_host.host}")
+    matches.add(match)
+
+
+def field_path(rule: RouteRule) -> str:
+    """How errors name a route."""
+    return f"regulations: {rule.name or '?'}"
--- a/flintreach/consensus/inspection.py
+++ b/flintreach/consensus/inspection.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from flintreach.config.configuration import ConfigurationHistory
+from flintreach.config.configuration_history import ConfigurationHistory
 from flintreach.consensus.store import FORMAT, StoreError
 
 UNPACK = msgspec.msgpack.decode
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from flintreach.config.configuration import Configuration, Routes
+from flintreach.config.configuration import Configuration
+from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
@@ -50,7 +51,7 @@
         self.quorum_contact, self.suspend_detector = QuorumContact(), SuspendDetector(self.runtime.now())
         self.refusals: dict[str, list] = {}  # reason -> [calls refused, when the last was]
         self.routes: Routes | None = None
-        self.endpoints = EndpointService(self, node.carrier.report_ms)
+        self.endpoints = EndpointService(self, node.heartbeats.report_ms)
         self.operator_requests = OperatorRequests(self)
         self.repair = Repair(self)
         self.peer_exchange = PeerExchange(self)
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -9,8 +9,8 @@
 
 from flintreach.api import calls
 from flintreach.common.log import say
-from flintreach.config import configuration
 from flintreach.config.configuration import ConfigError, check
+from flintreach.config.configuration_history import PutOutcome
 from flintreach.controller.operator_requests import DROPPED, LATE
 from flintreach.endpoints.registry import Heartbeat
 from flintreach.transport import peer_connection
@@ -31,11 +31,11 @@
 SLEPT, ALONE, TIMED, LEFT = "slept", "out of touch", "late", "caller gone"
 UNSURE = 503, {"fault": "no majority in time"}
 ORDERS = {
-    configuration.TAKEN: (200, {}),
-    configuration.AGAIN: (200, {}),
-    configuration.OVERTAKEN: (200, {}),
-    configuration.OTHER: (409, {"fault": "edition: another content was acknowledged under this number"}),
-    configuration.FORGOTTEN: (503, {"fault": "edition: too old to tell which content it had"}),
+    PutOutcome.ACCEPTED: (200, {}),
+    PutOutcome.REPEATED: (200, {}),
+    PutOutcome.SUPERSEDED: (200, {}),
+    PutOutcome.CONFLICTING: (409, {"fault": "edition: another content was acknowledged under this number"}),
+    PutOutcome.FORGOTTEN: (503, {"fault": "edition: too old to tell which content it had"}),
     LATE: UNSURE,
     DROPPED: (503, {"fault": "given up before anything was changed"}),
 }
@@ -158,7 +158,7 @@
     def put(self, call):
         number = check(call.body).number
         word = self.plane.operator_requests.put(number, call.body, self.may(call))
-        if word == configuration.OTHER:
+        if word == PutOutcome.CONFLICTING:
             say("conflict", edition=f"{number:08x}")
         return ORDERS[word]
 
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -9,7 +9,7 @@
 
 from flintreach.api import calls
 from flintreach.common.log import say
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.sharding.range_assignment import Allocation
 from flintreach.sharding.range_lease import GRANT, RangeLeases
 from flintreach.transport.peer_connection import RESET, braced
@@ -78,7 +78,9 @@
             body["hold_ms"] = int(self.state.hold * 1000)
             if r.handover:
                 body["handover"] = r.handover
-        client = HTTPClient(*place(r.addr), connection_timeout=0.5, network_timeout=0.9, concurrency=1)
+        client = HTTPClient(
+            *parse_address(r.addr), connection_timeout=0.5, network_timeout=0.9, concurrency=1
+        )
 
         def connected(sock):
             # Where no connection comes up nothing was sent, and a dead holder's time does not begin anew.
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -123,7 +123,7 @@
                         node.sender.node_name,
                         name,
                         self.plane.register,
-                        node.bounds.hold_cap_ms,
+                        node.bounds.max_lease_ms,
                         lambda name=name: self.able(name),
                         self.plane.endpoints.ended,
                         tell,
@@ -159,7 +159,7 @@
                 for address in self.plane.peers():  # whoever keeps the keys of a service divides them by it
                     self.runtime.spawn(self.plane.peer_pool.ask, address, "warmth", told, 0.8)
             plain = [
-                (f"{route.name} {line}", line, route.homes)
+                (f"{route.name} {line}", line, route.home_regions)
                 for route in routes.all
                 for line, _ in route.services
                 if not routes.service_configs[line].sharded
@@ -217,11 +217,11 @@
         """The region to which clients of a host are sent; None: to their own."""
         homes, known = self.homes(name), self.plane.routes
         routes = known.hosts.get(name.lower(), ()) if known else ()
-        if homes and all(route.homes for route in routes):
+        if homes and all(route.home_regions for route in routes):
             return sorted(homes)[0]
         if homes is None:
             return None
-        lines = {line for route in routes if not route.homes for line, _ in route.services}
+        lines = {line for route in routes if not route.home_regions for line, _ in route.services}
         found = {region for region, part in map(self.region_of, lines) if part >= MOSTLY}
         return found.pop() if len(found) == 1 else None
 
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from flintreach.config import configuration
-from flintreach.config.configuration import ConfigurationHistory
+from flintreach.config import configuration_history
+from flintreach.config.configuration_history import ConfigurationHistory, PutOutcome
 from flintreach.consensus.quorum import Voters
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
@@ -51,11 +51,11 @@
         return held is not None and held[0] >= number
 
     def put(self, number: int, body: bytes, still: Callable[[], bool] = YES) -> str:
-        """What became of a configuration: a word of `timetable`, LATE or DROPPED.
+        """What became of a configuration: a `PutOutcome`, LATE or DROPPED.
 
         `still()`: asked right before anything is told to acceptors, whether it may yet be done.
         """
-        return self.change("timetable", lambda old: configuration.put(old, number, body), still)
+        return self.change("timetable", lambda old: configuration_history.put(old, number, body), still)
 
     def change(self, key: str, made: Callable, still: Callable[[], bool]) -> str:
         """`made(old)`: (what becomes of the order, the new value or None), as it is changed in the end."""
@@ -82,7 +82,7 @@
         return done, ConfigurationHistory.of(value).body if value is not None else None
 
     def evacuate(self, zone: str, on: bool, still: Callable[[], bool] = YES) -> str:
-        """TAKEN or AGAIN, LATE or DROPPED.
+        """ACCEPTED or REPEATED, LATE or DROPPED.
 
         The order has no number: one that was delayed must not act after a later one.  Ballots see to it from
         the prepares on, as a later order's are higher; `still` is for what comes before, while it lay unread.
@@ -91,7 +91,7 @@
         def made(old):
             number, zones = UNPACK(old) if old else (0, {})
             if old and bool(zones.get(zone)) == on:
-                return configuration.AGAIN, None
-            return configuration.TAKEN, PACK([number + 1, {**zones, zone: on}])
+                return PutOutcome.REPEATED, None
+            return PutOutcome.ACCEPTED, PACK([number + 1, {**zones, zone: on}])
 
         return self.change("evac", made, still)
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -9,7 +9,7 @@
 
 from flintreach.common.log import say
 from flintreach.config import settings
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.consensus.store import Store, StoreError
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.http_api import listen
@@ -27,7 +27,7 @@
 
     def __init__(self, node: settings.ProcessSettings):
         self.node, me = node, node.sender
-        address = node.inner(POST)
+        address = node.peer_address(POST)
         self.peer_pool = PeerPool(address)
         store = Store(me.store_dir, me.node_name, me.first_run) if me.store_dir else None
         member = Member(
@@ -59,7 +59,7 @@
         self.failure_detector.change(ready=True)
         for post, names in SERVED:
             if post in self.node.network.posts:
-                server = listen(place(self.node.network.posts[post]), self.plane, names)
+                server = listen(parse_address(self.node.network.posts[post]), self.plane, names)
                 server.start()
                 self.servers.append(server)
         say("ready", endpoints=len(self.plane.registry.records))
@@ -78,7 +78,7 @@
         return 0
 
     def reread(self) -> None:
-        self.node = self.plane.node = settings.again(self.node)
+        self.node = self.plane.node = settings.reload(self.node)
 
 
 def main() -> None:
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -28,7 +28,7 @@
 
     @property
     def losses(self) -> Losses:
-        told = self.plane.node.tariffs.losses
+        told = self.plane.node.rules.losses
         return Losses(told.machines, told.zones, told.regions)
 
     def disks(self) -> dict[Address, Disk]:
--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -76,7 +76,9 @@
     ) -> ExchangeTerms:
         idle, service_config = IDLE, self.view.routes.service_configs.get(service)
         if service_config:
-            idle = idle_for(endpoint, self.view.here, service_config.berth_cap, IDLE, service_config.sharded)
+            idle = idle_for(
+                endpoint, self.view.here, service_config.connection_limit, IDLE, service_config.sharded
+            )
         return ExchangeTerms(
             until,
             CONNECT_S,
--- a/flintreach/proxy/carry.py
+++ b/flintreach/proxy/carry.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent.event import Event
 
-from flintreach.config.configuration import Route
+from flintreach.config.routing import Route
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.attempt import EndpointClient
@@ -90,7 +90,7 @@
     def alike(self, request: Request) -> bool:
         """Whether it may be carried beside others of its connection."""
         route = self.route(request) if self.view.routes else None
-        return route is not None and route.repeatable
+        return route is not None and route.idempotent
 
     def carry(self, request: Request) -> Answer:
         """The answer to a request.
@@ -103,7 +103,7 @@
         if route is None:
             self.metrics.count("no_route")
             return own(404)
-        request.repeatable = route.repeatable
+        request.repeatable = route.idempotent
         try:
             return self.carry_in_turn(self.routed(request, route))
         except ClientLeft:
@@ -114,7 +114,7 @@
         """Draw the service of a request, and count it there."""
         service = self.draw_service(route)
         wait = number(request.low.get("x-time-left-ms", ""))
-        until = request.came + min(route.deadline, route.deadline if wait is None else wait * MS)
+        until = request.came + min(route.deadline_ns, route.deadline_ns if wait is None else wait * MS)
         self.load_aggregate.request(slice_of(route, service))
         budget = self.budget(service)
         budget.request(time.monotonic_ns())
@@ -130,7 +130,7 @@
         size = self.gate.size(route.name, route.kind == "outbound_post")
         if not size:
             return self.try_endpoints(routed)
-        patience_ns = min(WAIT * route.aim, routed.until - time.monotonic_ns())
+        patience_ns = min(WAIT * route.latency_target_ns, routed.until - time.monotonic_ns())
         if not self.take_turn(routed.request.caller, size, patience_ns):
             self.metrics.count("no turn")
             return own(503, PAUSE)
@@ -179,19 +179,19 @@
                 budget.spend(now)
                 self.metrics.count("again")
             routed.tried.add(endpoint.id)
-            outcome, beside = self.one_try(routed, endpoint, sent + 1 < route.tries)
+            outcome, beside = self.one_try(routed, endpoint, sent + 1 < route.attempts)
             if outcome.kind == ANSWERED:
                 self.gate.saw(route.name, len(outcome.message.body))
                 return relayed(outcome.message, request)
             self.metrics.count(outcome.kind)
             sent, dials = sent + beside + (outcome.kind != UNSENT), dials + (outcome.kind == UNSENT)
-            step, status = TABLE[outcome.kind, route.repeatable]
-            if step == "end" or sent >= route.tries or dials > MOST_DIALS:
+            step, status = TABLE[outcome.kind, route.idempotent]
+            if step == "end" or sent >= route.attempts or dials > MOST_DIALS:
                 return own(status, PAUSE if status == 503 else None)
 
     def awaits_keys(self, routed: RoutedRequest, now: int) -> bool:
         """Whether the keys of a request may only be on their way from one holder to another."""
-        wait = int(KEY_WAIT * routed.route.aim)
+        wait = int(KEY_WAIT * routed.route.latency_target_ns)
         return self.view.sharded(routed.service) and now < routed.request.came + wait
 
     def choose(self, routed: RoutedRequest, now: int) -> Endpoint | None:
@@ -201,15 +201,15 @@
             self.bounds,
             view.here.fronts,
         )
-        rate = service_config.cold_per_s if service_config else 0.0
+        rate = service_config.slow_start_per_s if service_config else 0.0
         # Keys have one holder: all must be able to reach it, even if it is cold.
         pilots = fronts
         if not view.sharded(service):
-            pilots = cold_pilots(rate, bounds.cold_excess, bounds.cold_slack, fronts)
+            pilots = cold_pilots(rate, bounds.slow_start_excess, bounds.slow_start_slack, fronts)
         return choose(
             view.able(route, service, routed.key, routed.tried),
             view.here,
-            route.aim,
+            route.latency_target_ns,
             self.usual(route, service),
             now,
             rate,
@@ -220,15 +220,15 @@
 
     def usual(self, route: Route, service: str) -> int:
         """How long the requests of a service usually take (ns)."""
-        return self.work.get(service, route.aim // 8)
+        return self.work.get(service, route.latency_target_ns // 8)
 
     def one_try(self, routed: RoutedRequest, endpoint: Endpoint, more: bool) -> tuple[Outcome, int]:
         """A try at one endpoint, where `more` are allowed with another beside it; how many were beside it."""
         request, route, service, until = routed.request, routed.route, routed.service, routed.until
-        if not route.repeatable:
+        if not route.idempotent:
             return self.attempt(request, service, endpoint, until), 0
         hedge = Hedge(request.caller, lambda chosen: self.attempt(request, service, chosen, until))
-        patience_s = patience(route.aim, self.usual(route, service)) / SECOND if more else None
+        patience_s = patience(route.latency_target_ns, self.usual(route, service)) / SECOND if more else None
         return hedge.run(endpoint, lambda: self.second(routed), patience_s)
 
     def second(self, routed: RoutedRequest) -> Endpoint | None:
--- a/flintreach/proxy/connection.py
+++ b/flintreach/proxy/connection.py
@@ -7,7 +7,7 @@
 
 from gevent import socket
 
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.proxy.reply import number
 from flintreach.transport.peer_connection import RESET
 
@@ -58,7 +58,7 @@
     """Idle connections to one endpoint; the one used last is used first."""
 
     def __init__(self, addr: str):
-        self.address, self.idle = place(addr), []
+        self.address, self.idle = parse_address(addr), []
 
     def connect(self, timeout: float) -> Connection:
         """A fresh connection.  Raises OSError where none comes up within `timeout` seconds."""
--- a/flintreach/proxy/front.py
+++ b/flintreach/proxy/front.py
@@ -53,25 +53,25 @@
     def read(self) -> Request | None:
         limits, source = self.server.limits(), self.source
         if not source.buffer:
-            self.socket.settimeout(limits.dwell_ms / 1000)
+            self.socket.settimeout(limits.idle_ms / 1000)
             while not source.more():
                 return None
             self.socket.settimeout(None)
         try:
-            with gevent.Timeout(limits.envelope_ms / 1000):
+            with gevent.Timeout(limits.header_ms / 1000):
                 while source.buffer.startswith(b"\r\n"):
                     del source.buffer[:2]
                     if not source.buffer and not source.more():
                         return None
-                head = source.until(b"\r\n\r\n", limits.envelope_bytes)
+                head = source.until(b"\r\n\r\n", limits.header_bytes)
                 if head is None:
                     return None
                 request = parse(head)
                 request.caller = self.caller
             if not self.go_on(request):
                 return None
-            with gevent.Timeout(limits.dwell_ms / 1000):
-                request.body = read_body(source, request, limits.contents_bytes)
+            with gevent.Timeout(limits.idle_ms / 1000):
+                request.body = read_body(source, request, limits.body_bytes)
         except gevent.Timeout:
             raise BadRequest(408) from None
         request.came = time.monotonic_ns()
--- a/flintreach/proxy/presence.py
+++ b/flintreach/proxy/presence.py
@@ -53,11 +53,11 @@
 
     def question(self, endpoint: Endpoint, now: int) -> None:
         config = self.view.routes.service_configs.get(endpoint.service)
-        if config is None or not config.checkup:
+        if config is None or not config.health_path:
             return
         self.metrics.count("asked for presence")
         lines = (
-            f"GET {config.checkup} HTTP/1.1",
+            f"GET {config.health_path} HTTP/1.1",
             f"Host: {endpoint.addr}",
             f"X-Expect-Endpoint: {endpoint.id}",
         )
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -11,7 +11,7 @@
 from flintreach.common.log import say
 from flintreach.config import settings
 from flintreach.config.configuration import RequestLimits
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
@@ -35,7 +35,7 @@
 class Proxy:
     def __init__(self, node: settings.ProcessSettings):
         self.node, me = node, node.sender
-        address = node.inner(POST)
+        address = node.peer_address(POST)
         self.peer_pool, self.updates = PeerPool(address), VersionedStore(time.monotonic)
         self.here = Here(me.zone, me.region, name=me.node_name)
         self.metrics = Metrics()
@@ -63,12 +63,12 @@
             int(time.time() * 1000),
         )
         self.failure_detector = FailureDetector(
-            member, lambda: [(ip, node.inner(REFUGE_POST)[1]) for ip in self.node.seeds()]
+            member, lambda: [(ip, node.peer_address(REFUGE_POST)[1]) for ip in self.node.seeds()]
         )
         self.failure_detector.watchers.append(self.recount)
         self.relay = Relay(self.peer_pool, self.updates, self.parents, self.load_aggregate.add)
-        self.front = Front(place(node.network.posts["front"]), self.carrier, self.limits)
-        self.ready = pywsgi.WSGIServer(place(node.network.posts["ready"]), self.on_ready, log=None)
+        self.front = Front(parse_address(node.network.posts["front"]), self.carrier, self.limits)
+        self.ready = pywsgi.WSGIServer(parse_address(node.network.posts["ready"]), self.on_ready, log=None)
         self.is_ready, self.stopping = False, Event()
 
     def confirmed_at(self) -> int:
@@ -134,7 +134,7 @@
         return self.leave()
 
     def reread(self) -> None:
-        self.node = settings.again(self.node)
+        self.node = settings.reload(self.node)
 
     def get_ready(self) -> None:
         """Clients come once this process knows what is in force, as fresh as a refuge has it."""
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from flintreach.config.configuration import Configuration, Routes
+from flintreach.config.configuration import Configuration
+from flintreach.config.routing import Routes
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.choice import Endpoint, Here, divide
 from flintreach.proxy.connection import ConnectionPool
@@ -80,7 +81,7 @@
 
     def cold_time(self, service: str) -> int:
         service_config = self.routes.service_configs.get(service) if self.routes else None
-        return int((service_config.cold_s if service_config else 0) * SECOND)
+        return int((service_config.slow_start_s if service_config else 0) * SECOND)
 
     def on_endpoint(self, id: str, told: dict | None) -> None:
         """News of an endpoint; None: all that was held of it is forgotten."""
@@ -196,7 +197,7 @@
             found = [endpoint] if endpoint is not None else []
         else:
             found = self.services.get(service, {}).values()
-        homes, now = route.homes, self.clock()
+        homes, now = route.home_regions, self.clock()
         found = [
             endpoint
             for endpoint in found
--- a/flintreach/sharding/region_affinity.py
+++ b/flintreach/sharding/region_affinity.py
@@ -17,8 +17,8 @@
     """Home regions of a host's routes, empty where all are bound to keys alone; None where one is free."""
     found: list[set[str]] = []
     for route in routes:
-        if route.homes:
-            found.append({*route.homes})
+        if route.home_regions:
+            found.append({*route.home_regions})
         elif not all(line in sharded for line, _ in route.services):
             return None
     if not found:
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -10,7 +10,8 @@
 from typing import NamedTuple
 from unittest import mock
 
-from flintreach.config import configuration
+from flintreach.config import configuration_history
+from flintreach.config.configuration_history import PutOutcome
 from flintreach.consensus.voter_selection import Losses
 from flintreach.simulation.engine import SECOND
 
@@ -121,7 +122,7 @@
 def takes_any_number(put):
     def planted(self, number, body, *still):
         word = put(self, number, body, *still)
-        return configuration.AGAIN if word == configuration.OTHER else word
+        return PutOutcome.REPEATED if word == PutOutcome.CONFLICTING else word
 
     return planted
 
@@ -295,7 +296,7 @@
     """Whether the text has what the plant undoes."""
     plant = PLANTS[name]
     if name == "takes-any-number":
-        return hasattr(configuration, "OTHER")
+        return hasattr(configuration_history, "PutOutcome")
     if name == "ends-rivals":
         return hasattr(importlib.import_module("flintreach.endpoints.registry"), "ENDS")
     return hasattr(target(plant), plant.name)
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -89,7 +89,7 @@
         super().__init__(site.sim, machine, machine.name, site.crashed)
         self.site, self.listening, self.since = site, False, site.sim.now
         self.node = site.node(machine, ROLE, first_run)
-        self.peer_pool = PeerPool(self.node.inner(REFUGE_POST), self.runtime)
+        self.peer_pool = PeerPool(self.node.peer_address(REFUGE_POST), self.runtime)
         me = self.node.sender
         self.store = Store(self, site.disks[machine.ip], me.node_name, first_run)
         member = Member(
@@ -149,7 +149,7 @@
     def __init__(self, site: "Site", machine: Machine):
         super().__init__(site.sim, machine, machine.name, site.crashed)
         self.node = site.node(machine, PROXY, False)
-        self.peer_pool = PeerPool(self.node.inner(PROXY_POST), self.runtime)
+        self.peer_pool = PeerPool(self.node.peer_address(PROXY_POST), self.runtime)
         me = self.node.sender
         member = Member(
             me.node_name,
--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -77,12 +77,12 @@
 
 
 def main() -> None:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as `program` does, which comes later here
-    from flintreach.__main__ import PROGRAMS, program
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as `run_program` does, which comes later here
+    from flintreach.__main__ import PROGRAMS, run_program
     from flintreach.config import settings
 
     install(Cuts(os.environ[VARIABLE], settings.load().sender.ip))
-    program(PROGRAMS[sys.argv[1]])
+    run_program(PROGRAMS[sys.argv[1]])
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from flintreach.config import configuration
-from flintreach.config.configuration import ConfigurationHistory
+from flintreach.config import configuration, configuration_history
+from flintreach.config.configuration_history import ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.quorum import Voters
@@ -96,7 +96,7 @@
         )
         # Its history confirms what was acknowledged, also what never came into force, and nothing else.
         for number, body, word in ((9, standing.body, "again"), (9, b"{}", "other content")):
-            self.assertEqual(configuration.put(values["timetable"], number, body)[0], word)
+            self.assertEqual(configuration_history.put(values["timetable"], number, body)[0], word)
         self.assertEqual(UNPACK(values["evac"]), [2, {"north-a": True, "south-b": False}])
         map = {"look desk": ["desk-1", "desk-2"], "book desk": ["desk-2"]}
         self.assertEqual(UNPACK(values["map"]), [20, map])
@@ -107,8 +107,8 @@
     def test_an_older_configuration_without_a_history_is_read(self):
         body = b'{"edition": "00000009"}'
         self.assertEqual(ConfigurationHistory.of(body).number, 9)
-        self.assertEqual(configuration.put(body, 9, body)[0], "again")
-        self.assertEqual(configuration.put(body, 9, b"other")[0], "other content")
+        self.assertEqual(configuration_history.put(body, 9, body)[0], "again")
+        self.assertEqual(configuration_history.put(body, 9, b"other")[0], "other content")
 
     def test_the_voters_are_read_and_written_back_as_they_were(self):
         store = self.opened()
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -16,6 +16,7 @@
 
 from flintreach.api import calls
 from flintreach.config import configuration, settings
+from flintreach.config.routing import Routes
 from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.endpoints.registry import Heartbeat
 from flintreach.proxy.caller import Caller
@@ -198,7 +199,7 @@
         view = type(
             "View",
             (),
-            {"routes": configuration.Routes(configuration.check(msgspec.json.encode(CONFIGURATION)))},
+            {"routes": Routes(configuration.check(msgspec.json.encode(CONFIGURATION)))},
         )
         endpoint = Endpoint("lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr))
         Presence(view, Metrics()).question(endpoint, 10**18)
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -14,16 +14,8 @@
 from greenlet import greenlet
 
 from flintreach.api import calls
-from flintreach.config import configuration, settings
-from flintreach.config.configuration import (
-    AGAIN,
-    FORGOTTEN,
-    KEPT,
-    OTHER,
-    OVERTAKEN,
-    TAKEN,
-    ConfigurationHistory,
-)
+from flintreach.config import configuration, configuration_history, settings
+from flintreach.config.configuration_history import MAX_ENTRIES, ConfigurationHistory, PutOutcome
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
@@ -253,7 +245,7 @@
 class Bodies(unittest.TestCase):
     def setUp(self):
         self.put = []
-        orders = SimpleNamespace(put=lambda number, body, still: self.put.append(body) or TAKEN)
+        orders = SimpleNamespace(put=lambda number, body, still: self.put.append(body) or PutOutcome.ACCEPTED)
         self.control = ControlApi(Plane(operator_requests=orders), CALLS)
 
     def test_a_body_that_links_would_not_carry_is_told_by_its_length_and_left_unread(self):
@@ -307,30 +299,36 @@
             order = [0 if place in first else 1 for place in range(12)]
             for lost in ((), ((0, 2),), ((1, 2),)):
                 world, bodies, answers = self.play(order, lost)
-                yes = [place for place in (0, 1) if {TAKEN, AGAIN} & {*answers[place]}]
+                yes = [
+                    place
+                    for place in (0, 1)
+                    if {PutOutcome.ACCEPTED, PutOutcome.REPEATED} & {*answers[place]}
+                ]
                 self.assertEqual(len(yes), 1, (order, lost, answers))
                 winner, loser = answers[yes[0]], answers[1 - yes[0]]
-                self.assertEqual(winner[-1], AGAIN)
-                self.assertEqual(loser[-1], OTHER, (order, lost, answers))
+                self.assertEqual(winner[-1], PutOutcome.REPEATED)
+                self.assertEqual(loser[-1], PutOutcome.CONFLICTING, (order, lost, answers))
                 for node in world.nodes:
                     world.cut = set()
                     self.assertEqual(node.operator_requests.get(), (True, bodies[yes[0]]))
-                    self.assertEqual(node.operator_requests.put(7, bodies[yes[0]]), AGAIN)
-                    self.assertEqual(node.operator_requests.put(7, bodies[1 - yes[0]]), OTHER)
+                    self.assertEqual(node.operator_requests.put(7, bodies[yes[0]]), PutOutcome.REPEATED)
+                    self.assertEqual(
+                        node.operator_requests.put(7, bodies[1 - yes[0]]), PutOutcome.CONFLICTING
+                    )
                 count += 1
         self.assertEqual(count, 924 * 3)
 
     def test_contents_that_race_under_an_overtaken_number_are_not_both_confirmed(self):
         world = World(3)
         one, two = table(3, "one.example"), table(3, "two.example")
-        self.assertEqual(world.nodes[0].operator_requests.put(5, table(5)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(5, table(5)), PutOutcome.ACCEPTED)
         words = world.play(
             [
                 lambda: world.nodes[0].operator_requests.put(3, one),
                 lambda: world.nodes[1].operator_requests.put(3, two),
             ]
         )
-        self.assertEqual(sorted(words), [OTHER, OVERTAKEN])
+        self.assertEqual(sorted(words), [PutOutcome.CONFLICTING, PutOutcome.SUPERSEDED])
         self.assertEqual([node.operator_requests.get() for node in world.nodes], [(True, table(5))] * 3)
         self.assertEqual(
             world.nodes[0].updates.entries["timetable"], (5, table(5)), "news are the body alone"
@@ -339,21 +337,25 @@
     def test_what_was_taken_is_acknowledged_again_after_thousands_of_changes_and_a_full_restart(self):
         world, count = World(3), 3000
         for number in range(1, count + 1):
-            self.assertEqual(world.nodes[number % 3].operator_requests.put(number, table(number)), TAKEN)
+            self.assertEqual(
+                world.nodes[number % 3].operator_requests.put(number, table(number)), PutOutcome.ACCEPTED
+            )
         world = World(3, world.disks())
-        lowest = count - KEPT + 1
+        lowest = count - MAX_ENTRIES + 1
         cases = [
-            (1, FORGOTTEN),
-            (lowest - 1, FORGOTTEN),
-            (lowest, AGAIN),
-            (count // 2 + 700, AGAIN),
-            (count, AGAIN),
+            (1, PutOutcome.FORGOTTEN),
+            (lowest - 1, PutOutcome.FORGOTTEN),
+            (lowest, PutOutcome.REPEATED),
+            (count // 2 + 700, PutOutcome.REPEATED),
+            (count, PutOutcome.REPEATED),
         ]
         for number, word in cases:
             for node in world.nodes:
                 self.assertEqual(node.operator_requests.put(number, table(number)), word, number)
                 other = node.operator_requests.put(number, table(number, "other.example"))
-                self.assertEqual(other, OTHER if word == AGAIN else FORGOTTEN)
+                self.assertEqual(
+                    other, PutOutcome.CONFLICTING if word == PutOutcome.REPEATED else PutOutcome.FORGOTTEN
+                )
         self.assertLess(len(world.disks()[world.addresses[0]]["timetable"].value), 32 << 10)
 
     def test_an_older_change_that_arrives_again_changes_nothing_and_is_acknowledged(self):
@@ -364,41 +366,47 @@
             for node in world.nodes
         ]
         self.assertEqual(
-            words, [TAKEN, AGAIN, AGAIN] * 2 + [AGAIN] * 3 + [OVERTAKEN, AGAIN, AGAIN] + [AGAIN] * 6
+            words,
+            [PutOutcome.ACCEPTED, PutOutcome.REPEATED, PutOutcome.REPEATED] * 2
+            + [PutOutcome.REPEATED] * 3
+            + [PutOutcome.SUPERSEDED, PutOutcome.REPEATED, PutOutcome.REPEATED]
+            + [PutOutcome.REPEATED] * 6,
         )
         self.assertEqual(world.nodes[1].operator_requests.get(), (True, table(9)))
 
     def test_what_earlier_texts_kept_is_read(self):
         held = ConfigurationHistory.of(table(6))
         self.assertEqual((held.number, held.body, len(held)), (6, table(6), 1))
-        self.assertEqual(configuration.put(table(6), 6, table(6)), (AGAIN, None))
-        self.assertEqual(configuration.put(table(6), 6, table(6, "b.example"))[0], OTHER)
-        word, value = configuration.put(table(6), 8, table(8))
-        self.assertEqual((word, ConfigurationHistory.of(value).number), (TAKEN, 8))
-        self.assertEqual(configuration.put(value, 6, table(6)), (AGAIN, None))
+        self.assertEqual(configuration_history.put(table(6), 6, table(6)), (PutOutcome.REPEATED, None))
+        self.assertEqual(
+            configuration_history.put(table(6), 6, table(6, "b.example"))[0], PutOutcome.CONFLICTING
+        )
+        word, value = configuration_history.put(table(6), 8, table(8))
+        self.assertEqual((word, ConfigurationHistory.of(value).number), (PutOutcome.ACCEPTED, 8))
+        self.assertEqual(configuration_history.put(value, 6, table(6)), (PutOutcome.REPEATED, None))
 
     def test_the_history_stays_sorted_and_bounded_whatever_comes(self):
         draw, value, taken = random.Random(4), None, {}
-        for _ in range(4 * KEPT):
-            number = draw.randrange(3 * KEPT)
-            word, fresh = configuration.put(value, number, b"%d" % number)
-            self.assertNotEqual(word, OTHER)
+        for _ in range(4 * MAX_ENTRIES):
+            number = draw.randrange(3 * MAX_ENTRIES)
+            word, fresh = configuration_history.put(value, number, b"%d" % number)
+            self.assertNotEqual(word, PutOutcome.CONFLICTING)
             value = fresh or value
             taken[number] = word
         held = ConfigurationHistory.of(value)
         numbers = [held.entry(place)[0] for place in range(len(held))]
         self.assertEqual(numbers, sorted(set(numbers)))
-        self.assertEqual(len(held), KEPT)
+        self.assertEqual(len(held), MAX_ENTRIES)
         self.assertEqual(held.body, b"%d" % numbers[-1])
 
     def test_statuses(self):
         """Only another content is refused; what can't be told has no clear answer, and when to ask again."""
         for word, status in (
-            (TAKEN, 200),
-            (AGAIN, 200),
-            (OVERTAKEN, 200),
-            (OTHER, 409),
-            (FORGOTTEN, 503),
+            (PutOutcome.ACCEPTED, 200),
+            (PutOutcome.REPEATED, 200),
+            (PutOutcome.SUPERSEDED, 200),
+            (PutOutcome.CONFLICTING, 409),
+            (PutOutcome.FORGOTTEN, 503),
             (LATE, 503),
         ):
             orders = SimpleNamespace(put=lambda number, body, still, word=word: word)
@@ -412,8 +420,8 @@
     def test_a_number_is_eight_plain_hexadecimal_digits(self):
         for text in ("+0000001", "-0000001", "0x000001", "000_0001", " 0000001", "\u0661" * 8):
             with self.assertRaises(configuration.ConfigError, msg=text):
-                configuration.edition(text)
-        self.assertEqual(configuration.edition("0000aBcD"), 0xABCD)
+                configuration.parse_version(text)
+        self.assertEqual(configuration.parse_version("0000aBcD"), 0xABCD)
 
 
 ZONE = "/v1/evacuate/north/"
@@ -495,7 +503,7 @@
 
     def test_an_order_given_up_after_accepts_went_out_has_no_clear_answer(self):
         """Its first attempt was told to acceptors and lost: that nothing changed may not be said."""
-        for may, word in (([False], DROPPED), ([True, False], LATE), ([True, True], TAKEN)):
+        for may, word in (([False], DROPPED), ([True, False], LATE), ([True, True], PutOutcome.ACCEPTED)):
 
             def change(key, step, timeout, may=may):
                 return True, [step(None) for _ in may][-1]
@@ -572,8 +580,8 @@
 
         plane = Plane(
             operator_requests=SimpleNamespace(
-                put=waits("put", TAKEN),
-                evacuate=waits("order", TAKEN),
+                put=waits("put", PutOutcome.ACCEPTED),
+                evacuate=waits("order", PutOutcome.ACCEPTED),
                 get=waits("get", lambda: (True, self.value)),
             ),
             endpoints=SimpleNamespace(beat=waits("beat", True), leave=waits("leave", True)),
@@ -754,7 +762,7 @@
         world = World(3)
         world.nodes[0].register.lives = {address: f"life {address}" for address in world.addresses}
         self.assertEqual(self.marks(world, 1, 2), 0.0)
-        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), PutOutcome.ACCEPTED)
         world.nodes[0].operator_requests.evacuate("north", True)
         world.now += 1.0
         world.cut = {(world.addresses[0], address) for address in world.addresses[1:]}
@@ -775,7 +783,7 @@
         """Five disks; the order is on three, two of which died: a mark tells of it, and a read settles it."""
         world = World(5)
         self.marks(world, 4, 2, 3)
-        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
+        self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), PutOutcome.ACCEPTED)
         world.cut = {
             (world.addresses[lost], world.addresses[other]) for lost in (0, 1) for other in (2, 3, 4)
         }
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -16,7 +16,7 @@
 from typer.testing import CliRunner
 
 from flintreach.__main__ import commands
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.store import StoreError
 from flintreach.demo.cluster import TIMETABLE, DemoCluster
@@ -135,7 +135,7 @@
         for ip, port in self.cluster.control():
             rows = PeerPool(("127.0.0.1", 0)).ask((ip, port + 4), "show", "voters", 1.0)
             if rows and all(row["set"] in ("votes", "") for row in rows):
-                return rows[0]["epoch"], {names[place(row["address"])] for row in rows if row["set"]}
+                return rows[0]["epoch"], {names[parse_address(row["address"])] for row in rows if row["set"]}
         return None
 
     def vote(self, *numbers):
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -82,7 +82,7 @@
         self.handlers, self.carrier, self.came, self.hangups = set(), self, [], NoHangups()
 
     def limits(self):
-        return RequestLimits(envelope_bytes=500, contents_bytes=1000)
+        return RequestLimits(header_bytes=500, body_bytes=1000)
 
     def alike(self, request):
         return False
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -233,7 +233,7 @@
 
 class Regions(unittest.TestCase):
     def route(self, line, homes=()):
-        return SimpleNamespace(homes=homes, services=[(line, 1.0)])
+        return SimpleNamespace(home_regions=homes, services=[(line, 1.0)])
 
     def test_hosts_whose_routes_are_bound_to_keys_or_homes_may_be_sent_to_one_region(self):
         keyed, free, home = self.route("k"), self.route("d"), self.route("d", ("n",))
