--- a/flintreach/api/__init__.py
+++ b/flintreach/api/__init__.py
@@ -1,1 +1,1 @@
-"""The table of calls that endpoints, clients and operators make."""
+"""The calls that endpoints, clients and operators make, as a table."""
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -317,7 +317,7 @@
             "settings": msgspec.json.encode(node).decode(),
             "configuration": msgspec.json.encode(table).decode(),
             "check-in": msgspec.json.encode(beat).decode(),
-            "table of calls": json.dumps([[method, path] for _, method, path, *_ in calls.TABLE]),
+            "table of calls": json.dumps([[call.method, call.path] for call in calls.TABLE]),
         },
     }
 
