--- a/flintreach/cli/__init__.py
+++ b/flintreach/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, one module a group of commands."""
+"""The command line, one module a group of commands; `app` puts them together."""
--- /dev/null
+++ b/tests/cli/test_inspection.py
@@ -0,0 +1,17 @@
+"""Commands on controllers: statuses for what can't be asked."""
+
+import unittest
+
+from typer.testing import CliRunner
+
+from flintreach.cli.app import build_app
+
+
+class Show(unittest.TestCase):
+    def test_a_view_that_there_is_not_ends_it_with_status_2(self) -> None:
+        result = CliRunner().invoke(build_app(), ["show", "moon", "--at", "x:1"])
+        self.assertEqual(result.exit_code, 2)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -14,7 +14,7 @@
 
 from typer.testing import CliRunner
 
-from flintreach.__main__ import commands
+from flintreach.cli.app import build_app
 from flintreach.proxy.metrics import Metrics
 
 ROOT = Path(__file__).parents[2]
@@ -27,8 +27,8 @@
 HELP = """
 import json, sys
 from typer.testing import CliRunner
-from flintreach.__main__ import commands
-told = {name: CliRunner().invoke(commands(), [name, "--help"]).output for name in sys.argv[1:]}
+from flintreach.cli.app import build_app
+told = {name: CliRunner().invoke(build_app(), [name, "--help"]).output for name in sys.argv[1:]}
 print(json.dumps(told))
 """
 
@@ -59,14 +59,14 @@
             ["state", "nowhere"],
             ["show", "other", "--at", "127.0.0.1:1"],
         ):
-            self.assertEqual(CliRunner().invoke(commands(), arguments).exit_code, 2, arguments)
+            self.assertEqual(CliRunner().invoke(build_app(), arguments).exit_code, 2, arguments)
 
     def test_another_side_that_does_not_answer_ends_a_command_with_status_1(self):
         for arguments in (["get", "--at", "127.0.0.1:1"], ["show", "status", "--at", "127.0.0.1:1"]):
-            self.assertEqual(CliRunner().invoke(commands(), arguments).exit_code, 1, arguments)
+            self.assertEqual(CliRunner().invoke(build_app(), arguments).exit_code, 1, arguments)
 
     def test_a_trace_of_the_simulation_tells_its_checksum_and_events(self):
-        told = CliRunner().invoke(commands(), ["simulate", "--trace", "1"])
+        told = CliRunner().invoke(build_app(), ["simulate", "--trace", "1"])
         self.assertEqual(told.exit_code, 0, told.output)
         self.assertRegex(told.output, r"digest [0-9a-f]{8}, [0-9]+ events")
 
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -15,7 +15,7 @@
 import gevent
 from typer.testing import CliRunner
 
-from flintreach.__main__ import commands
+from flintreach.cli.app import build_app
 from flintreach.config.settings import parse_address
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.store import StoreError
@@ -145,7 +145,7 @@
 
     def desk(self, *words):
         """An operator's command: its status, and what it printed."""
-        said = CliRunner().invoke(commands(), words)
+        said = CliRunner().invoke(build_app(), words)
         return said.exit_code, said.output
 
     def test_voters_hand_over_at_a_sigterm_and_by_an_order(self):
