--- a/flintreach/cli/trials.py
+++ b/flintreach/cli/trials.py
@@ -18,7 +18,7 @@
 
 def demo(proxies: int = 3, controllers: int = 3, desks: int = 4, stores: int = 2, port: int = 7600) -> None:
     """The whole system on this machine's loopback, with stand-in endpoints, until it is interrupted."""
-    from flintreach.demo.cluster import serve
+    from flintreach.demo.program import serve
 
     raise typer.Exit(serve(proxies, controllers, desks, stores, port))
 
--- a/flintreach/demo/cluster.py
+++ b/flintreach/demo/cluster.py
@@ -1,7 +1,7 @@
-"""The whole system on this machine's loopback: refuges and proxies as processes, endpoints as stand-ins here.
+"""The whole system on this machine's loopback: controllers and proxies as processes, endpoints in this one.
 
 Each machine of the deployment is an address of its own under 127.0.0.0/8, so all use the same ports, as on
-real machines.  For a first look (`flintreach camp`) and for tests of the programs over sockets.
+real machines.  For a first look (`flintreach demo`), the soak, and tests of the programs over sockets.
 """
 
 import json
@@ -12,54 +12,45 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 import gevent
-import gevent.event
 import yaml
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
+from flintreach.config.settings import PATH_VARIABLE
+from flintreach.demo.configuration import HOST, PLAIN_SERVICE, SHARDED_SERVICE
 from flintreach.standins.endpoint import Endpoint, told
 
-ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
-TIMETABLE = {
-    "edition": "00000001",
-    "wickets": [
-        {
-            "destination": "camp.example",
-            "regulations": [
-                {
-                    "name": "look",
-                    "kind": "safe",
-                    "target_ms": 800,
-                    "sorting": {"postcode": "/look/"},
-                    "dispatch": {"line": "desk", "deadline_ms": 3000, "tries": 2},
-                },
-                {
-                    "name": "file",
-                    "kind": "unsafe",
-                    "target_ms": 800,
-                    "sorting": {"postcode": "/file/"},
-                    "dispatch": {"line": "desk", "deadline_ms": 3000, "tries": 2},
-                },
-                {
-                    "name": "fetch",
-                    "kind": "outbound_post",
-                    "target_ms": 800,
-                    "sorting": {"postcode": "/fetch/"},
-                    "dispatch": {"line": "store", "deadline_ms": 3000, "tries": 2},
-                },
-            ],
-        }
-    ],
-    "depots": [{"name": "desk"}, {"name": "store", "sharded": True}],
-}
+ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}  # zone -> its region
+
+# What the settings call a process's job, and the program's name on a command line.
+CONTROLLER_ROLE = "refuge"  # as earlier releases wrote it
+PROXY_ROLE = "proxy"
+# Services of a process -> the port at which it listens, counted from the first port of the cluster.
+CONTROLLER_PORTS = {"control": 0, "directory": 1}
+PROXY_PORTS = {"front": 2, "ready": 3}
+PEER_PORT = 4  # controllers and proxies among each other
+LAST_PORT = 5
+SEEDS = 3  # controllers that the settings name as first peers
+FIRST_ENDPOINT_HOST = 100  # last number of the first endpoint's address
+REPORT_MS = 500  # between two heartbeats of an endpoint
+
+PUT_PATH = "/v1/timetable/put"
+PUT_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 0.5
+ANSWER_TIMEOUT_S = 5.0
+REQUEST_TIME_LEFT_MS = 3000
+EXIT_POLL_S = 0.01
+WAIT_POLL_S = 0.05
 
 
 @dataclass
 class Machine:
-    """One process of the system and where it stands."""
+    """One process of the system and where it runs."""
 
     name: str
     role: str
@@ -67,33 +58,66 @@
     zone: str
     folder: str
     process: subprocess.Popen | None = None
-    posts: dict[str, str] = field(default_factory=dict)
+    posts: dict[str, str] = field(default_factory=dict)  # service -> address at which it listens
     module: str = "flintreach"  # what is run, with the role as its argument
     environ: dict[str, str] = field(default_factory=dict)
     started_at: float = 0.0  # steady seconds
 
+    @property
+    def settings_path(self) -> str:
+        """The settings file of the process."""
+        return os.path.join(self.folder, "node.yaml")
+
+    @property
+    def store_folder(self) -> str:
+        """Where the process keeps its state."""
+        return os.path.join(self.folder, "disk")
+
+    def is_running(self) -> bool:
+        """Whether the process was started and has not ended."""
+        return self.process is not None and self.process.poll() is None
+
     def running_for(self) -> float:
         """Seconds since its last start."""
         return time.monotonic() - self.started_at
 
     def start(self) -> None:
-        settings = {"FLINTREACH_NODE_FILE": os.path.join(self.folder, "node.yaml")}
-        environ = {**os.environ, **settings, **self.environ}
+        """Start the process; its output is added to the file `log` of its folder."""
+        environ = {**os.environ, PATH_VARIABLE: self.settings_path, **self.environ}
         self.started_at = time.monotonic()
         with open(os.path.join(self.folder, "log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, self.role], env=environ, stdout=log, stderr=log
             )
 
-    def end(self, how=signal.SIGKILL) -> None:
-        if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(how)
-            while self.process.poll() is None:
-                gevent.sleep(0.01)
+    def end(self, how: signal.Signals = signal.SIGKILL) -> None:
+        """Send a signal that ends the process, and wait until it has ended."""
+        process = self.process
+        if process is None or process.poll() is not None:
+            return
+        process.send_signal(how)
+        while process.poll() is None:
+            gevent.sleep(EXIT_POLL_S)
+
+
+class ProxyAnswer(NamedTuple):
+    """A proxy's answer to one request."""
+
+    status: int
+    body: bytes
+    headers: dict[str, str]  # by name in lower case
 
 
 class DemoCluster:
-    """`base`: three numbers of the loopback network, such as "127.41.7"; `port`: the first of six used."""
+    """Machines of the system, and endpoints that serve for it.
+
+    Attributes:
+        machines: those that belong to the cluster, whether they run or not.
+        endpoints: stand-ins in this process.
+        folder: settings, disks and logs, a folder a machine.
+        owns_folder: whether `stop` removes the folder.
+        module, environ: of machines that join later, see `Machine`.
+    """
 
     def __init__(
         self,
@@ -103,169 +127,224 @@
         proxies: int = 3,
         folder: str | None = None,
         first_run: bool = True,
-    ):
-        self.base, self.port, self.own = base, port, folder is None
-        self.folder = folder or tempfile.mkdtemp(prefix="flintreach-camp-")
-        names, self.machines, self.endpoints = [*ZONES], [], []
-        self.module, self.environ = "flintreach", {}  # of machines that join later
-        self.losses = {"machines": (controllers - 1) // 2 and 1, "zones": int(controllers >= len(ZONES))}
-        for number in range(controllers + proxies):
-            role = "refuge" if number < controllers else "proxy"
-            zone = names[(number if role == "refuge" else number - controllers) % len(names)]
+    ) -> None:
+        """Write the settings of all machines; none is started.
+
+        Args:
+            base: three numbers of the loopback network, such as "127.41.7".
+            port: the first of six ports that are used.
+            controllers: how many, in the zones by turns.
+            proxies: how many, in the zones by turns.
+            folder: where settings, disks and logs go; a temporary folder otherwise.
+            first_run: whether the system starts for the first time, so that empty disks are no loss.
+        """
+        self.base = base
+        self.port = port
+        self.owns_folder = folder is None
+        self.folder = folder or tempfile.mkdtemp(prefix="flintreach-demo-")
+        self.machines: list[Machine] = []
+        self.endpoints: list[Endpoint] = []
+        self.module = "flintreach"
+        self.environ: dict[str, str] = {}
+        self.losses = {
+            "machines": 1 if controllers >= 3 else 0,  # of three, two are a majority
+            "zones": 1 if controllers >= len(ZONES) else 0,
+        }
+        zones = [*ZONES]
+        for number in range(controllers):
             self.machines.append(
-                Machine(
-                    f"{role}-{number}",
-                    role,
-                    f"{base}.{number + 1}",
-                    zone,
-                    os.path.join(self.folder, f"{role}-{number}"),
-                )
+                self.machine(CONTROLLER_ROLE, number, number + 1, zones[number % len(zones)])
             )
-        self.made = len(self.machines)
+        for index in range(proxies):
+            number = controllers + index
+            self.machines.append(self.machine(PROXY_ROLE, number, number + 1, zones[index % len(zones)]))
+        self.machines_made = len(self.machines)
         for machine in self.machines:
-            self.settle(machine, first_run)
+            self.write_settings(machine, first_run)
+
+    def machine(self, role: str, number: int, host: int, zone: str) -> Machine:
+        """A machine that has no settings yet.
+
+        Args:
+            role: CONTROLLER_ROLE or PROXY_ROLE.
+            number: the one in its name.
+            host: the last number of its address.
+            zone: where it is.
+        """
+        name = f"{role}-{number}"
+        return Machine(name, role, f"{self.base}.{host}", zone, os.path.join(self.folder, name))
 
     def join(self, role: str, zone: str) -> Machine:
         """A further machine, with empty disk and at an address of its own; it is not started."""
-        self.made += 1
-        name = f"{role}-{self.made}"
-        machine = Machine(name, role, f"{self.base}.{self.made}", zone, os.path.join(self.folder, name))
-        machine.module, machine.environ = self.module, self.environ
+        self.machines_made += 1
+        machine = self.machine(role, self.machines_made, self.machines_made, zone)
+        machine.module = self.module
+        machine.environ = self.environ
         self.machines.append(machine)
-        self.settle(machine, first_run=False)
+        self.write_settings(machine, first_run=False)
         return machine
 
     def of(self, role: str) -> list[Machine]:
+        """The machines with a role."""
         return [machine for machine in self.machines if machine.role == role]
 
-    def settle(self, machine: Machine, first_run: bool) -> None:
-        """Write a machine's settings, as the platform does."""
-        at = lambda number: f"{machine.ip}:{self.port + number}"  # noqa: E731
-        controller = machine.role == "refuge"
-        names = {"control": 0, "directory": 1} if controller else {"front": 2, "ready": 3}
-        machine.posts = {name: at(number) for name, number in names.items()}
-        os.makedirs(os.path.join(machine.folder, "disk"), exist_ok=True)
-        node = {
+    def write_settings(self, machine: Machine, first_run: bool) -> None:
+        """Write a machine's settings, as the platform does: the file is replaced as a whole.
+
+        Args:
+            machine: whose settings; its folders are made where they are missing.
+            first_run: whether the system starts for the first time.
+        """
+        ports = CONTROLLER_PORTS if machine.role == CONTROLLER_ROLE else PROXY_PORTS
+        machine.posts = {name: f"{machine.ip}:{self.port + number}" for name, number in ports.items()}
+        os.makedirs(machine.store_folder, exist_ok=True)
+        new_path = machine.settings_path + ".new"
+        with open(new_path, "w", encoding="utf-8") as file:
+            yaml.safe_dump(self.settings_of(machine, first_run), file)
+        os.replace(new_path, machine.settings_path)
+
+    def settings_of(self, machine: Machine, first_run: bool) -> dict[str, Any]:
+        """A machine's settings, by the names of the file (see `config/settings.py`)."""
+        is_controller = machine.role == CONTROLLER_ROLE
+        seeds = self.of(CONTROLLER_ROLE)[:SEEDS]
+        return {
             "sender": {
                 "node_name": machine.name,
                 "ip": machine.ip,
                 "zone": machine.zone,
                 "region": ZONES[machine.zone],
                 "post_role": machine.role,
-                "counted": controller,
+                "counted": is_controller,
                 "first_run": first_run,
                 "serves": [*machine.posts],
-                "store_dir": os.path.join(machine.folder, "disk") if controller else None,
+                "store_dir": machine.store_folder if is_controller else None,
             },
             "network": {
                 "posts": machine.posts,
-                "spare_ports": [self.port + 4, self.port + 5],
-                "seed_nodes": [f"{m.ip}:{self.port}" for m in self.of("refuge")][:3],
+                "spare_ports": [self.port + PEER_PORT, self.port + LAST_PORT],
+                "seed_nodes": [f"{seed.ip}:{self.port}" for seed in seeds],
                 "zones": ZONES,
             },
-            "carrier": {"report_ms": 500},
+            "carrier": {"report_ms": REPORT_MS},
             "tariffs": {"losses": self.losses},
         }
-        path = os.path.join(machine.folder, "node.yaml")
-        with open(path + ".new", "w", encoding="utf-8") as file:
-            yaml.safe_dump(node, file)
-        os.replace(path + ".new", path)
 
-    def control(self) -> list[tuple[str, int]]:
-        return [(m.ip, self.port) for m in self.of("refuge") if m.process and m.process.poll() is None]
+    def control_addresses(self) -> list[tuple[str, int]]:
+        """The control addresses of the controllers that run."""
+        return [(machine.ip, self.port) for machine in self.of(CONTROLLER_ROLE) if machine.is_running()]
 
     def start(self) -> None:
+        """Start all machines."""
         for machine in self.machines:
             machine.start()
 
-    def add(self, line: str, number: int, zone: str, **more) -> Endpoint:
-        endpoint = Endpoint(line, (f"{self.base}.{100 + number}", self.port), zone, self.control, **more)
+    def add(self, service: str, number: int, zone: str, **options: Any) -> Endpoint:
+        """Start a stand-in endpoint.
+
+        Args:
+            service: which it serves.
+            number: which of the addresses for endpoints it listens at.
+            zone: where it says that it is.
+            options: further ones of `Endpoint`.
+        """
+        address = (f"{self.base}.{FIRST_ENDPOINT_HOST + number}", self.port)
+        endpoint = Endpoint(service, address, zone, self.control_addresses, **options)
         self.endpoints.append(endpoint)
         endpoint.start()
         return endpoint
 
-    def people(self, desks: int = 4, stores: int = 2) -> None:
-        """Endpoints of both services, the zones in turn."""
-        names = [*ZONES]
+    def add_endpoints(self, desks: int = 4, stores: int = 2) -> None:
+        """Start endpoints of both services, in the zones by turns.
+
+        Args:
+            desks: how many of the plain service.
+            stores: how many of the sharded one.
+        """
+        zones = [*ZONES]
         for number in range(desks + stores):
             sharded = number >= desks
-            self.add("store" if sharded else "desk", number, names[number % len(names)], sharded=sharded)
+            service = SHARDED_SERVICE if sharded else PLAIN_SERVICE
+            self.add(service, number, zones[number % len(zones)], sharded=sharded)
 
-    def put(self, timetable: dict, until: float) -> bool:
-        """Put a configuration at any refuge that takes it; `until`: steady seconds."""
-        body = json.dumps(timetable).encode()
-        return self.wait(
-            lambda: any(told(ip, port, "/v1/timetable/put", body, 2.0) for ip, port in self.control()), until
-        )
+    def put(self, configuration: dict[str, Any], until: float) -> bool:
+        """Put a configuration at any controller that accepts it.
+
+        Args:
+            configuration: by the names of the wire.
+            until: steady seconds at which to give up.
+
+        Returns:
+            Whether it was acknowledged.
+        """
+        body = json.dumps(configuration).encode()
+
+        def acknowledged() -> bool:
+            return any(told(ip, port, PUT_PATH, body, PUT_TIMEOUT_S) for ip, port in self.control_addresses())
+
+        return self.wait(acknowledged, until)
 
     def ask(
         self,
         machine: Machine,
         target: str,
         method: str = "GET",
-        headers: dict | None = None,
+        headers: dict[str, str] | None = None,
         body: bytes = b"",
-    ):
-        """One request to a proxy: (status, body, headers by lower name), or None if it does not answer."""
+    ) -> ProxyAnswer | None:
+        """Send one request to a proxy.
+
+        Args:
+            machine: the proxy.
+            target: path and query.
+            method: the HTTP method.
+            headers: beside, or in place of, those that each request has.
+            body: the request's body.
+
+        Returns:
+            Its answer, or None if there is none.
+        """
         host, port = machine.posts["front"].split(":")
-        client = HTTPClient(host, int(port), connection_timeout=0.5, network_timeout=5.0)
+        client = HTTPClient(
+            host, int(port), connection_timeout=CONNECT_TIMEOUT_S, network_timeout=ANSWER_TIMEOUT_S
+        )
+        sent_headers = {
+            "Host": HOST,
+            "X-Try-Id": os.urandom(8).hex(),
+            "X-Time-Left-Ms": str(REQUEST_TIME_LEFT_MS),
+            **(headers or {}),
+        }
         try:
-            sent = {"Host": "camp.example", "X-Try-Id": os.urandom(8).hex(), "X-Time-Left-Ms": "3000"}
-            answer = client.request(method, target, body, {**sent, **(headers or {})})
+            answer = client.request(method, target, body, sent_headers)
             data = bytes(answer.read())
-            return answer.status_code, data, {name.lower(): value for name, value in answer.items()}
+            return ProxyAnswer(
+                answer.status_code, data, {name.lower(): value for name, value in answer.items()}
+            )
         except (OSError, HTTPParseError):  # also a connection that ends without an answer
             return None
         finally:
             client.close()
 
-    def wait(self, good, until: float) -> bool:
-        """Whether `good()` became true before a moment of the steady clock."""
+    def wait(self, condition: Callable[[], object], until: float) -> bool:
+        """Wait for a condition.
+
+        Args:
+            condition: asked again and again.
+            until: steady seconds at which to give up.
+
+        Returns:
+            Whether it became true in time.
+        """
         while time.monotonic() < until:
-            if good():
+            if condition():
                 return True
-            gevent.sleep(0.05)
+            gevent.sleep(WAIT_POLL_S)
         return False
 
     def stop(self) -> None:
+        """Stop the endpoints, kill the processes, and remove the folder if it is the cluster's own."""
         for endpoint in self.endpoints:
             endpoint.stop()
         for machine in self.machines:
             machine.end()
-        if self.own:
+        if self.owns_folder:
             shutil.rmtree(self.folder, ignore_errors=True)
-
-
-def serve(proxies: int, controllers: int, desks: int, stores: int, port: int) -> int:
-    """Start a camp, say how to ask it, and stay until SIGINT or SIGTERM."""
-    cluster, ending = DemoCluster("127.41.7", port, controllers, proxies), gevent.event.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        gevent.signal_handler(number, ending.set)
-    try:
-        cluster.start()
-        cluster.people(desks, stores)
-        if not cluster.put(TIMETABLE, time.monotonic() + 30):
-            print(f"flintreach: no refuge took a configuration; logs under {cluster.folder}", file=sys.stderr)
-            cluster.own = False
-            return 1
-        first, controller = cluster.of("proxy")[0], cluster.of("refuge")[0]
-        good = lambda path, **more: (cluster.ask(first, path, headers=more) or (0,))[0] == 200  # noqa: E731
-        served = cluster.wait(
-            lambda: good("/look/1") and good("/fetch/1", **{"X-Shard-Key": "7"}), time.monotonic() + 30
-        )
-        front = first.posts["front"]
-        print(
-            f"{controllers} controllers, {proxies} proxies, {desks + stores} endpoints; "
-            f"logs under {cluster.folder}"
-        )
-        print(f"  curl -H 'Host: camp.example' http://{front}/look/7")
-        print(f"  curl -H 'Host: camp.example' -H 'X-Shard-Key: 7' http://{front}/fetch/7")
-        print(f"  python3 -m flintreach show status --at {controller.ip}:{port + 4}")
-        print("ready" if served else "not all is served yet", flush=True)
-        ending.wait()
-        return 0
-    except OSError as error:
-        print(f"flintreach: {error}; another camp, perhaps: choose another --port", file=sys.stderr)
-        return 1
-    finally:
-        cluster.stop()
--- a/flintreach/soak/faults.py
+++ b/flintreach/soak/faults.py
@@ -13,7 +13,8 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from flintreach.demo.cluster import TIMETABLE, DemoCluster, Machine
+from flintreach.demo.cluster import DemoCluster, Machine
+from flintreach.demo.configuration import CONFIGURATION
 from flintreach.soak.ledger import SECOND, Disturbance, Ledger, Verdict
 
 GRACE_S = 6.0  # the settings' default
@@ -39,7 +40,7 @@
         )
         self.pairs: list[tuple[str, str]] = []
         self.losing, self.ending = False, False
-        self.timetable = copy.deepcopy(TIMETABLE)  # the newest that was sent
+        self.timetable = copy.deepcopy(CONFIGURATION)  # the newest that was sent
         self.acknowledged = 1  # the highest edition that was
         self.membership = BoundedSemaphore(1)  # one machine is exchanged at a time
         self.refuges_spared = False  # while one of them is exchanged
@@ -138,7 +139,7 @@
             self.cluster.machines, self.chance.randint(1, len(self.cluster.machines))
         ):
             for _ in range(self.chance.choice((1, 1, 3))):
-                self.cluster.settle(machine, first_run=False)
+                self.cluster.write_settings(machine, first_run=False)
                 if machine.process.poll() is None and machine.name not in self.busy:
                     machine.process.send_signal(signal.SIGHUP)
                 gevent.sleep(self.chance.uniform(0.0, 0.1))
--- a/flintreach/soak/run.py
+++ b/flintreach/soak/run.py
@@ -14,7 +14,8 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
-from flintreach.demo.cluster import TIMETABLE, ZONES, DemoCluster, Machine
+from flintreach.demo.cluster import ZONES, DemoCluster, Machine
+from flintreach.demo.configuration import CONFIGURATION
 from flintreach.proxy.metrics import PREFIX
 from flintreach.soak.clients import Client
 from flintreach.soak.faults import Troubles
@@ -198,11 +199,11 @@
         for number in range(DESKS + STORES):
             self.add("desk" if number < DESKS else "store", number)
         limit = time.monotonic() + 60 + self.plan.proxies
-        return self.cluster.put(TIMETABLE, limit) and self.cluster.wait(self.served, limit)
+        return self.cluster.put(CONFIGURATION, limit) and self.cluster.wait(self.served, limit)
 
     def stop(self) -> None:
         if self.verdict.broken:
-            self.cluster.own, self.verdict.logs = False, self.cluster.folder
+            self.cluster.owns_folder, self.verdict.logs = False, self.cluster.folder
         for machine in self.cluster.machines:
             if machine.process is not None and machine.process.poll() is None:
                 machine.process.send_signal(signal.SIGCONT)
--- a/tests/cli/test_trials.py
+++ b/tests/cli/test_trials.py
@@ -14,7 +14,7 @@
             ["demo", "--proxies", "2", "--controllers", "4", "--desks", "5", "--stores", "6", "--port", "7"],
             ["camp", "--proxies", "2", "--refuges", "4", "--desks", "5", "--stores", "6", "--port", "7"],
         ):
-            with mock.patch("flintreach.demo.cluster.serve", return_value=1) as serve:
+            with mock.patch("flintreach.demo.program.serve", return_value=1) as serve:
                 result = CliRunner().invoke(build_app(), arguments)
             serve.assert_called_once_with(2, 4, 5, 6, 7)
             self.assertEqual(result.exit_code, 1, arguments)
