--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from flintreach.config import configuration
-from flintreach.config.configuration import ConfigurationHistory
+from flintreach.config import configuration_history
+from flintreach.config.configuration_history import ConfigurationHistory, PutOutcome
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
 from flintreach.controller.quorum_contact import CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY
@@ -25,11 +25,11 @@
 class RequestOutcome(StrEnum):
     """What became of a request to change something."""
 
-    ACCEPTED = configuration.TAKEN
-    REPEATED = configuration.AGAIN  # it stood already: acknowledged, and no change
-    SUPERSEDED = configuration.OVERTAKEN  # a later version stands
-    CONFLICT = configuration.OTHER  # another content was acknowledged under this number
-    HISTORY_EXPIRED = configuration.FORGOTTEN  # too old to tell which content the number had
+    ACCEPTED = PutOutcome.ACCEPTED
+    REPEATED = PutOutcome.REPEATED  # it stood already: acknowledged, and no change
+    SUPERSEDED = PutOutcome.SUPERSEDED  # a later version stands
+    CONFLICT = PutOutcome.CONFLICTING  # another content was acknowledged under this number
+    HISTORY_EXPIRED = PutOutcome.FORGOTTEN  # too old to tell which content the number had
     UNKNOWN = "late"  # not known to stand within REGISTER_TIMEOUT_S: it may or may not
     ABANDONED = "dropped"  # given up before anything was sent to acceptors
 
@@ -114,7 +114,7 @@
             may_proceed: asked right before anything is sent to acceptors, whether it may still be done.
         """
         return self._change(
-            CONFIGURATION_KEY, lambda standing: configuration.put(standing, number, body), may_proceed
+            CONFIGURATION_KEY, lambda standing: configuration_history.put(standing, number, body), may_proceed
         )
 
     def get(self) -> tuple[bool, bytes | None]:
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -10,7 +10,7 @@
 
 from flintreach.common.log import say
 from flintreach.config import settings
-from flintreach.config.settings import place
+from flintreach.config.settings import parse_address
 from flintreach.consensus.quorum import Address
 from flintreach.consensus.store import Store, StoreError
 from flintreach.controller.control_plane import ControlPlane
@@ -41,7 +41,7 @@
         """
         self.node = node
         sender = node.sender
-        address = node.inner(PEER_PORT_INDEX)
+        address = node.peer_address(PEER_PORT_INDEX)
         self.peer_pool = PeerPool(address)
         store = Store(sender.store_dir, sender.node_name, sender.first_run) if sender.store_dir else None
         member = Member(
@@ -76,7 +76,7 @@
         self.failure_detector.change(ready=True)
         for listener, names in SERVED:
             if listener in self.node.network.posts:
-                server = listen(place(self.node.network.posts[listener]), self.plane, names)
+                server = listen(parse_address(self.node.network.posts[listener]), self.plane, names)
                 server.start()
                 self.servers.append(server)
         say("ready", endpoints=len(self.plane.registry.records))
@@ -102,7 +102,7 @@
 
     def reread(self) -> None:
         """Read the settings anew; those that were good stay where the file can't be used."""
-        node = settings.again(self.node)
+        node = settings.reload(self.node)
         self.node = node
         self.plane.node = node
 
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from flintreach.config.configuration import Routes
+from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.register import Register
 from flintreach.controller.operator_requests import SHARD_KEY_PREFIX
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -9,8 +9,8 @@
 import msgspec
 from greenlet import greenlet
 
-from flintreach.config import configuration
-from flintreach.config.configuration import KEPT, ConfigurationHistory
+from flintreach.config import configuration, configuration_history
+from flintreach.config.configuration_history import MAX_ENTRIES, ConfigurationHistory, PutOutcome
 from flintreach.consensus.proposer import Step
 from flintreach.controller.http_api import Refusal
 from flintreach.controller.operator_requests import OperatorRequests, RequestOutcome
@@ -98,7 +98,7 @@
             requests = cluster.nodes[number % 3].operator_requests
             self.assertEqual(requests.put(number, configuration_body(number)), ACCEPTED)
         cluster = Cluster(3, cluster.disks())
-        lowest = count - KEPT + 1
+        lowest = count - MAX_ENTRIES + 1
         cases = [
             (1, HISTORY_EXPIRED),
             (lowest - 1, HISTORY_EXPIRED),
@@ -139,32 +139,32 @@
         stored = configuration_body(6)
         history = ConfigurationHistory.of(stored)
         self.assertEqual((history.number, history.body, len(history)), (6, stored, 1))
-        self.assertEqual(configuration.put(stored, 6, stored), (configuration.AGAIN, None))
+        self.assertEqual(configuration_history.put(stored, 6, stored), (PutOutcome.REPEATED, None))
         other = configuration_body(6, "b.example")
-        self.assertEqual(configuration.put(stored, 6, other)[0], configuration.OTHER)
-        outcome, value = configuration.put(stored, 8, configuration_body(8))
-        self.assertEqual((outcome, ConfigurationHistory.of(value).number), (configuration.TAKEN, 8))
-        self.assertEqual(configuration.put(value, 6, stored), (configuration.AGAIN, None))
+        self.assertEqual(configuration_history.put(stored, 6, other)[0], PutOutcome.CONFLICTING)
+        outcome, value = configuration_history.put(stored, 8, configuration_body(8))
+        self.assertEqual((outcome, ConfigurationHistory.of(value).number), (PutOutcome.ACCEPTED, 8))
+        self.assertEqual(configuration_history.put(value, 6, stored), (PutOutcome.REPEATED, None))
 
     def test_the_history_stays_sorted_and_bounded_whatever_comes(self) -> None:
         draw = random.Random(4)
         value = None
-        for _ in range(4 * KEPT):
-            number = draw.randrange(3 * KEPT)
-            outcome, new_value = configuration.put(value, number, b"%d" % number)
-            self.assertNotEqual(outcome, configuration.OTHER)
+        for _ in range(4 * MAX_ENTRIES):
+            number = draw.randrange(3 * MAX_ENTRIES)
+            outcome, new_value = configuration_history.put(value, number, b"%d" % number)
+            self.assertNotEqual(outcome, PutOutcome.CONFLICTING)
             value = new_value or value
         history = ConfigurationHistory.of(value)
         numbers = [history.entry(index)[0] for index in range(len(history))]
         self.assertEqual(numbers, sorted(set(numbers)))
-        self.assertEqual(len(history), KEPT)
+        self.assertEqual(len(history), MAX_ENTRIES)
         self.assertEqual(history.body, b"%d" % numbers[-1])
 
     def test_a_number_is_eight_plain_hexadecimal_digits(self) -> None:
         for text in ("+0000001", "-0000001", "0x000001", "000_0001", " 0000001", "\u0661" * 8):
             with self.assertRaises(configuration.ConfigError, msg=text):
-                configuration.edition(text)
-        self.assertEqual(configuration.edition("0000aBcD"), 0xABCD)
+                configuration.parse_version(text)
+        self.assertEqual(configuration.parse_version("0000aBcD"), 0xABCD)
 
 
 class Evacuations(unittest.TestCase):
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from flintreach.config.configuration import ConfigurationHistory
+from flintreach.config.configuration_history import ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
 from flintreach.controller.operator_requests import RequestOutcome
