--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -147,15 +147,15 @@
             return [
                 {
                     "id": r.id,
-                    "line": r.line,
-                    "addr": r.addr,
+                    "line": r.service,
+                    "addr": r.address,
                     "zone": r.zone,
                     "state": r.state,
-                    "berths": r.berths,
-                    "cold_ms": max(0, r.cold_until - now) // 1_000_000,
-                    "heard_ms": None if r.heard is None else (now - r.heard) // 1_000_000,
+                    "berths": r.capacity,
+                    "cold_ms": max(0, r.warming_up_until_ns - now) // 1_000_000,
+                    "heard_ms": None if r.heard_at_ns is None else (now - r.heard_at_ns) // 1_000_000,
                 }
-                for r in sorted(self.registry.records.values(), key=lambda r: (r.line, r.id))
+                for r in sorted(self.registry.records.values(), key=lambda r: (r.service, r.id))
             ]
         if what == "tables":
             return [
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -12,14 +12,14 @@
 
 from flintreach.dissemination.versioned_store import MOST_ROWS, STALE_BOARD
 from flintreach.endpoints.registry import (
-    ENDS,
-    GONE,
-    MISSING,
-    READY,
-    SECOND,
+    NS_PER_S,
+    DrainRank,
     EndpointRecord,
     EndpointRegistry,
+    EndpointRow,
+    EndpointState,
     Heartbeat,
+    HeartbeatPhase,
 )
 from flintreach.transport.runtime import Task
 
@@ -40,9 +40,9 @@
         self.blind = self.behind = False  # out of touch of late; for so long that tombstones were missed
         now = self.runtime.now_ns()
         for row in self.store.huts.values() if self.store else ():
-            record = EndpointRecord.of(UNPACK(row), now)
-            record.kept = record.rank
-            self.registry.join(record, now)
+            record = EndpointRecord.from_row(msgspec.msgpack.decode(row, type=EndpointRow), now)
+            record.stored_rank = record.rank
+            self.registry.merge(record, now)
         # A disk that came back empty may lack what it had told others that it holds.
         told = self.store.facts.get(COMPLETE, "1" if self.store.voting else "0") if self.store else "0"
         self.complete = told == "1"
@@ -59,8 +59,8 @@
             self.plane.updates.offer(
                 f"hut/{id}",
                 record.version,
-                record.told(now),
-                (now - record.over_at) / SECOND if record.state == GONE else 0.0,
+                record.update_value(now),
+                (now - record.gone_at_ns) / NS_PER_S if record.state == EndpointState.GONE else 0.0,
             )
         return self.write(known)
 
@@ -75,13 +75,15 @@
         if (rows or facts) and not self.store.keep({}, facts, rows):
             return False
         for record, rank in zip(records, ranks):
-            record.kept = max(record.kept, rank)
+            record.stored_rank = max(record.stored_rank, rank)
         return True
 
     def hold(self, id: str, rank: int) -> bool:
         """Whether this disk holds that an endpoint is at least at a rank."""
         record = self.registry.records.get(id)
-        return record is not None and (record.kept >= rank or self.write([id]) and record.kept >= rank)
+        return record is not None and (
+            record.stored_rank >= rank or self.write([id]) and record.stored_rank >= rank
+        )
 
     # What a quorum of the voters holds.
 
@@ -89,14 +91,14 @@
         """Whether the disks of a quorum hold that an endpoint is at least at a rank.  `kept`: what is being
         written here of it."""
         record = self.registry.records[id]
-        if record.durable >= rank:
+        if record.durable_rank >= rank:
             return True
         answers = self.plane.register.poll(
             kind, body, ACK_S, mine=lambda: (kept.result(ACK_S), self.hold(id, rank) or None)[1]
         )
         if answers is None:
             return False
-        record.durable = max(record.durable, rank)
+        record.durable_rank = max(record.durable_rank, rank)
         return True
 
     def spread(self, kind: str, body: list, others: Iterable[tuple[str, int]]) -> None:
@@ -109,20 +111,20 @@
         # Alone this refuge must not keep endpoints to itself: the others would call them silent.
         if self.plane.news_age() > ALONE_S:
             return False
-        kept = self.runtime.spawn(self.offer, self.registry.hear(id, beat, self.runtime.now_ns()))
+        kept = self.runtime.spawn(self.offer, self.registry.record_heartbeat(id, beat, self.runtime.now_ns()))
         record, body = self.registry.records[id], [id, msgspec.to_builtins(beat)]
-        if record.rank == ENDS:
+        if record.rank == DrainRank.ENDED:
             return self.leave(id)  # a late call: acknowledged once nothing can bring it back
-        if record.durable >= beat.rank:
+        if record.durable_rank >= beat.rank:
             self.spread("beat", body, self.plane.peers())
             return True
         self.spread("beat", body, {*self.plane.peers()} - {*self.plane.group})
         return self.settle(id, beat.rank, "beat", body, kept)
 
     def leave(self, id: str) -> bool:
-        kept = self.runtime.spawn(self.offer, self.registry.leave(id, self.runtime.now_ns()))
+        kept = self.runtime.spawn(self.offer, self.registry.deregister(id, self.runtime.now_ns()))
         self.spread("leave", [id], {*self.plane.peers()} - {*self.plane.group})
-        return self.settle(id, ENDS, "leave", [id], kept)
+        return self.settle(id, DrainRank.ENDED, "leave", [id], kept)
 
     # Other refuges' words: [epoch of the voters, or None where no answer is counted, ...].
 
@@ -140,13 +142,15 @@
         if (later := self.other_epoch(epoch)) is not None:
             return later
         beat = msgspec.convert(told, Heartbeat)
-        return self.answer(epoch, id, beat.rank, self.registry.hear(id, beat, self.runtime.now_ns()))
+        return self.answer(
+            epoch, id, beat.rank, self.registry.record_heartbeat(id, beat, self.runtime.now_ns())
+        )
 
     def on_leave(self, link, body):
         epoch, id = body
         if (later := self.other_epoch(epoch)) is not None:
             return later
-        return self.answer(epoch, id, ENDS, self.registry.leave(id, self.runtime.now_ns()))
+        return self.answer(epoch, id, DrainRank.ENDED, self.registry.deregister(id, self.runtime.now_ns()))
 
     def on_book(self, link, body):
         """A portion of what this refuge knows of endpoints: [rows, the id to go on behind ("": that was all),
@@ -193,16 +197,16 @@
         now, at_work = self.runtime.now_ns(), set()
         for rows, works in answers.values():
             for row in rows:
-                self.registry.join(EndpointRecord.of(row, now), now)
+                self.registry.merge(EndpointRecord.from_row(msgspec.convert(row, EndpointRow), now), now)
             at_work |= {row[0] for row in rows} if works else set()
         if any(works for _, works in answers.values()) and (self.behind or not self.plane.serving):
             # What those who were at work all the while have forgotten may only be an old disk's: if such a
             # one lives, its next beat brings it back.
             for id in sorted(self.registry.records.keys() - at_work):
-                if self.registry.records[id].state == READY:
-                    self.registry.judge(self.registry.records[id], MISSING, now)
+                if self.registry.records[id].state == EndpointState.READY:
+                    self.registry.set_phase(self.registry.records[id], HeartbeatPhase.MISSING, now)
         self.offer([record.id for record in self.registry.records.values() if self.differs(record)])
-        lacking = [id for id, record in self.registry.records.items() if record.kept < record.rank]
+        lacking = [id for id, record in self.registry.records.items() if record.stored_rank < record.rank]
         if self.store is not None:
             if (lacking or not self.complete) and not self.write(lacking, {COMPLETE: "1"}):
                 return False
@@ -218,14 +222,14 @@
         """Before others may call: whether what a quorum knows of endpoints is known here."""
         if not self.collect():
             return False
-        self.registry.excuse(self.runtime.now_ns())
+        self.registry.restart_silence(self.runtime.now_ns())
         return True
 
     def heard_of(self, id: str, version: list[int], value: dict, age: float = 0.0) -> None:
         """News of another refuge.  Where this one knows better, it says so: its beats may be later than a
         verdict of one that hears nothing, and were no news before."""
         now = self.runtime.now_ns()
-        self.registry.join(EndpointRecord.of_news(id, version, value, now, int(age * SECOND)), now)
+        self.registry.merge(EndpointRecord.from_update(id, version, value, now, int(age * NS_PER_S)), now)
         record = self.registry.records.get(id)
         if record is not None and record.facts() != {name: value[name] for name in record.facts()}:
             self.offer([id])
@@ -250,7 +254,7 @@
                 self.behind = False
         elif self.blind:
             self.blind = False
-            self.registry.excuse(now)
+            self.registry.restart_silence(now)
         else:
             self.offer(self.registry.tick(now))
         old = dict.fromkeys(self.on_disk - self.registry.records.keys(), b"")
@@ -260,4 +264,4 @@
     def ended(self, id: str) -> bool:
         """Whether an endpoint has signed off, within the time that this is remembered."""
         record = self.registry.records.get(id)
-        return record is not None and record.rank == ENDS
+        return record is not None and record.rank == DrainRank.ENDED
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -7,7 +7,7 @@
 from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.controller.repair import ROLE
 from flintreach.dissemination.load_aggregate import LoadAggregate
-from flintreach.endpoints.registry import READY
+from flintreach.endpoints.registry import EndpointState
 from flintreach.membership.member_list import ALIVE, Member
 from flintreach.placement.placer import Candidate, Placer
 from flintreach.sharding.key_load import KeyLoad
@@ -47,11 +47,11 @@
     def able(self, line: str) -> dict[str, tuple[float, str]]:
         """Endpoints that may hold keys of a service: their weights and addresses."""
         found, warm, region, berths = self.keyed(line)
-        busy = self.key_load.at_work({r.id: float(r.berths) for r in warm})
+        busy = self.key_load.at_work({r.id: float(r.capacity) for r in warm})
         lean = self.leans.setdefault(line, RegionBias())
         factors = lean.weigh(self.region_of(line)[0], berths, busy)
         return {
-            r.id: (r.berths * factors.get(region[r.id], 1.0) if r in warm or not warm else 0.0, r.addr)
+            r.id: (r.capacity * factors.get(region[r.id], 1.0) if r in warm or not warm else 0.0, r.address)
             for r in found
         }
 
@@ -61,15 +61,15 @@
         found = [
             r
             for r in self.plane.registry.records.values()
-            if r.line == line and r.state == READY and r.zone not in away
+            if r.service == line and r.state == EndpointState.READY and r.zone not in away
         ]
         holders = {row[2] for row in self.plane.updates.get(f"bunks/{line}") or ()}
         # One that has just started is cold, and would get all requests on its keys at once.
-        warm = [r for r in found if r.cold_until <= now or r.id in holders]
+        warm = [r for r in found if r.warming_up_until_ns <= now or r.id in holders]
         region = {r.id: zones.get(r.zone, "") for r in found}
         berths: dict[str, float] = {}
         for r in warm:
-            berths[region[r.id]] = berths.get(region[r.id], 0.0) + r.berths
+            berths[region[r.id]] = berths.get(region[r.id], 0.0) + r.capacity
         return found, warm, region, berths
 
     def region_of(self, line: str) -> tuple[str | None, float]:
@@ -180,14 +180,14 @@
         return [
             Candidate(
                 r.id,
-                r.line,
+                r.service,
                 zones.get(r.zone, ""),
-                r.berths,
-                r.cold_until > now,
+                r.capacity,
+                r.warming_up_until_ns > now,
                 load[r.id][0] / load[r.id][1] if r.id in load else None,
             )
             for r in self.plane.registry.records.values()
-            if r.state == READY and r.zone not in away
+            if r.state == EndpointState.READY and r.zone not in away
         ]
 
     def remap(self, number: int, known: set[str], changed: dict[str, list[str]]) -> None:
--- a/flintreach/endpoints/__init__.py
+++ b/flintreach/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints as their heartbeats tell of them: ready, leaving, silent, gone."""
+"""Endpoints by their heartbeats: serving, draining, silent or gone."""
--- a/flintreach/endpoints/registry.py
+++ b/flintreach/endpoints/registry.py
@@ -1,254 +1,441 @@
-"""Endpoints as a refuge knows them from their beats; a state machine without input or output.
+"""What one controller knows of every endpoint by its heartbeats; a state machine without input or output.
 
-What is known of one life of an endpoint is its version: [rank, call_seq, phase], compared as it stands.
-The rank is what it has said of leaving, and never falls, whatever comes late or by another way; call_seq is
-its own count of its calls; the phase is a verdict of refuges on its silence, taken back by its next beat.
-Records of one id are joined field by field, so refuges that heard the same in any order know the same.
+What is known of one incarnation of an endpoint has a version, `[rank, sequence, phase]`, compared as a list.
+The rank is how far the endpoint says that it has gone in its graceful shutdown.  It never falls, however
+late or by whatever way a message arrives.  The sequence is the endpoint's own count of its calls.  The phase
+is the controllers' verdict on its silence, which its next heartbeat takes back.  Records of one id are merged
+field by field, so that controllers that heard the same messages in any order know the same.
 
-Times are nanoseconds of the steady clock of this process.
+`controller.endpoint_service` has the input and output: calls, peers, disk.  All times are nanoseconds of the
+steady clock of this process, unless a name says otherwise.
 """
 
 from dataclasses import dataclass
+from enum import IntEnum, StrEnum
 from typing import Any
 
 import msgspec
 
 from flintreach.dissemination.versioned_store import HORIZON
 
-MS, SECOND = 1_000_000, 1_000_000_000
-READY, CLOSING, SILENT, GONE = "ready", "closing", "silent", "gone"
-SERVES, CLOSES, ENDS = 0, 1, 2  # ranks
-HEARD, MISSING, LOST = 0, 1, 2  # phases
-MISSED_BEATS, LOST_BEATS = 2.7, 12  # report times without a beat, for these verdicts
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+HORIZON_NS = HORIZON * NS_PER_S
+# Silence, in times of the report interval, from which an endpoint counts as missing or as lost.
+MISSING_AFTER_REPORTS = 2.7
+LOST_AFTER_REPORTS = 12
+# A slow start that ends by so much later than what was known is worth an update to others.
+SLOW_START_TOLERANCE_NS = 200 * NS_PER_MS
+NOT_STORED = -1  # below every rank
+
+
+class EndpointState(StrEnum):
+    """State of an endpoint, as it is sent, stored and shown to operators."""
+
+    READY = "ready"
+    CLOSING = "closing"  # draining
+    SILENT = "silent"
+    GONE = "gone"
+
+
+class DrainRank(IntEnum):
+    """How far an endpoint has gone in its graceful shutdown, by its own messages; it never falls."""
+
+    SERVING = 0
+    DRAINING = 1
+    ENDED = 2
+
+
+class HeartbeatPhase(IntEnum):
+    """The controllers' verdict on an endpoint's silence."""
+
+    HEARD = 0
+    MISSING = 1
+    LOST = 2
 
 
 class Heartbeat(msgspec.Struct):
-    """A beat as the wire has it.  `cold_left_ms` counts from its arrival."""
+    """A heartbeat as the wire has it; the wire's field names are those of the published interface.
+
+    Attributes:
+        service: the service that the endpoint belongs to.
+        address: "ip:port" on which it takes requests.
+        zone: its zone (failure domain).
+        capacity: requests that it serves at a time.
+        state: "ready" or "closing".
+        sequence: the endpoint's count of its calls; a lower one is a late arrival.
+        software_version: what the endpoint runs.
+        warming_up_left_ms: how much of its slow start is left, counted from the arrival of this heartbeat.
+    """
+
+    service: str = msgspec.field(name="line")
+    address: str = msgspec.field(name="addr")
+    zone: str
+    capacity: int = msgspec.field(name="berths")
+    state: str
+    sequence: int = msgspec.field(name="call_seq")
+    software_version: str = msgspec.field(name="edition", default="")
+    warming_up_left_ms: float = msgspec.field(name="cold_left_ms", default=0)
+
+    @property
+    def rank(self) -> DrainRank:
+        """The rank that this heartbeat tells."""
+        return DrainRank.DRAINING if self.state == EndpointState.CLOSING else DrainRank.SERVING
+
+
+class EndpointRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """An endpoint's record as it is stored and sent to other controllers: an array in this order.
+
+    Times in it are relative, as the steady clocks of two processes have nothing in common.
 
-    line: str
-    addr: str
+    Attributes:
+        warming_up_left_ns: what is left of the slow start.
+        rank: None in rows of earlier releases, which have ten fields and tell the rank by the state alone.
+        gone_for_ns: how long ago the endpoint was first known to be gone; of one that isn't gone the value
+            has no meaning, see `EndpointRecord.row`.
+    """
+
+    id: str
+    service: str
+    address: str
     zone: str
-    berths: int
+    capacity: int
+    software_version: str
     state: str
-    call_seq: int
-    edition: str = ""
-    cold_left_ms: float = 0
+    sequence: int
+    phase: int
+    warming_up_left_ns: int
+    rank: int | None = None
+    gone_for_ns: int = 0
 
     @property
-    def rank(self) -> int:
-        return CLOSES if self.state == "closing" else SERVES
+    def known_rank(self) -> int:
+        """The rank, or what the state tells of it in a row of an earlier release."""
+        if self.rank is not None:
+            return self.rank
+        if self.state == EndpointState.CLOSING:
+            return DrainRank.DRAINING
+        if self.state == EndpointState.GONE:
+            return DrainRank.ENDED
+        return DrainRank.SERVING
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One life of an endpoint; `cold_until` by this process's clock, 0 when warm.
-
-    `kept`, `durable`: the highest rank that this process's disk, and the disks of a quorum, surely hold; -1:
-    none.  Neither is told to others: they are what this process was answered itself.
+    """One incarnation of an endpoint.
+
+    Attributes:
+        rank: a `DrainRank`; a plain number where it comes from a peer or a disk.
+        sequence: the highest that was heard.
+        phase: a `HeartbeatPhase`; a plain number where it comes from a peer or a disk.
+        heard_at_ns: when its last heartbeat came; None where only its end is known.
+        warming_up_until_ns: end of its slow start, 0 when it is warm.
+        gone_at_ns: when it was first known to be gone.
+        stored_rank: the highest rank that this process's disk holds for sure; `NOT_STORED`: none.
+        durable_rank: the highest rank that the disks of a quorum hold for sure; `NOT_STORED`: none.
+            Neither of the two is sent to others: they are what this process was answered itself.
     """
 
     id: str
-    line: str = ""
-    addr: str = ""
+    service: str = ""
+    address: str = ""
     zone: str = ""
-    berths: int = 0
-    edition: str = ""
-    rank: int = SERVES
-    seq: int = 0
-    phase: int = HEARD
-    heard: int | None = None  # when its last beat came; None where only its end is known
-    cold_until: int = 0
-    over_at: int | None = None  # when it was first known to be gone
-    kept: int = -1
-    durable: int = -1
+    capacity: int = 0
+    software_version: str = ""
+    rank: int = DrainRank.SERVING
+    sequence: int = 0
+    phase: int = HeartbeatPhase.HEARD
+    heard_at_ns: int | None = None
+    warming_up_until_ns: int = 0
+    gone_at_ns: int | None = None
+    stored_rank: int = NOT_STORED
+    durable_rank: int = NOT_STORED
 
     @property
-    def state(self) -> str:
-        if self.rank == ENDS or self.phase == LOST:
-            return GONE
-        return CLOSING if self.rank == CLOSES else SILENT if self.phase == MISSING else READY
+    def state(self) -> EndpointState:
+        """The state that rank and phase make together."""
+        if self.rank == DrainRank.ENDED or self.phase == HeartbeatPhase.LOST:
+            return EndpointState.GONE
+        if self.rank == DrainRank.DRAINING:
+            return EndpointState.CLOSING
+        if self.phase == HeartbeatPhase.MISSING:
+            return EndpointState.SILENT
+        return EndpointState.READY
 
     @property
     def version(self) -> list[int]:
-        return [self.rank, self.seq, self.phase]
+        """`[rank, sequence, phase]`: a list of numbers, as versions from the wire are compared with it."""
+        return [int(self.rank), self.sequence, int(self.phase)]
 
-    def told(self, now: int) -> dict[str, Any]:
-        return self.facts() | {"cold": max(0, self.cold_until - now) // MS}
+    def update_value(self, now_ns: int) -> dict[str, Any]:
+        """What other processes are sent of it: its facts, and what is left of its slow start, in ms."""
+        return self.facts() | {"cold": max(0, self.warming_up_until_ns - now_ns) // NS_PER_MS}
 
     def facts(self) -> dict[str, Any]:
-        """What is news when it changes."""
+        """What is an update for others when it changes, under the names that the wire has."""
         return {
-            "line": self.line,
-            "addr": self.addr,
+            "line": self.service,
+            "addr": self.address,
             "zone": self.zone,
-            "berths": self.berths,
-            "edition": self.edition,
-            "state": self.state,
+            "berths": self.capacity,
+            "edition": self.software_version,
+            "state": self.state.value,
         }
 
-    def row(self, now: int) -> list:
-        """As it is kept on disk and told to other refuges."""
-        return [
-            self.id,
-            self.line,
-            self.addr,
-            self.zone,
-            self.berths,
-            self.edition,
-            self.state,
-            self.seq,
-            self.phase,
-            max(0, self.cold_until - now),
-            self.rank,
-            max(0, now - (self.over_at or 0)),
-        ]
+    def row(self, now_ns: int) -> EndpointRow:
+        """The record as it is stored and sent to other controllers."""
+        return EndpointRow(
+            id=self.id,
+            service=self.service,
+            address=self.address,
+            zone=self.zone,
+            capacity=self.capacity,
+            software_version=self.software_version,
+            state=self.state.value,
+            sequence=self.sequence,
+            phase=int(self.phase),
+            warming_up_left_ns=max(0, self.warming_up_until_ns - now_ns),
+            rank=int(self.rank),
+            # Of one that isn't gone this is the clock itself: no reader uses it, but earlier releases wrote
+            # these bytes, and what this release writes is compared with them.
+            gone_for_ns=max(0, now_ns - (self.gone_at_ns or 0)),
+        )
 
     @classmethod
-    def of(cls, row: list, now: int) -> "EndpointRecord":
-        id, line, addr, zone, berths, edition, state, seq, phase, cold, *later = row
-        # Disks of earlier texts tell the rank by the state alone.
-        rank, over = later or ({CLOSING: CLOSES, GONE: ENDS}.get(state, SERVES), 0)
-        phase = min(phase, LOST)
+    def from_row(cls, row: EndpointRow, now_ns: int) -> "EndpointRecord":
+        """The record that a disk or another controller has; its silence counts from now on."""
+        warming_up_left_ns = row.warming_up_left_ns
         return cls(
-            id,
-            line,
-            addr,
-            zone,
-            berths,
-            edition,
-            rank,
-            seq,
-            phase,
-            now,
-            now + cold if cold else 0,
-            now - over,
+            id=row.id,
+            service=row.service,
+            address=row.address,
+            zone=row.zone,
+            capacity=row.capacity,
+            software_version=row.software_version,
+            rank=row.known_rank,
+            sequence=row.sequence,
+            # Earlier releases had one phase more, for endpoints that had ended.
+            phase=min(row.phase, HeartbeatPhase.LOST),
+            heard_at_ns=now_ns,
+            warming_up_until_ns=now_ns + warming_up_left_ns if warming_up_left_ns else 0,
+            gone_at_ns=now_ns - row.gone_for_ns,
         )
 
     @classmethod
-    def of_news(
-        cls, id: str, version: list[int], told: dict[str, Any], now: int, age: int
+    def from_update(
+        cls, id: str, version: list[int], value: dict[str, Any], now_ns: int, age_ns: int
     ) -> "EndpointRecord":
-        rank, seq, phase = version
+        """The record that an update of another controller tells.
+
+        Args:
+            id: the endpoint.
+            version: as `version` gives it.
+            value: as `update_value` gives it.
+            now_ns: steady clock of this process.
+            age_ns: how long ago the endpoint was first known to be gone.
+        """
+        rank, sequence, phase = version
+        warming_up_left_ms = value["cold"]
         return cls(
-            id,
-            told["line"],
-            told["addr"],
-            told["zone"],
-            told["berths"],
-            told["edition"],
-            rank,
-            seq,
-            phase,
-            now,
-            now + told["cold"] * MS if told["cold"] else 0,
-            now - age,
+            id=id,
+            service=value["line"],
+            address=value["addr"],
+            zone=value["zone"],
+            capacity=value["berths"],
+            software_version=value["edition"],
+            rank=rank,
+            sequence=sequence,
+            phase=phase,
+            heard_at_ns=now_ns,
+            warming_up_until_ns=now_ns + warming_up_left_ms * NS_PER_MS if warming_up_left_ms else 0,
+            gone_at_ns=now_ns - age_ns,
         )
 
+    def note_heard(self, at_ns: int) -> None:
+        """Move the time of the last heartbeat on, never back."""
+        self.heard_at_ns = at_ns if self.heard_at_ns is None else max(self.heard_at_ns, at_ns)
+
 
 class EndpointRegistry:
-    """`hear`, `leave` and `tick` return ids of the records of which others must hear."""
-
-    def __init__(self, report_ms: float):
-        self.report, self.records = int(report_ms * MS), {}
-        self.claims: dict[str, set[str]] = {}  # address -> ids of records there that are not gone
-
-    def hear(self, id: str, beat: Heartbeat, now: int, age: int = 0) -> list[str]:
-        """A beat that came `age` nanoseconds ago, here or at another refuge."""
-        held = self.records.get(id)
-        if held is not None and (held.rank == ENDS or beat.call_seq <= held.seq):
-            # Late: it changes nothing.  But that it leaves has been said, and whoever is told that this was
-            # heard counts from then on: an order that others did not see must not take it back.
-            if held.rank >= beat.rank:
-                return []
-            held.rank = beat.rank
-            return [id]
-        came = now - age
-        record = held or self.records.setdefault(id, EndpointRecord(id))
-        before, cold_before = held and held.facts(), record.cold_until
+    """All endpoints that one controller knows.
+
+    `record_heartbeat`, `deregister` and `tick` return the ids of the records of which other controllers must
+    hear.
+
+    Attributes:
+        records: endpoint id -> its record.
+        claims: address -> ids of the records there that are not gone.
+    """
+
+    def __init__(self, report_ms: float) -> None:
+        """Start with no endpoints.
+
+        Args:
+            report_ms: interval at which endpoints send heartbeats, in milliseconds.
+        """
+        self.report_ns = int(report_ms * NS_PER_MS)
+        self.records: dict[str, EndpointRecord] = {}
+        self.claims: dict[str, set[str]] = {}
+
+    def record_heartbeat(self, id: str, heartbeat: Heartbeat, now_ns: int, age_ns: int = 0) -> list[str]:
+        """Take in a heartbeat that came `age_ns` ago, to this controller or to another.
+
+        Returns:
+            Ids of the records that changed for others: the endpoint's own, and rivals for its address.
+        """
+        known = self.records.get(id)
+        if known is not None and (known.rank == DrainRank.ENDED or heartbeat.sequence <= known.sequence):
+            return self.record_late_heartbeat(known, heartbeat)
+        record = known or self.records.setdefault(id, EndpointRecord(id))
+        facts_before = None if known is None else known.facts()
+        warming_up_before_ns = record.warming_up_until_ns
         self.unclaim(record)
-        record.line, record.addr, record.zone = beat.line, beat.addr, beat.zone
-        record.berths, record.edition = beat.berths, beat.edition
-        record.rank, record.seq, record.phase = max(record.rank, beat.rank), beat.call_seq, HEARD
-        record.heard = came if record.heard is None else max(record.heard, came)
-        record.cold_until = came + int(beat.cold_left_ms * MS) if beat.cold_left_ms > 0 else 0
-        # Two that are alive can't have one address: it is that one's which was heard last, until the other
-        # is heard again.  A verdict alone, as this may be a late call of an older life.
-        rivals = sorted(self.claims.get(beat.addr, ()))
-        for other in rivals:
-            self.judge(self.records[other], LOST, now)
+        self.apply_heartbeat(record, heartbeat, now_ns - age_ns)
+        rivals = self.end_claims_of_rivals(heartbeat.address, now_ns)
         self.claim(record)
-        # A cold time that only runs off is no news; one that begins anew, or is longer, is.
-        longer = record.cold_until > max(cold_before, now) + 200 * MS
-        return ([id] if record.facts() != before or longer else []) + rivals
+        # A slow start that only runs off is no update; one that begins anew, or is longer, is.
+        slow_start_grew = (
+            record.warming_up_until_ns > max(warming_up_before_ns, now_ns) + SLOW_START_TOLERANCE_NS
+        )
+        if record.facts() != facts_before or slow_start_grew:
+            return [id, *rivals]
+        return rivals
+
+    def record_late_heartbeat(self, record: EndpointRecord, heartbeat: Heartbeat) -> list[str]:
+        """Take in a heartbeat that a later one, or the endpoint's end, has overtaken.
+
+        It changes nothing but the rank.  That the endpoint drains has been said, and whoever is acknowledged
+        counts on it from then on: an order of arrival that others did not see must not take it back.
+        """
+        if record.rank >= heartbeat.rank:
+            return []
+        record.rank = heartbeat.rank
+        return [record.id]
+
+    def apply_heartbeat(self, record: EndpointRecord, heartbeat: Heartbeat, arrived_at_ns: int) -> None:
+        """Set a record's fields by a heartbeat that is newer than what it had."""
+        record.service = heartbeat.service
+        record.address = heartbeat.address
+        record.zone = heartbeat.zone
+        record.capacity = heartbeat.capacity
+        record.software_version = heartbeat.software_version
+        record.rank = max(record.rank, heartbeat.rank)
+        record.sequence = heartbeat.sequence
+        record.phase = HeartbeatPhase.HEARD
+        record.note_heard(arrived_at_ns)
+        record.warming_up_until_ns = 0
+        if heartbeat.warming_up_left_ms > 0:
+            record.warming_up_until_ns = arrived_at_ns + int(heartbeat.warming_up_left_ms * NS_PER_MS)
+
+    def end_claims_of_rivals(self, address: str, now_ns: int) -> list[str]:
+        """Count those as lost that claim the address of an endpoint which was just heard; their ids.
+
+        Two that are alive can't have one address: it belongs to the one that was heard last, until the other
+        is heard again.  Only the phase says so, not the rank, as this may be a late call of an older
+        incarnation.
+        """
+        rivals = sorted(self.claims.get(address, ()))
+        for rival in rivals:
+            self.set_phase(self.records[rival], HeartbeatPhase.LOST, now_ns)
+        return rivals
 
     def claim(self, record: EndpointRecord) -> None:
-        if record.state != GONE:
-            self.claims.setdefault(record.addr, set()).add(record.id)
+        """Note that a record has its address, unless it is gone."""
+        if record.state != EndpointState.GONE:
+            self.claims.setdefault(record.address, set()).add(record.id)
 
     def unclaim(self, record: EndpointRecord) -> None:
-        ids = self.claims.get(record.addr, set())
+        """Note that a record no longer has its address; called before the address or the state changes."""
+        ids = self.claims.get(record.address, set())
         ids.discard(record.id)
         if not ids:
-            self.claims.pop(record.addr, None)
+            self.claims.pop(record.address, None)
 
-    def judge(self, record: EndpointRecord, phase: int, now: int) -> None:
+    def set_phase(self, record: EndpointRecord, phase: HeartbeatPhase, now_ns: int) -> None:
+        """Give a verdict on a record's silence."""
         record.phase = phase
-        if phase == LOST:
+        if phase == HeartbeatPhase.LOST:
             self.unclaim(record)
-            record.over_at = now
+            record.gone_at_ns = now_ns
 
-    def leave(self, id: str, now: int) -> list[str]:
-        """A sign-off.  Of an id that was never heard of too: its beats may be on their way."""
+    def deregister(self, id: str, now_ns: int) -> list[str]:
+        """Take in that an endpoint has ended by its own word.
+
+        An id that was never heard of gets a record too: its heartbeats may still be on their way.
+
+        Returns:
+            Its id, unless its end was known.
+        """
         record = self.records.setdefault(id, EndpointRecord(id))
-        if record.rank == ENDS:
+        if record.rank == DrainRank.ENDED:
             return []
         self.unclaim(record)
-        record.rank, record.over_at = ENDS, now
+        record.rank = DrainRank.ENDED
+        record.gone_at_ns = now_ns
         return [id]
 
-    def join(self, found: EndpointRecord, now: int) -> None:
-        """What a disk or another refuge knows; of each field the later word stands."""
-        held = self.records.get(found.id)
-        if held is None and found.state == GONE and now - found.over_at >= HORIZON * SECOND:
-            return  # others are about to forget it
-        if held is None:
-            self.records[found.id] = found
-            self.claim(found)
+    def merge(self, incoming: EndpointRecord, now_ns: int) -> None:
+        """Take in what a disk or another controller knows; of each field the later value stands."""
+        known = self.records.get(incoming.id)
+        if known is None:
+            self.add(incoming, now_ns)
             return
-        self.unclaim(held)
-        was_gone = held.state == GONE
-        if (found.seq, found.phase) > (held.seq, held.phase):
-            held.line, held.addr, held.zone = found.line, found.addr, found.zone
-            held.berths, held.edition, held.cold_until = found.berths, found.edition, found.cold_until
-            if found.seq > held.seq and found.heard is not None:
-                held.heard = found.heard if held.heard is None else max(held.heard, found.heard)
-            held.seq, held.phase = found.seq, found.phase
-        if found.rank > held.rank:
-            held.rank, was_gone = found.rank, False
-        if held.state == GONE and not was_gone:
-            held.over_at = found.over_at
-        self.claim(held)
-
-    def excuse(self, now: int) -> None:
-        """This process could not hear for a while: silence counts from now on."""
+        self.unclaim(known)
+        was_gone = known.state == EndpointState.GONE
+        if (incoming.sequence, incoming.phase) > (known.sequence, known.phase):
+            self.apply_later_record(known, incoming)
+        if incoming.rank > known.rank:
+            known.rank = incoming.rank
+            was_gone = False
+        if known.state == EndpointState.GONE and not was_gone:
+            known.gone_at_ns = incoming.gone_at_ns
+        self.claim(known)
+
+    def add(self, incoming: EndpointRecord, now_ns: int) -> None:
+        """Take in a record of an id that isn't known, unless others are about to forget it."""
+        if incoming.state == EndpointState.GONE and now_ns - incoming.gone_at_ns >= HORIZON_NS:
+            return
+        self.records[incoming.id] = incoming
+        self.claim(incoming)
+
+    def apply_later_record(self, known: EndpointRecord, incoming: EndpointRecord) -> None:
+        """Set the fields that go with sequence and phase by a record that has later ones."""
+        known.service = incoming.service
+        known.address = incoming.address
+        known.zone = incoming.zone
+        known.capacity = incoming.capacity
+        known.software_version = incoming.software_version
+        known.warming_up_until_ns = incoming.warming_up_until_ns
+        if incoming.sequence > known.sequence and incoming.heard_at_ns is not None:
+            known.note_heard(incoming.heard_at_ns)
+        known.sequence = incoming.sequence
+        known.phase = incoming.phase
+
+    def restart_silence(self, now_ns: int) -> None:
+        """Count every endpoint's silence from now on: this process could not hear for a while."""
         for record in self.records.values():
-            record.heard = now if record.heard is None else max(record.heard, now)
+            record.note_heard(now_ns)
 
     def forget(self, id: str) -> None:
+        """Drop an endpoint's record."""
         self.unclaim(self.records.pop(id))
 
-    def tick(self, now: int) -> list[str]:
-        """Verdicts on those that have fallen silent; those that are long gone are forgotten."""
-        told = []
+    def tick(self, now_ns: int) -> list[str]:
+        """Give verdicts on those that have fallen silent, and forget those that are long gone.
+
+        Returns:
+            Ids of the records whose phase changed.
+        """
+        changed = []
         for record in [*self.records.values()]:
-            quiet = 0 if record.heard is None else now - record.heard
-            if record.state == GONE:
-                if now - record.over_at >= HORIZON * SECOND:
+            silence_ns = 0 if record.heard_at_ns is None else now_ns - record.heard_at_ns
+            if record.state == EndpointState.GONE:
+                if now_ns - record.gone_at_ns >= HORIZON_NS:
                     self.forget(record.id)
-            elif quiet > LOST_BEATS * self.report:
-                self.judge(record, LOST, now)
-                told.append(record.id)
-            elif quiet > MISSED_BEATS * self.report and record.state == READY:
-                self.judge(record, MISSING, now)
-                told.append(record.id)
-        return told
+            elif silence_ns > LOST_AFTER_REPORTS * self.report_ns:
+                self.set_phase(record, HeartbeatPhase.LOST, now_ns)
+                changed.append(record.id)
+            elif silence_ns > MISSING_AFTER_REPORTS * self.report_ns and record.state == EndpointState.READY:
+                self.set_phase(record, HeartbeatPhase.MISSING, now_ns)
+                changed.append(record.id)
+        return changed
--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from flintreach.endpoints.registry import READY
+from flintreach.endpoints.registry import EndpointState
 from flintreach.sharding.range_lease import GRANT
 from flintreach.simulation.engine import SECOND
 from flintreach.simulation.invariants import numbered
@@ -165,7 +165,7 @@
         chance = self.chance = callers.chance
         self.line = "keyed" if self.site.shape.sharded and chance.random() < 0.7 else "plain"
         self.zone = chance.choice([*self.site.shape.places])
-        self.slow, self.seq, self.up, self.state = 1 + 0.02 * chance.random(), 0, True, READY
+        self.slow, self.seq, self.up, self.state = 1 + 0.02 * chance.random(), 0, True, EndpointState.READY
         self.first, self.denied = None, 0  # when it was first acknowledged; how often in a row told as gone
         self.holds, self.seen, self.sent = [], [], []
         self.at = callers.pick()
@@ -174,7 +174,7 @@
         """Up, not leaving, and acknowledged of late."""
         return (
             self.up
-            and self.state == READY
+            and self.state == EndpointState.READY
             and self.first is not None
             and self.callers.sim.now - self.first > 5 * SECOND
         )
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from flintreach.controller.quorum_contact import NEVER
-from flintreach.endpoints.registry import CLOSING, GONE, READY
+from flintreach.endpoints.registry import EndpointState
 from flintreach.simulation.engine import MS, SECOND, Broken
 
 INVARIANTS = {
@@ -176,7 +176,7 @@
         """A refuge answers callers: it knows what was acknowledged a while before."""
         for id, at in self.leaving.items():
             record = controller.plane.registry.records.get(id)
-            if record is not None and record.state == READY and at < controller.since:
+            if record is not None and record.state == EndpointState.READY and at < controller.since:
                 self.broke("drain", f"{controller.name} begins with {id} as ready, leaving since {clock(at)}")
 
     # Endpoints.
@@ -190,7 +190,12 @@
             self.leaves(endpoint, "closing", controller.name)
         elif controller.alive:
             record = controller.plane.registry.records.get(id)
-            gone = record is not None and record.state == GONE and endpoint.up and id not in self.leaving
+            gone = (
+                record is not None
+                and record.state == EndpointState.GONE
+                and endpoint.up
+                and id not in self.leaving
+            )
             # Once it may be a late call of an older life at its address, which its next check-in overrules.
             endpoint.denied = endpoint.denied + 1 if gone else 0
             if endpoint.denied > 1:
@@ -209,7 +214,7 @@
             record = registry.records.get(endpoint.id)
             if (
                 record is not None
-                and (not leaves or record.state in (CLOSING, GONE))
+                and (not leaves or record.state in (EndpointState.CLOSING, EndpointState.GONE))
                 or leaves
                 and endpoint.id in getattr(registry, "gone", ())
             ):
@@ -282,7 +287,11 @@
         at = self.sim.now - int(1.05 * age * SECOND) - 20 * MS
         for id, acknowledged in self.leaving.items():
             told = updates.get(f"hut/{id}")
-            if acknowledged < at and told and told["state"] not in (CLOSING, GONE):
+            if (
+                acknowledged < at
+                and told
+                and told["state"] not in (EndpointState.CLOSING, EndpointState.GONE)
+            ):
                 self.broke("confirmed", f"{process.name}: {id} is {told['state']} at {clock(at)}")
         zones = updates.get("evac") or {}
         for zone, on in self.settled_zones(at).items():
@@ -317,7 +326,7 @@
         now, updates = self.sim.now, self.updates(process)
         for id, at in self.leaving.items():
             told = updates.get(f"hut/{id}")
-            if told and told["state"] == READY and now > at + 3 * SECOND:
+            if told and told["state"] == EndpointState.READY and now > at + 3 * SECOND:
                 self.broke("drain", f"{process.name} tells {id} as ready, leaving since {clock(at)}")
         zones = updates.get("evac") or {}
         for zone, on in self.settled_zones(now - 5 * SECOND).items():
@@ -352,7 +361,7 @@
         site, rows = self.site, []
         for process in self.processes():
             updates = self.updates(process)
-            huts = {key: told["state"] == READY for key, told in updates.under("hut/").items()}
+            huts = {key: told["state"] == EndpointState.READY for key, told in updates.under("hut/").items()}
             steady = sorted(e.id for e in site.endpoints.values() if e.steady())
             live = {id: huts.get(id, False) for id in steady}
             version = updates.entries.get("timetable", (None,))[0]
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -256,7 +256,7 @@
     ),
     "ends-rivals": Plant(
         "flintreach.endpoints.registry:EndpointRegistry",
-        "hear",
+        "record_heartbeat",
         ends_rivals,
         ("ended", "agree"),
         "a late first check-in of an older life ends its successor",
@@ -297,7 +297,7 @@
     if name == "takes-any-number":
         return hasattr(configuration, "OTHER")
     if name == "ends-rivals":
-        return hasattr(importlib.import_module("flintreach.endpoints.registry"), "ENDS")
+        return hasattr(importlib.import_module("flintreach.endpoints.registry"), "DrainRank")
     return hasattr(target(plant), plant.name)
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -20,7 +20,7 @@
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.recovery import alone
 from flintreach.consensus.store import Store
-from flintreach.endpoints.registry import EndpointRecord
+from flintreach.endpoints.registry import EndpointRecord, EndpointRow
 from flintreach.sharding.range_assignment import Allocation
 
 DISK = Path(__file__).parents[1] / "data" / "disk"
@@ -127,8 +127,10 @@
         store = self.opened()
         self.addCleanup(self.close)
         now = 400 * SECOND
-        records = {id: EndpointRecord.of(UNPACK(row), now) for id, row in store.huts.items()}
-        states = {id: (record.state, record.rank, record.seq) for id, record in records.items()}
+        records = {
+            id: EndpointRecord.from_row(UNPACK(row, type=EndpointRow), now) for id, row in store.huts.items()
+        }
+        states = {id: (record.state, record.rank, record.sequence) for id, record in records.items()}
         self.assertEqual(
             states,
             {
@@ -140,15 +142,18 @@
                 "lot-1": ("gone", 0, 7),
             },
         )
-        self.assertEqual(records["desk-1"].cold_until, now + 2 * SECOND)
-        self.assertEqual(records["desk-5"].over_at, now - 30 * SECOND)
+        self.assertEqual(records["desk-1"].warming_up_until_ns, now + 2 * SECOND)
+        self.assertEqual(records["desk-5"].gone_at_ns, now - 30 * SECOND)
 
     def test_endpoint_rows_are_written_back_as_they_were(self):
         store = self.opened()
         self.addCleanup(self.close)
         now = 400 * SECOND
         for id in ("desk-5", "lot-1"):
-            self.assertEqual(PACK(EndpointRecord.of(UNPACK(store.huts[id]), now).row(now)), store.huts[id])
+            self.assertEqual(
+                PACK(EndpointRecord.from_row(UNPACK(store.huts[id], type=EndpointRow), now).row(now)),
+                store.huts[id],
+            )
 
     def test_the_new_text_writes_on_beside_what_stands(self):
         shutil.copytree(self.folder, self.folder / "before")
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -22,17 +22,13 @@
     STALE_BOARD,
     VersionedStore,
 )
+from flintreach.endpoints.registry import NS_PER_MS as MS
 from flintreach.endpoints.registry import (
-    CLOSES,
-    CLOSING,
-    ENDS,
-    GONE,
-    MS,
-    READY,
-    SERVES,
-    SILENT,
+    DrainRank,
     EndpointRecord,
     EndpointRegistry,
+    EndpointRow,
+    EndpointState,
     Heartbeat,
 )
 from flintreach.proxy.choice import Here
@@ -43,6 +39,14 @@
 from flintreach.transport.peer_connection import ConnectionClosed
 from flintreach.transport.peer_pool import PeerPool
 
+READY = EndpointState.READY
+CLOSING = EndpointState.CLOSING
+SILENT = EndpointState.SILENT
+GONE = EndpointState.GONE
+SERVES = DrainRank.SERVING
+CLOSES = DrainRank.DRAINING
+ENDS = DrainRank.ENDED
+
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
 
@@ -199,7 +203,11 @@
 
     def rank(self, id):
         """The rank at which an endpoint stands here; -1: it does not."""
-        return EndpointRecord.of(UNPACK(self.huts[id]), 0).rank if id in self.huts else -1
+        return (
+            EndpointRecord.from_row(UNPACK(self.huts[id], type=EndpointRow), 0).rank
+            if id in self.huts
+            else -1
+        )
 
 
 class ControllerProcess:
@@ -361,7 +369,7 @@
             self.assertTrue(net[0].call("e", 5))
         record = net[0].registry.records["e"]
         self.assertEqual((net[0].state("e"), record.version), ((CLOSING, CLOSING), [CLOSES, 6, 0]))
-        self.assertEqual(record.durable, SERVES)
+        self.assertEqual(record.durable_rank, SERVES)
         net.part(0)
         self.assertFalse(net[0].call("e", 6, "closing"))
 
@@ -415,7 +423,7 @@
         net = Net()
         for number in range(1300):
             beat = Heartbeat("desk", f"10.1.1.1:{number}", "north", 2, READY, 1)
-            net[0].registry.hear(f"i-{number}", beat, net.now_ns())
+            net[0].registry.record_heartbeat(f"i-{number}", beat, net.now_ns())
         fresh = net.restart(2)
         self.assertTrue(fresh.endpoints.begin())
         self.assertEqual(len(fresh.registry.records), 1300)
@@ -475,11 +483,14 @@
         for order in (rows, rows[::-1]):
             registry = EndpointRegistry(1500)
             for row in order:
-                registry.join(EndpointRecord.of(row, 0), 0)
-            self.assertEqual(registry.hear("a", Heartbeat("desk", "x:1", "n", 2, READY, 4), MS), ["b"])
+                registry.merge(EndpointRecord.from_row(EndpointRow(*row), 0), 0)
+            self.assertEqual(
+                registry.record_heartbeat("a", Heartbeat("desk", "x:1", "n", 2, READY, 4), MS), ["b"]
+            )
             self.assertEqual((registry.records["a"].state, registry.records["b"].state), (READY, GONE))
             self.assertEqual(
-                registry.hear("b", Heartbeat("desk", "x:1", "n", 2, "closing", 10), 2 * MS), ["b", "a"]
+                registry.record_heartbeat("b", Heartbeat("desk", "x:1", "n", 2, "closing", 10), 2 * MS),
+                ["b", "a"],
             )
             self.assertEqual((registry.records["a"].state, registry.records["b"].state), (GONE, CLOSING))
 
@@ -870,7 +881,7 @@
         play(steps)
 
     def test_planted_faults_are_found(self):
-        hear, join, settle = EndpointRegistry.hear, EndpointRegistry.join, EndpointService.settle
+        hear, join, settle = EndpointRegistry.record_heartbeat, EndpointRegistry.merge, EndpointService.settle
         answer, init = EndpointService.answer, EndpointService.__init__
 
         def repeat(self, id, rank, *rest):
@@ -880,18 +891,18 @@
             return known or settle(self, id, rank, *rest)
 
         def hearsay(self, epoch, id, rank, ids):
-            self.registry.records[id].durable = max(self.registry.records[id].durable, rank)
+            self.registry.records[id].durable_rank = max(self.registry.records[id].durable_rank, rank)
             return answer(self, epoch, id, rank, ids)
 
         def back(self, id, beat, now, age=0):
             told = hear(self, id, beat, now, age)
-            if self.records[id].seq == beat.call_seq and self.records[id].rank != ENDS:
+            if self.records[id].sequence == beat.sequence and self.records[id].rank != ENDS:
                 self.records[id].rank = beat.rank
             return told
 
         def newest(self, found, now):
             held = self.records.get(found.id)
-            newer = held is not None and (found.seq, found.phase) > (held.seq, held.phase)
+            newer = held is not None and (found.sequence, found.phase) > (held.sequence, held.phase)
             join(self, found, now)
             if newer:
                 held.rank = found.rank
@@ -900,7 +911,7 @@
             told = hear(self, id, beat, now, age)
             for other in told:
                 if other != id:
-                    self.leave(other, now)
+                    self.deregister(other, now)
             return told
 
         def counted(self, *args):
@@ -916,9 +927,9 @@
                 lambda self, id, rank: True,
             ),
             "what others say counts as a quorum": (EndpointService, "answer", hearsay),
-            "a later beat takes back that it leaves": (EndpointRegistry, "hear", back),
-            "of two records the later number stands": (EndpointRegistry, "join", newest),
-            "an address given anew ends its first owner": (EndpointRegistry, "hear", ending),
+            "a later beat takes back that it leaves": (EndpointRegistry, "record_heartbeat", back),
+            "of two records the later number stands": (EndpointRegistry, "merge", newest),
+            "an address given anew ends its first owner": (EndpointRegistry, "record_heartbeat", ending),
             "an empty disk is counted": (EndpointService, "__init__", counted),
             "a start waits for nobody": (EndpointService, "collect", lambda self: True),
             "one answer is a quorum": (Voters, "met", lambda self, heard: len({*heard}) > 0),
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -2,102 +2,128 @@
 
 import unittest
 
+import msgspec
+
 from flintreach.endpoints.registry import (
-    CLOSES,
-    CLOSING,
-    ENDS,
-    GONE,
-    MS,
-    READY,
-    SERVES,
-    SILENT,
+    NS_PER_MS,
+    NS_PER_S,
+    DrainRank,
     EndpointRecord,
     EndpointRegistry,
+    EndpointRow,
+    EndpointState,
     Heartbeat,
 )
-from flintreach.proxy.choice import (
-    SECOND,
-)
+
+REPORT_MS = 1500
 
 
-class Hutbook(unittest.TestCase):
-    def beat(self, seq, state=READY, cold=0, addr="10.0.0.9:80"):
-        return Heartbeat("desk", addr, "north", 2, state, seq, "v1", cold)
+def heartbeat(
+    sequence: int,
+    state: str = EndpointState.READY,
+    warming_up_left_ms: float = 0,
+    address: str = "10.0.0.9:80",
+) -> Heartbeat:
+    """A heartbeat of an endpoint of the service "desk"."""
+    return Heartbeat("desk", address, "north", 2, state, sequence, "v1", warming_up_left_ms)
 
-    def test_traces(self):
-        """(what came, milliseconds, told ids, state after)"""
+
+class HeartbeatsTest(unittest.TestCase):
+    def test_states_over_time(self) -> None:
+        """Rows: message, time in milliseconds, ids that others must hear of, state after it."""
         trace = [
-            (("beat", 1, READY), 0, ["e"], READY),
-            (("beat", 2, READY), 1500, [], READY),
-            (("beat", 1, READY), 1600, [], READY),  # late: the number tells
-            (("tick",), 4000, [], READY),
-            (("tick",), 5600, ["e"], SILENT),
-            (("tick",), 5900, [], SILENT),
-            (("beat", 3, READY), 6000, ["e"], READY),
-            (("beat", 4, "closing"), 7000, ["e"], CLOSING),
-            (("beat", 5, READY), 7500, [], CLOSING),  # never back
-            (("leave",), 8000, ["e"], GONE),
-            (("beat", 9, READY), 8100, [], GONE),
+            (("heartbeat", 1, EndpointState.READY), 0, ["e"], EndpointState.READY),
+            (("heartbeat", 2, EndpointState.READY), 1500, [], EndpointState.READY),
+            (("heartbeat", 1, EndpointState.READY), 1600, [], EndpointState.READY),  # late by its sequence
+            (("tick",), 4000, [], EndpointState.READY),
+            (("tick",), 5600, ["e"], EndpointState.SILENT),
+            (("tick",), 5900, [], EndpointState.SILENT),
+            (("heartbeat", 3, EndpointState.READY), 6000, ["e"], EndpointState.READY),
+            (("heartbeat", 4, "closing"), 7000, ["e"], EndpointState.CLOSING),
+            (("heartbeat", 5, EndpointState.READY), 7500, [], EndpointState.CLOSING),  # never back
+            (("deregister",), 8000, ["e"], EndpointState.GONE),
+            (("heartbeat", 9, EndpointState.READY), 8100, [], EndpointState.GONE),
         ]
-        registry = EndpointRegistry(1500)
-        for what, at, told, state in trace:
-            now = at * MS
-            if what[0] == "beat":
-                got = registry.hear("e", self.beat(*what[1:]), now)
+        registry = EndpointRegistry(REPORT_MS)
+        for message, at_ms, expected_ids, expected_state in trace:
+            now_ns = at_ms * NS_PER_MS
+            if message[0] == "heartbeat":
+                changed = registry.record_heartbeat("e", heartbeat(*message[1:]), now_ns)
+            elif message[0] == "tick":
+                changed = registry.tick(now_ns)
             else:
-                got = registry.tick(now) if what[0] == "tick" else registry.leave("e", now)
-            self.assertEqual((got, registry.records["e"].state), (told, state), what)
+                changed = registry.deregister("e", now_ns)
+            self.assertEqual((changed, registry.records["e"].state), (expected_ids, expected_state), message)
 
-    def test_a_late_call_that_says_that_it_leaves_counts(self):
+    def test_a_late_call_that_says_that_the_endpoint_drains_counts(self) -> None:
         """It is acknowledged, and from then on counts as known, whoever heard what first."""
-        for order in ((5, READY), (4, "closing")), ((4, "closing"), (5, READY)):
-            registry = EndpointRegistry(1500)
-            told = [registry.hear("e", self.beat(*call), 0) for call in order]
-            self.assertEqual(told, [["e"], ["e"] if order[0][0] == 5 else []])
-            self.assertEqual(registry.records["e"].state, CLOSING)
-            self.assertEqual(registry.records["e"].version, [CLOSES, 5, 0])
-
-    def test_an_address_given_to_another_takes_it_from_the_first_until_it_is_heard_again(self):
-        registry = EndpointRegistry(1500)
-        registry.hear("old", self.beat(5), 0)
-        self.assertEqual(registry.hear("new", self.beat(1), 10 * MS), ["new", "old"])
-        self.assertEqual((registry.records["old"].state, registry.records["old"].rank), (GONE, SERVES))
-        self.assertEqual(registry.hear("old", self.beat(5), 20 * MS), [], "a late call takes nothing back")
-        self.assertEqual(registry.hear("old", self.beat(6), 30 * MS), ["old", "new"])
-        self.assertEqual([registry.records[id].state for id in ("old", "new")], [READY, GONE])
-        self.assertEqual(registry.leave("old", 40 * MS), ["old"])
-        self.assertEqual(registry.hear("old", self.beat(7), 50 * MS), [])
-        self.assertEqual(registry.hear("new", self.beat(2), 60 * MS), ["new"])
-        self.assertEqual([registry.records[id].state for id in ("old", "new")], [GONE, READY])
-
-    def test_what_has_ended_is_forgotten_after_the_horizon(self):
-        registry = EndpointRegistry(1500)
-        registry.hear("signed", self.beat(1), 0)
-        registry.hear("crashed", self.beat(1, addr="10.0.0.8:80"), 0)
-        registry.leave("signed", SECOND)
-        registry.leave("unknown", SECOND)
-        for at in range(2, 139):
-            registry.tick(at * SECOND)
-            if at in (120, 122):
-                self.assertEqual("signed" in registry.records, at == 120)
+        ready, closing = (5, EndpointState.READY), (4, "closing")
+        for order in (ready, closing), (closing, ready):
+            registry = EndpointRegistry(REPORT_MS)
+            changed = [registry.record_heartbeat("e", heartbeat(*call), 0) for call in order]
+            self.assertEqual(changed, [["e"], ["e"] if order[0][0] == 5 else []])
+            self.assertEqual(registry.records["e"].state, EndpointState.CLOSING)
+            self.assertEqual(registry.records["e"].version, [DrainRank.DRAINING, 5, 0])
+
+    def test_a_slow_start_that_runs_off_is_no_update_and_one_that_begins_is(self) -> None:
+        registry = EndpointRegistry(REPORT_MS)
+        registry.record_heartbeat("e", heartbeat(1, warming_up_left_ms=3000), 0)
+        later = heartbeat(2, warming_up_left_ms=1500)
+        self.assertEqual(registry.record_heartbeat("e", later, 1500 * NS_PER_MS), [])
+        anew = heartbeat(3, warming_up_left_ms=3000)
+        self.assertEqual(registry.record_heartbeat("e", anew, 3000 * NS_PER_MS), ["e"])
+
+
+class AddressClaimsTest(unittest.TestCase):
+    def states(self, registry: EndpointRegistry) -> list[EndpointState]:
+        """States of the two endpoints that claim one address."""
+        return [registry.records[id].state for id in ("old", "new")]
+
+    def test_an_address_belongs_to_the_endpoint_that_was_heard_last(self) -> None:
+        registry = EndpointRegistry(REPORT_MS)
+        registry.record_heartbeat("old", heartbeat(5), 0)
+        self.assertEqual(registry.record_heartbeat("new", heartbeat(1), 10 * NS_PER_MS), ["new", "old"])
+        old = registry.records["old"]
+        self.assertEqual((old.state, old.rank), (EndpointState.GONE, DrainRank.SERVING))
+        late = registry.record_heartbeat("old", heartbeat(5), 20 * NS_PER_MS)
+        self.assertEqual(late, [], "a late call takes nothing back")
+        self.assertEqual(registry.record_heartbeat("old", heartbeat(6), 30 * NS_PER_MS), ["old", "new"])
+        self.assertEqual(self.states(registry), [EndpointState.READY, EndpointState.GONE])
+        self.assertEqual(registry.deregister("old", 40 * NS_PER_MS), ["old"])
+        self.assertEqual(registry.record_heartbeat("old", heartbeat(7), 50 * NS_PER_MS), [])
+        self.assertEqual(registry.record_heartbeat("new", heartbeat(2), 60 * NS_PER_MS), ["new"])
+        self.assertEqual(self.states(registry), [EndpointState.GONE, EndpointState.READY])
+
+
+class ForgettingTest(unittest.TestCase):
+    def test_what_has_ended_is_forgotten_after_the_horizon(self) -> None:
+        registry = EndpointRegistry(REPORT_MS)
+        registry.record_heartbeat("deregistered", heartbeat(1), 0)
+        registry.record_heartbeat("crashed", heartbeat(1, address="10.0.0.8:80"), 0)
+        registry.deregister("deregistered", NS_PER_S)
+        registry.deregister("unknown", NS_PER_S)
+        for at_s in range(2, 139):
+            registry.tick(at_s * NS_PER_S)
+            if at_s in (120, 122):
+                self.assertEqual("deregistered" in registry.records, at_s == 120)
         self.assertEqual([*registry.records], ["crashed"])
-        self.assertEqual((registry.tick(140 * SECOND), registry.records, registry.claims), ([], {}, {}))
-
-    def test_a_cold_time_that_runs_off_is_no_news_and_one_that_begins_is(self):
-        registry = EndpointRegistry(1500)
-        registry.hear("e", self.beat(1, cold=3000), 0)
-        self.assertEqual(registry.hear("e", self.beat(2, cold=1500), 1500 * MS), [])
-        self.assertEqual(registry.hear("e", self.beat(3, cold=3000), 3000 * MS), ["e"])
-
-    def test_a_restart_knows_what_was_told_before(self):
-        registry, again = EndpointRegistry(1500), EndpointRegistry(1500)
-        registry.hear("e", self.beat(4, CLOSING), 0)
-        again.join(EndpointRecord.of(registry.records["e"].row(0), 0), 0)
-        older = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", READY, 3, 0, 0]  # a disk of an older text
-        again.join(EndpointRecord.of(older, 0), 0)
-        self.assertEqual(again.records["e"].state, CLOSING)
-        again.join(EndpointRecord.of([*older[:6], GONE, 1 << 62, 3, 0], 0), 0)
-        self.assertEqual((again.records["e"].state, again.records["e"].rank), (GONE, ENDS))
+        self.assertEqual((registry.tick(140 * NS_PER_S), registry.records, registry.claims), ([], {}, {}))
+
+
+class StoredRowsTest(unittest.TestCase):
+    def test_a_restart_knows_what_was_known_before(self) -> None:
+        registry = EndpointRegistry(REPORT_MS)
+        registry.record_heartbeat("e", heartbeat(4, EndpointState.CLOSING), 0)
+        restarted = EndpointRegistry(REPORT_MS)
+        restarted.merge(EndpointRecord.from_row(registry.records["e"].row(0), 0), 0)
+        # Rows of earlier releases, with ten fields.
+        ready = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", "ready", 3, 0, 0]
+        restarted.merge(EndpointRecord.from_row(msgspec.convert(ready, EndpointRow), 0), 0)
+        self.assertEqual(restarted.records["e"].state, EndpointState.CLOSING)
+        ended = [*ready[:6], "gone", 1 << 62, 3, 0]
+        restarted.merge(EndpointRecord.from_row(msgspec.convert(ended, EndpointRow), 0), 0)
+        record = restarted.records["e"]
+        self.assertEqual((record.state, record.rank), (EndpointState.GONE, DrainRank.ENDED))
 
 
 if __name__ == "__main__":
