--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -11,12 +11,11 @@
 from flintreach.common.log import say
 from flintreach.config.settings import place
 from flintreach.sharding.range_assignment import Allocation
-from flintreach.sharding.range_lease import GRANT, RangeLeases
+from flintreach.sharding.range_lease import CallKind, RangeLeases
 from flintreach.transport.peer_connection import RESET, braced
 
-PATHS = {GRANT: calls.GRANT, "release": calls.RELEASE}
+PATHS = {CallKind.GRANT: calls.GRANT, CallKind.RELEASE: calls.RELEASE}
 MUTE_MS = 900  # a call without a sign of its arrival for so long is dropped by this machine
-PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
 
 class Late(OSError):
@@ -24,7 +23,7 @@
 
 
 def allocation(value: bytes | None) -> Allocation:
-    return Allocation.of(UNPACK(value) if value else None)
+    return Allocation.decode(value)
 
 
 class LeaseOwner:
@@ -48,19 +47,19 @@
         def step(old):
             held = allocation(old)
             ours[:] = [self.state.step(held, began, able, self.ended, heat, busy)]
-            return PACK(held.rows()) if ours[0] else None
+            return held.encode() if ours[0] else None
 
         done, value = self.register.change(self.key, step, 0.9)
         if not done or not ours[0]:
-            self.state.lost()
+            self.state.not_committed()
             return
         held = allocation(value)
-        if self.state.stands(held, began, self.runtime.now()):
+        if self.state.committed(held, began, self.runtime.now()):
             say("keeper", service=self.service, epoch=held.epoch)
         rows = [[r.low, r.high, r.holder, r.state] for r in held.ranges if r.holder]
         if rows != self.told:
             self.told = rows
-            self.tell([held.epoch, held.beat], rows)
+            self.tell([held.epoch, held.renewals], rows)
         for kind, r in self.state.calls(self.runtime.now()):
             self.runtime.spawn(self.call, kind, r)
 
@@ -74,15 +73,15 @@
     def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
         """(status, handover); status 0 where no answer came, None where the call was too late to be sent."""
         body = {"from_edition": r.low, "to_edition": r.high, "fence": r.fence}
-        if kind == GRANT:
-            body["hold_ms"] = int(self.state.hold * 1000)
+        if kind == CallKind.GRANT:
+            body["hold_ms"] = int(self.state.lease_s * 1000)
             if r.handover:
                 body["handover"] = r.handover
-        client = HTTPClient(*place(r.addr), connection_timeout=0.5, network_timeout=0.9, concurrency=1)
+        client = HTTPClient(*place(r.address), connection_timeout=0.5, network_timeout=0.9, concurrency=1)
 
         def connected(sock):
             # Where no connection comes up nothing was sent, and a dead holder's time does not begin anew.
-            if not self.state.goes_out(kind, r, self.runtime.now()):
+            if not self.state.may_send(kind, r, self.runtime.now()):
                 raise Late
             # Given up, it must not arrive later: after a close in order the kernel would send it for minutes.
             braced(sock, MUTE_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -12,7 +12,7 @@
 from flintreach.placement.placer import Candidate, Placer
 from flintreach.sharding.key_load import KeyLoad
 from flintreach.sharding.range_assignment import KEYS
-from flintreach.sharding.region_affinity import RegionBias, bound, carried, target
+from flintreach.sharding.region_affinity import RegionBias, home_regions, links_can_carry, target_region
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 TTL, ASKED = (0.5, 1.5), 300  # seconds an answer of the directory holds; answers a second of one refuge
@@ -38,7 +38,7 @@
         self.placer = Placer(zlib.crc32(plane.node.sender.node_name.encode()))
         plane.peer_pool.handlers |= {
             "counts": lambda link, body: self.hear_tally(body),
-            "warmth": lambda link, body: self.key_load.hear(body),
+            "warmth": lambda link, body: self.key_load.replace(body),
         }
 
     def hear_tally(self, body) -> None:
@@ -47,7 +47,7 @@
     def able(self, line: str) -> dict[str, tuple[float, str]]:
         """Endpoints that may hold keys of a service: their weights and addresses."""
         found, warm, region, berths = self.keyed(line)
-        busy = self.key_load.at_work({r.id: float(r.capacity) for r in warm})
+        busy = self.key_load.capacity_in_use({r.id: float(r.capacity) for r in warm})
         lean = self.leans.setdefault(line, RegionBias())
         factors = lean.weigh(self.region_of(line)[0], berths, busy)
         return {
@@ -87,13 +87,13 @@
         for low, high, holder, _ in self.plane.updates.get(f"bunks/{line}") or ():
             place = region.get(holder, "")
             keys[place] = keys.get(place, 0.0) + (high - low + 1) / KEYS
-        found = target(set.union(*homes), keys, berths)
+        found = target_region(set.union(*homes), keys, berths)
         links = [
             float(m.posts.get("mbps", 0))
             for m in self.plane.member_list.alive("bothy")
             if m.region == found and m.ready
         ]
-        if not carried(self.key_load.bytes.get(line), links):
+        if not links_can_carry(self.key_load.bytes.get(line), links):
             return None, 0.0
         return found, keys.get(found, 0.0)
 
@@ -127,7 +127,7 @@
                         lambda name=name: self.able(name),
                         self.plane.endpoints.ended,
                         tell,
-                        lambda name=name: self.key_load.of(name),
+                        lambda name=name: self.key_load.load_of(name),
                     )
             for name, keeper in self.lease_owners.items():
                 keeper.tick()
@@ -155,7 +155,7 @@
                 continue
             if routes is None:
                 continue
-            if told := self.key_load.take(body):
+            if told := self.key_load.add_second(body):
                 for address in self.plane.peers():  # whoever keeps the keys of a service divides them by it
                     self.runtime.spawn(self.plane.peer_pool.ask, address, "warmth", told, 0.8)
             plain = [
@@ -211,7 +211,7 @@
             for line, service_config in self.plane.routes.service_configs.items()
             if service_config.sharded
         }
-        return bound(self.plane.routes.hosts.get(name.lower(), ()), sharded)
+        return home_regions(self.plane.routes.hosts.get(name.lower(), ()), sharded)
 
     def stay(self, name: str) -> str | None:
         """The region to which clients of a host are sent; None: to their own."""
--- a/flintreach/proxy/carry.py
+++ b/flintreach/proxy/carry.py
@@ -29,7 +29,7 @@
 from flintreach.proxy.reply import number
 from flintreach.proxy.request import PAUSE, Answer, Request, own, relayed
 from flintreach.proxy.view import RoutingView, slice_of
-from flintreach.sharding.range_assignment import BUCKET, KEYS
+from flintreach.sharding.range_assignment import BUCKET_KEYS, KEYS
 
 MS, SECOND = 1_000_000, 1_000_000_000
 KEY_LOOK_S = 0.02  # between two looks for keys that are on their way from one holder to another
@@ -121,7 +121,7 @@
         key = number(request.low.get("x-shard-key", ""))
         key = key if key is not None and key < KEYS else None
         if key is not None and self.view.sharded(service):
-            self.load_aggregate.key(service, key // BUCKET)
+            self.load_aggregate.key(service, key // BUCKET_KEYS)
         return RoutedRequest(request, route, service, key, until, budget)
 
     def carry_in_turn(self, routed: RoutedRequest) -> Answer:
--- a/flintreach/sharding/__init__.py
+++ b/flintreach/sharding/__init__.py
@@ -1,1 +1,1 @@
-"""Owners of key ranges: leases, allocation, load by key, affinity to regions."""
+"""Owners of key ranges: leases, assignment, load by key, affinity to regions."""
--- a/flintreach/sharding/key_load.py
+++ b/flintreach/sharding/key_load.py
@@ -1,63 +1,131 @@
-"""Where the load of sharded services lies, from the sums that the proxies tell upward.  Pure."""
+"""Where the load of sharded services lies, from the sums that proxies report up the tree.
+
+The one controller that gets the sums takes them in each second, and now and then sends what it made of them
+to the other controllers, as any of them may own the leases of a service.  No input or output here.
+"""
+
+from typing import Any
 
 from flintreach.sharding.range_assignment import LoadDistribution
 
-FADE, FORGOTTEN = 0.9, 0.05  # what is left of a count after a second; below which it is dropped
-FULL, EVERY = 0.6, 2  # part of an endpoint's berths from which it is busy; seconds between tellings to others
-SLOW = 0.3  # of a second's told load, in the smoothed one
+COUNT_DECAY = 0.9  # what is left of a count after a second
+MIN_COUNT = 0.05  # below which a count is dropped
+BUSY_UTILIZATION = 0.6  # part of an endpoint's capacity in use from which it is busy
+SEND_EVERY_TURNS = 2  # turns of a second between updates for other controllers
+SMOOTHING = 0.3  # weight of the last second in a smoothed figure
+
+# Keys of the reports, and of the updates between controllers, as earlier releases have them.
+KEYS_FIELD = "keys"
+BYTES_FIELD = "bytes"
+LOAD_FIELD = "load"
+UTILIZATION_FIELD = "full"
 
 
 class KeyLoad:
-    """`keys`: service -> bucket of keys -> requests of late; `full`: endpoint -> told load over berths;
-    `bytes`: service -> bytes of answers a second."""
+    """Load by key bucket, by endpoint and by service.
+
+    Attributes:
+        keys: service -> bucket of keys -> requests of late, fading.
+        utilization: endpoint -> its reported load over its capacity, smoothed.
+        bytes: service -> bytes of answers a second, smoothed.
+        distributions: service -> its load distribution, built when it is asked for.
+        turns: how many seconds were taken in.
+    """
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Start without any load."""
         self.keys: dict[str, dict[int, float]] = {}
-        self.full: dict[str, float] = {}
+        self.utilization: dict[str, float] = {}
         self.bytes: dict[str, float] = {}
-        self.heats: dict[str, LoadDistribution] = {}
-        self.turn = 0
+        self.distributions: dict[str, LoadDistribution] = {}
+        self.turns = 0
+
+    def add_second(self, sums: dict[str, Any] | None) -> dict[str, Any] | None:
+        """Take in the sums of a second.
+
+        Args:
+            sums: "keys": service -> bucket -> requests; "bytes": service -> bytes of answers; "load":
+                endpoint -> (sum of its reported utilizations, how many reports).  None: nothing was reported.
+
+        Returns:
+            What the other controllers are to be sent; None in most turns.
+        """
+        self.distributions = {}
+        self.fade()
+        if sums:
+            self.add_counts(sums[KEYS_FIELD])
+            self.smooth_bytes(sums[BYTES_FIELD])
+            self.smooth_utilization(sums[LOAD_FIELD])
+        self.turns += 1
+        if self.turns % SEND_EVERY_TURNS or not self.keys:
+            return None
+        return self.summary()
 
-    def take(self, body: dict | None) -> dict | None:
-        """A second's sums; now and then what other refuges are to hear."""
-        self.heats = {}
+    def fade(self) -> None:
+        """Let all counts of requests age by a second."""
         for counts in self.keys.values():
             for bucket in [*counts]:
-                counts[bucket] *= FADE
-                if counts[bucket] < FORGOTTEN:
+                counts[bucket] *= COUNT_DECAY
+                if counts[bucket] < MIN_COUNT:
                     del counts[bucket]
-        if body:
-            for line, told in body["keys"].items():
-                counts = self.keys.setdefault(line, {})
-                for bucket, count in told.items():
-                    counts[bucket] = counts.get(bucket, 0.0) + count
-            for line, size in body["bytes"].items():
-                self.bytes[line] = (1 - SLOW) * self.bytes.get(line, size) + SLOW * size
-            told = {id: full / count for id, (full, count) in body["load"].items()}
-            self.full = {id: (1 - SLOW) * self.full.get(id, full) + SLOW * full for id, full in told.items()}
-        self.turn += 1
-        if self.turn % EVERY or not self.keys:
-            return None
-        rounded = {
-            line: {bucket: round(count, 1) for bucket, count in counts.items()}
-            for line, counts in self.keys.items()
+
+    def add_counts(self, by_service: dict[str, dict[int, float]]) -> None:
+        """Add requests by service and bucket."""
+        for service, added in by_service.items():
+            counts = self.keys.setdefault(service, {})
+            for bucket, count in added.items():
+                counts[bucket] = counts.get(bucket, 0.0) + count
+
+    def smooth_bytes(self, by_service: dict[str, float]) -> None:
+        """Take in bytes of answers by service."""
+        for service, size in by_service.items():
+            self.bytes[service] = (1 - SMOOTHING) * self.bytes.get(service, size) + SMOOTHING * size
+
+    def smooth_utilization(self, by_endpoint: dict[str, tuple[float, float]]) -> None:
+        """Take in reported utilizations; an endpoint that was not reported is dropped."""
+        means = {id: total / count for id, (total, count) in by_endpoint.items()}
+        self.utilization = {
+            id: (1 - SMOOTHING) * self.utilization.get(id, mean) + SMOOTHING * mean
+            for id, mean in means.items()
         }
+
+    def summary(self) -> dict[str, Any]:
+        """What other controllers are sent, rounded."""
         return {
-            "keys": rounded,
-            "full": {id: round(full, 2) for id, full in self.full.items()},
-            "bytes": {line: int(size) for line, size in self.bytes.items()},
+            KEYS_FIELD: {
+                service: {bucket: round(count, 1) for bucket, count in counts.items()}
+                for service, counts in self.keys.items()
+            },
+            UTILIZATION_FIELD: {id: round(part, 2) for id, part in self.utilization.items()},
+            BYTES_FIELD: {service: int(size) for service, size in self.bytes.items()},
         }
 
-    def hear(self, told: dict) -> None:
-        """What the refuge that has the sums tells of them."""
-        self.keys, self.full, self.bytes, self.heats = told["keys"], told["full"], told["bytes"], {}
+    def replace(self, summary: dict[str, Any]) -> None:
+        """Take over what the controller that gets the sums sent of them."""
+        self.keys = summary[KEYS_FIELD]
+        self.utilization = summary[UTILIZATION_FIELD]
+        self.bytes = summary[BYTES_FIELD]
+        self.distributions = {}
+
+    def load_of(self, service: str) -> tuple[LoadDistribution, set[str]]:
+        """Where a service's load lies, and the ids of all endpoints that are busy."""
+        if service not in self.distributions:
+            self.distributions[service] = LoadDistribution(self.keys.get(service))
+        busy = {id for id, part in self.utilization.items() if part >= BUSY_UTILIZATION}
+        return self.distributions[service], busy
 
-    def of(self, line: str) -> tuple[LoadDistribution, set[str]]:
-        if line not in self.heats:
-            self.heats[line] = LoadDistribution(self.keys.get(line))
-        return self.heats[line], {id for id, full in self.full.items() if full >= FULL}
+    def capacity_in_use(self, capacities: dict[str, float]) -> float | None:
+        """Capacity in use at some endpoints, those that reported nothing at the mean of the others.
 
-    def at_work(self, berths: dict[str, float]) -> float | None:
-        """Berths at work at some endpoints; None where none of them told of its load."""
-        told = [self.full[id] * count for id, count in berths.items() if id in self.full]
-        return sum(told) * len(berths) / len(told) if told else None
+        Args:
+            capacities: endpoint -> its capacity.
+
+        Returns:
+            The sum; None where none of them reported its load.
+        """
+        reported = [
+            self.utilization[id] * capacity for id, capacity in capacities.items() if id in self.utilization
+        ]
+        if not reported:
+            return None
+        return sum(reported) * len(capacities) / len(reported)
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -1,156 +1,298 @@
-"""The handing out of keys as a state machine, without input or output.
+"""Leases on the key ranges of one sharded service, as a state machine without input or output.
 
-Who may act: the keeper that stands in the register, for SEND after the beginning of its last change of it.
-One that slept looks at its clock right before a grant goes out and finds that it may not.  Another takes over
-only after it saw the register unchanged for TAKE; what the old keeper sent may arrive for NET more, and
-until then nothing changes hands.  Times are seconds of the steady clock of this process.
+There are two kinds of terms.  The lease owner is the process that stands in the register's allocation: it may
+grant ranges to endpoints for `SEND_BOUND_S` after the beginning of its last change there.  An endpoint holds
+a range for the lease that the last grant gave it.  Three bounds keep two endpoints from one key:
+
+- Send bound: an owner that was suspended looks at its clock right before a grant is sent, and finds that it
+  may not send: another may have become the owner, and given the keys away.
+- Takeover time: another process becomes the owner only after it saw the register unchanged for `TAKEOVER_S`,
+  which is longer than the send bound; else two owners would grant at a time.
+- Network bound: what the old owner sent may arrive for `NETWORK_BOUND_S` more; until then the new one moves
+  no range.  Else an endpoint could get an old grant of keys that have just become free.
+
+All times are seconds of the steady clock of this process.
+
+Source: C. Gray, D. Cheriton, "Leases" (1989): the term, and the allowance for clocks.
 """
 
 from collections.abc import Callable
+from enum import StrEnum
 
 from flintreach.sharding import range_assignment
-from flintreach.sharding.range_assignment import FREE, HELD, LEAVING, Allocation, LoadDistribution, Range
+from flintreach.sharding.range_assignment import Allocation, LoadDistribution, Range, RangeState
+
+SEND_BOUND_S = 1.0
+NETWORK_BOUND_S = 1.0
+TAKEOVER_S = 1.8
+MAX_LEASE_S = 5.0  # longer than it takes another owner to renew what a dead one granted
+LEASE_PART_OF_BOUND = 0.9  # of the longest lease that the settings permit
+CLOCK_DRIFT_FACTOR = 1.03  # an endpoint's clock may run slow by so much
+EXPIRY_MARGIN_S = 0.2  # what a lease's end is waited for beyond that
+RENEW_INTERVAL_S = 1.2  # between grants of one range
+MAX_TRIES = 2  # calls without an answer before an endpoint gets no more keys; twice as many: it loses its own
+RETRY_AFTER_S = 6.0  # after the last call without an answer an endpoint is tried again
+
+# In place of the status of an answer.
+STATUS_OK = 200
+NO_ANSWER = 0
+NOT_SENT = None  # the send bound had passed
 
-SEND, NET, TAKE = 1.0, 1.0, 1.8
-HOLD = 5.0  # at most; longer than it takes another keeper to renew what a dead one granted
-SLOW, SPARE = 1.03, 0.2  # an endpoint's clock may run slow; what its hold is waited for beyond that
-RENEW = 1.2  # between grants of one range
-TRIES, AGAIN = 2, 6.0  # calls without an answer before a holder is given up; until it is tried anew
-GRANT, RELEASE = "grant", "release"
+RangeIdentity = tuple[int, int, int]  # `Range.identity`
+
+
+class CallKind(StrEnum):
+    """What an endpoint is asked for a range."""
+
+    GRANT = "grant"
+    RELEASE = "release"
 
 
 class RangeLeases:
-    """One process's part in the keys of one service."""
-
-    def __init__(self, name: str, hold_cap: float):
-        self.name, self.hold = name, min(HOLD, 0.9 * hold_cap)
-        self.allocation, self.until, self.epoch = Allocation(), 0.0, -1
-        self.seen, self.seen_at = None, 0.0
-        # By fence, which the parts of a range that was cut share: when a grant may last have gone out, by
-        # this process or one before it, and whether a call is under way.
+    """One process's part in the leases of one service: as the owner, or as the one to take over.
+
+    Attributes:
+        name: this process, as it stands in the register when it is the owner.
+        lease_s: the lease that it grants to endpoints.
+        allocation: what this process last committed as the owner.
+        send_until: end of the send bound; 0 where this process isn't the owner.
+        epoch: of this process as the owner; -1: it has not been.
+        seen: (epoch, renewals) that the register last showed, to tell whether another owner is at work.
+        seen_at: when they were first seen.
+        sent: fencing token -> when a grant may last have been sent, by this process or an owner before it.
+            The parts of a range that was split share the token.
+        in_flight: fencing tokens of ranges with a call under way.
+        acked: range -> when its last grant was acknowledged.
+        released: range -> the handover that its holder gave with the release.
+        failed: endpoint -> (calls in a row without an answer, when the last of them ended).
+        quiet_until: end of the network bound after a takeover; until then no range changes hands.
+    """
+
+    def __init__(self, name: str, max_lease_s: float) -> None:
+        """Start as a process that isn't the owner.
+
+        Args:
+            name: this process.
+            max_lease_s: the longest lease that the settings permit.
+        """
+        self.name = name
+        self.lease_s = min(MAX_LEASE_S, LEASE_PART_OF_BOUND * max_lease_s)
+        self.allocation = Allocation()
+        self.send_until = 0.0
+        self.epoch = -1
+        self.seen: tuple[int, int] | None = None
+        self.seen_at = 0.0
         self.sent: dict[int, float] = {}
-        self.busy: set[int] = set()
-        self.acked: dict[tuple, float] = {}  # by range
-        self.released: dict[tuple, str] = {}
-        self.failed: dict[str, tuple[int, float]] = {}  # by endpoint: calls without an answer, the last one
+        self.in_flight: set[int] = set()
+        self.acked: dict[RangeIdentity, float] = {}
+        self.released: dict[RangeIdentity, str] = {}
+        self.failed: dict[str, tuple[int, float]] = {}
         self.quiet_until = 0.0
 
-    def due(self, held: Allocation, now: float) -> bool:
-        """Whether this process is to change the register: as the keeper, or as the next one."""
-        mark = held.epoch, held.beat
-        if mark != self.seen:
-            self.seen, self.seen_at = mark, now
-        if held.keeper not in ("", self.name) and now - self.seen_at < TAKE:
-            self.until = 0.0
+    def due(self, stored: Allocation, now: float) -> bool:
+        """Whether this process is to change the register: as the owner, or as the next one."""
+        version = stored.epoch, stored.renewals
+        if version != self.seen:
+            self.seen = version
+            self.seen_at = now
+        if stored.owner not in ("", self.name) and now - self.seen_at < TAKEOVER_S:
+            self.send_until = 0.0
             return False
         return True
 
     def step(
         self,
-        held: Allocation,
+        stored: Allocation,
         began: float,
-        able: dict[str, tuple[float, str]],
+        eligible: dict[str, tuple[float, str]],
         ended: Callable[[str], bool],
-        heat: LoadDistribution,
+        load: LoadDistribution,
         busy: set[str],
     ) -> bool:
-        """Change what stands in the register; False where another keeper is at work.
+        """Make the next change of what stands in the register.
+
+        It may run several times before one change is committed, so it leaves this process's own state alone.
 
-        May run several times before one change stands, so it leaves this process's own state alone.
+        Args:
+            stored: the allocation in the register, changed in place.
+            began: when this change began.
+            eligible: endpoint -> (weight, address), of those that may be given keys.
+            ended: whether an endpoint is surely down, so that it holds nothing.
+            load: where the service's load lies.
+            busy: endpoints that have little capacity left.
+
+        Returns:
+            False where another owner is at work: nothing may be committed.
         """
-        mine = held.keeper == self.name and held.epoch == self.epoch
-        if not mine:
-            if held.keeper not in ("", self.name) and (held.epoch, held.beat) != self.seen:
+        is_owner = stored.owner == self.name and stored.epoch == self.epoch
+        if not is_owner:
+            if stored.owner not in ("", self.name) and (stored.epoch, stored.renewals) != self.seen:
                 return False
-            held.keeper, held.epoch = self.name, held.epoch + 1
-        # Its keepers' holds may differ, by their settings or their texts: the longest is waited for.
-        held.hold = max(held.hold, self.hold)
-        held.beat += 1
-        if mine and began >= self.quiet_until:
-            self.free(held, began, ended)
-            range_assignment.evict(
-                held,
-                {
-                    r.holder
-                    for r in held.ranges
-                    if r.holder not in able or self.fails(r.holder, 2 * TRIES, began)
-                },
-            )
-            good = {id: weight for id, (weight, _) in able.items() if not self.fails(id, TRIES, began)}
-            range_assignment.fill(held, good, {id: addr for id, (_, addr) in able.items()}, heat)
-            range_assignment.spread(held, good, heat, busy)
+            stored.owner = self.name
+            stored.epoch += 1
+        # The leases of its owners may differ, by their settings or releases: the longest is waited for.
+        stored.lease_s = max(stored.lease_s, self.lease_s)
+        stored.renewals += 1
+        if is_owner and began >= self.quiet_until:
+            self.move_ranges(stored, began, eligible, ended, load, busy)
         return True
 
-    def stands(self, held: Allocation, began: float, now: float) -> bool:
-        """A change of ours stands.  Whether this process has just become the keeper."""
-        new = held.epoch != self.epoch
-        if new:
-            # What the keeper before sent may still arrive: nothing changes hands until it can't.
-            self.epoch, self.quiet_until = held.epoch, now + (SEND + NET if held.epoch > 1 else 0)
-            self.sent = {r.fence: now + SEND for r in held.ranges if r.holder}
-            self.acked, self.failed, self.released = {}, {}, {}
-        # Notes on ranges and fences that no longer stand: a fence that is gone is never given again.
-        places = {r.place for r in held.ranges if r.state == LEAVING}
-        self.released = {place: told for place, told in self.released.items() if place in places}
-        places, fences = {r.place for r in held.ranges}, {r.fence for r in held.ranges}
-        self.acked = {place: at for place, at in self.acked.items() if place in places}
+    def move_ranges(
+        self,
+        stored: Allocation,
+        now: float,
+        eligible: dict[str, tuple[float, str]],
+        ended: Callable[[str], bool],
+        load: LoadDistribution,
+        busy: set[str],
+    ) -> None:
+        """Free, take away, give and balance ranges; arguments as of `step`."""
+        self.free_expired(stored, now, ended)
+        lost_holders = {
+            key_range.holder
+            for key_range in stored.ranges
+            if key_range.holder not in eligible or self.is_failing(key_range.holder, 2 * MAX_TRIES, now)
+        }
+        range_assignment.evict(stored, lost_holders)
+        weights = {
+            id: weight for id, (weight, _) in eligible.items() if not self.is_failing(id, MAX_TRIES, now)
+        }
+        addresses = {id: address for id, (_, address) in eligible.items()}
+        range_assignment.assign_free_ranges(stored, weights, addresses, load)
+        range_assignment.rebalance(stored, weights, load, busy)
+
+    def committed(self, stored: Allocation, began: float, now: float) -> bool:
+        """Take in that this process's change stands in the register.
+
+        Args:
+            stored: what stands there.
+            began: when the change began.  The send bound counts from then: the answer may be late.
+            now: the time of the answer.
+
+        Returns:
+            Whether this process has just become the owner.
+        """
+        took_over = stored.epoch != self.epoch
+        if took_over:
+            self.start_epoch(stored, now)
+        self.drop_stale_notes(stored, now)
+        self.allocation = stored
+        self.send_until = began + SEND_BOUND_S
+        return took_over
+
+    def start_epoch(self, stored: Allocation, now: float) -> None:
+        """Begin as the owner.
+
+        What the owner before sent may still arrive: no range changes hands until it can't, and every holder
+        counts as granted until then.
+        """
+        self.epoch = stored.epoch
+        self.quiet_until = now + (SEND_BOUND_S + NETWORK_BOUND_S if stored.epoch > 1 else 0)
+        self.sent = {key_range.fence: now + SEND_BOUND_S for key_range in stored.ranges if key_range.holder}
+        self.acked = {}
+        self.failed = {}
+        self.released = {}
+
+    def drop_stale_notes(self, stored: Allocation, now: float) -> None:
+        """Forget notes on ranges and fencing tokens that no longer stand: no token is ever given again."""
+        leaving = {key_range.identity for key_range in stored.ranges if key_range.state == RangeState.LEAVING}
+        identities = {key_range.identity for key_range in stored.ranges}
+        fences = {key_range.fence for key_range in stored.ranges}
+        holders = {key_range.holder for key_range in stored.ranges}
+        self.released = {
+            identity: handover for identity, handover in self.released.items() if identity in leaving
+        }
+        self.acked = {identity: at for identity, at in self.acked.items() if identity in identities}
         self.sent = {fence: at for fence, at in self.sent.items() if fence in fences}
-        holders = {r.holder for r in held.ranges}
-        self.failed = {id: note for id, note in self.failed.items() if id in holders or now - note[1] < AGAIN}
-        self.allocation, self.until = held, began + SEND
-        return new
+        self.failed = {
+            id: (count, at)
+            for id, (count, at) in self.failed.items()
+            if id in holders or now - at < RETRY_AFTER_S
+        }
 
-    def lost(self) -> None:
-        """A change of ours did not stand, as far as is known."""
-        self.until = 0.0
+    def not_committed(self) -> None:
+        """Take in that this process's change does not stand, as far as is known: it may send no grant."""
+        self.send_until = 0.0
 
-    def fails(self, id: str, tries: int, now: float) -> bool:
+    def is_failing(self, id: str, tries: int, now: float) -> bool:
+        """Whether so many calls in a row to an endpoint had no answer, and it isn't yet time to try again."""
         count, at = self.failed.get(id, (0, 0.0))
-        return count >= tries and now - at < AGAIN
-
-    def free(self, held: Allocation, now: float, ended: Callable[[str], bool]) -> None:
-        """Ranges that nobody can believe to hold any more."""
-        for r in held.ranges:
-            if r.state == LEAVING:
-                released = self.released.get(r.place)
-                # Without a note nothing went out: what earlier epochs may have sent has one from `stands`.
-                over = now > self.sent.get(r.fence, -held.hold * 2) + NET + held.hold * SLOW + SPARE
-                if released is not None or over or ended(r.holder):
-                    r.state, r.holder, r.handover, r.addr = FREE, "", released or "", ""
-
-    def calls(self, now: float) -> list[tuple[str, Range]]:
-        """What is to be called now; each is under way until `answered` hears of it."""
-        out = []
-        for r in self.allocation.ranges:
-            if r.fence in self.busy or not r.addr:
+        return count >= tries and now - at < RETRY_AFTER_S
+
+    def free_expired(self, stored: Allocation, now: float, ended: Callable[[str], bool]) -> None:
+        """Free the leaving ranges that nobody can believe to hold any more."""
+        for key_range in stored.ranges:
+            if key_range.state != RangeState.LEAVING:
                 continue
-            if r.state == HELD and now - self.acked.get(r.place, -RENEW) >= RENEW:
-                out.append((GRANT, r))
-            elif r.state == LEAVING and now >= self.quiet_until and not self.fails(r.holder, TRIES, now):
-                out.append((RELEASE, r))
-            else:
+            handover = self.released.get(key_range.identity)
+            # Without a note nothing was sent: what earlier epochs may have sent has one from `start_epoch`.
+            sent_at = self.sent.get(key_range.fence, -stored.lease_s * 2)
+            lease_over = (
+                now > sent_at + NETWORK_BOUND_S + stored.lease_s * CLOCK_DRIFT_FACTOR + EXPIRY_MARGIN_S
+            )
+            if handover is not None or lease_over or ended(key_range.holder):
+                key_range.free(handover or "")
+
+    def calls(self, now: float) -> list[tuple[CallKind, Range]]:
+        """The calls that are to be made now; each is in flight until `answered` hears of it."""
+        calls = []
+        for key_range in self.allocation.ranges:
+            if key_range.fence in self.in_flight or not key_range.address:
                 continue
-            self.busy.add(r.fence)
-        return out
-
-    def goes_out(self, kind: str, r: Range, now: float) -> bool:
-        """Asked last, when the connection stands: whether the call may be sent.  A grant is then noted."""
-        if kind == GRANT:
-            # This process may have slept since it decided: another may have given the keys away.
-            if now >= self.until:
+            kind = self.next_call(key_range, now)
+            if kind is not None:
+                calls.append((kind, key_range))
+                self.in_flight.add(key_range.fence)
+        return calls
+
+    def next_call(self, key_range: Range, now: float) -> CallKind | None:
+        """What the holder of a range is to be asked now; None: nothing."""
+        if key_range.state == RangeState.HELD:
+            acked_at = self.acked.get(key_range.identity, -RENEW_INTERVAL_S)
+            if now - acked_at >= RENEW_INTERVAL_S:
+                return CallKind.GRANT
+        elif key_range.state == RangeState.LEAVING and now >= self.quiet_until:
+            if not self.is_failing(key_range.holder, MAX_TRIES, now):
+                return CallKind.RELEASE
+        return None
+
+    def may_send(self, kind: CallKind, key_range: Range, now: float) -> bool:
+        """Whether a call may be sent, asked last, when the connection is up.  A grant is then noted as sent.
+
+        This process may have been suspended since it decided on a grant: another may be the owner by now, and
+        have given the keys away.
+        """
+        if kind == CallKind.GRANT:
+            if now >= self.send_until:
                 return False
-            self.sent[r.fence] = now
+            self.sent[key_range.fence] = now
         return True
 
-    def answered(self, kind: str, r: Range, status: int | None, handover: str, now: float) -> bool:
-        """`status` 0: no answer, None: not sent, being late.  Whether the next step should be taken soon."""
-        self.busy.discard(r.fence)
-        if status is None:
+    def answered(
+        self, kind: CallKind, key_range: Range, status: int | None, handover: str, now: float
+    ) -> bool:
+        """Take in how a call ended.
+
+        Args:
+            kind: of the call.
+            key_range: of the call.
+            status: HTTP status of the answer, or `NO_ANSWER`, or `NOT_SENT`.
+            handover: what came with the answer to a release, for the next holder.
+            now: the time of the answer.
+
+        Returns:
+            Whether the next step should be taken soon, as a range has become free.
+        """
+        self.in_flight.discard(key_range.fence)
+        if status is NOT_SENT:
+            return False
+        succeeded = status == STATUS_OK
+        failures = 0 if succeeded else self.failed.get(key_range.holder, (0, 0.0))[0] + 1
+        self.failed[key_range.holder] = failures, now
+        if not succeeded:
             return False
-        good = status == 200
-        self.failed[r.holder] = 0 if good else self.failed.get(r.holder, (0, 0.0))[0] + 1, now
-        if good and kind == GRANT:
-            self.acked[r.place] = now
-        elif good:
-            self.released[r.place] = handover
-        return good and kind == RELEASE
+        if kind == CallKind.GRANT:
+            self.acked[key_range.identity] = now
+            return False
+        self.released[key_range.identity] = handover
+        return True
--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from flintreach.endpoints.registry import EndpointState
-from flintreach.sharding.range_lease import GRANT
+from flintreach.sharding.range_lease import CallKind
 from flintreach.simulation.engine import SECOND
 from flintreach.simulation.invariants import numbered
 
@@ -288,7 +288,7 @@
 
     def take(self, process, kind: str, r, hold: float) -> tuple[int, str | None]:
         now, low, high = self.callers.sim.now, r.low, r.high
-        if kind != GRANT:
+        if kind != CallKind.GRANT:
             self.holds = [part for held in self.holds for part in without(held, low, high)]
             return 200, f"h{r.fence}"
         if any(fence > r.fence and a <= high and low <= b for a, b, fence in self.seen):
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -102,7 +102,7 @@
     def planted(self, held, now, ended):
         for r in held.ranges:
             if r.state == "leaving":
-                r.state, r.holder, r.handover, r.addr = "free", "", "", ""
+                r.state, r.holder, r.handover, r.address = "free", "", "", ""
 
     return planted
 
@@ -211,14 +211,14 @@
     ),
     "forgets-holds": Plant(
         "flintreach.sharding.range_lease:RangeLeases",
-        "stands",
+        "committed",
         forgets_holds,
         ("owner",),
         "a new keeper does not wait for what the one before it granted",
     ),
     "frees-at-once": Plant(
         "flintreach.sharding.range_lease:RangeLeases",
-        "free",
+        "free_expired",
         frees_at_once,
         ("owner",),
         "keys change hands before their holder's time is over",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -25,7 +25,7 @@
 from flintreach.endpoints.registry import EndpointRegistry
 from flintreach.membership.member_list import Member
 from flintreach.proxy.program import ROLE as PROXY
-from flintreach.sharding.range_lease import GRANT
+from flintreach.sharding.range_lease import CallKind
 from flintreach.simulation.engine import (
     MS,
     PORT,
@@ -187,7 +187,7 @@
     def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
         process = self.runtime.process
         site, waiter = process.site, Waiter(process)
-        if kind != lease_owner.GRANT and site.on_release is not None:
+        if kind != CallKind.GRANT and site.on_release is not None:
             struck, site.on_release = site.on_release, None
             site.sim.after(0, struck, process.machine)
             waiter.wait(0.95)  # it was not sent any more
@@ -402,16 +402,16 @@
         def connects():
             if not network.joined(here.ip, outside.ip):
                 return
-            if self.endpoints.get(r.addr) is None:
+            if self.endpoints.get(r.address) is None:
                 sim.after(network.delay(here, outside), process.do, waiter.wake, (0, None))
             else:
                 sim.after(network.delay(here, outside), process.do, connected)
 
         def connected():
-            if not keeper.state.goes_out(kind, r, keeper.runtime.now()):
+            if not keeper.state.may_send(kind, r, keeper.runtime.now()):
                 waiter.wake((None, None))
                 return
-            hold = keeper.state.hold if kind == GRANT else 0.0
+            hold = keeper.state.lease_s if kind == CallKind.GRANT else 0.0
             late = sim.chance.random() < 0.05
             sim.after(
                 network.delay(here, outside) + (int(sim.chance.random() * 900 * MS) if late else 0),
@@ -420,7 +420,7 @@
             )
 
         def arrives(hold):
-            endpoint = self.endpoints.get(r.addr)
+            endpoint = self.endpoints.get(r.address)
             if endpoint is None or not network.joined(here.ip, outside.ip):
                 return
             # Each call names whom it is for: another that has its address now turns it away.
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -100,8 +100,8 @@
         self.assertEqual(UNPACK(values["evac"]), [2, {"north-a": True, "south-b": False}])
         map = {"look desk": ["desk-1", "desk-2"], "book desk": ["desk-2"]}
         self.assertEqual(UNPACK(values["map"]), [20, map])
-        allocation = Allocation.of(UNPACK(values["bunks/lot"]))
-        self.assertEqual(PACK(allocation.rows()), values["bunks/lot"])
+        allocation = Allocation.decode(values["bunks/lot"])
+        self.assertEqual(allocation.encode(), values["bunks/lot"])
         self.assertEqual([r.state for r in allocation.ranges], ["held", "leaving", "free"])
 
     def test_an_older_configuration_without_a_history_is_read(self):
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -190,7 +190,7 @@
     listener, found = Listener(), {}
     try:
         keeper = LeaseOwner("n1", "lot", SteadyHost(), 5000, None, None, None, None)
-        keeper.state.until = 200.0
+        keeper.state.send_until = 200.0
         for kind, handover in (("grant", ""), ("grant", "h-7"), ("release", "")):
             keys = Range(0, 32767, "lot-1", 11, "held", handover, listener.addr)
             keeper.exchange(kind, keys)
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -662,7 +662,7 @@
         self.assertEqual(proxy.digest(), net[0].updates.digest())
 
     def test_notes_on_grants_stand_as_long_as_their_ranges(self):
-        keeping, held = RangeLeases("k", 10), Allocation.of(None)
+        keeping, held = RangeLeases("k", 10), Allocation.from_row(None)
         able = {f"e{n}": (1.0, f"10.0.0.{n}:80") for n in range(4)}
         for turn in range(400):
             now = float(turn)
@@ -671,15 +671,15 @@
                 able[f"e{turn + 9}"] = (1.0, f"10.0.1.{turn}:80")
             keeping.due(held, now)
             if keeping.step(held, now, able, lambda id: id not in able, LoadDistribution(), set()):
-                keeping.stands(held, now, now)
+                keeping.committed(held, now, now)
             for kind, r in keeping.calls(now):
                 status = 200 if turn % 3 else 0
-                if keeping.goes_out(kind, r, now):
+                if keeping.may_send(kind, r, now):
                     keeping.answered(kind, r, status, "", now)
         fences = {r.fence for r in held.ranges}
         self.assertLessEqual(keeping.sent.keys(), fences)
         self.assertGreater(held.fence, 80)
-        for notes in (keeping.sent, keeping.acked, keeping.failed, keeping.released, keeping.busy):
+        for notes in (keeping.sent, keeping.acked, keeping.failed, keeping.released, keeping.in_flight):
             self.assertLess(len(notes), 25)
 
     def test_nothing_is_kept_for_services_that_are_no_more(self):
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -46,8 +46,8 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.member_list import ALIVE, DEAD, SUSPECTED, Member, MemberList
 from flintreach.membership.member_list import LEFT as LEFT_
-from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, LoadDistribution, Range
-from flintreach.sharding.range_lease import GRANT, SEND, RangeLeases
+from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution, Range, RangeState
+from flintreach.sharding.range_lease import SEND_BOUND_S, CallKind, RangeLeases
 from flintreach.transport import peer_connection
 from flintreach.transport.peer_pool import PeerPool
 
@@ -872,23 +872,27 @@
 
     def keeping(self):
         """A keeper whose change stood at 10.0, and a range that it grants."""
-        state, held = RangeLeases("k0", 10.0), Allocation.of(None)
+        state, held = RangeLeases("k0", 10.0), Allocation.from_row(None)
         state.step(held, 10.0, {}, lambda id: False, LoadDistribution(), set())
-        state.stands(held, 10.0, 10.0)
+        state.committed(held, 10.0, 10.0)
         return state, held
 
     def test_a_grant_leaves_only_within_the_lease_whenever_the_process_slept(self):
         state, _ = self.keeping()
-        for late in (0.0, SEND - 0.01, SEND, SEND + 5):
-            self.assertEqual(state.goes_out(GRANT, Range(0, 9, "e", 3, HELD), 10.0 + late), late < SEND, late)
-        state.lost()
-        self.assertFalse(state.goes_out(GRANT, Range(0, 9, "e", 3, HELD), 10.0))
+        for late in (0.0, SEND_BOUND_S - 0.01, SEND_BOUND_S, SEND_BOUND_S + 5):
+            self.assertEqual(
+                state.may_send(CallKind.GRANT, Range(0, 9, "e", 3, RangeState.HELD), 10.0 + late),
+                late < SEND_BOUND_S,
+                late,
+            )
+        state.not_committed()
+        self.assertFalse(state.may_send(CallKind.GRANT, Range(0, 9, "e", 3, RangeState.HELD), 10.0))
 
     def test_a_process_that_slept_while_its_change_was_written_may_send_nothing(self):
         """The lease counts from the beginning of the change, not from the answer."""
         state, held = self.keeping()
-        state.stands(held, 20.0, 26.0)
-        self.assertFalse(state.goes_out(GRANT, Range(0, 9, "e", 3, HELD), 26.0))
+        state.committed(held, 20.0, 26.0)
+        self.assertFalse(state.may_send(CallKind.GRANT, Range(0, 9, "e", 3, RangeState.HELD), 26.0))
 
     def test_a_sleep_while_the_connection_comes_up_sends_nothing(self):
         clock = [10.0]
@@ -917,29 +921,29 @@
 
         server = gevent.spawn(take)
         self.addCleanup(server.kill)
-        r = Range(0, 9, "e", 3, HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}")
-        self.assertEqual(keeper.exchange(GRANT, r), (200, None))
+        r = Range(0, 9, "e", 3, RangeState.HELD, address=f"127.0.0.1:{listener.getsockname()[1]}")
+        self.assertEqual(keeper.exchange(CallKind.GRANT, r), (200, None))
         clock[0] += 5.0
-        self.assertEqual(keeper.exchange(GRANT, r), (None, None))
+        self.assertEqual(keeper.exchange(CallKind.GRANT, r), (None, None))
         gevent.sleep(0)
         self.assertEqual([bool(data) for data in sent], [True, False][: len(sent)])
 
     def test_the_answer_to_a_release_that_lay_in_a_buffer_gives_nothing_away(self):
         """Another has taken over meanwhile: the first may not change the allocation by what it reads late."""
         state, held = self.keeping()
-        held.ranges = [Range(0, KEYS - 1, "e0", 3, LEAVING, addr="e0:80")]
-        state.stands(held, 10.0, 10.0)
+        held.ranges = [Range(0, KEYS - 1, "e0", 3, RangeState.LEAVING, address="e0:80")]
+        state.committed(held, 10.0, 10.0)
         self.assertEqual([kind for kind, _ in state.calls(10.0)], ["release"])
-        after = Allocation.of(held.rows())
-        after.keeper, after.epoch, after.beat = "k1", held.epoch + 1, held.beat + 1
+        after = Allocation.from_row(held.row())
+        after.owner, after.epoch, after.renewals = "k1", held.epoch + 1, held.renewals + 1
         state.answered("release", held.ranges[0], 200, "handover", 16.0)
         self.assertFalse(state.due(after, 16.0))
-        self.assertFalse(state.goes_out(GRANT, held.ranges[0], 16.0))
+        self.assertFalse(state.may_send(CallKind.GRANT, held.ranges[0], 16.0))
         # And once it takes over again, what it was told in the earlier epoch is forgotten.
         self.assertTrue(state.due(after, 18.0))
         self.assertTrue(state.step(after, 18.0, {}, lambda id: False, LoadDistribution(), set()))
-        self.assertEqual(after.ranges[0].state, LEAVING)
-        state.stands(after, 18.0, 18.0)
+        self.assertEqual(after.ranges[0].state, RangeState.LEAVING)
+        state.committed(after, 18.0, 18.0)
         self.assertEqual(state.released, {})
 
     def test_a_process_that_starts_again_after_its_time_of_day_went_back_is_believed(self):
