--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -165,8 +165,8 @@
                 if not routes.service_configs[line].sharded
             ]
             number = self.plane.updates.get("map", 0)
-            self.placer.slices(plain, self.plane.updates.under("slice/"))
-            self.placer.heard(body["came"] if body else {}, self.runtime.now_ns())
+            self.placer.configure(plain, self.plane.updates.under("slice/"))
+            self.placer.record_demand(body["came"] if body else {}, self.runtime.now_ns())
             for _ in self.placer.run(self.places(body["load"] if body else {}), self.runtime.now_ns()):
                 self.runtime.sleep(0)
             if self.placer.changed or self.plane.updates.under("slice/").keys() - {
--- a/flintreach/placement/__init__.py
+++ b/flintreach/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: which endpoints serve each route and service."""
+"""Placement: which endpoints serve each slice, a route with one of its services."""
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -1,159 +1,356 @@
-"""The map of slices and endpoints by FLEX's closest repartitioning, on the parts in `policy`.  Pure.
+"""Which endpoints serve each slice, by FLEX's closest repartitioning, on the search in `policy.map`.
 
-A slice is one route and one of its services.  All times are nanoseconds of the steady clock; rates are
-requests a second.  Source: L. Cherkasova, S. Ponnekanti, HPL-2000-27; what was kept and changed stands in
-docs/design/system.md.
+A slice is one route with one of its services; each of its replicas is an endpoint that serves it.  Per
+service a partition of its slices among its endpoints is sought whose endpoints' loads deviate little from
+their quotas, and which differs little from the one in force.  In it an endpoint's quota is its capacity,
+where 100 is the mean endpoint's, and a slice's demand is its part of the service's load on the same scale.
+
+No input or output here.  Times are nanoseconds of the steady clock of this process, unless a name says
+otherwise; rates are requests a second.
+
+Source: L. Cherkasova, S. Ponnekanti, HPL-2000-27; what was kept and changed stands in docs/design/system.md.
 """
 
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
 from flintreach.policy.map import Partition, Ring, Search, recopy
 
-SECOND = 1_000_000_000
-SMOOTHING = 10  # seconds of demand that a slice's figure covers
-EVERY, YOUNG = 10 * SECOND, 4 * SECOND  # between full runs; of demand, before a slice has a table
-DEV, BAND, MEMORY = 5.0, 10.0, 0.25  # permitted deviation, its slack, the weight of a unit
-SLACK, EXTRA = 0.5, 0.5  # of a told load: what of it counts a run; the most, in parts of a quota
+NS_PER_S = 1_000_000_000
+SMOOTHING_S = 10  # of demand that a slice's rate covers
+FULL_RUN_INTERVAL_NS = 10 * NS_PER_S  # in between, only slices that lack endpoints are placed
+MIN_DEMAND_AGE_NS = 4 * NS_PER_S  # of demand, before a slice is placed
+MEAN_QUOTA = 100
+PERMITTED_DEVIATION = 5.0
+DEVIATION_SLACK = 10.0  # beyond the deviation that was reached before a full run searches anew
+MEMORY_WEIGHT = 0.25  # of the number of slices, beside the demand, in an endpoint's load
+# Background load of an endpoint counts in full while this part of the mean capacity is unused.
+BACKGROUND_HEADROOM = 0.5
+MAX_BACKGROUND = 0.5  # background load at most, as a part of the quota
+NEVER_RUN = 0
 
 
 @dataclass(slots=True, eq=False)
-class Unit:
-    """One slice; `want`: ids of the endpoints that serve it."""
+class SliceState:
+    """One slice.  The search's rule of replicas reads and writes `copies` and `low`, so they keep its names.
+
+    Attributes:
+        service: the service of it.
+        homes: regions in which it may be served; none: any.
+        first_demand_ns: when the first request was reported.
+        arrivals: requests, by second.
+        endpoints: ids of the endpoints that serve it.
+        copies: how many are to serve it.
+        low: full runs in a row in which it had one more than it needs.
+        rate: smoothed requests a second.
+    """
 
     name: str
-    line: str
+    service: str
     homes: tuple[str, ...] = ()
-    since: int | None = None  # when the first request was told
-    came: Ring = field(default_factory=lambda: Ring(SMOOTHING + 2, 1))
-    want: set[str] = field(default_factory=set)
+    first_demand_ns: int | None = None
+    arrivals: Ring = field(default_factory=lambda: Ring(SMOOTHING_S + 2, 1))
+    endpoints: set[str] = field(default_factory=set)
     copies: int = 1
     low: int = 0
     rate: float = 0.0
 
+    def update_rate(self, now_ns: int) -> None:
+        """Smooth the demand of late over the time for which there was any."""
+        requests = self.arrivals.total(now_ns, SMOOTHING_S)[0]
+        age_s = max(1, (now_ns - self.first_demand_ns) / NS_PER_S)
+        self.rate = requests / min(SMOOTHING_S, age_s)
+
+    def is_due(self, service: str, now_ns: int) -> bool:
+        """Whether it belongs to a service, and has had demand for long enough to be placed."""
+        if self.service != service or self.first_demand_ns is None:
+            return False
+        return now_ns - self.first_demand_ns >= MIN_DEMAND_AGE_NS
+
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """One endpoint that may serve: `full` is its told load over its berths, None where it tells none."""
+    """One endpoint that may serve.
+
+    Attributes:
+        capacity: requests that it serves at a time.
+        warming_up: whether it is in its slow start.
+        utilization: its reported load over its capacity; None where it reported none.
+        background: its load beyond what the slices explain, as a part of its quota.
+    """
 
     id: str
-    line: str
+    service: str
     region: str
-    berths: int
-    cold: bool = False
-    full: float | None = None
-    extra: float = 0.0
+    capacity: int
+    warming_up: bool = False
+    utilization: float | None = None
+    background: float = 0.0
+
+
+class ConstrainedPartition(Partition):
+    """A partition in which some endpoints may not serve some slices.
+
+    Attributes:
+        excluded: by the index of a slice, the indices of those endpoints.
+    """
 
+    excluded: list[set[int]]
 
-class Ground(Partition):
-    """A partition in which some endpoints may not serve some slices; `bars[p]`: their places."""
+    def welcome(self, p: int, y: int) -> bool:
+        """Whether endpoint `y` may gain slice `p`."""
+        return y not in self.excluded[p] and super().welcome(p, y)
 
-    bars: list[set[int]]
+    def barred(self, p: int) -> set[int]:
+        """The endpoints that may not gain slice `p`."""
+        return {*super().barred(p), *self.excluded[p]}
 
-    def welcome(self, p, y):
-        return y not in self.bars[p] and super().welcome(p, y)
 
-    def barred(self, p):
-        return {*super().barred(p), *self.bars[p]}
+@dataclass(slots=True, frozen=True)
+class ReplicaChange:
+    """A slice that has too many or too few replicas, by the indices that the search uses."""
+
+    slice_index: int
+    replicas: list[int]
+    wanted: int
+
+
+@dataclass(slots=True)
+class ServiceProblem:
+    """What is to be searched for one service.
+
+    Attributes:
+        slices: its slices; their index is that of the search.
+        candidates: its endpoints by id; their index is that of the search.
+        quotas: by endpoint.
+        full: whether this is a full run.
+        excluded: by slice, the endpoints outside its homes; one entry more for the search's empty slice.
+        demands: by slice, the demand that a replica brings, to a warm endpoint and to one in its slow start.
+        assigned: by endpoint, the slices that it serves now.
+        changes: slices whose number of replicas isn't the one wanted.
+    """
+
+    slices: list[SliceState]
+    candidates: list[Candidate]
+    quotas: list[float]
+    full: bool
+    excluded: list[set[int]] = field(default_factory=list)
+    demands: list[tuple[float, float]] = field(default_factory=list)
+    assigned: list[set[int]] = field(default_factory=list)
+    changes: list[ReplicaChange] = field(default_factory=list)
 
 
 class Placer:
-    def __init__(self, seed: int):
-        self.seed, self.counter, self.units, self.devs = seed, 0, {}, {}
-        self.full_at = 0
-
-    def slices(self, told: list[tuple[str, str, tuple[str, ...]]], held: dict[str, list[str]]) -> None:
-        """The slices of the configuration in force, and the map that stands."""
-        units = {}
-        for name, line, homes in told:
-            unit = units[name] = self.units.get(name) or Unit(name, line)
-            unit.line, unit.homes = line, homes
-            if name in held:
-                unit.want = {*held[name]}
-                unit.copies = max(1, len(unit.want)) if unit.copies == 1 else unit.copies
-        self.units = units
-        lines = {unit.line for unit in units.values()}
-        self.devs = {line: dev for line, dev in self.devs.items() if line in lines}
-
-    def heard(self, counts: dict[str, int], now: int) -> None:
-        """Requests that came in the last second, by slice."""
+    """Keeps the state of all slices, and searches for better placements of them.
+
+    Attributes:
+        seed: of the search's draws.
+        counter: how many draws were made.
+        slices: name -> its state.
+        deviations: service -> the deviation that the last search reached.
+        next_full_run_ns: when all services are looked at again.
+        changed: after `run`, name of a slice -> sorted ids of its endpoints, where they are new.
+    """
+
+    def __init__(self, seed: int) -> None:
+        """Start without slices.
+
+        Args:
+            seed: of the search's draws; each process has its own.
+        """
+        self.seed = seed
+        self.counter = 0
+        self.slices: dict[str, SliceState] = {}
+        self.deviations: dict[str, float] = {}
+        self.next_full_run_ns = NEVER_RUN
+        self.changed: dict[str, list[str]] = {}
+
+    def configure(
+        self, configured: list[tuple[str, str, tuple[str, ...]]], in_force: dict[str, list[str]]
+    ) -> None:
+        """Take over the slices of the configuration in force, and the placement that stands.
+
+        Args:
+            configured: name, service and home regions of each slice.
+            in_force: name of a slice -> ids of its endpoints.
+        """
+        slices = {}
+        for name, service, homes in configured:
+            state = self.slices.get(name) or SliceState(name, service)
+            slices[name] = state
+            state.service = service
+            state.homes = homes
+            if name in in_force:
+                state.endpoints = {*in_force[name]}
+                if state.copies == 1:
+                    state.copies = max(1, len(state.endpoints))
+        self.slices = slices
+        services = {state.service for state in slices.values()}
+        self.deviations = {
+            service: deviation for service, deviation in self.deviations.items() if service in services
+        }
+
+    def record_demand(self, counts: dict[str, int], now_ns: int) -> None:
+        """Take in the requests that came in the last second, by slice."""
         for name, count in counts.items():
-            if unit := self.units.get(name):
-                unit.since = now if unit.since is None else unit.since
-                unit.came.add(now, SECOND, count)
+            state = self.slices.get(name)
+            if state is None:
+                continue
+            if state.first_demand_ns is None:
+                state.first_demand_ns = now_ns
+            state.arrivals.add(now_ns, NS_PER_S, count)
+
+    def run(self, candidates: list[Candidate], now_ns: int) -> Iterator[int]:
+        """Search for better placements in small steps, so that others get their turn; fills `changed`.
 
-    def run(self, places: list[Candidate], now: int):
-        """A generator of small steps; in the end `self.changed` has the tables that are new, by slice."""
+        Yields:
+            The effort of a step, which is of no use here.
+        """
         self.changed = {}
-        full = now >= self.full_at
+        full = now_ns >= self.next_full_run_ns
         if full:
-            self.full_at = now + EVERY
-        for line in sorted({unit.line for unit in self.units.values()}):
-            units = [
-                unit
-                for unit in self.units.values()
-                if unit.line == line and unit.since is not None and now - unit.since >= YOUNG
-            ]
-            here = sorted((place for place in places if place.line == line), key=lambda place: place.id)
-            if units and len(here) > 1:
-                yield from self.line(line, units, here, full, now)
-
-    def line(self, line, units, here, full, now):
-        mean = sum(place.berths for place in here) / len(here)
-        quota = [100 * place.berths / mean for place in here]
-        for unit in units:
-            told, age = unit.came.total(now, SMOOTHING)[0], max(1, (now - unit.since) / SECOND)
-            unit.rate = told / min(SMOOTHING, age)
-        total = sum(unit.rate for unit in units)
-        if not total:
-            return
-        at = {place.id: x for x, place in enumerate(here)}
-        bars = [
-            {x for x, place in enumerate(here) if unit.homes and place.region not in unit.homes}
-            for unit in units
-        ] + [set()]
-        amounts, old, changed = [], [set() for _ in here], []
-        for p, unit in enumerate(units):
-            demand = 100 * len(here) * unit.rate / total
-            recopy(unit, demand / 100, max(1, len(here) - len(bars[p])), full)
-            unit.copies = min(unit.copies, max(1, len(here) - len(bars[p])))
-            amounts.append((demand / unit.copies,) * 2)
-            has = sorted(at[id] for id in unit.want if id in at and at[id] not in bars[p])
-            for x in has:
-                old[x].add(p)
-            if len(has) != unit.copies:
-                changed.append((p, has, unit.copies))
-        memory = MEMORY * 100 * len(here) / max(1, sum(unit.copies for unit in units))
-        gaps = [sum(amounts[p][0] for p in held) - share for held, share in zip(old, quota)]
-        self.weigh(here, gaps, quota)
-        gaps = [gap + place.extra * share for gap, place, share in zip(gaps, here, quota)]
-        room = [len(held) * memory - MEMORY * share for held, share in zip(old, quota)]
-        tender = {x: quota[x] for x, place in enumerate(here) if place.cold}
-        start = Ground(old, room, gaps, amounts + [(0.0, 0.0)], memory, tender, [0] * len(here), 0.0)
-        start.bars = bars
-        dev = self.devs.get(line, DEV)
-        search = Search(self.seed, self.counter, start, changed, DEV)
-        stale = any(not unit.want <= at.keys() for unit in units)
-        if not changed and not stale and (not full or search.widest <= dev + BAND):
+            self.next_full_run_ns = now_ns + FULL_RUN_INTERVAL_NS
+        for service in sorted({state.service for state in self.slices.values()}):
+            slices = [state for state in self.slices.values() if state.is_due(service, now_ns)]
+            own = sorted(
+                (candidate for candidate in candidates if candidate.service == service),
+                key=lambda candidate: candidate.id,
+            )
+            if slices and len(own) > 1:
+                yield from self.place_service(service, slices, own, full, now_ns)
+
+    def place_service(
+        self,
+        service: str,
+        slices: list[SliceState],
+        candidates: list[Candidate],
+        full: bool,
+        now_ns: int,
+    ) -> Iterator[int]:
+        """Search for a better placement of one service's slices, where the one in force isn't good enough."""
+        for state in slices:
+            state.update_rate(now_ns)
+        total_rate = sum(state.rate for state in slices)
+        if not total_rate:
             return
-        if changed or full:
+        problem = self.describe(slices, candidates, full, total_rate)
+        search = self.prepare_search(problem)
+        ids = {candidate.id for candidate in candidates}
+        lost_endpoints = any(not state.endpoints <= ids for state in slices)
+        if not problem.changes and not lost_endpoints:
+            reached = self.deviations.get(service, PERMITTED_DEVIATION)
+            if not full or search.widest <= reached + DEVIATION_SLACK:
+                return
+        assigned = problem.assigned
+        if problem.changes or full:
             yield from search.steps()
-            (self.devs[line], _), holds = search.best
+            (self.deviations[service], _), assigned = search.best
             self.counter = search.counter
-        else:
-            holds = old
-        for p, unit in enumerate(units):
-            found = {here[x].id for x, held in enumerate(holds) if p in held}
-            if found and found != unit.want:
-                unit.want = found
-                self.changed[unit.name] = sorted(found)
-
-    def weigh(self, here, gaps, quota) -> None:
-        """Told load beyond what the slices explain is background; where all are full, it is noise."""
-        known = [x for x, place in enumerate(here) if place.full is not None]
-        if not known:
-            return
-        mean = sum(here[x].full for x in known) / len(known)
-        slack = min(1.0, max(0.0, 1 - mean) / SLACK)
-        for x in known:
-            beyond = slack * (here[x].full - mean * (1 + gaps[x] / quota[x]))
-            here[x].extra = max(-EXTRA, min(EXTRA, beyond))
+        self.take_over(problem, assigned)
+
+    def describe(
+        self, slices: list[SliceState], candidates: list[Candidate], full: bool, total_rate: float
+    ) -> ServiceProblem:
+        """Decide how many replicas each slice is to have, and what the placement in force is."""
+        count = len(candidates)
+        mean_capacity = sum(candidate.capacity for candidate in candidates) / count
+        problem = ServiceProblem(
+            slices=slices,
+            candidates=candidates,
+            quotas=[MEAN_QUOTA * candidate.capacity / mean_capacity for candidate in candidates],
+            full=full,
+            assigned=[set() for _ in candidates],
+        )
+        problem.excluded = [excluded_endpoints(state, candidates) for state in slices]
+        index_of = {candidate.id: index for index, candidate in enumerate(candidates)}
+        for slice_index, state in enumerate(slices):
+            excluded = problem.excluded[slice_index]
+            demand = MEAN_QUOTA * count * state.rate / total_rate
+            max_replicas = max(1, count - len(excluded))
+            recopy(state, demand / MEAN_QUOTA, max_replicas, full)
+            state.copies = min(state.copies, max_replicas)
+            per_replica = demand / state.copies
+            problem.demands.append((per_replica, per_replica))
+            present = (index_of[id] for id in state.endpoints if id in index_of)
+            replicas = sorted(index for index in present if index not in excluded)
+            for index in replicas:
+                problem.assigned[index].add(slice_index)
+            if len(replicas) != state.copies:
+                problem.changes.append(ReplicaChange(slice_index, replicas, state.copies))
+        problem.excluded.append(set())
+        return problem
+
+    def prepare_search(self, problem: ServiceProblem) -> Search:
+        """The search from the placement in force, with all loads on the scale of quotas."""
+        quotas = problem.quotas
+        assigned = problem.assigned
+        replicas = max(1, sum(state.copies for state in problem.slices))
+        memory = MEMORY_WEIGHT * MEAN_QUOTA * len(quotas) / replicas
+        demand_gaps = [
+            sum(problem.demands[slice_index][0] for slice_index in served) - quota
+            for served, quota in zip(assigned, quotas)
+        ]
+        estimate_background(problem.candidates, demand_gaps, quotas)
+        demand_gaps = [
+            gap + candidate.background * quota
+            for gap, candidate, quota in zip(demand_gaps, problem.candidates, quotas)
+        ]
+        start = ConstrainedPartition(
+            old=assigned,
+            memory=[len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)],
+            demand=demand_gaps,
+            amounts=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
+            unit=memory,
+            tender={
+                index: quotas[index]
+                for index, candidate in enumerate(problem.candidates)
+                if candidate.warming_up
+            },
+            gained=[0] * len(quotas),
+            empty=0.0,
+        )
+        start.excluded = problem.excluded
+        changes = [(change.slice_index, change.replicas, change.wanted) for change in problem.changes]
+        return Search(self.seed, self.counter, start, changed=changes, dev=PERMITTED_DEVIATION)
+
+    def take_over(self, problem: ServiceProblem, assigned: Sequence[set[int]]) -> None:
+        """Note the slices whose endpoints are new; one that would have none keeps those that it has."""
+        for slice_index, state in enumerate(problem.slices):
+            endpoints = {
+                candidate.id
+                for candidate, served in zip(problem.candidates, assigned)
+                if slice_index in served
+            }
+            if endpoints and endpoints != state.endpoints:
+                state.endpoints = endpoints
+                self.changed[state.name] = sorted(endpoints)
+
+
+def excluded_endpoints(state: SliceState, candidates: Sequence[Candidate]) -> set[int]:
+    """Indices of the endpoints that lie outside a slice's home regions."""
+    if not state.homes:
+        return set()
+    return {index for index, candidate in enumerate(candidates) if candidate.region not in state.homes}
+
+
+def estimate_background(
+    candidates: Sequence[Candidate], demand_gaps: Sequence[float], quotas: Sequence[float]
+) -> None:
+    """Set each candidate's background load: what it reports beyond what its slices explain.
+
+    Where all endpoints are full, what they report is noise, and none of it counts.
+
+    Args:
+        candidates: changed in place.
+        demand_gaps: by candidate, the demand of its slices beyond its quota.
+        quotas: by candidate.
+    """
+    reporting = [index for index, candidate in enumerate(candidates) if candidate.utilization is not None]
+    if not reporting:
+        return
+    mean = sum(candidates[index].utilization for index in reporting) / len(reporting)
+    weight = min(1.0, max(0.0, 1 - mean) / BACKGROUND_HEADROOM)
+    for index in reporting:
+        explained = mean * (1 + demand_gaps[index] / quotas[index])
+        beyond = weight * (candidates[index].utilization - explained)
+        candidates[index].background = max(-MAX_BACKGROUND, min(MAX_BACKGROUND, beyond))
--- a/flintreach/sharding/range_assignment.py
+++ b/flintreach/sharding/range_assignment.py
@@ -317,7 +317,7 @@
 
 
 def _shrink_oversized(allocation: Allocation, targets: dict[str, float]) -> bool:
-    """Mark keys of an endpoint that should hold far fewer by its weight, as where another region gets them."""
+    """Mark keys of one that should hold far fewer by its weight, as where another region gets them."""
     keys = load_by_endpoint(allocation, targets, EVEN_LOAD)
     largest = max(targets, key=lambda id: keys[id] - OVERSIZED_FACTOR * targets[id], default=None)
     if largest is None or keys[largest] <= OVERSIZED_FACTOR * targets[largest] + OVERSIZED_PART:
