--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -84,17 +84,17 @@
 def endpoint_rows(plane: ViewedPlane) -> list[Row]:
     """Return a row for each endpoint, by service and id."""
     now_ns = plane.runtime.now_ns()
-    records = sorted(plane.registry.records.values(), key=lambda record: (record.line, record.id))
+    records = sorted(plane.registry.records.values(), key=lambda record: (record.service, record.id))
     return [
         {
             "id": record.id,
-            "line": record.line,
-            "addr": record.addr,
+            "line": record.service,
+            "addr": record.address,
             "zone": record.zone,
             "state": record.state,
-            "berths": record.berths,
-            "cold_ms": max(0, record.cold_until - now_ns) // NS_PER_MS,
-            "heard_ms": None if record.heard is None else (now_ns - record.heard) // NS_PER_MS,
+            "berths": record.capacity,
+            "cold_ms": max(0, record.warming_up_until_ns - now_ns) // NS_PER_MS,
+            "heard_ms": None if record.heard_at_ns is None else (now_ns - record.heard_at_ns) // NS_PER_MS,
         }
         for record in records
     ]
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -103,7 +103,7 @@
     def planted(self, held, now, ended):
         for r in held.ranges:
             if r.state == "leaving":
-                r.state, r.holder, r.handover, r.addr = "free", "", "", ""
+                r.state, r.holder, r.handover, r.address = "free", "", "", ""
 
     return planted
 
@@ -212,14 +212,14 @@
     ),
     "forgets-holds": Plant(
         "flintreach.sharding.range_lease:RangeLeases",
-        "stands",
+        "committed",
         forgets_holds,
         ("owner",),
         "a new keeper does not wait for what the one before it granted",
     ),
     "frees-at-once": Plant(
         "flintreach.sharding.range_lease:RangeLeases",
-        "free",
+        "free_expired",
         frees_at_once,
         ("owner",),
         "keys change hands before their holder's time is over",
@@ -257,7 +257,7 @@
     ),
     "ends-rivals": Plant(
         "flintreach.endpoints.registry:EndpointRegistry",
-        "hear",
+        "record_heartbeat",
         ends_rivals,
         ("ended", "agree"),
         "a late first check-in of an older life ends its successor",
@@ -298,7 +298,7 @@
     if name == "takes-any-number":
         return hasattr(configuration_history, "PutOutcome")
     if name == "ends-rivals":
-        return hasattr(importlib.import_module("flintreach.endpoints.registry"), "ENDS")
+        return hasattr(importlib.import_module("flintreach.endpoints.registry"), "DrainRank")
     return hasattr(target(plant), plant.name)
 
 
--- a/tests/controller/test_suspended_process.py
+++ b/tests/controller/test_suspended_process.py
@@ -8,10 +8,10 @@
 
 from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.membership.member_list import ALIVE, DEAD, LEFT, SUSPECTED, Member, MemberList
-from flintreach.sharding.range_assignment import HELD, KEYS, LEAVING, Allocation, LoadDistribution, Range
-from flintreach.sharding.range_lease import GRANT, SEND, RangeLeases
+from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution, Range, RangeState
+from flintreach.sharding.range_lease import SEND_BOUND_S, CallKind, RangeLeases
 
-GRANTED_RANGE = Range(0, 9, "e", 3, HELD)
+GRANTED_RANGE = Range(0, 9, "e", 3, RangeState.HELD)
 
 
 def never_ended(endpoint_id: str) -> bool:
@@ -22,25 +22,27 @@
 def leases_since_10() -> tuple[RangeLeases, Allocation]:
     """A lease owner whose change stood at 10.0, and the allocation that it wrote."""
     leases = RangeLeases("k0", 10.0)
-    allocation = Allocation.of(None)
+    allocation = Allocation.from_row(None)
     leases.step(allocation, 10.0, {}, never_ended, LoadDistribution(), set())
-    leases.stands(allocation, 10.0, 10.0)
+    leases.committed(allocation, 10.0, 10.0)
     return leases, allocation
 
 
 class SuspendedLeaseOwner(unittest.TestCase):
     def test_a_grant_leaves_only_within_the_lease_whenever_the_process_was_suspended(self) -> None:
         leases, _ = leases_since_10()
-        for late_s in (0.0, SEND - 0.01, SEND, SEND + 5):
-            self.assertEqual(leases.goes_out(GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < SEND, late_s)
-        leases.lost()
-        self.assertFalse(leases.goes_out(GRANT, GRANTED_RANGE, 10.0))
+        for late_s in (0.0, SEND_BOUND_S - 0.01, SEND_BOUND_S, SEND_BOUND_S + 5):
+            self.assertEqual(
+                leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < SEND_BOUND_S, late_s
+            )
+        leases.not_committed()
+        self.assertFalse(leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0))
 
     def test_a_process_suspended_while_its_change_was_written_may_send_nothing(self) -> None:
         """The lease counts from the beginning of the change, not from the answer."""
         leases, allocation = leases_since_10()
-        leases.stands(allocation, 20.0, 26.0)
-        self.assertFalse(leases.goes_out(GRANT, GRANTED_RANGE, 26.0))
+        leases.committed(allocation, 20.0, 26.0)
+        self.assertFalse(leases.may_send(CallKind.GRANT, GRANTED_RANGE, 26.0))
 
     def test_a_suspension_while_the_connection_comes_up_sends_nothing(self) -> None:
         clock = [10.0]
@@ -62,31 +64,31 @@
 
         server = gevent.spawn(serve)
         self.addCleanup(server.kill)
-        granted = Range(0, 9, "e", 3, HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}")
-        self.assertEqual(owner.exchange(GRANT, granted), (200, None))
+        granted = Range(0, 9, "e", 3, RangeState.HELD, address=f"127.0.0.1:{listener.getsockname()[1]}")
+        self.assertEqual(owner.exchange(CallKind.GRANT, granted), (200, None))
         clock[0] += 5.0
-        self.assertEqual(owner.exchange(GRANT, granted), (None, None))
+        self.assertEqual(owner.exchange(CallKind.GRANT, granted), (None, None))
         gevent.sleep(0)
         self.assertEqual([bool(data) for data in received], [True, False][: len(received)])
 
     def test_the_answer_to_a_release_that_lay_in_a_buffer_gives_nothing_away(self) -> None:
         """Another has taken over meanwhile: the first may not change the allocation by what it reads late."""
         leases, allocation = leases_since_10()
-        allocation.ranges = [Range(0, KEYS - 1, "e0", 3, LEAVING, addr="e0:80")]
-        leases.stands(allocation, 10.0, 10.0)
+        allocation.ranges = [Range(0, KEYS - 1, "e0", 3, RangeState.LEAVING, address="e0:80")]
+        leases.committed(allocation, 10.0, 10.0)
         self.assertEqual([kind for kind, _ in leases.calls(10.0)], ["release"])
-        later = Allocation.of(allocation.rows())
-        later.keeper = "k1"
+        later = Allocation.from_row(allocation.row())
+        later.owner = "k1"
         later.epoch = allocation.epoch + 1
-        later.beat = allocation.beat + 1
+        later.renewals = allocation.renewals + 1
         leases.answered("release", allocation.ranges[0], 200, "handover", 16.0)
         self.assertFalse(leases.due(later, 16.0))
-        self.assertFalse(leases.goes_out(GRANT, allocation.ranges[0], 16.0))
+        self.assertFalse(leases.may_send(CallKind.GRANT, allocation.ranges[0], 16.0))
         # And once it takes over again, what it was told in the earlier epoch is forgotten.
         self.assertTrue(leases.due(later, 18.0))
         self.assertTrue(leases.step(later, 18.0, {}, never_ended, LoadDistribution(), set()))
-        self.assertEqual(later.ranges[0].state, LEAVING)
-        leases.stands(later, 18.0, 18.0)
+        self.assertEqual(later.ranges[0].state, RangeState.LEAVING)
+        leases.committed(later, 18.0, 18.0)
         self.assertEqual(leases.released, {})
 
 
