--- a/flintreach/proxy/carry.py
+++ b/flintreach/proxy/carry.py
@@ -1,4 +1,4 @@
-"""The path of one request: from what the client sent to its answer, by the decisions in `choice`."""
+"""The path of one request: from what the client sent to its answer, by the decisions of `balancing`."""
 
 import random
 import time
@@ -11,23 +11,24 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.attempt import EndpointClient
-from flintreach.proxy.caller import Caller, ClientLeft
-from flintreach.proxy.choice import (
-    KEY_WAIT,
-    SECOND_SHARE,
-    TABLE,
-    Budget,
-    Endpoint,
-    choose,
-    cold_pilots,
-    patience,
+from flintreach.proxy.balancing import (
+    HEDGE_BUDGET_PART,
+    KEY_MOVE_WAIT,
+    choose_endpoint,
+    hedging_delay_ns,
+    warm_up_proxies,
 )
-from flintreach.proxy.exchange import ANSWERED, UNSENT, Outcome
+from flintreach.proxy.caller import Caller, ClientLeft
+from flintreach.proxy.endpoint import EndpointView
+from flintreach.proxy.exchange import Outcome
 from flintreach.proxy.gate import WAIT, Gate
 from flintreach.proxy.hedging import Hedge
 from flintreach.proxy.metrics import CLIENT_LEFT, Metrics
+from flintreach.proxy.outcome import OutcomeKind
 from flintreach.proxy.reply import number
 from flintreach.proxy.request import PAUSE, Answer, Request, own, relayed
+from flintreach.proxy.retry_budget import RetryBudget
+from flintreach.proxy.retry_policy import decide_retry
 from flintreach.proxy.view import RoutingView, slice_of
 from flintreach.sharding.range_assignment import BUCKET, KEYS
 
@@ -45,7 +46,7 @@
     service: str
     key: int | None
     until: int
-    budget: Budget
+    budget: RetryBudget
     tried: set[str] = field(default_factory=set)  # ids of endpoints
 
 
@@ -63,13 +64,13 @@
         self.view, self.bounds, self.metrics, self.load_aggregate = view, bounds, metrics, load_aggregate
         self.endpoints = EndpointClient(view, metrics, load_aggregate)
         self.work = self.endpoints.work
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.gate = Gate(mbps)
 
-    def budget(self, service: str) -> Budget:
+    def budget(self, service: str) -> RetryBudget:
         if service not in self.budgets:
             b = self.bounds
-            self.budgets[service] = Budget(b.retry_ratio, b.retry_window_s, b.retry_slack)
+            self.budgets[service] = RetryBudget(b.retry_ratio, b.retry_window_s, b.retry_slack)
         return self.budgets[service]
 
     def draw_service(self, route: Route) -> str:
@@ -117,10 +118,10 @@
         until = request.came + min(route.deadline, route.deadline if wait is None else wait * MS)
         self.load_aggregate.request(slice_of(route, service))
         budget = self.budget(service)
-        budget.request(time.monotonic_ns())
+        budget.count_request(time.monotonic_ns())
         key = number(request.low.get("x-shard-key", ""))
         key = key if key is not None and key < KEYS else None
-        if key is not None and self.view.sharded(service):
+        if key is not None and self.view.is_sharded(service):
             self.load_aggregate.key(service, key // BUCKET)
         return RoutedRequest(request, route, service, key, until, budget)
 
@@ -172,7 +173,7 @@
             if endpoint is None:
                 self.metrics.count("nowhere")
                 return own(status, PAUSE if status == 503 else None)
-            if sent and not budget.may(now, self.view.here.fronts):
+            if sent and not budget.allows(now, self.view.position.proxies):
                 self.metrics.count("budget")
                 return own(status, PAUSE if status == 503 else None)
             if sent:
@@ -180,67 +181,71 @@
                 self.metrics.count("again")
             routed.tried.add(endpoint.id)
             outcome, beside = self.one_try(routed, endpoint, sent + 1 < route.tries)
-            if outcome.kind == ANSWERED:
+            if outcome.kind == OutcomeKind.ANSWERED:
                 self.gate.saw(route.name, len(outcome.message.body))
                 return relayed(outcome.message, request)
-            self.metrics.count(outcome.kind)
-            sent, dials = sent + beside + (outcome.kind != UNSENT), dials + (outcome.kind == UNSENT)
-            step, status = TABLE[outcome.kind, route.repeatable]
-            if step == "end" or sent >= route.tries or dials > MOST_DIALS:
+            self.metrics.count(outcome.kind.value)
+            sent, dials = (
+                sent + beside + (outcome.kind != OutcomeKind.UNSENT),
+                dials + (outcome.kind == OutcomeKind.UNSENT),
+            )
+            decision = decide_retry(outcome.kind, route.repeatable)
+            status = decision.status
+            if not decision.may_retry or sent >= route.tries or dials > MOST_DIALS:
                 return own(status, PAUSE if status == 503 else None)
 
     def awaits_keys(self, routed: RoutedRequest, now: int) -> bool:
         """Whether the keys of a request may only be on their way from one holder to another."""
-        wait = int(KEY_WAIT * routed.route.aim)
-        return self.view.sharded(routed.service) and now < routed.request.came + wait
+        wait = int(KEY_MOVE_WAIT * routed.route.aim)
+        return self.view.is_sharded(routed.service) and now < routed.request.came + wait
 
-    def choose(self, routed: RoutedRequest, now: int) -> Endpoint | None:
+    def choose(self, routed: RoutedRequest, now: int) -> EndpointView | None:
         view, route, service = self.view, routed.route, routed.service
         service_config, bounds, fronts = (
             view.routes.service_configs.get(service),
             self.bounds,
-            view.here.fronts,
+            view.position.proxies,
         )
         rate = service_config.cold_per_s if service_config else 0.0
         # Keys have one holder: all must be able to reach it, even if it is cold.
         pilots = fronts
-        if not view.sharded(service):
-            pilots = cold_pilots(rate, bounds.cold_excess, bounds.cold_slack, fronts)
-        return choose(
-            view.able(route, service, routed.key, routed.tried),
-            view.here,
+        if not view.is_sharded(service):
+            pilots = warm_up_proxies(rate, bounds.cold_excess, bounds.cold_slack, fronts)
+        return choose_endpoint(
+            view.candidates(route, service, routed.key, routed.tried),
+            view.position,
             route.aim,
             self.usual(route, service),
             now,
             rate,
             pilots,
             random.random(),
-            view.tables.get(slice_of(route, service)),
+            view.assignments.get(slice_of(route, service)),
         )
 
     def usual(self, route: Route, service: str) -> int:
         """How long the requests of a service usually take (ns)."""
         return self.work.get(service, route.aim // 8)
 
-    def one_try(self, routed: RoutedRequest, endpoint: Endpoint, more: bool) -> tuple[Outcome, int]:
+    def one_try(self, routed: RoutedRequest, endpoint: EndpointView, more: bool) -> tuple[Outcome, int]:
         """A try at one endpoint, where `more` are allowed with another beside it; how many were beside it."""
         request, route, service, until = routed.request, routed.route, routed.service, routed.until
         if not route.repeatable:
             return self.attempt(request, service, endpoint, until), 0
         hedge = Hedge(request.caller, lambda chosen: self.attempt(request, service, chosen, until))
-        patience_s = patience(route.aim, self.usual(route, service)) / SECOND if more else None
+        patience_s = hedging_delay_ns(route.aim, self.usual(route, service)) / SECOND if more else None
         return hedge.run(endpoint, lambda: self.second(routed), patience_s)
 
-    def second(self, routed: RoutedRequest) -> Endpoint | None:
+    def second(self, routed: RoutedRequest) -> EndpointView | None:
         """An endpoint to ask beside a silent one, where the budget allows it."""
         now = time.monotonic_ns()
         endpoint = self.choose(routed, now)
-        if endpoint is None or not routed.budget.may(now, self.view.here.fronts, SECOND_SHARE):
+        if endpoint is None or not routed.budget.allows(now, self.view.position.proxies, HEDGE_BUDGET_PART):
             return None
         routed.budget.spend(now)
         self.metrics.count("beside")
         routed.tried.add(endpoint.id)
         return endpoint
 
-    def attempt(self, request: Request, service: str, endpoint: Endpoint, until: int) -> Outcome:
+    def attempt(self, request: Request, service: str, endpoint: EndpointView, until: int) -> Outcome:
         return self.endpoints.attempt(request, service, endpoint, until)
--- a/flintreach/proxy/exchange.py
+++ b/flintreach/proxy/exchange.py
@@ -12,9 +12,9 @@
 import gevent
 
 from flintreach.proxy.connection import IDLE, Connection, ConnectionPool, turned_away
+from flintreach.proxy.outcome import OutcomeKind
 from flintreach.proxy.reply import HTTPParseError, Message, Replies
 
-ANSWERED, UNSENT, NOT_RUN, BROKEN, TIMEOUT = "answered", "unsent", "not run", "broken", "timeout"
 REFUSED = (400, 408, 421, 429, 503)  # statuses with which X-Not-Delivered is believed
 SURPLUS, MOST = 8, 64 << 20  # whole messages that are not ours, and bytes, that are read for one answer
 READ_SIZE = 65536
@@ -36,7 +36,7 @@
         self.recalled = recalled
 
 
-def verdict(message: Message) -> str:
+def verdict(message: Message) -> OutcomeKind:
     """What an answer to a request tells of it.
 
     Only a refusal is a promise that it has not run: a busy status without one may come after the work, and
@@ -46,14 +46,14 @@
     status, coding = message.status, (message.get("content-encoding") or "identity").lower()
     refusal = message.get("x-not-delivered") is not None
     if status == 421 or refusal and status in REFUSED:
-        return NOT_RUN
+        return OutcomeKind.NOT_RUN
     if refusal or status in (408, 429, 503) or not 200 <= status <= 599:
-        return BROKEN
+        return OutcomeKind.BROKEN
     if status < 300 and message.get("x-postmark") is None:
-        return BROKEN
+        return OutcomeKind.BROKEN
     if coding != "identity" or (message.get("transfer-encoding") or "chunked").lower() != "chunked":
-        return BROKEN
-    return ANSWERED
+        return OutcomeKind.BROKEN
+    return OutcomeKind.ANSWERED
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
                 if (outcome := self.over()) is not None:
                     return outcome
             except OSError as error:
-                return Outcome(BROKEN, dark=error.errno in (errno.ETIMEDOUT, errno.EHOSTUNREACH))
+                return Outcome(OutcomeKind.BROKEN, dark=error.errno in (errno.ETIMEDOUT, errno.EHOSTUNREACH))
 
     def send(self) -> None:
         if not self.left:
@@ -122,38 +122,40 @@
             self.size += len(data)
             if self.replies.parser_failed() or len(self.replies.whole) > SURPLUS or self.size > MOST:
                 break
-        return Outcome(BROKEN)
+        return Outcome(OutcomeKind.BROKEN)
 
     def answered(self, found: Message) -> Outcome:
         kind, replies = verdict(found), self.replies
         lone = len(replies.whole) == 1 and not replies.surplus and not replies.parser_failed()
-        self.reusable = found.keep and lone and replies.framed and kind != BROKEN and self.id != ""
+        self.reusable = (
+            found.keep and lone and replies.framed and kind != OutcomeKind.BROKEN and self.id != ""
+        )
         return Outcome(kind, found)
 
     def over(self) -> Outcome | None:
         """What a limit that has passed means; None where the request may go on."""
         now = time.monotonic_ns()
         if now >= self.terms.until:
-            return Outcome(TIMEOUT)
+            return Outcome(OutcomeKind.TIMEOUT)
         self.arrived = not self.left and not self.connection.unacknowledged()
         if self.arrived or now < self.terms.arrive_by():
             return None
         # A part of it may have arrived: then it may have run.
-        return Outcome(BROKEN if self.begun else UNSENT, recalled=True)
+        return Outcome(OutcomeKind.BROKEN if self.begun else OutcomeKind.UNSENT, recalled=True)
 
 
 def connected(pool: ConnectionPool, connect_s: float, until: int) -> Connection | Outcome:
     """A fresh connection to an endpoint, or why there is none: then nothing was sent."""
     left = (until - time.monotonic_ns()) / SECOND
     if left <= 0:
-        return Outcome(UNSENT)
+        return Outcome(OutcomeKind.UNSENT)
     try:
         connection = pool.connect(min(connect_s, left))
     except OSError as error:
-        return Outcome(UNSENT, dark=error.errno not in (errno.ECONNREFUSED, errno.ECONNRESET))
+        return Outcome(OutcomeKind.UNSENT, dark=error.errno not in (errno.ECONNREFUSED, errno.ECONNRESET))
     if turned_away(connection):
         connection.drop()
-        return Outcome(UNSENT, full=True)
+        return Outcome(OutcomeKind.UNSENT, full=True)
     return connection
 
 
@@ -181,7 +183,7 @@
     try:
         if not terms.may_go():
             # Since it was chosen, news came or failed to come: its departure, its zone's, or a lease is over.
-            return Outcome(UNSENT)
+            return Outcome(OutcomeKind.UNSENT)
         used.append(connection)
         outcome = job.run()
         return outcome
--- a/flintreach/proxy/hedging.py
+++ b/flintreach/proxy/hedging.py
@@ -10,8 +10,9 @@
 from gevent.queue import Empty, SimpleQueue
 
 from flintreach.proxy.caller import Caller, ClientLeft
-from flintreach.proxy.choice import Endpoint
-from flintreach.proxy.exchange import ANSWERED, BROKEN, Outcome
+from flintreach.proxy.endpoint import EndpointView
+from flintreach.proxy.exchange import Outcome
+from flintreach.proxy.outcome import OutcomeKind
 
 LOSER_S = 0.2  # for which the slower of two tries may go on, to keep its connection, when one has answered
 
@@ -22,12 +23,12 @@
     `attempt(endpoint)`: one try, until its outcome.
     """
 
-    def __init__(self, caller: Caller, attempt: Callable[[Endpoint], Outcome]):
+    def __init__(self, caller: Caller, attempt: Callable[[EndpointView], Outcome]):
         self.caller, self.attempt = caller, attempt
         self.ends, self.tries = SimpleQueue(), []
 
     def run(
-        self, first: Endpoint, second: Callable[[], Endpoint | None], patience_s: float | None
+        self, first: EndpointView, second: Callable[[], EndpointView | None], patience_s: float | None
     ) -> tuple[Outcome, int]:
         """The outcome, and how many endpoints were asked beside the first.
 
@@ -47,7 +48,9 @@
             if len(self.tries) > 1:
                 gevent.spawn_later(LOSER_S, gevent.killall, self.tries, block=False)
 
-    def outcome(self, second: Callable[[], Endpoint | None], patience_s: float | None) -> tuple[Outcome, int]:
+    def outcome(
+        self, second: Callable[[], EndpointView | None], patience_s: float | None
+    ) -> tuple[Outcome, int]:
         try:
             return self.next_end(patience_s), 0
         except Empty:
@@ -57,13 +60,13 @@
             return self.next_end(), 0
         self.start(other)
         end = self.next_end()
-        return (end if end.kind == ANSWERED else self.next_end()), 1
+        return (end if end.kind == OutcomeKind.ANSWERED else self.next_end()), 1
 
-    def start(self, endpoint: Endpoint) -> None:
+    def start(self, endpoint: EndpointView) -> None:
         self.tries.append(gevent.spawn(self.try_endpoint, endpoint))
 
-    def try_endpoint(self, endpoint: Endpoint) -> None:
-        outcome = Outcome(BROKEN)
+    def try_endpoint(self, endpoint: EndpointView) -> None:
+        outcome = Outcome(OutcomeKind.BROKEN)
         try:
             outcome = self.attempt(endpoint)
         except ClientLeft:
--- a/flintreach/proxy/lease.py
+++ b/flintreach/proxy/lease.py
@@ -1,34 +1,54 @@
-"""Leases on what a proxy knows of endpoints: until when a request goes out, by when it arrives.  Pure.
+"""Leases on what a proxy knows of endpoints: until when a request may be sent, by when it must arrive.
 
-An endpoint's departure may have been acknowledged at any moment after the last one at which it was surely
-present.  The rules allow a request to arrive for so long after the acknowledgement; so a request may go out
-for the first part of that time, and has the rest of it for its way.  No message need be quick for this to
-hold: what is not confirmed again in time is not used (C. Gray, D. Cheriton, "Leases: an efficient
-fault-tolerant mechanism for distributed file cache consistency", 1989).
+Pure: no clock, no I/O.  `view` applies these terms to each endpoint, `attempt` and `exchange` enforce them.
 
-Times are nanoseconds of the steady clock of this process.
+An endpoint's departure may have been acknowledged at any moment after the last one at which the endpoint was
+surely present.  The rules allow a request to arrive for a bounded time after the acknowledgement; so a
+request may be sent during the first part of that time, and has the rest of it to travel.  No message need be
+fast for this to hold: knowledge that is not confirmed again in time is not used.
+
+Times are nanoseconds of this process's steady clock.
+
+Source: C. Gray, D. Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
+consistency", 1989; docs/design/leases.md.
 """
 
 from dataclasses import dataclass
 
-MS = 1_000_000
-SEND_PART = 0.5  # of what the rules allow, for which a request may go out after the last confirmation
-ARRIVE_PART = 0.9  # of it, after which bytes that have not arrived are taken back
-UNKNOWN = -(1 << 62)  # a departure of which nobody knows when it was acknowledged: long ago
+NS_PER_MS = 1_000_000
+
+# Part of the allowed time during which a request may be sent after the last confirmation.
+SEND_PART = 0.5
+
+# Part of the allowed time after which bytes that have not arrived are taken back.
+ARRIVE_PART = 0.9
+
+# Stands for a departure whose acknowledgement nobody can date: so long ago that any lease on it is over.
+UNDATED_DEPARTURE_NS = -(1 << 62)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """Durations after a confirmation: requests go out for `send_for`, and arrive within `arrive_for`.
+    """Durations, counted from the last confirmation, that bind the requests sent on its strength.
 
     >>> LeaseTerms.of(3000)
-    LeaseTerms(send_for=1500000000, arrive_for=2700000000)
+    LeaseTerms(send_for_ns=1500000000, arrive_for_ns=2700000000)
+
+    Attributes:
+        send_for_ns: for how long requests may be sent.
+        arrive_for_ns: for how long their bytes may arrive.
     """
 
-    send_for: int
-    arrive_for: int
+    send_for_ns: int
+    arrive_for_ns: int
 
     @classmethod
     def of(cls, bound_ms: float) -> "LeaseTerms":
-        """Terms that keep a bound of the settings, in milliseconds."""
-        return cls(int(SEND_PART * bound_ms * MS), int(ARRIVE_PART * bound_ms * MS))
+        """Terms that keep a bound of the settings.
+
+        Args:
+            bound_ms: for how long the rules allow a request to arrive after the acknowledgement.
+        """
+        send_for_ns = int(SEND_PART * bound_ms * NS_PER_MS)
+        arrive_for_ns = int(ARRIVE_PART * bound_ms * NS_PER_MS)
+        return cls(send_for_ns, arrive_for_ns)
--- a/flintreach/proxy/presence.py
+++ b/flintreach/proxy/presence.py
@@ -10,7 +10,7 @@
 import gevent
 from gevent.event import Event
 
-from flintreach.proxy.choice import Endpoint
+from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.exchange import SECOND, ExchangeTerms, exchange
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.reply import Message
@@ -32,33 +32,33 @@
         self.view, self.metrics = view, metrics
         self.asking: dict[str, Event] = {}  # id -> set when its answer has come, or none will
 
-    def confirmed(self, endpoint: Endpoint, until: int) -> bool:
+    def confirmed(self, endpoint: EndpointView, until: int) -> bool:
         """Whether a request may go out to an endpoint; it may be asked first.  `until`: steady ns."""
         now = time.monotonic_ns()
-        if self.view.leased(endpoint, now):
+        if self.view.is_leased(endpoint, now):
             return True
         if endpoint.id not in self.asking:
             self.asking[endpoint.id] = Event()
             # In a greenlet of its own: others wait for the same answer when the one that asks is ended.
             gevent.spawn(self.ask, endpoint, now)
         self.asking[endpoint.id].wait((min(until, now + int(ASK_S * SECOND)) - now) / SECOND)
-        return self.view.leased(endpoint, time.monotonic_ns())
+        return self.view.is_leased(endpoint, time.monotonic_ns())
 
-    def ask(self, endpoint: Endpoint, now: int) -> None:
+    def ask(self, endpoint: EndpointView, now: int) -> None:
         """Put one question, and wake all that wait for its answer."""
         try:
             self.question(endpoint, now)
         finally:
             self.asking.pop(endpoint.id).set()
 
-    def question(self, endpoint: Endpoint, now: int) -> None:
+    def question(self, endpoint: EndpointView, now: int) -> None:
         config = self.view.routes.service_configs.get(endpoint.service)
         if config is None or not config.checkup:
             return
         self.metrics.count("asked for presence")
         lines = (
             f"GET {config.checkup} HTTP/1.1",
-            f"Host: {endpoint.addr}",
+            f"Host: {endpoint.address}",
             f"X-Expect-Endpoint: {endpoint.id}",
         )
         head = "\r\n".join([*lines, "", ""]).encode()
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -18,8 +18,8 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
+from flintreach.proxy.balancing import FleetPosition, SubsetIndex
 from flintreach.proxy.carry import Carrier
-from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
@@ -37,11 +37,11 @@
         self.node, me = node, node.sender
         address = node.inner(POST)
         self.peer_pool, self.updates = PeerPool(address), VersionedStore(time.monotonic)
-        self.here = Here(me.zone, me.region, name=me.node_name)
+        self.position = FleetPosition(me.zone, me.region, name=me.node_name)
         self.metrics = Metrics()
         self.view = RoutingView(
             self.updates,
-            self.here,
+            self.position,
             node.network.zones,
             time.monotonic_ns,
             node.bounds,
@@ -92,11 +92,11 @@
         """Shares go by the pilots known of late: one that is missing may only be cut off."""
         member_list = self.failure_detector.member_list
         names = sorted(m.name for m in member_list.members.values() if m.role == ROLE)
-        self.here.fronts = len(names)
-        self.here.zones = len({m.zone for m in member_list.members.values() if m.role == ROLE})
-        self.here.place = {name: number for number, name in enumerate(names)}
-        mates = sorted(m.name for m in member_list.alive(ROLE) if m.zone == self.here.zone)
-        self.here.mates = mates.index(self.here.name), len(mates)
+        self.position.proxies = len(names)
+        self.position.zones = len({m.zone for m in member_list.members.values() if m.role == ROLE})
+        self.position.ranks = {name: number for number, name in enumerate(names)}
+        mates = sorted(m.name for m in member_list.alive(ROLE) if m.zone == self.position.zone)
+        self.position.zone_index = SubsetIndex(mates.index(self.position.name), len(mates))
 
     def on_ready(self, environ, start):
         if environ["PATH_INFO"] == METRICS_PATH:
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -1,210 +1,327 @@
-"""What a proxy knows from the news: routes, endpoints, tables, keys, evacuated zones.  No I/O."""
+"""What a proxy knows from the control plane's updates: routes, endpoints, key owners, evacuated zones.
 
-from bisect import bisect_right
-from collections.abc import Callable
+No I/O of its own.  `carry` asks it which endpoints may serve a request, `attempt` and `presence` whether the
+lease on one of them still holds.
+
+Times are nanoseconds of this process's steady clock; None stands for "never".
+"""
+
+from collections.abc import Callable, Collection
 from typing import Any
 
 import msgspec
 
-from flintreach.config.configuration import Configuration, Routes
+from flintreach.config.configuration import Configuration, Route, Routes
+from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.versioned_store import VersionedStore
-from flintreach.proxy.choice import Endpoint, Here, divide
+from flintreach.proxy.balancing import FleetPosition, SubsetIndex, assign_subsets
 from flintreach.proxy.connection import ConnectionPool
-from flintreach.proxy.lease import UNKNOWN, LeaseTerms
+from flintreach.proxy.endpoint import EndpointState, EndpointView
+from flintreach.proxy.key_ranges import KeyRanges
+from flintreach.proxy.lease import UNDATED_DEPARTURE_NS, LeaseTerms
 from flintreach.proxy.metrics import LATE_SEND, VIOLATION, Metrics
 
-MS, SECOND = 1_000_000, 1_000_000_000
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+
+# Kinds of updates, before the "/" of their keys or the whole key, as earlier releases wrote them.
+ENDPOINT_KIND = "hut"
+CONFIGURATION_KIND = "timetable"
+EVACUATION_KIND = "evac"
+ASSIGNMENT_KIND = "slice"
+KEY_RANGES_KIND = "bunks"
+
+
+class EndpointUpdate(msgspec.Struct):
+    """The value of an update on an endpoint; one that is gone may tell its state alone.
+
+    Attributes:
+        state: an `EndpointState`, or a state of a later release.
+        service: the service that it belongs to.
+        address: "host:port".
+        zone: its failure domain.
+        concurrency_limit: requests that it works on at the same time.
+        warm_up_left_ms: for how long its slow start still lasts.
+    """
+
+    state: str
+    service: str = msgspec.field(default="", name="line")
+    address: str = msgspec.field(default="", name="addr")
+    zone: str = ""
+    concurrency_limit: int = msgspec.field(default=1, name="berths")
+    warm_up_left_ms: int = msgspec.field(default=0, name="cold")
 
 
-def slice_of(route, service: str) -> str:
+def slice_of(route: Route, service: str) -> str:
     """The name of a slice: one route and one of its services."""
     return f"{route.name} {service}"
 
 
 class RoutingView:
-    """Kept by the parcels of a board as they come.
+    """What this proxy knows of the whole system; it follows a store of updates.
 
-    `clock()`: steady nanoseconds.  `confirmed_at()`: a moment of that clock up to which all that was
-    acknowledged anywhere is known here (`Relay.age`); `metrics`: where sendings after a departure are told.
+    Args:
+        updates: the store, whose watchers this view joins.
+        position: where this proxy is among the others; its owner keeps it up to date.
+        zones: zone -> its region.
+        clock: reads the steady clock.
+        bounds: the rules' time limits.
+        confirmed_at: tells a moment of that clock up to which all that was acknowledged anywhere is known
+            here (`Relay.age`); without it, the present one.
+        metrics: counts requests that were sent after a departure.
+
+    Attributes:
+        departures: endpoint id -> `EndpointView.departed_at`, as long as the store has updates of that id.
+        evacuated_at: evacuated zone -> earliest moment at which its evacuation can have been acknowledged.
+        assignments: slice -> ids of the endpoints that it is assigned to.
+        key_ranges: sharded service -> owners of its keys.
     """
 
     def __init__(
         self,
         updates: VersionedStore,
-        here: Here,
+        position: FleetPosition,
         zones: dict[str, str],
         clock: Callable[[], int],
-        bounds,
+        bounds: TimingBounds,
         confirmed_at: Callable[[], int] | None = None,
         metrics: Metrics | None = None,
-    ):
-        self.here, self.zones, self.clock = here, zones, clock
-        self.confirmed_at, self.metrics = confirmed_at or clock, metrics or Metrics()
+    ) -> None:
+        self.position = position
+        self.zones = zones
+        self.clock = clock
+        self.confirmed_at = confirmed_at or clock
+        self.metrics = metrics or Metrics()
         self.departure = LeaseTerms.of(bounds.last_call_ms)
         self.evacuation = LeaseTerms.of(bounds.evacuate_ms)
         self.routes: Routes | None = None
-        self.endpoints: dict[str, Endpoint] = {}
-        self.services: dict[str, dict[str, Endpoint]] = {}
-        self.departed: dict[str, int] = {}  # id -> `Endpoint.left_at`, as long as news of that id are held
-        self.away: dict[str, int] = {}  # evacuated zones -> the earliest moment of the acknowledgement
-        self.divided: tuple[int, int] | None = None  # the places by which endpoints were divided last
-        self.tables: dict[str, frozenset[str]] = {}  # slice -> endpoints
-        self.keys: dict[str, tuple[list[int], list[tuple[int, str]]]] = {}
-        updates.watchers.append(self.hear)
-        updates.droppers.append(lambda key: self.hear(key, None, None))
-
-    def hear(self, key: str, version: Any, value: Any) -> None:
+        self.endpoints: dict[str, EndpointView] = {}
+        self.services: dict[str, dict[str, EndpointView]] = {}
+        self.departures: dict[str, int] = {}
+        self.evacuated_at: dict[str, int] = {}
+        self.assignments: dict[str, frozenset[str]] = {}
+        self.key_ranges: dict[str, KeyRanges] = {}
+        # By which the endpoints were divided into subsets last; None: they must be divided anew.
+        self.subsets_index: SubsetIndex | None = None
+        updates.watchers.append(self.apply_update)
+        updates.droppers.append(self.forget)
+
+    # Updates of the control plane.
+
+    def apply_update(self, key: str, version: Any, value: Any) -> None:
+        """Take in one update; a watcher of the store.
+
+        Args:
+            key: its kind, and behind a "/" the name of what it is about.
+            version: its version, which the store has compared already.
+            value: what is known now; None: nothing any more.
+        """
         kind, _, name = key.partition("/")
-        if kind == "hut":
-            self.on_endpoint(name, value)
-        elif kind == "timetable":
+        if kind == ENDPOINT_KIND:
+            self.update_endpoint(name, value)
+        elif kind == CONFIGURATION_KIND:
             self.routes = Routes(msgspec.json.decode(value, type=Configuration))
-        elif kind == "evac":
-            away = {zone: self.away.get(zone, self.confirmed_at()) for zone, on in value.items() if on}
-            # Its endpoints may have turned cold while they were empty, and their beats tell it late.
-            for endpoint in self.endpoints.values():
-                if endpoint.zone in self.away and endpoint.zone not in away:
-                    endpoint.cold_until = max(
-                        endpoint.cold_until, self.clock() + self.cold_time(endpoint.service)
-                    )
-            self.away = away
-        elif kind == "slice" and value is None:
-            self.tables.pop(name, None)
-        elif kind == "slice":
-            self.tables[name] = frozenset(value)
-        elif kind == "bunks" and value is None:
-            self.keys.pop(name, None)
-        elif kind == "bunks":
-            rows = sorted((low, high, holder) for low, high, holder, state in value if state == "held")
-            self.keys[name] = [low for low, _, _ in rows], [(high, holder) for _, high, holder in rows]
-
-    def cold_time(self, service: str) -> int:
-        service_config = self.routes.service_configs.get(service) if self.routes else None
-        return int((service_config.cold_s if service_config else 0) * SECOND)
-
-    def on_endpoint(self, id: str, told: dict | None) -> None:
-        """News of an endpoint; None: all that was held of it is forgotten."""
-        held = self.endpoints.get(id)
-        if told is None:
-            self.departed.pop(id, None)
-        elif told["state"] in ("closing", "gone"):
-            self.departs(id, held)
+        elif kind == EVACUATION_KIND:
+            self.update_evacuations(value)
+        elif kind == ASSIGNMENT_KIND:
+            self.update_assignment(name, value)
+        elif kind == KEY_RANGES_KIND:
+            self.update_key_ranges(name, value)
+
+    def forget(self, key: str) -> None:
+        """Take in that the store has dropped a key; called by the store."""
+        self.apply_update(key, None, None)
+
+    def update_evacuations(self, evacuated: dict[str, bool]) -> None:
+        """Take in which zones are evacuated.  A zone that was evacuated before keeps its earlier moment."""
+        before = self.evacuated_at
+        self.evacuated_at = {
+            zone: before.get(zone, self.confirmed_at()) for zone, is_on in evacuated.items() if is_on
+        }
+        # Endpoints may have cooled down while their zone was empty, and their heartbeats tell it late.
+        for endpoint in self.endpoints.values():
+            if endpoint.zone in before and endpoint.zone not in self.evacuated_at:
+                endpoint.warm_up_until(self.clock() + self.warm_up_ns(endpoint.service))
+
+    def update_assignment(self, slice_name: str, endpoint_ids: list[str] | None) -> None:
+        """Take in the endpoints that a slice is assigned to; None: the slice is no more."""
+        if endpoint_ids is None:
+            self.assignments.pop(slice_name, None)
+        else:
+            self.assignments[slice_name] = frozenset(endpoint_ids)
+
+    def update_key_ranges(self, service: str, rows: list[list] | None) -> None:
+        """Take in the key ranges of a service; None: it is not sharded any more."""
+        if rows is None:
+            self.key_ranges.pop(service, None)
+        else:
+            self.key_ranges[service] = KeyRanges(rows)
+
+    def update_endpoint(self, endpoint_id: str, value: dict[str, Any] | None) -> None:
+        """Take in an update on an endpoint; None: all that was known of it is forgotten."""
+        endpoint = self.endpoints.get(endpoint_id)
+        if value is None:
+            self.departures.pop(endpoint_id, None)
+            self.remove(endpoint)
+            return
+        update = msgspec.convert(value, type=EndpointUpdate)
+        if update.state in (EndpointState.DRAINING, EndpointState.GONE):
+            self.note_departure(endpoint_id, endpoint)
         else:
-            self.departed.pop(id, None)  # it was only silent
-        if told is None or told["state"] == "gone":
-            if held is not None:
-                self.remove(held)
+            self.departures.pop(endpoint_id, None)  # it was only silent
+        if update.state == EndpointState.GONE:
+            self.remove(endpoint)
             return
-        if held is None:
-            held = self.add(id, told)
-        held.state = told["state"]
-        held.left_at = self.departed.get(id)
-        cold = self.clock() + told["cold"] * MS if told["cold"] else 0
-        held.cold_until = max(held.cold_until, cold) if cold else held.cold_until
-
-    def departs(self, id: str, held: Endpoint | None) -> None:
-        """Note when the departure can have been acknowledged at the earliest: not before the last moment at
-        which the endpoint was surely present.  The first note stands, whatever is heard again later."""
-        if id in self.departed:
+        if endpoint is None:
+            endpoint = self.add(endpoint_id, update)
+        endpoint.state = update.state
+        endpoint.departed_at = self.departures.get(endpoint_id)
+        if update.warm_up_left_ms:
+            endpoint.warm_up_until(self.clock() + update.warm_up_left_ms * NS_PER_MS)
+
+    def note_departure(self, endpoint_id: str, endpoint: EndpointView | None) -> None:
+        """Note the earliest moment at which a departure can have been acknowledged.
+
+        That is not before the last one at which the endpoint was surely present.  The first note stands,
+        whatever is heard later: a departure that is told again must not begin a new lease.
+        """
+        if endpoint_id in self.departures:
             return
-        left_at = UNKNOWN if held is None else self.present_at(held)
-        self.departed[id] = left_at
-        if held is None:
+        if endpoint is None:
+            self.departures[endpoint_id] = UNDATED_DEPARTURE_NS
             return
-        held.left_at = left_at
-        late = 0 if held.went_out_at is None else held.went_out_at - left_at
-        self.metrics.observe(LATE_SEND, max(0, late))
-        if late > self.departure.arrive_for:
+        departed_at = self.last_surely_present(endpoint)
+        self.departures[endpoint_id] = departed_at
+        endpoint.departed_at = departed_at
+        late_ns = 0
+        if endpoint.written_at is not None:
+            late_ns = endpoint.written_at - departed_at
+        self.metrics.observe(LATE_SEND, max(0, late_ns))
+        if late_ns > self.departure.arrive_for_ns:
             self.metrics.count(VIOLATION)
 
-    def add(self, id: str, told: dict) -> Endpoint:
-        region = self.zones.get(told["zone"], "")
-        pool = ConnectionPool(told["addr"])
-        held = Endpoint(
-            id, told["line"], told["addr"], told["zone"], region, max(1, told["berths"]), pool=pool
+    def add(self, endpoint_id: str, update: EndpointUpdate) -> EndpointView:
+        """Begin to know an endpoint."""
+        endpoint = EndpointView(
+            endpoint_id,
+            update.service,
+            update.address,
+            update.zone,
+            self.zones.get(update.zone, ""),
+            max(1, update.concurrency_limit),
+            pool=ConnectionPool(update.address),
         )
-        self.endpoints[id] = held
-        self.services.setdefault(told["line"], {})[id] = held
-        self.divided = None
-        return held
-
-    def remove(self, held: Endpoint) -> None:
-        del self.endpoints[held.id]
-        group = self.services[held.service]
-        del group[held.id]
-        if not group:
-            del self.services[held.service]
-        held.state = "gone"
-        held.pool.close()
-        self.divided = None
-
-    def holder(self, service: str, key: int) -> str | None:
-        lows, rows = self.keys.get(service, ([], []))
-        place = bisect_right(lows, key) - 1
-        if place >= 0 and key <= rows[place][0]:
-            return rows[place][1]
-        return None
-
-    def sharded(self, service: str) -> bool:
+        self.endpoints[endpoint_id] = endpoint
+        self.services.setdefault(update.service, {})[endpoint_id] = endpoint
+        self.subsets_index = None
+        return endpoint
+
+    def remove(self, endpoint: EndpointView | None) -> None:
+        """Stop knowing an endpoint, if it was known; attempts that still have it find it gone."""
+        if endpoint is None:
+            return
+        del self.endpoints[endpoint.id]
+        members = self.services[endpoint.service]
+        del members[endpoint.id]
+        if not members:
+            del self.services[endpoint.service]
+        endpoint.state = EndpointState.GONE
+        endpoint.pool.close()
+        self.subsets_index = None
+
+    # What the configuration says of a service.
+
+    def warm_up_ns(self, service: str) -> int:
+        """How long the slow start of a service's endpoints lasts."""
+        service_config = self.routes.service_configs.get(service) if self.routes else None
+        return int((service_config.cold_s if service_config else 0) * NS_PER_S)
+
+    def is_sharded(self, service: str) -> bool:
+        """Whether each key of a service has one owner.  There must be routes."""
         service_config = self.routes.service_configs.get(service)
         return service_config is not None and service_config.sharded
 
-    def present_at(self, endpoint: Endpoint) -> int:
+    # Leases on what is known of an endpoint (docs/design/leases.md).
+
+    def last_surely_present(self, endpoint: EndpointView) -> int:
         """A moment by which no departure of an endpoint had been acknowledged."""
-        if endpoint.left_at is not None:
-            return endpoint.left_at
+        if endpoint.departed_at is not None:
+            return endpoint.departed_at
         confirmed_at = self.confirmed_at()
-        return confirmed_at if endpoint.present_at is None else max(confirmed_at, endpoint.present_at)
+        if endpoint.present_at is None:
+            return confirmed_at
+        return max(confirmed_at, endpoint.present_at)
 
-    def leased(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether a request that goes out now still arrives within the bound on departures."""
-        return now < self.present_at(endpoint) + self.departure.send_for
+    def is_leased(self, endpoint: EndpointView, now_ns: int) -> bool:
+        """Whether a request that is sent now still arrives within the bound on departures."""
+        return now_ns < self.last_surely_present(endpoint) + self.departure.send_for_ns
 
-    def arrive_by(self, endpoint: Endpoint) -> int:
+    def arrive_by(self, endpoint: EndpointView) -> int:
         """The moment after which no byte of a request may arrive; it moves on with what confirms it."""
-        limit = self.present_at(endpoint) + self.departure.arrive_for
-        if endpoint.zone in self.away:
-            limit = min(limit, self.away[endpoint.zone] + self.evacuation.arrive_for)
-        return limit
+        limit = self.last_surely_present(endpoint) + self.departure.arrive_for_ns
+        evacuated_at = self.evacuated_at.get(endpoint.zone)
+        if evacuated_at is None:
+            return limit
+        return min(limit, evacuated_at + self.evacuation.arrive_for_ns)
+
+    # Which endpoints may be used.
 
-    def open(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether requests may go there by what is known: the rules on leaving and on evacuations.
+    def is_open(self, endpoint: EndpointView, now_ns: int) -> bool:
+        """Whether requests may go to an endpoint by the rules on departures and evacuations.
 
-        The holder of keys is used while it leaves, until they have moved or its lease is over.
+        The owner of keys is used while it is draining, until they have moved or its lease is over.
         """
-        if endpoint.state == "gone":
+        if endpoint.state == EndpointState.GONE:
             return False
-        evacuated = self.away.get(endpoint.zone)
-        if not self.sharded(endpoint.service):
-            return endpoint.state != "closing" and evacuated is None
-        if endpoint.left_at is not None and not self.leased(endpoint, now):
+        evacuated_at = self.evacuated_at.get(endpoint.zone)
+        if not self.is_sharded(endpoint.service):
+            return endpoint.state != EndpointState.DRAINING and evacuated_at is None
+        if endpoint.departed_at is not None and not self.is_leased(endpoint, now_ns):
             return False
-        return evacuated is None or now < evacuated + self.evacuation.send_for
-
-    def takes(self, endpoint: Endpoint) -> bool:
-        """Whether a request may go out to an endpoint now."""
-        now = self.clock()
-        return self.open(endpoint, now) and self.leased(endpoint, now)
-
-    def able(self, route, service: str, key: int | None, tried: set[str]) -> list[Endpoint]:
-        """Endpoints that may serve a try: the rules bind first, then what is well."""
-        if self.divided != self.here.mates:
-            self.divided = self.here.mates
-            divide([*self.endpoints.values()], *self.divided)
-        if self.sharded(service):
-            endpoint = self.endpoints.get(self.holder(service, key) or "") if key is not None else None
-            found = [endpoint] if endpoint is not None else []
-        else:
-            found = self.services.get(service, {}).values()
-        homes, now = route.homes, self.clock()
-        found = [
+        return evacuated_at is None or now_ns < evacuated_at + self.evacuation.send_for_ns
+
+    def may_send(self, endpoint: EndpointView) -> bool:
+        """Whether a request may be sent to an endpoint now."""
+        now_ns = self.clock()
+        return self.is_open(endpoint, now_ns) and self.is_leased(endpoint, now_ns)
+
+    def key_owner(self, service: str, key: int) -> str | None:
+        """Id of the endpoint that owns a key; None where the key is between two owners."""
+        ranges = self.key_ranges.get(service)
+        return None if ranges is None else ranges.owner(key)
+
+    def reachable(self, service: str, key: int | None) -> Collection[EndpointView]:
+        """The endpoints that have what a request needs: the owner of its key, or all of its service."""
+        if not self.is_sharded(service):
+            return self.services.get(service, {}).values()
+        owner_id = None if key is None else self.key_owner(service, key)
+        owner = self.endpoints.get(owner_id or "")
+        return [] if owner is None else [owner]
+
+    def candidates(
+        self, route: Route, service: str, key: int | None, attempted: set[str]
+    ) -> list[EndpointView]:
+        """Endpoints that may serve an attempt: the rules bind, then healthy ones come first.
+
+        Args:
+            route: the request's.
+            service: one of the route's.
+            key: the request's shard key, if it has one.
+            attempted: ids of endpoints that the request went to before.
+        """
+        if self.subsets_index != self.position.zone_index:
+            self.subsets_index = self.position.zone_index
+            assign_subsets(self.endpoints.values(), self.subsets_index.index, self.subsets_index.count)
+        home_regions = route.homes
+        now_ns = self.clock()
+        allowed = [
             endpoint
-            for endpoint in found
-            if endpoint.id not in tried
-            and (not homes or endpoint.region in homes)
-            and self.open(endpoint, now)
+            for endpoint in self.reachable(service, key)
+            if endpoint.id not in attempted
+            and (not home_regions or endpoint.region in home_regions)
+            and self.is_open(endpoint, now_ns)
         ]
-        if now >= self.confirmed_at() + self.departure.send_for:
+        if now_ns >= self.confirmed_at() + self.departure.send_for_ns:
             # Only their own answers tell that endpoints are still there; without any they must be asked.
-            found = [endpoint for endpoint in found if self.leased(endpoint, now)] or found
-        return [endpoint for endpoint in found if endpoint.there(now)] or found
+            allowed = [endpoint for endpoint in allowed if self.is_leased(endpoint, now_ns)] or allowed
+        return [endpoint for endpoint in allowed if endpoint.is_usable(now_ns)] or allowed
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -19,8 +19,8 @@
 from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.endpoints.registry import Heartbeat
 from flintreach.proxy.caller import Caller
-from flintreach.proxy.choice import Endpoint
 from flintreach.proxy.connection import ConnectionPool
+from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.presence import Presence
 from flintreach.proxy.reply import Message
@@ -200,7 +200,9 @@
             (),
             {"routes": configuration.Routes(configuration.check(msgspec.json.encode(CONFIGURATION)))},
         )
-        endpoint = Endpoint("lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr))
+        endpoint = EndpointView(
+            "lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr)
+        )
         Presence(view, Metrics()).question(endpoint, 10**18)
         found["health"] = listener.came.pop()
         return found
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -35,7 +35,7 @@
     EndpointRegistry,
     Heartbeat,
 )
-from flintreach.proxy.choice import Here
+from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.view import RoutingView
 from flintreach.sharding.key_load import KeyLoad
 from flintreach.sharding.range_assignment import Allocation, LoadDistribution
@@ -558,7 +558,7 @@
         ids that nobody else ever heard of."""
         net, draw = Net(), random.Random(5)
         proxy = VersionedStore(net.now)
-        world = RoutingView(proxy, Here("n", "r"), {"north": "r"}, net.now_ns, TimingBounds())
+        world = RoutingView(proxy, FleetPosition("n", "r"), {"north": "r"}, net.now_ns, TimingBounds())
         orders = [OperatorRequests(controller) for controller in net]
         live, begun, sizes, digests = {}, 0, [], set()
         while begun < 2000 or live:
@@ -611,7 +611,7 @@
                     ),
                     len(proxy.entries),
                     len(world.endpoints),
-                    len(world.tables),
+                    len(world.assignments),
                 ]
             )
         names = [
@@ -646,7 +646,7 @@
             )
             self.assertEqual(len(controller.updates.entries), 6)  # the map and its five tables
         self.assertEqual(
-            (len(proxy.entries), len(world.tables), world.endpoints, world.services), (6, 5, {}, {})
+            (len(proxy.entries), len(world.assignments), world.endpoints, world.services), (6, 5, {}, {})
         )
         self.assertEqual(proxy.digest(), net[0].updates.digest())
 
--- a/tests/dissemination/test_relay.py
+++ b/tests/dissemination/test_relay.py
@@ -15,7 +15,7 @@
     STALE_BOARD,
     VersionedStore,
 )
-from flintreach.proxy.choice import Here
+from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.view import RoutingView
 from flintreach.transport.peer_connection import ConnectionClosed
 
@@ -270,7 +270,9 @@
 
     def test_a_bothy_forgets_what_is_dropped(self):
         updates = VersionedStore(self.clock.now)
-        known = RoutingView(updates, Here("n", "r"), {"north": "r"}, self.clock.now_ns, TimingBounds())
+        known = RoutingView(
+            updates, FleetPosition("n", "r"), {"north": "r"}, self.clock.now_ns, TimingBounds()
+        )
         for id in ("y", "z"):
             updates.offer(f"hut/{id}", [1, 0], hut(addr="10.9.9.9:80"))
             updates.offer(f"slice/r {id}", 1, ["z"])
@@ -279,7 +281,10 @@
         updates.offer("bunks/z", [1, 1, 1], None)
         updates.drop("hut/z")
         self.assertEqual(
-            [[*held] for held in (known.endpoints, known.tables, known.keys, known.services["desk"])],
+            [
+                [*held]
+                for held in (known.endpoints, known.assignments, known.key_ranges, known.services["desk"])
+            ],
             [["y"], ["r y"], ["y"], ["y"]],
         )
         updates.drop("hut/y")
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -15,9 +15,7 @@
     EndpointRegistry,
     Heartbeat,
 )
-from flintreach.proxy.choice import (
-    SECOND,
-)
+from flintreach.proxy.balancing import NS_PER_S as SECOND
 
 
 class Hutbook(unittest.TestCase):
--- a/tests/membership/test_member_list.py
+++ b/tests/membership/test_member_list.py
@@ -8,9 +8,7 @@
 
 from flintreach.dissemination.relay_tree import BORNE, FAN, parents
 from flintreach.membership.member_list import ALIVE, BUCKETS, DEAD, SUSPECTED, Member, MemberList, bucket
-from flintreach.proxy.choice import (
-    SECOND,
-)
+from flintreach.proxy.balancing import NS_PER_S as SECOND
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -3,9 +3,7 @@
 import unittest
 
 from flintreach.placement.placer import Candidate, Placer
-from flintreach.proxy.choice import (
-    SECOND,
-)
+from flintreach.proxy.balancing import NS_PER_S as SECOND
 
 
 class Placement(unittest.TestCase):
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -17,8 +17,8 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.carry import Carrier
-from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
@@ -164,7 +164,9 @@
         for handler in [*self.front.handlers]:
             handler.end()
         updates = VersionedStore()
-        self.view = RoutingView(updates, Here("n", "r"), {"n": "r"}, time.monotonic_ns, TimingBounds())
+        self.view = RoutingView(
+            updates, FleetPosition("n", "r"), {"n": "r"}, time.monotonic_ns, TimingBounds()
+        )
         updates.offer("timetable", 1, config)
         for endpoint, script in itertools.zip_longest(self.endpoints, scripts, fillvalue=()):
             endpoint.forget()
@@ -196,14 +198,16 @@
         for (
             endpoint
         ) in self.view.endpoints.values():  # in use whatever it did: the next request meets what it left
-            endpoint.well()
-            endpoint.since = None
+            endpoint.record_success()
+            endpoint.unanswered_since = None
         client.say(sent, *(["X-Shard-Key: 7"] if sent.kind == "keyed" else []))
 
     def settle(self) -> None:
         """Until nothing is under way any more."""
         with gevent.Timeout(5):
-            while any(endpoint.mine for endpoint in self.view.endpoints.values()) or self.front.handlers:
+            while (
+                any(endpoint.own_requests for endpoint in self.view.endpoints.values()) or self.front.handlers
+            ):
                 gevent.sleep(0.001)
         for endpoint in self.view.endpoints.values():
             endpoint.pool.close()
@@ -484,7 +488,7 @@
                 finally:
                     other.id = old
                 for endpoint in stage.view.endpoints.values():
-                    endpoint.well()
+                    endpoint.record_success()
             stage.settle()
             for each, answer in zip(sent, got):
                 self.assertEqual(stage.judge(each, answer), "")
@@ -531,7 +535,7 @@
                 self.one(stage.request(kind))
                 endpoints = stage.view.endpoints.values()
                 with gevent.Timeout(5):
-                    while any(endpoint.mine for endpoint in endpoints):
+                    while any(endpoint.own_requests for endpoint in endpoints):
                         gevent.sleep(0.001)
                 held = {len(endpoint.pool.idle) for endpoint in endpoints if endpoint.sent_at}
                 self.assertEqual(held, {count}, (act, kind))
--- /dev/null
+++ b/tests/proxy/test_balancing.py
@@ -0,0 +1,118 @@
+"""Load balancing decisions."""
+
+import unittest
+
+from flintreach.proxy.balancing import (
+    NS_PER_S,
+    FleetPosition,
+    assign_subsets,
+    choose_endpoint,
+    hedging_delay_ns,
+    idle_time_ns,
+    may_warm_up,
+    warm_up_proxies,
+)
+from flintreach.proxy.connection import ConnectionPool
+from flintreach.proxy.endpoint import EndpointView
+
+
+def endpoint_view(endpoint_id: str, zone: str = "a", region: str = "r", **fields) -> EndpointView:
+    """An endpoint with two requests at a time."""
+    return EndpointView(endpoint_id, "desk", "10.0.0.1:80", zone, region, 2, **fields)
+
+
+class EndpointChoice(unittest.TestCase):
+    def test_the_nearest_endpoint_that_is_neither_busy_nor_silent_nor_ejected_is_chosen(self) -> None:
+        position, target, work, now = FleetPosition("a", "r"), NS_PER_S, NS_PER_S // 8, 10 * NS_PER_S
+        near = endpoint_view("n")
+        next_door = endpoint_view("x", "b")
+        far = endpoint_view("f", "c", "s")
+        busy = endpoint_view("b", own_requests=4)
+        silent = endpoint_view("d", own_requests=1, unanswered_since=now - 2 * NS_PER_S)
+        ejected = endpoint_view("s", ejected_until=now + 1)
+        cases = [
+            ([far, next_door, near], near),
+            ([busy, next_door], next_door),
+            ([busy, far], busy),
+            ([silent, far], far),
+            ([ejected, far], far),
+            ([ejected], None),
+            ([silent], silent),
+        ]
+        for endpoints, wanted in cases:
+            self.assertIs(
+                choose_endpoint(endpoints, position, target, work, now, 0.0, 1, 0.5),
+                wanted,
+                [endpoint.id for endpoint in endpoints],
+            )
+        assigned = frozenset(["x"])
+        self.assertIs(
+            choose_endpoint([near, next_door], position, target, work, now, 0.0, 1, 0.5, assigned), next_door
+        )
+
+    def test_the_hedging_delay_stands_between_the_usual_work_and_the_latency_target(self) -> None:
+        self.assertEqual([hedging_delay_ns(1000, work) for work in (10, 150, 900)], [300, 450, 600])
+
+
+class Subsets(unittest.TestCase):
+    def test_proxies_of_a_zone_divide_its_endpoints_evenly(self) -> None:
+        for proxies in (1, 2, 3, 5):
+            endpoints = [
+                [endpoint_view(f"e{i}", zone="ab"[i % 2]) for i in range(11)] for _ in range(proxies)
+            ]
+            for index in range(proxies):
+                assign_subsets(endpoints[index], index, proxies)
+            owners = [sum(endpoints[index][i].in_subset for index in range(proxies)) for i in range(11)]
+            self.assertEqual(owners, [1] * 11)
+            sizes = [sum(endpoint.in_subset for endpoint in row) for row in endpoints]
+            self.assertLessEqual(max(sizes) - min(sizes), 2)
+
+
+class WarmUp(unittest.TestCase):
+    def test_an_endpoint_that_warms_up_gets_no_more_than_it_bears_from_all_proxies_together(self) -> None:
+        for proxies, rate, excess, slack in ((12, 3.6, 1.5, 5), (80, 5, 1.5, 8), (2, 19, 1, 2), (1, 1, 1, 0)):
+            senders = warm_up_proxies(rate, excess, slack, proxies)
+            names = [f"f{i}" for i in range(proxies)]
+            ranks = dict(zip(names, range(proxies)))
+            positions = [FleetPosition("a", "r", proxies, ranks, name) for name in names]
+            last_sent_at, sent = dict.fromkeys(names, -NS_PER_S * 9), []
+            for now_ms in range(0, 3000, 5):
+                now = now_ms * NS_PER_S // 1000
+                for position in positions:
+                    if may_warm_up(position, "i-77", rate, last_sent_at[position.name], now, senders):
+                        last_sent_at[position.name] = now
+                        sent.append(now)
+            most = max(sum(at <= other < at + NS_PER_S for other in sent) for at in sent)
+            self.assertLessEqual(most, rate * excess + slack + (not slack), (proxies, rate))
+            self.assertGreater(len(sent), 0)
+
+
+class IdleConnections(unittest.TestCase):
+    def test_idle_connections_of_all_proxies_stay_within_what_an_endpoint_accepts(self) -> None:
+        limit, proxies, longest = 48, 67, 4 * NS_PER_S
+        position = FleetPosition("a", "r", proxies=proxies)
+        for per_s in (0.02, 0.15, 1.0, 6.0):  # of each proxy, to the sole owner of some keys
+            endpoint, now = endpoint_view("e", in_subset=False), 0
+            for _ in range(200):
+                now += int(NS_PER_S / per_s)
+                endpoint.begin_request(now)
+                endpoint.end_request(True, now)
+            connections = proxies * per_s * idle_time_ns(endpoint, position, limit, longest) / NS_PER_S
+            self.assertLessEqual(connections, 0.65 * limit)
+
+    def test_a_proxy_keeps_some_connections_to_the_endpoints_of_its_subset_most_in_its_own_zone(self) -> None:
+        limit, longest = 48, 4 * NS_PER_S
+        position = FleetPosition("a", "r", proxies=67, zones=6)
+        near = endpoint_view("e", pool=ConnectionPool("10.0.0.1:80"))
+        self.assertEqual(idle_time_ns(near, position, limit, longest), longest)
+        self.assertLess(idle_time_ns(near, position, limit, longest, sole_owner=True), longest)
+        far = endpoint_view("e", zone="b", pool=ConnectionPool("10.0.0.1:80"))
+        far.pool.idle = [None] * 2
+        self.assertEqual(idle_time_ns(near, position, limit, longest), longest)
+        self.assertEqual(idle_time_ns(far, position, limit, longest), 0)
+        near.pool.idle = [None] * 15
+        self.assertEqual(idle_time_ns(near, position, limit, longest), 0)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/proxy/test_carry.py
+++ b/tests/proxy/test_carry.py
@@ -17,25 +17,23 @@
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.member_list import Member
+from flintreach.proxy.balancing import NS_PER_S, FleetPosition
 from flintreach.proxy.carry import Carrier
-from flintreach.proxy.choice import SECOND, Here
 from flintreach.proxy.connection import Connection
-from flintreach.proxy.exchange import (
-    ANSWERED,
-    BROKEN,
-    NOT_RUN,
-    TIMEOUT,
-    UNSENT,
-    ExchangeTerms,
-    Outcome,
-    exchange,
-)
+from flintreach.proxy.exchange import ExchangeTerms, Outcome, exchange
 from flintreach.proxy.gate import FIRST, Gate
 from flintreach.proxy.metrics import Metrics
+from flintreach.proxy.outcome import OutcomeKind
 from flintreach.proxy.reply import Message
 from flintreach.proxy.request import Request
 from flintreach.proxy.view import RoutingView
 
+ANSWERED = OutcomeKind.ANSWERED
+UNSENT = OutcomeKind.UNSENT
+NOT_RUN = OutcomeKind.NOT_RUN
+BROKEN = OutcomeKind.BROKEN
+TIMEOUT = OutcomeKind.TIMEOUT
+
 
 def configured(kind="safe", sharded=False, homes=()):
     return msgspec.json.encode(
@@ -66,7 +64,7 @@
 
 
 class Clock:
-    now = SECOND
+    now = NS_PER_S
 
     def __call__(self):
         return self.now
@@ -75,7 +73,7 @@
 def world(config, endpoints, clock=None):
     """A world told by news; `endpoints`: id -> zone."""
     updates, clock = VersionedStore(), clock or Clock()
-    made = RoutingView(updates, Here("n", "r"), {"n": "r", "s": "q"}, clock, TimingBounds())
+    made = RoutingView(updates, FleetPosition("n", "r"), {"n": "r", "s": "q"}, clock, TimingBounds())
     updates.offer("timetable", 1, config)
     for number, (id, zone) in enumerate(endpoints.items()):
         updates.offer(f"hut/{id}", [1, 0], told(zone, number))
@@ -148,7 +146,12 @@
             self.assertEqual(any(name == "Retry-After" for name, _ in answer.headers), again)
 
     def test_a_promise_is_never_given_for_what_may_have_run(self):
-        for row in ([BROKEN, NOT_RUN], [TIMEOUT, NOT_RUN], [NOT_RUN, BROKEN], [UNSENT, TIMEOUT]):
+        for row in (
+            [BROKEN, NOT_RUN],
+            [TIMEOUT, NOT_RUN],
+            [NOT_RUN, BROKEN],
+            [UNSENT, TIMEOUT],
+        ):
             answer, _ = carried(row, "unsafe")
             self.assertNotIn(answer.status, (408, 421, 429, 503), row)
 
@@ -210,7 +213,7 @@
 class Known(unittest.TestCase):
     def able(self, made, key=None):
         route = made.routes.all[0]
-        return sorted(endpoint.id for endpoint in made.able(route, "desk", key, set()))
+        return sorted(endpoint.id for endpoint in made.candidates(route, "desk", key, set()))
 
     def test_who_leaves_or_stands_in_an_evacuated_zone_gets_nothing_more(self):
         made, updates, clock = world(configured(), {"a": "n", "b": "n", "c": "s"})
@@ -239,7 +242,9 @@
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"",
                 "i",
-                ExchangeTerms(time.monotonic_ns() + 9 * SECOND, 1.0, may_go=lambda: made.takes(endpoint)),
+                ExchangeTerms(
+                    time.monotonic_ns() + 9 * NS_PER_S, 1.0, may_go=lambda: made.may_send(endpoint)
+                ),
             )
         self.assertEqual(out.kind, UNSENT)
         self.assertEqual(sent[0].recv(10), b"")
@@ -255,25 +260,25 @@
         self.assertEqual([self.able(made, key) for key in (0, 99, 100, 65535)], [["a"], ["a"], ["b"], ["b"]])
         updates.offer("evac", 1, {"n": True})
         self.assertEqual(self.able(made, 5), ["a"])
-        clock.now += made.evacuation.send_for
+        clock.now += made.evacuation.send_for_ns
         self.assertEqual(self.able(made, 5), [])
         updates.offer("bunks/desk", [1, 2], [[0, 65535, "b", "held"]])
         self.assertEqual(self.able(made, 5), ["b"])
         updates.offer("hut/b", [2, 0], told("s", 1, "closing"))
         self.assertEqual(self.able(made, 5), ["b"])
-        clock.now += made.departure.send_for
+        clock.now += made.departure.send_for_ns
         self.assertEqual(self.able(made, 5), [])
         bounds = TimingBounds()
-        self.assertLess(made.departure.send_for, bounds.last_call_ms * 1e6)
-        self.assertLess(made.evacuation.send_for, bounds.evacuate_ms * 1e6)
+        self.assertLess(made.departure.send_for_ns, bounds.last_call_ms * 1e6)
+        self.assertLess(made.evacuation.send_for_ns, bounds.evacuate_ms * 1e6)
 
     def test_an_evacuated_zone_comes_back_cold(self):
         config = configured().replace(b'"sharded":false', b'"sharded":false,"cold_s":3')
         made, updates, clock = world(config, {"a": "n", "c": "s"})
         updates.offer("evac", 1, {"s": True})
         updates.offer("evac", 2, {"s": False})
-        self.assertEqual(made.endpoints["c"].cold_until, clock.now + 3 * SECOND)
-        self.assertEqual(made.endpoints["a"].cold_until, 0)
+        self.assertEqual(made.endpoints["c"].warming_up_until, clock.now + 3 * NS_PER_S)
+        self.assertIsNone(made.endpoints["a"].warming_up_until)
 
 
 class Controllers(unittest.TestCase):
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -13,8 +13,8 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.carry import Carrier
-from flintreach.proxy.choice import Here
 from flintreach.proxy.lease import ARRIVE_PART, SEND_PART
 from flintreach.proxy.metrics import VIOLATION, Metrics
 from flintreach.proxy.request import Request
@@ -45,7 +45,7 @@
         self.updates, self.addr = VersionedStore(), addr
         self.view = RoutingView(
             self.updates,
-            Here("n", "r"),
+            FleetPosition("n", "r"),
             {"n": "r"},
             lambda: self.now,
             TimingBounds(last_call_ms=last_call_ms),
@@ -67,7 +67,7 @@
 
     def takes(self):
         endpoint = self.view.endpoints.get("e")
-        return endpoint is not None and self.view.takes(endpoint)
+        return endpoint is not None and self.view.may_send(endpoint)
 
 
 class Views(unittest.TestCase):
@@ -107,7 +107,7 @@
     def test_a_sending_after_the_lease_is_counted_when_the_departure_is_heard(self):
         for part, counted in ((ARRIVE_PART - 0.01, 0), (ARRIVE_PART + 0.01, 1)):
             fixture = Fixture()
-            fixture.view.endpoints["e"].went_out_at = fixture.confirmed + int(part * LAST_CALL_MS * MS)
+            fixture.view.endpoints["e"].written_at = fixture.confirmed + int(part * LAST_CALL_MS * MS)
             fixture.tell("closing")
             fixture.tell("gone")
             self.assertEqual(fixture.view.metrics.counts.get(VIOLATION, 0), counted, part)
--- /dev/null
+++ b/tests/proxy/test_endpoint.py
@@ -0,0 +1,34 @@
+"""What a proxy learns of an endpoint from its answers and its failures."""
+
+import unittest
+
+from flintreach.proxy.endpoint import NS_PER_S, EndpointView
+
+
+def endpoint_view(**fields) -> EndpointView:
+    """An endpoint with two requests at a time."""
+    return EndpointView("e", "desk", "10.0.0.1:80", "a", "r", 2, **fields)
+
+
+class EndpointViews(unittest.TestCase):
+    def test_an_endpoint_that_answers_is_usable_whatever_its_heartbeats_say(self) -> None:
+        """Of an incident: heartbeats that one controller alone received made a third of a service silent."""
+        endpoint = endpoint_view(state="silent")
+        now = 10 * NS_PER_S
+        self.assertFalse(endpoint.is_usable(now))
+        endpoint.begin_request(now)
+        endpoint.end_request(True, now)
+        self.assertTrue(endpoint.is_usable(now + NS_PER_S))
+        self.assertFalse(endpoint.is_usable(now + 3 * NS_PER_S))
+
+    def test_a_sole_owner_is_not_ejected_for_long(self) -> None:
+        endpoint = endpoint_view()
+        for _ in range(6):
+            endpoint.record_failure(0, sole_owner=True)
+        self.assertLessEqual(endpoint.ejected_until, NS_PER_S // 4)
+        endpoint.record_failure(0)
+        self.assertGreater(endpoint.ejected_until, 2 * NS_PER_S)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -12,8 +12,8 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.carry import Carrier
-from flintreach.proxy.choice import Here
 from flintreach.proxy.front import Front
 from flintreach.proxy.hedging import LOSER_S
 from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, Metrics
@@ -64,7 +64,7 @@
         bounds = TimingBounds(last_call_ms=600_000, retry_slack=1000)
         self.view = RoutingView(
             self.updates,
-            Here("n", "r"),
+            FleetPosition("n", "r"),
             {"n": "r"},
             time.monotonic_ns,
             bounds,
@@ -117,7 +117,7 @@
         return self.view.endpoints.values()
 
     def under_way(self) -> int:
-        return sum(endpoint.mine for endpoint in self.held())
+        return sum(endpoint.own_requests for endpoint in self.held())
 
 
 def until(good, seconds: float = 5.0) -> bool:
@@ -175,7 +175,12 @@
     def blameless(self) -> bool:
         """Whether nothing bad was learnt of any endpoint, and none is thought to be at work."""
         return all(
-            not (endpoint.strikes or endpoint.shun_until or endpoint.mine or endpoint.since)
+            not (
+                endpoint.consecutive_failures
+                or endpoint.ejected_until
+                or endpoint.own_requests
+                or endpoint.unanswered_since
+            )
             for endpoint in self.site.held()
         )
 
@@ -278,7 +283,7 @@
             self.assertTrue(self.settled())
         self.assertTrue(self.blameless())
         self.assertEqual(self.site.carrier.work, work)
-        self.assertEqual(sum(self.site.carrier.budget("desk").again), 0)
+        self.assertEqual(sum(self.site.carrier.budget("desk").retries), 0)
         self.assertEqual(len(self.site.broken_off()), 2)
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
