--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -1,4 +1,9 @@
-"""One try of a request at one endpoint, and what it tells of the endpoint."""
+"""One attempt of a request at one endpoint, and what it tells of the endpoint.
+
+`forwarding` makes attempts; each is an `exchange` under the lease terms of `view`.
+
+Times are nanoseconds of this process's steady clock, unless a name ends in `_s`.
+"""
 
 import time
 
@@ -6,111 +11,151 @@
 
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.balancing import EJECTION_FULL_NS, idle_time_ns
-from flintreach.proxy.connection import IDLE
+from flintreach.proxy.connection import IDLE_LIMIT_NS
 from flintreach.proxy.endpoint import EndpointView
-from flintreach.proxy.exchange import ExchangeTerms, Outcome, exchange
+from flintreach.proxy.exchange import MISDIRECTED_REQUEST, ExchangeTerms, Outcome, exchange
+from flintreach.proxy.health_check import HealthChecker, announces_no_departure
 from flintreach.proxy.metrics import (
     ABANDONED,
+    AT_CONNECTION_LIMIT,
     LATE_ABANDON,
+    RECALLED,
     SEND_TIME,
     SENT_FOR_NOBODY,
+    UNCONFIRMED,
     VIEW_AGE,
     WORK_FOR_NOBODY,
     Metrics,
 )
 from flintreach.proxy.outcome import OutcomeKind
-from flintreach.proxy.presence import Presence, stays
-from flintreach.proxy.reply import number
 from flintreach.proxy.request import Request, endpoint_head
+from flintreach.proxy.response import Response, parse_count
 from flintreach.proxy.view import RoutingView
 
-MS, SECOND = 1_000_000, 1_000_000_000
-CONNECT_S = 0.6
-ABANDON_WITHIN = SECOND // 2  # of its client's end no repeatable request is at work any more
-MISDIRECTED_FOR, REFUSED_FOR = (
-    300 * MS,
-    50 * MS,
-)  # out of use: it isn't the one, or does not hold the key; busy
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+
+# How long a connection to an endpoint may take to be set up.
+CONNECT_TIMEOUT_S = 0.6
+
+# So soon after its client has left no idempotent request is at work any more.
+ABANDON_WITHIN_NS = NS_PER_S // 2
+
+# Out of use for so long: an endpoint that isn't the one at its address, or does not own the key.
+EJECTION_MISDIRECTED_NS = 300 * NS_PER_MS
+
+# Out of use for so long: an endpoint that refused a request, being busy.
+EJECTION_REFUSED_NS = 50 * NS_PER_MS
 
 
 class EndpointClient:
-    """Sends requests to endpoints.  `work`: service -> how long its requests take, smoothed (ns)."""
+    """Makes attempts at endpoints, and learns from them.
+
+    Args:
+        view: leases on endpoints, and their services.
+        metrics: where attempts are counted.
+        load_aggregate: where loads are reported upwards.
+
+    Attributes:
+        usual_work_ns: service -> how long its requests take, smoothed.
+    """
+
+    def __init__(self, view: RoutingView, metrics: Metrics, load_aggregate: LoadAggregate) -> None:
+        self.view = view
+        self.metrics = metrics
+        self.load_aggregate = load_aggregate
+        self.health_checker = HealthChecker(view, metrics)
+        self.usual_work_ns: dict[str, int] = {}
 
-    def __init__(self, view: RoutingView, metrics: Metrics, load_aggregate: LoadAggregate):
-        self.view, self.metrics, self.load_aggregate = view, metrics, load_aggregate
-        self.presence = Presence(view, metrics)
-        self.work: dict[str, int] = {}
+    def attempt(self, request: Request, service: str, endpoint: EndpointView, deadline: int) -> Outcome:
+        """Send a request to one endpoint.
 
-    def attempt(self, request: Request, service: str, endpoint: EndpointView, until: int) -> Outcome:
-        """Send a request to one endpoint; nobody waits after `until` (steady ns).
+        Args:
+            request: the request.
+            service: the endpoint's service.
+            endpoint: whom it is for.
+            deadline: nobody waits for the answer after that.
 
-        Raises ClientLeft where its client has left before anything went out.
+        Raises:
+            ClientLeft: its client has left before anything went out.
         """
-        if not self.presence.confirmed(endpoint, until):
-            self.metrics.count("unconfirmed")
+        if not self.health_checker.confirm(endpoint, deadline):
+            self.metrics.count(UNCONFIRMED)
             endpoint.record_failure(time.monotonic_ns(), self.view.is_sharded(service))
             return Outcome(OutcomeKind.UNSENT)
-        now = time.monotonic_ns()
-        if endpoint.is_warming_up(now):
-            endpoint.warm_up_sent_at = now
-        endpoint.begin_request(now)
-        outcome = None
+        began_at = time.monotonic_ns()
+        if endpoint.is_warming_up(began_at):
+            endpoint.warm_up_sent_at = began_at
+        endpoint.begin_request(began_at)
+        outcome: Outcome | None = None
         try:
-            head = endpoint_head(request, endpoint.id, until - now)
-            id = request.low.get("x-try-id", "")
-            terms = self.terms(request, service, endpoint, until, now)
-            outcome = exchange(endpoint.pool, head, request.body, id, terms, request.connections)
-            if outcome.kind == OutcomeKind.ANSWERED and stays(outcome.message):
-                endpoint.confirm_present(now)
+            outcome = self.send(request, service, endpoint, deadline, began_at)
             return outcome
         except gevent.GreenletExit:
             self.metrics.count(ABANDONED)
             raise
         finally:
-            after = time.monotonic_ns()
-            self.note_work_for_nobody(request, now, after)
-            endpoint.end_request(outcome is not None and outcome.message is not None, after)
+            ended_at = time.monotonic_ns()
+            self.record_work_for_nobody(request, began_at, ended_at)
+            endpoint.end_request(outcome is not None and outcome.response is not None, ended_at)
             if outcome is not None:
-                self.judge(endpoint, service, outcome, after, after - now)
+                self.learn(endpoint, service, outcome, ended_at, ended_at - began_at)
+
+    def send(
+        self, request: Request, service: str, endpoint: EndpointView, deadline: int, began_at: int
+    ) -> Outcome:
+        """Run the exchange of an attempt; a good answer renews the endpoint's lease."""
+        head = endpoint_head(request, endpoint.id, deadline - began_at)
+        request_id = request.by_name.get("x-try-id", "")
+        terms = self.terms(request, service, endpoint, deadline, began_at)
+        outcome = exchange(endpoint.pool, head, request.body, request_id, terms, request.connections)
+        if outcome.kind == OutcomeKind.ANSWERED and announces_no_departure(outcome.response):
+            endpoint.confirm_present(began_at)
+        return outcome
 
     def terms(
-        self, request: Request, service: str, endpoint: EndpointView, until: int, now: int
+        self, request: Request, service: str, endpoint: EndpointView, deadline: int, began_at: int
     ) -> ExchangeTerms:
-        idle, service_config = IDLE, self.view.routes.service_configs.get(service)
+        """What binds the exchange of an attempt."""
+        idle_limit_ns = IDLE_LIMIT_NS
+        service_config = self.view.routes.service_configs.get(service)
         if service_config:
-            idle = idle_time_ns(
-                endpoint, self.view.position, service_config.berth_cap, IDLE, service_config.sharded
+            idle_limit_ns = idle_time_ns(
+                endpoint, self.view.position, service_config.berth_cap, IDLE_LIMIT_NS, service_config.sharded
             )
         return ExchangeTerms(
-            until,
-            CONNECT_S,
-            idle,
-            lambda: self.may_go(request, endpoint),
-            lambda: self.went_out(request, endpoint, now),
-            lambda: self.view.arrive_by(endpoint),
+            deadline,
+            CONNECT_TIMEOUT_S,
+            idle_limit_ns,
+            may_send=lambda: self.may_send(request, endpoint),
+            on_written=lambda: self.record_written(request, endpoint, began_at),
+            arrive_by=lambda: self.view.arrive_by(endpoint),
         )
 
-    def may_go(self, request: Request, endpoint: EndpointView) -> bool:
-        """Asked last: whether a request may go out.  Raises ClientLeft where nobody waits for it.
+    def may_send(self, request: Request, endpoint: EndpointView) -> bool:
+        """Asked last: whether a request may be sent.
 
         The kernel is asked, as this process may have stood still since the event loop last told of anything.
+
+        Raises:
+            ClientLeft: nobody waits for the answer any more.
         """
-        request.caller.look()
-        request.caller.check()
+        request.caller.poll()
+        request.caller.raise_if_left()
         return self.view.may_send(endpoint)
 
-    def note_work_for_nobody(self, request: Request, began: int, ended: int) -> None:
-        """Tell for how long a try of a repeatable request went on after its client had left."""
+    def record_work_for_nobody(self, request: Request, began_at: int, ended_at: int) -> None:
+        """Record for how long an attempt of an idempotent request went on after its client had left."""
         left_at = request.caller.left_at
-        if left_at is None or not request.repeatable:
+        if left_at is None or not request.idempotent:
             return
-        time_for_nobody = ended - max(began, left_at)
-        self.metrics.observe(WORK_FOR_NOBODY, time_for_nobody)
-        if time_for_nobody > ABANDON_WITHIN:
+        wasted_ns = ended_at - max(began_at, left_at)
+        self.metrics.observe(WORK_FOR_NOBODY, wasted_ns)
+        if wasted_ns > ABANDON_WITHIN_NS:
             self.metrics.count(LATE_ABANDON)
 
-    def went_out(self, request: Request, endpoint: EndpointView, chosen_at: int) -> None:
-        """The kernel has taken a whole request to an endpoint that was chosen at `chosen_at` (ns)."""
+    def record_written(self, request: Request, endpoint: EndpointView, chosen_at: int) -> None:
+        """Record that the kernel has taken a whole request to an endpoint that was chosen at `chosen_at`."""
         now = time.monotonic_ns()
         endpoint.written_at = now
         left_at = request.caller.left_at
@@ -119,31 +164,49 @@
         self.metrics.observe(SEND_TIME, now - chosen_at)
         self.metrics.observe(VIEW_AGE, now - self.view.confirmed_at())
 
-    def judge(self, endpoint: EndpointView, service: str, outcome: Outcome, now: int, took: int) -> None:
-        """Learn from an outcome that came at `now`, `took` nanoseconds after the endpoint was chosen."""
-        message = outcome.message
-        if message is not None:
-            load = [number(part.strip()) for part in (message.get("x-endpoint-load") or "").split(",")]
-            if len(load) == 3 and None not in load:
-                endpoint.report_load(load[0], load[1], now)
-                self.load_aggregate.told(endpoint.id, (load[0] + load[1]) / endpoint.concurrency_limit)
+    def learn(self, endpoint: EndpointView, service: str, outcome: Outcome, now: int, took_ns: int) -> None:
+        """Learn from an outcome.
+
+        Args:
+            endpoint: whose it is.
+            service: the endpoint's service.
+            outcome: what came of the attempt.
+            now: when it came.
+            took_ns: how long after the endpoint was chosen.
+        """
+        if outcome.response is not None:
+            self.learn_load(endpoint, outcome.response, now)
         if outcome.kind == OutcomeKind.ANSWERED:
-            endpoint.record_success()
-            if self.view.is_sharded(service):
-                self.load_aggregate.answer(service, len(message.body))
-            self.work[service] = (7 * self.work.get(service, took) + took) // 8
+            self.learn_success(endpoint, service, outcome.response, took_ns)
         elif outcome.kind == OutcomeKind.NOT_RUN:
-            if message.status == 421:
-                endpoint.eject_until(now + MISDIRECTED_FOR)
-            else:
-                endpoint.eject_until(now + REFUSED_FOR)
+            misdirected = outcome.response.status == MISDIRECTED_REQUEST
+            endpoint.eject_until(now + (EJECTION_MISDIRECTED_NS if misdirected else EJECTION_REFUSED_NS))
         elif outcome.recalled:
-            self.metrics.count("recalled")
+            self.metrics.count(RECALLED)
             endpoint.record_failure(now, self.view.is_sharded(service))
-        elif outcome.full:
+        elif outcome.at_connection_limit:
             endpoint.eject_until(now + EJECTION_FULL_NS)
-            self.metrics.count("full")
+            self.metrics.count(AT_CONNECTION_LIMIT)
         else:
-            endpoint.record_failure(now, self.view.is_sharded(service) and not outcome.dark)
-            if outcome.dark:  # its idle connections are as dead
-                endpoint.pool.close()
+            # A machine that gives no sign is left for long, even if it alone owns its keys.
+            endpoint.record_failure(now, self.view.is_sharded(service) and not outcome.unreachable)
+            if outcome.unreachable:
+                endpoint.pool.close()  # its idle connections are as dead
+
+    def learn_load(self, endpoint: EndpointView, response: Response, now: int) -> None:
+        """Take in the load that an endpoint reports: requests at work, in its queue, and a third count."""
+        fields = (response.get("x-endpoint-load") or "").split(",")
+        counts = [parse_count(text.strip()) for text in fields]
+        if len(counts) != 3 or None in counts:
+            return
+        running, waiting, _ = counts
+        endpoint.report_load(running, waiting, now)
+        self.load_aggregate.told(endpoint.id, (running + waiting) / endpoint.concurrency_limit)
+
+    def learn_success(self, endpoint: EndpointView, service: str, response: Response, took_ns: int) -> None:
+        """Take in an answer: the endpoint is healthy, and its service takes so long."""
+        endpoint.record_success()
+        if self.view.is_sharded(service):
+            self.load_aggregate.answer(service, len(response.body))
+        usual_ns = self.usual_work_ns.get(service, took_ns)
+        self.usual_work_ns[service] = (7 * usual_ns + took_ns) // 8
--- a/flintreach/proxy/balancing.py
+++ b/flintreach/proxy/balancing.py
@@ -1,7 +1,7 @@
 """Load balancing: which endpoint gets an attempt, and how long connections and answers are waited for.  Pure.
 
 Nothing here reads a clock, a socket or a name of a deployment.  `view` lists the endpoints that may serve a
-request, `carry` asks for one of them.
+request, `forwarding` asks for one of them.
 
 Times are nanoseconds of this process's steady clock.
 """
--- a/flintreach/proxy/caller.py
+++ b/flintreach/proxy/caller.py
@@ -12,26 +12,40 @@
 
 from gevent import get_hub, socket
 
-READABLE = 1  # libev's event mask for a descriptor that can be read
-ALIVE_IDLE_S, ALIVE_INTERVAL_S, ALIVE_PROBES = 2, 1, 3  # a client's machine is gone after 5 s without a sign
+# libev's event mask for a descriptor that can be read.
+EV_READ = 1
+
+# A client's machine counts as gone after 5 s without a sign.
+KEEP_ALIVE_IDLE_S = 2
+KEEP_ALIVE_INTERVAL_S = 1
+KEEP_ALIVE_PROBES = 3
 
 
 class ClientLeft(ConnectionError):
     """Nobody waits any more for the answer to a request."""
 
 
+def ask_nobody() -> None:
+    """For a caller whose connection no monitor watches."""
+
+
 class Caller:
-    """The client of one connection.  `left_at`: steady nanoseconds when it was seen to have left; `look()`:
-    asks the kernel now, not when the event loop comes to it."""
+    """The client of one connection.
+
+    Attributes:
+        left_at: steady clock, in nanoseconds, when it was seen to have left; None while it is there.
+        poll: asks the kernel now, not when the event loop comes to it.
+        wakers: called when it leaves.
+    """
 
-    __slots__ = ("left_at", "look", "wakers")
+    __slots__ = ("left_at", "poll", "wakers")
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.left_at: int | None = None
-        self.look: Callable[[], None] = lambda: None
+        self.poll: Callable[[], None] = ask_nobody
         self.wakers: list[Callable[[], None]] = []
 
-    def leave(self) -> None:
+    def mark_left(self) -> None:
         """Note that the client has left, and wake all that is done for it."""
         if self.left_at is not None:
             return
@@ -39,15 +53,23 @@
         for wake in [*self.wakers]:
             wake()
 
-    def check(self) -> None:
-        """Raises ClientLeft once nobody waits."""
+    def raise_if_left(self) -> None:
+        """Return if the client still waits.
+
+        Raises:
+            ClientLeft: it does not.
+        """
         if self.left_at is not None:
             raise ClientLeft
 
     @contextmanager
     def waking(self, wake: Callable[[], None]) -> Iterator[None]:
-        """Call `wake` when the client leaves while the body runs.  Raises ClientLeft if it has left."""
-        self.check()
+        """Call `wake` when the client leaves while the body runs.
+
+        Raises:
+            ClientLeft: it has left already.
+        """
+        self.raise_if_left()
         self.wakers.append(wake)
         try:
             yield
@@ -58,35 +80,42 @@
 class HangupMonitor:
     """One epoll instance for the connections of all clients; it is itself watched by the event loop."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.epoll = select.epoll()
         self.callers: dict[int, Caller] = {}  # descriptor -> its client
-        self.watcher = get_hub().loop.io(self.epoll.fileno(), READABLE)
+        self.watcher = get_hub().loop.io(self.epoll.fileno(), EV_READ)
         self.watcher.start(self.collect)
 
     def add(self, sock: socket.socket, caller: Caller) -> None:
-        """Watch a connection.  Raises OSError where it has ended already."""
+        """Watch a connection.
+
+        Raises:
+            OSError: it has ended already.
+        """
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, ALIVE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, ALIVE_INTERVAL_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, ALIVE_PROBES)
-        number = sock.fileno()
-        self.callers[number], caller.look = caller, self.collect
-        self.epoll.register(number, select.EPOLLRDHUP | select.EPOLLET)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+        descriptor = sock.fileno()
+        self.callers[descriptor] = caller
+        caller.poll = self.collect
+        self.epoll.register(descriptor, select.EPOLLRDHUP | select.EPOLLET)
 
     def remove(self, sock: socket.socket) -> None:
         """Forget a connection; it must still be open, or never have been added."""
-        number = sock.fileno()
-        if self.callers.pop(number, None) is not None:
-            self.epoll.unregister(number)
+        descriptor = sock.fileno()
+        if self.callers.pop(descriptor, None) is not None:
+            self.epoll.unregister(descriptor)
 
     def collect(self) -> None:
-        """Tell the callers whose connections have ended; called by the event loop, and before a sending."""
-        for number, _ in self.epoll.poll(0):
-            if (caller := self.callers.get(number)) is not None:
-                caller.leave()
+        """Tell the callers whose connections have ended; called by the event loop, or to know at once."""
+        for descriptor, _ in self.epoll.poll(0):
+            caller = self.callers.get(descriptor)
+            if caller is not None:
+                caller.mark_left()
 
     def close(self) -> None:
+        """Watch nothing any more."""
         self.watcher.stop()
         self.watcher.close()
         self.epoll.close()
--- a/flintreach/proxy/connection.py
+++ b/flintreach/proxy/connection.py
@@ -1,32 +1,62 @@
-"""Connections to one endpoint: how they come up, lie idle, are used again and end."""
+"""Connections to one endpoint: how they are set up, lie idle, are reused and end.
+
+`exchange` takes them from a pool for one request each, and puts them back.
+"""
 
 import fcntl
 import termios
 import time
 from array import array
+from collections.abc import Collection
 
 from gevent import socket
 
 from flintreach.config.settings import place
-from flintreach.proxy.reply import number
+from flintreach.proxy.response import Response, parse_count
 from flintreach.transport.peer_connection import RESET
 
-IDLE = 4_000_000_000  # ns that a connection may lie idle when the endpoint tells nothing
-MUTE_MS = 1200  # without a sign from the machine's kernel for so long, a connection is dead
-LOOK_S = 0.003  # seconds for which a fresh connection is looked at: an endpoint that has too many resets it
+NS_PER_S = 1_000_000_000
+
+# How long a connection may lie idle when the endpoint tells nothing.
+IDLE_LIMIT_NS = 4 * NS_PER_S
+
+# Taken off the time that an endpoint tells in `Keep-Alive`, for a request that is on its way meanwhile.
+KEEP_ALIVE_MARGIN_NS = NS_PER_S
+
+# Without a sign from the endpoint's machine for so long, a connection is dead: while data are unacknowledged
+# (TCP_USER_TIMEOUT), and while there are none (keep-alive probes; see tcp(7)).
+USER_TIMEOUT_MS = 1200
+KEEP_ALIVE_IDLE_S = 1
+KEEP_ALIVE_INTERVAL_S = 1
+KEEP_ALIVE_PROBES = 2
+
+# For so long a fresh connection is looked at: an endpoint that has too many of them resets it.
+RESET_LOOK_S = 0.003
 
 
 class Connection:
-    """One connection to an endpoint."""
+    """One connection to an endpoint.
 
-    __slots__ = ("sock", "idle_at", "keep")
+    Attributes:
+        sock: its socket, in blocking mode.
+        idle_since: steady clock, in nanoseconds, when it was put back into its pool.
+        idle_limit_ns: how long it may lie idle.
+    """
 
-    def __init__(self, sock):
-        self.sock, self.idle_at, self.keep = sock, 0, IDLE
+    __slots__ = ("sock", "idle_since", "idle_limit_ns")
 
-    def usable(self, now: int) -> bool:
-        """Nobody has closed it, nothing lies on it unread, and it has not been idle for too long."""
-        if now - self.idle_at > self.keep:
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        self.idle_since = 0
+        self.idle_limit_ns = IDLE_LIMIT_NS
+
+    def is_expired(self, now_ns: int) -> bool:
+        """Whether it has been idle for too long."""
+        return now_ns - self.idle_since > self.idle_limit_ns
+
+    def is_usable(self, now_ns: int) -> bool:
+        """Whether nobody has closed it, nothing lies on it unread, and it has not been idle for too long."""
+        if self.is_expired(now_ns):
             return False
         try:
             self.sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -36,16 +66,16 @@
         except OSError:
             return False
 
-    def unacknowledged(self) -> int:
+    def unacknowledged_bytes(self) -> int:
         """Bytes that the peer's machine has not acknowledged yet (SIOCOUTQ, see tcp(7)); 0 once it ended."""
-        waiting = array("i", [0])
+        count = array("i", [0])
         try:
-            fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, waiting)
+            fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, count)
         except (OSError, ValueError):
             return 0
-        return waiting[0]
+        return count[0]
 
-    def drop(self) -> None:
+    def reset(self) -> None:
         """End it at once: what still waits to be sent must not arrive later."""
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -55,76 +85,101 @@
 
 
 class ConnectionPool:
-    """Idle connections to one endpoint; the one used last is used first."""
+    """Idle connections to one endpoint; the one used last is used first.
+
+    Args:
+        address: the endpoint's, "host:port".
+    """
 
-    def __init__(self, addr: str):
-        self.address, self.idle = place(addr), []
+    def __init__(self, address: str) -> None:
+        self.address: tuple[str, int] = place(address)
+        self.idle: list[Connection] = []
 
-    def connect(self, timeout: float) -> Connection:
-        """A fresh connection.  Raises OSError where none comes up within `timeout` seconds."""
+    def connect(self, timeout_s: float) -> Connection:
+        """A fresh connection.
+
+        Raises:
+            OSError: none came up within `timeout_s`.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            sock.settimeout(timeout)
+            sock.settimeout(timeout_s)
             sock.connect(self.address)
-        except BaseException:  # also where the one that waits for it is ended
+        except BaseException:  # also where the greenlet that waits for it is ended
             sock.close()
             raise
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MUTE_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
         return Connection(sock)
 
-    def take(self, but=()) -> Connection | None:
-        """An idle connection that is well, none of `but`; None where there is none."""
-        now, aside = time.monotonic_ns(), [connection for connection in self.idle if connection in but]
-        self.idle = [connection for connection in self.idle if connection not in but] if aside else self.idle
+    def take(self, excluded: Collection[Connection] = ()) -> Connection | None:
+        """An idle connection that can be used, none of `excluded`; None where there is none."""
+        now_ns = time.monotonic_ns()
+        set_aside = [connection for connection in self.idle if connection in excluded]
+        if set_aside:
+            self.idle = [connection for connection in self.idle if connection not in excluded]
         try:
             while self.idle:
                 connection = self.idle.pop()
-                if connection.usable(now):
+                if connection.is_usable(now_ns):
                     return connection
-                connection.drop()
+                connection.reset()
             return None
         finally:
-            self.idle += aside
-
-    def put(self, connection: Connection, message, most: int) -> None:
-        """Keep a connection for later, `most` nanoseconds at the longest."""
-        told = message.get("keep-alive") or ""
-        connection.idle_at, connection.keep = time.monotonic_ns(), min(IDLE, most)
-        for part in told.split(","):
-            name, _, value = part.strip().partition("=")
-            if name.lower() == "timeout" and (seconds := number(value)) is not None:
-                connection.keep = min(connection.keep, max(0, seconds * 1_000_000_000 - 1_000_000_000))
-        if connection.keep > 0:
+            self.idle += set_aside
+
+    def put(self, connection: Connection, response: Response, longest_ns: int) -> None:
+        """Keep a connection for later.
+
+        Args:
+            connection: it has just brought `response`.
+            response: its `Keep-Alive` header may tell how long the endpoint keeps the connection
+                (RFC 2068, section 19.7.1).
+            longest_ns: how long it may lie idle at most.
+        """
+        connection.idle_since = time.monotonic_ns()
+        connection.idle_limit_ns = min(IDLE_LIMIT_NS, longest_ns)
+        for parameter in (response.get("keep-alive") or "").split(","):
+            name, _, value = parameter.strip().partition("=")
+            if name.lower() != "timeout":
+                continue
+            timeout_s = parse_count(value)
+            if timeout_s is not None:
+                kept_ns = max(0, timeout_s * NS_PER_S - KEEP_ALIVE_MARGIN_NS)
+                connection.idle_limit_ns = min(connection.idle_limit_ns, kept_ns)
+        if connection.idle_limit_ns > 0:
             self.idle.append(connection)
         else:
-            connection.drop()
+            connection.reset()
 
-    def prune(self, now: int) -> None:
+    def prune(self, now_ns: int) -> None:
         """End connections that have lain idle too long: they count against what their endpoint accepts."""
-        for connection in [
-            connection for connection in self.idle if now - connection.idle_at > connection.keep
-        ]:
+        expired = [connection for connection in self.idle if connection.is_expired(now_ns)]
+        for connection in expired:
             self.idle.remove(connection)
-            connection.drop()
+            connection.reset()
 
     def close(self) -> None:
+        """End all idle connections."""
         while self.idle:
-            self.idle.pop().drop()
+            self.idle.pop().reset()
+
 
+def was_rejected(connection: Connection) -> bool:
+    """Whether a fresh connection was ended at once: then nothing was sent on it, and nothing has run.
 
-def turned_away(connection: Connection) -> bool:
-    """Whether a fresh connection was ended at once: then nothing was sent on it, and nothing has run."""
+    Where the waiting greenlet is ended, the connection is too.
+    """
     try:
-        socket.wait_read(connection.sock.fileno(), timeout=LOOK_S)
+        socket.wait_read(connection.sock.fileno(), timeout=RESET_LOOK_S)
     except (OSError, TimeoutError):
         return False
     except BaseException:
-        connection.drop()
+        connection.reset()
         raise
-    return True  # bytes before any request are no answer either
+    return True  # bytes before any request are no response either
--- a/flintreach/proxy/metrics.py
+++ b/flintreach/proxy/metrics.py
@@ -1,20 +1,52 @@
 """Counters and histograms of one proxy, and their text in the Prometheus exposition format (0.0.4).  Pure.
 
-Source of the format: Prometheus, "Exposition formats", text-based format.  Durations are taken in nanoseconds
-and told in seconds.
+The names stay: operators' dashboards and alerts hold on to them.  Durations are taken in nanoseconds and
+exposed in seconds.
+
+Source of the format: Prometheus, "Exposition formats", text-based format.
 """
 
 from bisect import bisect_left
 
-NANOSECONDS = 1_000_000_000
+NS_PER_S = 1_000_000_000
+
+# Upper bounds of the histograms' buckets.
 BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
+
 PREFIX = "flintreach_proxy_"
 
-# Counters that others read.
-VIOLATION = "sent after departure"  # must stay 0: a request went out when its endpoint's lease was over
-SENT_FOR_NOBODY = "sent after client left"  # must stay 0: a request went out though its client had left
-LATE_ABANDON = "worked on after client left"  # must stay 0: a repeatable request that was not broken off soon
-CLIENT_LEFT, ABANDONED = "client left", "abandoned"  # requests without a client; tries that were broken off
+# Counters.  The kinds of outcomes (`outcome.OutcomeKind`) are counters too.
+
+# Must stay 0: a request went out when its endpoint's lease was over.
+VIOLATION = "sent after departure"
+# Must stay 0: a request went out though its client had left.
+SENT_FOR_NOBODY = "sent after client left"
+# Must stay 0: an idempotent request was not cancelled soon after its client had left.
+LATE_ABANDON = "worked on after client left"
+# Requests whose client left before the answer.
+CLIENT_LEFT = "client left"
+# Attempts that were cancelled.
+ABANDONED = "abandoned"
+# Requests that no route matches.
+NO_ROUTE = "no_route"
+# Large answers that did not get their turn on the link in time.
+NO_TURN = "no turn"
+# Requests for which there was no endpoint (any more).
+NO_ENDPOINT = "nowhere"
+# Requests that were not retried because the budget was used up.
+BUDGET_EXHAUSTED = "budget"
+# Retries.
+RETRIES = "again"
+# Hedged requests.
+HEDGED_REQUESTS = "beside"
+# Health checks that were sent because a lease was over.
+HEALTH_CHECKS = "asked for presence"
+# Attempts that were not sent because the endpoint's lease was over and no health check renewed it.
+UNCONFIRMED = "unconfirmed"
+# Attempts whose bytes were taken back, since they would have arrived too late.
+RECALLED = "recalled"
+# Attempts that found the endpoint with all the connections that it takes.
+AT_CONNECTION_LIMIT = "full"
 
 # Histograms, with what each of them tells.
 VIEW_AGE = "view_age_at_send_seconds"
@@ -30,52 +62,69 @@
 
 
 class Histogram:
-    """Cumulative buckets, the sum and the greatest value of some durations."""
+    """Counts by bucket, the sum and the greatest value of some durations."""
 
-    __slots__ = ("counts", "total", "greatest")
+    __slots__ = ("counts", "total_ns", "greatest_ns")
 
-    def __init__(self):
-        self.counts, self.total, self.greatest = [0] * (len(BUCKETS_S) + 1), 0, 0
+    def __init__(self) -> None:
+        self.counts = [0] * (len(BUCKETS_S) + 1)
+        self.total_ns = 0
+        self.greatest_ns = 0
 
-    def observe(self, duration: int) -> None:
-        self.counts[bisect_left(BUCKETS_S, duration / NANOSECONDS)] += 1
-        self.total += duration
-        self.greatest = max(self.greatest, duration)
+    def observe(self, duration_ns: int) -> None:
+        """Add one duration."""
+        self.counts[bisect_left(BUCKETS_S, duration_ns / NS_PER_S)] += 1
+        self.total_ns += duration_ns
+        self.greatest_ns = max(self.greatest_ns, duration_ns)
 
     def lines(self, name: str) -> list[str]:
-        found, below = [], 0
+        """Its samples in the exposition format, where buckets are cumulative."""
+        lines = []
+        cumulative = 0
         for bound, count in zip((*BUCKETS_S, "+Inf"), self.counts):
-            below += count
-            found.append(f'{name}_bucket{{le="{bound}"}} {below}')
-        return [*found, f"{name}_sum {self.total / NANOSECONDS:.6f}", f"{name}_count {below}"]
+            cumulative += count
+            lines.append(f'{name}_bucket{{le="{bound}"}} {cumulative}')
+        lines.append(f"{name}_sum {self.total_ns / NS_PER_S:.6f}")
+        lines.append(f"{name}_count {cumulative}")
+        return lines
 
 
 class Metrics:
-    """`counts`: name of an event -> how often it happened."""
+    """All figures of one proxy.
+
+    Attributes:
+        counts: name of a counter -> how often it was counted.
+        histograms: name -> histogram.
+    """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.counts: dict[str, int] = {}
         self.histograms = {name: Histogram() for name in HELP}
 
     def count(self, name: str) -> None:
+        """Add one to a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def observe(self, name: str, duration: int) -> None:
-        """Add one duration (ns) to a histogram."""
-        self.histograms[name].observe(duration)
+    def observe(self, name: str, duration_ns: int) -> None:
+        """Add one duration to a histogram."""
+        self.histograms[name].observe(duration_ns)
 
     def greatest(self) -> dict[str, float]:
-        """Histogram -> its greatest value in seconds."""
-        return {name: round(h.greatest / NANOSECONDS, 3) for name, h in self.histograms.items()}
+        """Name of each histogram -> its greatest value in seconds."""
+        return {
+            name: round(histogram.greatest_ns / NS_PER_S, 3) for name, histogram in self.histograms.items()
+        }
 
     def text(self) -> str:
         """All figures in the exposition format."""
         lines = []
         for name, count in sorted(self.counts.items()):
-            full = f"{PREFIX}{name.replace(' ', '_')}_total"
-            lines += [f"# TYPE {full} counter", f"{full} {count}"]
+            metric = f"{PREFIX}{name.replace(' ', '_')}_total"
+            lines += [f"# TYPE {metric} counter", f"{metric} {count}"]
         for name, histogram in self.histograms.items():
-            full = PREFIX + name
-            lines += [f"# HELP {full} {HELP[name]}", f"# TYPE {full} histogram", *histogram.lines(full)]
-            lines += [f"# TYPE {full}_max gauge", f"{full}_max {histogram.greatest / NANOSECONDS:.6f}"]
+            metric = PREFIX + name
+            lines += [f"# HELP {metric} {HELP[name]}", f"# TYPE {metric} histogram"]
+            lines += histogram.lines(metric)
+            greatest_s = histogram.greatest_ns / NS_PER_S
+            lines += [f"# TYPE {metric}_max gauge", f"{metric}_max {greatest_s:.6f}"]
         return "\n".join([*lines, ""])
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -1,8 +1,14 @@
-"""`flintreach proxy`: one process on a machine that clients reach."""
+"""`flintreach proxy`: one process on a machine that clients reach.
+
+It follows the controllers' updates (`view`), forwards clients' requests (`client_listener`, `forwarding`),
+and reports loads to the controllers.
+"""
 
 import signal
 import sys
 import time
+from collections.abc import Callable
+from typing import Any
 
 import gevent
 from gevent import pywsgi
@@ -19,25 +25,58 @@
 from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
 from flintreach.proxy.balancing import FleetPosition, SubsetIndex
-from flintreach.proxy.carry import Carrier
-from flintreach.proxy.front import Front
+from flintreach.proxy.client_listener import ClientListener
+from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.transport.peer_pool import PeerPool
 
-POST, REFUGE_POST = 1, 0  # places of the programs in the spare ports
-TALLY_S, LEAVE_S, PRUNE_S = 1.0, 1.0, 0.4
-SECOND = 1_000_000_000
-METRICS_PATH = "/metrics"  # at the `ready` address
-ROLE = "bothy"  # the role's name on the wire between instances, also of earlier texts
+NS_PER_S = 1_000_000_000
+MS_PER_S = 1000
+
+# Places of the programs in a machine's spare ports.
+PROXY_PORT_INDEX = 1
+CONTROLLER_PORT_INDEX = 0
+
+# Names of this process's ports in the settings.
+CLIENT_PORT = "front"
+READY_PORT = "ready"
+
+# Roles' names on the wire between instances, as earlier releases wrote them.
+ROLE = "bothy"
+CONTROLLER_ROLE = "refuge"
+
+# State of a member that has left, on the same wire.
+LEFT_STATE = 3
+
+LOAD_REPORT_INTERVAL_S = 1.0
+PRUNE_INTERVAL_S = 0.4
+
+# Before clients come, updates must be as fresh.
+FRESH_WITHIN_S = 1.0
+READY_LOOK_INTERVAL_S = 0.05
+
+# For so long the draining proxy still accepts connections: clients learn late that it is not ready.
+DRAIN_NOTICE_S = 1.0
+DRAIN_LOOK_INTERVAL_S = 0.05
+
+# Of the time that the rules give a draining process, for what comes after the last answer.
+DRAIN_MARGIN_S = 0.7
+
+# At the address of the `ready` port.
+METRICS_PATH = "/metrics"
 
 
 class Proxy:
-    def __init__(self, node: settings.ProcessSettings):
-        self.node, me = node, node.sender
-        address = node.inner(POST)
-        self.peer_pool, self.updates = PeerPool(address), VersionedStore(time.monotonic)
-        self.position = FleetPosition(me.zone, me.region, name=me.node_name)
+    """The proxy's process: its parts, and the order in which they start and stop."""
+
+    def __init__(self, node: settings.ProcessSettings) -> None:
+        self.node = node
+        sender = node.sender
+        address = node.inner(PROXY_PORT_INDEX)
+        self.peer_pool = PeerPool(address)
+        self.updates = VersionedStore(time.monotonic)
+        self.position = FleetPosition(sender.zone, sender.region, name=sender.node_name)
         self.metrics = Metrics()
         self.view = RoutingView(
             self.updates,
@@ -49,127 +88,160 @@
             self.metrics,
         )
         self.load_aggregate = LoadAggregate()
-        self.carrier = Carrier(self.view, node.bounds, self.metrics, self.load_aggregate, me.limits.link_mbps)
-        posts = {"front": node.network.posts["front"], "mbps": str(me.limits.link_mbps)}
+        link_mbps = sender.limits.link_mbps
+        self.forwarder = Forwarder(self.view, node.bounds, self.metrics, self.load_aggregate, link_mbps)
+        client_post = node.network.posts[CLIENT_PORT]
         member = Member(
-            me.node_name,
+            sender.node_name,
             ROLE,
             *address,
-            me.zone,
-            me.region,
-            posts,
-            me.counted,
+            sender.zone,
+            sender.region,
+            {"front": client_post, "mbps": str(link_mbps)},
+            sender.counted,
             False,
-            int(time.time() * 1000),
-        )
-        self.failure_detector = FailureDetector(
-            member, lambda: [(ip, node.inner(REFUGE_POST)[1]) for ip in self.node.seeds()]
+            int(time.time() * MS_PER_S),
         )
-        self.failure_detector.watchers.append(self.recount)
+        self.failure_detector = FailureDetector(member, self.controller_addresses)
+        self.failure_detector.watchers.append(self.update_position)
         self.relay = Relay(self.peer_pool, self.updates, self.parents, self.load_aggregate.add)
-        self.front = Front(place(node.network.posts["front"]), self.carrier, self.limits)
-        self.ready = pywsgi.WSGIServer(place(node.network.posts["ready"]), self.on_ready, log=None)
-        self.is_ready, self.stopping = False, Event()
+        self.client_listener = ClientListener(place(client_post), self.forwarder, self.limits)
+        ready_address = place(node.network.posts[READY_PORT])
+        self.ready_listener = pywsgi.WSGIServer(ready_address, self.answer_ready, log=None)
+        self.is_ready = False
+        self.stopping = Event()
+
+    def controller_addresses(self) -> list[tuple[str, int]]:
+        """Where controllers are by the settings, to find the first members."""
+        port = self.node.inner(CONTROLLER_PORT_INDEX)[1]
+        return [(ip, port) for ip in self.node.seeds()]
 
     def confirmed_at(self) -> int:
         """Steady nanoseconds up to which all that was acknowledged anywhere is known here."""
-        return int(self.relay.fresh_at * SECOND)
+        return int(self.relay.fresh_at * NS_PER_S)
 
     def limits(self) -> RequestLimits:
+        """The limits on requests, of the configuration in force."""
         routes = self.view.routes
         return routes.table.limits if routes else RequestLimits()
 
     def parents(self) -> list[tuple[str, int]]:
+        """Addresses that updates are to come from, the best first."""
         member_list = self.failure_detector.member_list
-        known = member_list.alive("refuge")
-        controllers = [member for member in known if member.ready] or known
+        alive = member_list.alive(CONTROLLER_ROLE)
+        controllers = [member for member in alive if member.ready] or alive
         if not controllers:
             return []
-        found = parents(member_list.me, controllers, member_list.alive(ROLE))
-        return [member.address for member in found]
+        chosen = parents(member_list.me, controllers, member_list.alive(ROLE))
+        return [member.address for member in chosen]
+
+    def update_position(self) -> None:
+        """Take in a change of the members.
 
-    def recount(self) -> None:
-        """Shares go by the pilots known of late: one that is missing may only be cut off."""
+        Shares go by the proxies known of late: one that is missing may only be cut off.
+        """
         member_list = self.failure_detector.member_list
-        names = sorted(m.name for m in member_list.members.values() if m.role == ROLE)
-        self.position.proxies = len(names)
-        self.position.zones = len({m.zone for m in member_list.members.values() if m.role == ROLE})
-        self.position.ranks = {name: number for number, name in enumerate(names)}
-        mates = sorted(m.name for m in member_list.alive(ROLE) if m.zone == self.position.zone)
-        self.position.zone_index = SubsetIndex(mates.index(self.position.name), len(mates))
-
-    def on_ready(self, environ, start):
+        proxies = [member for member in member_list.members.values() if member.role == ROLE]
+        names = sorted(member.name for member in proxies)
+        position = self.position
+        position.proxies = len(names)
+        position.zones = len({member.zone for member in proxies})
+        position.ranks = {name: rank for rank, name in enumerate(names)}
+        zone_names = sorted(member.name for member in member_list.alive(ROLE) if member.zone == position.zone)
+        position.zone_index = SubsetIndex(zone_names.index(position.name), len(zone_names))
+
+    def answer_ready(
+        self, environ: dict[str, Any], start_response: Callable[[str, list[tuple[str, str]]], Any]
+    ) -> list[bytes]:
+        """WSGI application at the `ready` port: whether clients may come, and the metrics."""
         if environ["PATH_INFO"] == METRICS_PATH:
-            start("200 OK", [("Content-Type", "text/plain; version=0.0.4")])
+            start_response("200 OK", [("Content-Type", "text/plain; version=0.0.4")])
             return [self.metrics.text().encode()]
-        good = self.is_ready and not self.front.draining
-        start("200 OK" if good else "503 Service Unavailable", [("Content-Type", "text/plain")])
-        return [b"ready\n" if good else b"not ready\n"]
+        is_ready = self.is_ready and not self.client_listener.draining
+        status = "200 OK" if is_ready else "503 Service Unavailable"
+        start_response(status, [("Content-Type", "text/plain")])
+        return [b"ready\n" if is_ready else b"not ready\n"]
 
-    def tell_up(self) -> None:
+    def report_load(self) -> None:
+        """Send loads up to the controllers, again and again."""
         while True:
-            gevent.sleep(TALLY_S)
-            if body := self.load_aggregate.take():
+            gevent.sleep(LOAD_REPORT_INTERVAL_S)
+            body = self.load_aggregate.take()
+            if body:
                 self.relay.say_up(body)
 
-    def prune(self) -> None:
+    def prune_connections(self) -> None:
+        """End connections to endpoints that have lain idle too long, again and again."""
         while True:
-            gevent.sleep(PRUNE_S)
-            now = time.monotonic_ns()
+            gevent.sleep(PRUNE_INTERVAL_S)
+            now_ns = time.monotonic_ns()
             for endpoint in [*self.view.endpoints.values()]:
-                endpoint.pool.prune(now)
+                endpoint.pool.prune(now_ns)
 
     def run(self) -> int:
+        """Serve until a signal ends the process.
+
+        Returns:
+            The process's exit status.
+        """
         self.peer_pool.start()
         self.failure_detector.start()
         self.relay.start()
-        self.ready.start()
+        self.ready_listener.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
-        gevent.signal_handler(signal.SIGHUP, self.reread)
-        gevent.spawn(settings.watch, self.reread, gevent.sleep)
-        gevent.spawn(self.tell_up)
-        gevent.spawn(self.prune)
+        gevent.signal_handler(signal.SIGHUP, self.reread_settings)
+        gevent.spawn(settings.watch, self.reread_settings, gevent.sleep)
+        gevent.spawn(self.report_load)
+        gevent.spawn(self.prune_connections)
         gevent.spawn(self.get_ready)
         self.stopping.wait()
-        return self.leave()
+        return self.drain()
 
-    def reread(self) -> None:
+    def reread_settings(self) -> None:
+        """Take in the settings file as it is now."""
         self.node = settings.again(self.node)
 
     def get_ready(self) -> None:
-        """Clients come once this process knows what is in force, as fresh as a refuge has it."""
+        """Let clients come once this process knows what is in force, as fresh as a controller has it."""
         while not self.stopping.is_set():
-            if self.view.routes is not None and self.relay.age() < 1.0:
+            if self.view.routes is not None and self.relay.age() < FRESH_WITHIN_S:
                 break
-            gevent.sleep(0.05)
-        if not self.stopping.is_set():
-            self.front.start()
-            self.is_ready = True
-            self.failure_detector.change(ready=True)
-            say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
-
-    def leave(self) -> int:
-        """What was read is answered; nobody is sent here any more."""
+            gevent.sleep(READY_LOOK_INTERVAL_S)
+        if self.stopping.is_set():
+            return
+        self.client_listener.start()
+        self.is_ready = True
+        self.failure_detector.change(ready=True)
+        say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
+
+    def drain(self) -> int:
+        """Answer what was read, and end; nobody is sent here any more.
+
+        Returns:
+            The process's exit status.
+        """
         say("leaving", counts=self.metrics.counts, greatest=self.metrics.greatest())
-        self.front.draining, end = True, time.monotonic() + self.node.bounds.grace_s - 0.7
+        self.client_listener.draining = True
+        end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
         self.failure_detector.change(ready=False)
         if not self.is_ready:
             return 0
-        gevent.sleep(LEAVE_S)
-        self.front.close()
-        while time.monotonic() < end:
-            for handler in [*self.front.handlers]:
-                if handler.idle():
+        gevent.sleep(DRAIN_NOTICE_S)
+        self.client_listener.close()
+        while time.monotonic() < end_s:
+            for handler in [*self.client_listener.handlers]:
+                if handler.is_idle():
                     handler.end()
-            if not self.front.handlers:
+            if not self.client_listener.handlers:
                 break
-            gevent.sleep(0.05)
-        self.failure_detector.change(state=3)
+            gevent.sleep(DRAIN_LOOK_INTERVAL_S)
+        self.failure_detector.change(state=LEFT_STATE)
         say("stopped", counts=self.metrics.counts, greatest=self.metrics.greatest())
         return 0
 
 
 def main() -> None:
+    """Run the proxy by this machine's settings; the process ends with it."""
     # Addresses are numbers: threads that look names up would only cost memory.
     gevent.config.resolver = "block"
     try:
--- a/flintreach/proxy/request.py
+++ b/flintreach/proxy/request.py
@@ -3,10 +3,13 @@
 from dataclasses import dataclass, field
 
 from flintreach.proxy.caller import Caller
-from flintreach.proxy.reply import Message
+from flintreach.proxy.connection import Connection
+from flintreach.proxy.response import Response
 
-MS = 1_000_000
-HOP = {
+NS_PER_MS = 1_000_000
+
+# Headers that concern one connection only (RFC 9110, section 7.6.1), or that this proxy sets itself.
+HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -21,9 +24,20 @@
     "x-expect-endpoint",
     "x-time-left-ms",
 }
-# What a `Connection` header may not take away: by these it is told whose a request or an answer is.
+
+# What a `Connection` header may not take away: these tell whose a request or an answer is.
 END_TO_END = {"host", "x-try-id", "x-postmark", "x-shard-key"}
-PAUSE = "0.1"  # seconds after which one that was turned away may come again
+
+# Methods whose requests have no body as a rule: without one they tell no length (RFC 9110, section 8.6).
+BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")
+
+# Statuses whose answers have no body (RFC 9110, sections 15.3.5 and 15.4.5).
+NO_CONTENT = 204
+NOT_MODIFIED = 304
+
+# Seconds after which a rejected request may come again, as `Retry-After` writes it.
+RETRY_AFTER_S = "0.1"
+
 REASONS = {
     400: "Bad Request",
     404: "Not Found",
@@ -35,60 +49,98 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
+UNKNOWN_REASON = "Error"
 
 
 @dataclass(slots=True)
 class Request:
-    """As the client sent it; `came`: steady nanoseconds when it had been read."""
+    """A request as the client sent it.
+
+    Attributes:
+        method: its method.
+        target: its target, as it was sent.
+        headers: (name, value) of each header, as they were sent.
+        body: its body, without transfer coding.
+        received_at: steady clock, in nanoseconds, when it had been read.
+        by_name: headers by their names in lower case, values of the same name joined.
+        connections: connections to endpoints that it went out on.
+        caller: who waits for its answer.
+        idempotent: whether its route lets it run twice.
+    """
 
     method: str
     target: str
     headers: list[tuple[str, str]]
     body: bytes = b""
-    came: int = 0
-    low: dict[str, str] = field(default_factory=dict)  # by lower name
-    connections: list = field(default_factory=list)  # connections that it went out on
-    caller: Caller = field(default_factory=Caller)  # who waits for its answer
-    repeatable: bool = False  # by its route
+    received_at: int = 0
+    by_name: dict[str, str] = field(default_factory=dict)
+    connections: list[Connection] = field(default_factory=list)
+    caller: Caller = field(default_factory=Caller)
+    idempotent: bool = False
 
 
 @dataclass(slots=True)
 class Answer:
+    """An answer as it goes to the client.
+
+    Attributes:
+        status: HTTP status.
+        reason: its reason phrase.
+        headers: (name, value) of each header.
+        body: its body.
+        close: whether the client's connection must end with it.
+    """
+
     status: int
     reason: str = ""
-    headers: list = field(default_factory=list)
+    headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
     close: bool = False
 
 
-def hops(connection: str) -> set[str]:
+def dropped_headers(connection: str) -> set[str]:
     """Headers that concern one connection only, with those that its `Connection` header names."""
-    return HOP | {name.strip().lower() for name in connection.split(",")} - END_TO_END
+    named = {name.strip().lower() for name in connection.split(",")}
+    return HOP_BY_HOP | (named - END_TO_END)
+
+
+def error_answer(status: int, retry_after_s: str | None = None, detail: str = "") -> Answer:
+    """An answer of the proxy's own.
 
+    Args:
+        status: HTTP status.
+        retry_after_s: after how many seconds the request may come again; None: it isn't told.
+        detail: the body.
+    """
+    headers = [("Retry-After", retry_after_s)] if retry_after_s else []
+    return Answer(status, REASONS.get(status, UNKNOWN_REASON), headers, detail.encode())
 
-def own(status: int, again: str | None = None, why: str = "") -> Answer:
-    """An answer of the system's own."""
-    headers = [("Retry-After", again)] if again else []
-    return Answer(status, REASONS.get(status, "Error"), headers, why.encode())
 
+def endpoint_head(request: Request, endpoint_id: str, left_ns: int) -> bytes:
+    """The head of a request as it goes out to an endpoint.
 
-def endpoint_head(request: Request, endpoint_id: str, left: int) -> bytes:
-    """The head of a request as it goes out to an endpoint; `left`: nanoseconds until nobody waits for it."""
-    dropped = hops(request.low.get("connection", ""))
+    Args:
+        request: the client's.
+        endpoint_id: whom it is for; another endpoint at the same address must refuse it.
+        left_ns: time until nobody waits for the answer.
+    """
+    dropped = dropped_headers(request.by_name.get("connection", ""))
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers if name.lower() not in dropped]
-    lines += [f"X-Time-Left-Ms: {max(1, left // MS)}", f"X-Expect-Endpoint: {endpoint_id}"]
-    if request.body or request.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
+    lines.append(f"X-Time-Left-Ms: {max(1, left_ns // NS_PER_MS)}")
+    lines.append(f"X-Expect-Endpoint: {endpoint_id}")
+    if request.body or request.method not in BODILESS_METHODS:
         lines.append(f"Content-Length: {len(request.body)}")
     return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
 
-def relayed(message: Message, request: Request) -> Answer:
-    """An endpoint's answer as it goes to the client."""
-    dropped = hops(message.get("connection") or "")
-    if message.status == 304 or request.method == "HEAD" and message.status != 204:
-        dropped -= {"content-length"}  # of the body that a GET would have had
-    headers = [(name, value) for name, value in message.headers if name.lower() not in dropped]
-    if request.method != "HEAD" and message.status not in (204, 304):
-        headers.append(("Content-Length", str(len(message.body))))
-    return Answer(message.status, message.reason, headers, bytes(message.body))
+def forwarded_answer(response: Response, request: Request) -> Answer:
+    """An endpoint's response as it goes to the client."""
+    dropped = dropped_headers(response.get("connection") or "")
+    is_to_head = request.method == "HEAD"
+    if response.status == NOT_MODIFIED or (is_to_head and response.status != NO_CONTENT):
+        dropped -= {"content-length"}  # of the body that a GET would have had (RFC 9110, section 8.6)
+    headers = [(name, value) for name, value in response.headers if name.lower() not in dropped]
+    if not is_to_head and response.status not in (NO_CONTENT, NOT_MODIFIED):
+        headers.append(("Content-Length", str(len(response.body))))
+    return Answer(response.status, response.reason, headers, bytes(response.body))
--- a/flintreach/proxy/retry_policy.py
+++ b/flintreach/proxy/retry_policy.py
@@ -1,6 +1,7 @@
 """Whether a request is attempted again, by what came of its last attempt.  Pure.
 
-`carry` asks here after each failed attempt; whether attempts, time and budget allow a retry is its matter.
+`forwarding` asks here after each failed attempt, and sees itself whether attempts, time and budget allow a
+retry.
 """
 
 from dataclasses import dataclass
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -1,7 +1,7 @@
 """What a proxy knows from the control plane's updates: routes, endpoints, key owners, evacuated zones.
 
-No I/O of its own.  `carry` asks it which endpoints may serve a request, `attempt` and `presence` whether the
-lease on one of them still holds.
+No I/O of its own.  `forwarding` asks it which endpoints may serve a request, `attempt` and `health_check`
+whether the lease on one of them still holds.
 
 Times are nanoseconds of this process's steady clock; None stands for "never".
 """
--- a/flintreach/soak/clients.py
+++ b/flintreach/soak/clients.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from flintreach.demo.cluster import Machine
-from flintreach.proxy.reply import HTTPParseError, Message, Replies
+from flintreach.proxy.response import HTTPParseError, Response, ResponseParser
 from flintreach.soak.ledger import Ledger, SentRequest, Verdict
 from flintreach.standins.adversary import RESET
 
@@ -31,7 +31,7 @@
         host, port = machine.posts["front"].split(":")
         self.sock = socket.create_connection((host, int(port)), timeout=CONNECT_S)
         self.sock.settimeout(ANSWER_S)
-        self.replies = Replies()
+        self.replies = ResponseParser()
 
     def send(self, request: SentRequest, path: str, key: int) -> None:
         method = "POST" if request.kind == "file" else "GET"
@@ -46,9 +46,9 @@
         )
         self.sock.sendall("\r\n".join([*rows, "", ""]).encode() + body)
 
-    def receive(self, request: SentRequest) -> Message | None:
+    def receive(self, request: SentRequest) -> Response | None:
         """The next answer, None where the connection ends before it.  Raises Mixed."""
-        while not self.replies.whole:
+        while not self.replies.complete:
             try:
                 data = self.sock.recv(READ_SIZE)
             except OSError:
@@ -59,7 +59,7 @@
                 self.replies.feed(data)
             except HTTPParseError:
                 raise Mixed(f"no answer: {data[:60]!r}") from None
-        message = self.replies.whole.pop(0)
+        message = self.replies.complete.pop(0)
         if not message.answers(request.id):
             raise Mixed(f"to {request.id} came {message.status} for another")
         return message
@@ -95,7 +95,7 @@
         path = f"/{request.kind}/{self.chance.randrange(100)}"
         connection.send(request, path, self.chance.randrange(65536))
 
-    def ask(self, connection: ClientConnection, request: SentRequest) -> Message | None:
+    def ask(self, connection: ClientConnection, request: SentRequest) -> Response | None:
         """One request and its answer; None where the connection ended."""
         try:
             self.send(connection, request)
@@ -134,7 +134,7 @@
             machine, connection = found
             while not self.ending():
                 message = self.ask(connection, self.next_request(machine, kept=True))
-                if message is None or not message.keep:
+                if message is None or not message.keep_alive:
                     break
                 gevent.sleep(self.chance.uniform(0, PAUSE_S))
             connection.close()
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -244,7 +244,7 @@
         dropped = Event()
         with caller.waking(dropped.set):
             dropped.wait(self.work_s)
-        caller.check()
+        caller.raise_if_left()
 
     # What it says of itself.
 
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -21,10 +21,10 @@
 from flintreach.proxy.caller import Caller
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.endpoint import EndpointView
+from flintreach.proxy.health_check import HealthChecker
 from flintreach.proxy.metrics import Metrics
-from flintreach.proxy.presence import Presence
-from flintreach.proxy.reply import Message
-from flintreach.proxy.request import REASONS, Request, endpoint_head, own, relayed
+from flintreach.proxy.request import REASONS, Request, endpoint_head, error_answer, forwarded_answer
+from flintreach.proxy.response import Response
 from flintreach.sharding.range_assignment import Range
 from flintreach.simulation.engine import SECOND, Simulation
 from flintreach.simulation.invariants import Watch
@@ -123,7 +123,7 @@
     for method, body in (("GET", b""), ("POST", b"abc"), ("DELETE", b""), ("PUT", b"")):
         request = Request(method, "/look/7?x=1", headers, body, 0, low, [], Caller())
         found[f"to an endpoint: {method}"] = endpoint_head(request, "desk-1", 1_234_567_890).decode("latin-1")
-    message = Message()
+    message = Response()
     message.status, message.reason, message.body = 200, "OK", bytearray(b"answer")
     message.headers = [
         ["X-Try-Id", "00ab"],
@@ -132,10 +132,10 @@
         ["X-A", "b"],
     ]
     for method in ("GET", "HEAD"):
-        answer = relayed(message, Request(method, "/look/7", headers, b"", 0, low, [], Caller()))
+        answer = forwarded_answer(message, Request(method, "/look/7", headers, b"", 0, low, [], Caller()))
         found[f"from an endpoint: {method}"] = shown(answer)
     for status in (*REASONS, 418):
-        found[f"own answer: {status}"] = shown(own(status, "0.1", "why"))
+        found[f"own answer: {status}"] = shown(error_answer(status, "0.1", "why"))
     return found
 
 
@@ -203,7 +203,7 @@
         endpoint = EndpointView(
             "lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr)
         )
-        Presence(view, Metrics()).question(endpoint, 10**18)
+        HealthChecker(view, Metrics()).check(endpoint, 10**18)
         found["health"] = listener.came.pop()
         return found
     finally:
--- a/tests/controller/test_fuzz.py
+++ b/tests/controller/test_fuzz.py
@@ -8,7 +8,7 @@
 
 from flintreach.config import configuration
 from flintreach.membership.member_list import Member, MemberList
-from flintreach.proxy.reply import HTTPParseError, Replies
+from flintreach.proxy.response import HTTPParseError, ResponseParser
 
 CALM = settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -18,14 +18,14 @@
     @given(st.binary(max_size=200), st.binary(max_size=40), st.integers(1, 60))
     def test_an_answer_is_whole_or_is_not_there(self, body, tail, portion):
         data = b"HTTP/1.1 200 OK\r\nX-Try-Id: 7\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body) + tail
-        replies = Replies()
+        replies = ResponseParser()
         try:
             for at in range(0, len(data), portion):
                 replies.feed(data[at : at + portion])
         except HTTPParseError:
             pass
-        self.assertEqual(bytes(replies.whole[0].body), body)
-        self.assertEqual(replies.whole[0].get("x-try-id"), "7")
+        self.assertEqual(bytes(replies.complete[0].body), body)
+        self.assertEqual(replies.complete[0].get("x-try-id"), "7")
 
     @CALM
     @given(st.binary(max_size=300))
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -18,8 +18,8 @@
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.balancing import FleetPosition
-from flintreach.proxy.carry import Carrier
-from flintreach.proxy.front import Front
+from flintreach.proxy.client_listener import ClientListener
+from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import ACTS, RESET, Adversary, Asked, text
@@ -150,12 +150,12 @@
 
 
 class Stage:
-    """A front with its carrier, and endpoints in trouble: two alike, and one that holds all keys."""
+    """A listener with its forwarder, and endpoints in trouble: two alike, and one that holds all keys."""
 
     def __init__(self):
         self.endpoints = [Adversary("e0"), Adversary("e1"), Adversary("k0")]
         self.numbers = itertools.count(1)
-        self.front = Front(("127.0.0.1", 0), None, RequestLimits)
+        self.front = ClientListener(("127.0.0.1", 0), None, RequestLimits)
         self.renew()
         self.front.start()
 
@@ -187,7 +187,7 @@
         updates.offer("bunks/lot", [1, 1], [[0, 65535, "k0", "held"]])
         self.metrics = Metrics()
         bounds = TimingBounds(retry_slack=1000)
-        self.front.carrier = self.carrier = Carrier(self.view, bounds, self.metrics, LoadAggregate())
+        self.front.forwarder = self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate())
 
     def request(self, kind: str) -> Sent:
         id = f"{next(self.numbers):016x}"
@@ -347,20 +347,20 @@
                 self.assertEqual(mine.end(), b"")
         return got
 
-    def test_a_fault_in_carrying_leaves_no_gap_for_the_next_answer(self):
+    def test_a_fault_in_forwarding_leaves_no_gap_for_the_next_answer(self):
         stage = self.stage
         stage.renew()
         sent = [stage.request("look") for _ in range(4)]
-        carry = stage.carrier.carry
+        forward = stage.forwarder.forward
 
         def falls(request):
-            if request.low["x-try-id"] == sent[1].id:
+            if request.by_name["x-try-id"] == sent[1].id:
                 raise KeyError("a fault of ours")
-            return carry(request)
+            return forward(request)
 
         client = Client(stage.front.address)
         with (
-            mock.patch.object(stage.carrier, "carry", falls),
+            mock.patch.object(stage.forwarder, "forward", falls),
             gevent.Timeout(5),
             mock.patch.object(gevent.get_hub(), "handle_error") as told,
         ):
@@ -379,19 +379,19 @@
         client sends it again, as nobody has read it."""
         stage, go = self.stage, Event()
         stage.renew()
-        look, book, carry = stage.request("look"), stage.request("odd book"), stage.carrier.carry
+        look, book, forward = stage.request("look"), stage.request("odd book"), stage.forwarder.forward
 
         def slow(request):
-            if request.low["x-try-id"] == look.id:
+            if request.by_name["x-try-id"] == look.id:
                 go.wait()
-            return carry(request)
+            return forward(request)
 
         def leaves():
             stage.front.draining = True
             go.set()
 
         client = Client(stage.front.address)
-        with mock.patch.multiple(stage.carrier, carry=slow, **patches), gevent.Timeout(5):
+        with mock.patch.multiple(stage.forwarder, forward=slow, **patches), gevent.Timeout(5):
             stage.say(client, look)
             stage.say(client, book)
             gevent.spawn_later(0.02, leaves)
@@ -407,21 +407,21 @@
     def test_what_must_not_run_twice_does_not_run_behind_an_answer_that_closes(self):
         self.assertEqual(self.behind_one_that_closes(), 0)
 
-    def test_a_configuration_may_come_between_reading_and_carrying(self):
-        alike = iter([True, True, False])  # as it is read, and as it is carried
-        self.assertEqual(self.behind_one_that_closes(alike=lambda request: next(alike)), 0)
+    def test_a_configuration_may_come_between_reading_and_forwarding(self):
+        pipelined = iter([True, True, False])  # as it is read, and as it is forwarded
+        self.assertEqual(self.behind_one_that_closes(may_pipeline=lambda request: next(pipelined)), 0)
 
     def test_an_interim_answer_of_ours_stands_behind_what_came_before(self):
         stage, go = self.stage, Event()
         stage.renew()
-        look, put, carry = stage.request("look"), stage.request("put"), stage.carrier.carry
+        look, put, forward = stage.request("look"), stage.request("put"), stage.forwarder.forward
 
         def slow(request):
             go.wait()
-            return carry(request)
+            return forward(request)
 
         client = Client(stage.front.address)
-        with mock.patch.object(stage.carrier, "carry", slow), gevent.Timeout(5):
+        with mock.patch.object(stage.forwarder, "forward", slow), gevent.Timeout(5):
             client.say(look)
             client.say(
                 put._replace(method="PUT", body=b""),
@@ -566,7 +566,7 @@
         for act, most in (("many others", 1 << 20), ("never whole", 100)):
             stage.renew([[act], [act]])
             sent = stage.request("book")
-            with mock.patch("flintreach.proxy.exchange.MOST", most):
+            with mock.patch("flintreach.proxy.exchange.MAX_RESPONSE_BYTES", most):
                 self.assertEqual(self.one(sent).status, 502, act)  # not 504: it was not waited for
             stage.settle()
 
--- a/tests/proxy/test_carry.py
+++ b/tests/proxy/test_carry.py
@@ -18,14 +18,14 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.member_list import Member
 from flintreach.proxy.balancing import NS_PER_S, FleetPosition
-from flintreach.proxy.carry import Carrier
 from flintreach.proxy.connection import Connection
 from flintreach.proxy.exchange import ExchangeTerms, Outcome, exchange
-from flintreach.proxy.gate import FIRST, Gate
+from flintreach.proxy.forwarding import Forwarder
+from flintreach.proxy.link_admission import DEFAULT_BULKY_BYTES, LinkAdmission
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.outcome import OutcomeKind
-from flintreach.proxy.reply import Message
 from flintreach.proxy.request import Request
+from flintreach.proxy.response import Response
 from flintreach.proxy.view import RoutingView
 
 ANSWERED = OutcomeKind.ANSWERED
@@ -91,7 +91,7 @@
     }
 
 
-class Scripted(Carrier):
+class Scripted(Forwarder):
     """`script`: what comes of each attempt, in their order; "hang" waits for `let_go`."""
 
     def __init__(self, made, script):
@@ -104,25 +104,25 @@
         if kind == "hang":
             self.let_go.wait()
             kind = BROKEN
-        message = Message()
-        message.status = 200 if kind == ANSWERED else 503
-        message.headers = [["X-Postmark", endpoint.id]]
-        return Outcome(kind, message if kind in (ANSWERED, NOT_RUN) else None)
+        response = Response()
+        response.status = 200 if kind == ANSWERED else 503
+        response.headers = [["X-Postmark", endpoint.id]]
+        return Outcome(kind, response if kind in (ANSWERED, NOT_RUN) else None)
 
 
 def carrying(script, kind="safe"):
     """A request on its way to one of five endpoints."""
     made, _, _ = world(configured(kind), {f"e{i}": "n" for i in range(5)}, clock=time.monotonic_ns)
-    carrier = Scripted(made, [*script])
+    forwarder = Scripted(made, [*script])
     request = Request("GET", "/x/1", [], b"", time.monotonic_ns(), {"host": "a"})
-    job = gevent.spawn(carrier.carry, request)
-    job.started_at = request.came
-    return job, carrier
+    job = gevent.spawn(forwarder.forward, request)
+    job.started_at = request.received_at
+    return job, forwarder
 
 
 def carried(script, kind="safe"):
-    job, carrier = carrying(script, kind)
-    return job.get(timeout=20), carrier
+    job, forwarder = carrying(script, kind)
+    return job.get(timeout=20), forwarder
 
 
 class Tries(unittest.TestCase):
@@ -141,8 +141,8 @@
             ("unsafe", [UNSENT, ANSWERED], 200, 2, False),
         ]
         for kind, row, status, asked, again in cases:
-            answer, carrier = carried(row, kind)
-            self.assertEqual((answer.status, len(set(carrier.sent))), (status, asked), (kind, row))
+            answer, forwarder = carried(row, kind)
+            self.assertEqual((answer.status, len(set(forwarder.sent))), (status, asked), (kind, row))
             self.assertEqual(any(name == "Retry-After" for name, _ in answer.headers), again)
 
     def test_a_promise_is_never_given_for_what_may_have_run(self):
@@ -157,57 +157,62 @@
 
     def test_a_silent_endpoint_gets_a_second_beside_it(self):
         """The trace of dark endpoints: requests waited out their deadline at machines without power."""
-        job, carrier = carrying(["hang", ANSWERED])
+        job, forwarder = carrying(["hang", ANSWERED])
         self.assertEqual(job.get(timeout=20).status, 200)
-        self.assertEqual(len(set(carrier.sent)), 2)
-        self.assertFalse(carrier.let_go.is_set())  # the first was not broken off for it
+        self.assertEqual(len(set(forwarder.sent)), 2)
+        self.assertFalse(forwarder.let_go.is_set())  # the first was not broken off for it
 
     def test_one_that_must_not_run_twice_has_no_second(self):
-        job, carrier = carrying(["hang", ANSWERED], "unsafe")
-        while not carrier.sent or time.monotonic_ns() < job.started_at + 100_000_000:
+        job, forwarder = carrying(["hang", ANSWERED], "unsafe")
+        while not forwarder.sent or time.monotonic_ns() < job.started_at + 100_000_000:
             gevent.sleep(0)  # the patience of its aim is a quarter of that
-        carrier.let_go.set()
-        self.assertEqual((job.get(timeout=20).status, len(carrier.sent)), (502, 1))
+        forwarder.let_go.set()
+        self.assertEqual((job.get(timeout=20).status, len(forwarder.sent)), (502, 1))
 
 
 class Turns(unittest.TestCase):
     def test_large_answers_wait_in_turn_and_never_hold_more_than_the_link_brings(self):
-        draw, gate, woken, inside, waiting = random.Random(4), Gate(2.6), [], [], []
+        draw, admission, woken, inside, waiting = random.Random(4), LinkAdmission(2.6), [], [], []
         for line in ("big", "small"):
-            gate.saw(line, {"big": 90000, "small": 1500}[line])
-        self.assertEqual(gate.size("small", False), 0)
+            admission.observe(line, {"big": 90000, "small": 1500}[line])
+        self.assertEqual(admission.expected_size("small", False), 0)
         for number in range(2000):
             if draw.random() < 0.55:
-                size, wake = gate.size("big", True), (lambda number=number: woken.append(number))
-                if gate.enter(size, wake):
+                size, wake = (
+                    admission.expected_size("big", True),
+                    (lambda number=number: woken.append(number)),
+                )
+                if admission.enter(size, wake):
                     inside.append(size)
                 else:
                     waiting.append((number, size, wake))
             elif inside and draw.random() < 0.8:
-                gate.leave(inside.pop())
+                admission.leave(inside.pop())
             elif waiting and draw.random() < 0.3:
                 number, size, wake = waiting.pop(draw.randrange(len(waiting)))
-                self.assertTrue(gate.give_up(wake))
+                self.assertTrue(admission.withdraw(wake))
             while woken:
                 first = waiting.pop(0)
                 self.assertEqual(first[0], woken.pop(0))
                 inside.append(first[1])
-            self.assertEqual(gate.under, sum(inside))
-            self.assertTrue(gate.under <= gate.room or len(inside) == 1)
-        self.assertFalse(gate.give_up(lambda: None))
+            self.assertEqual(admission.in_flight_bytes, sum(inside))
+            self.assertTrue(admission.in_flight_bytes <= admission.window_bytes or len(inside) == 1)
+        self.assertFalse(admission.withdraw(lambda: None))
 
     def test_a_wide_link_or_none_told_needs_no_turns(self):
-        self.assertEqual(Gate(0).size("big", True), 0)
-        wide = Gate(1000.0)
-        self.assertTrue(all(wide.enter(wide.size("big", True), None) for _ in range(200)))
+        self.assertEqual(LinkAdmission(0).expected_size("big", True), 0)
+        wide = LinkAdmission(1000.0)
+        self.assertTrue(all(wide.enter(wide.expected_size("big", True), None) for _ in range(200)))
 
     def test_one_that_gets_no_turn_is_sent_away_with_a_time_to_come_back(self):
         made, _, _ = world(configured("outbound_post"), {"e0": "n"})
-        carrier = Carrier(made, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
-        self.assertTrue(carrier.gate.enter(FIRST, None))  # the link is taken
-        answer = carrier.carry(Request("GET", "/x/1", [], low={"host": "a"}, came=time.monotonic_ns()))
+        forwarder = Forwarder(made, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
+        self.assertTrue(forwarder.link_admission.enter(DEFAULT_BULKY_BYTES, None))  # the link is taken
+        answer = forwarder.forward(
+            Request("GET", "/x/1", [], by_name={"host": "a"}, received_at=time.monotonic_ns())
+        )
         self.assertEqual((answer.status, answer.headers), (503, [("Retry-After", "0.1")]))
-        self.assertFalse(carrier.gate.queue)
+        self.assertFalse(forwarder.link_admission.queue)
 
 
 class Known(unittest.TestCase):
@@ -243,7 +248,7 @@
                 b"",
                 "i",
                 ExchangeTerms(
-                    time.monotonic_ns() + 9 * NS_PER_S, 1.0, may_go=lambda: made.may_send(endpoint)
+                    time.monotonic_ns() + 9 * NS_PER_S, 1.0, may_send=lambda: made.may_send(endpoint)
                 ),
             )
         self.assertEqual(out.kind, UNSENT)
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -14,7 +14,7 @@
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.balancing import FleetPosition
-from flintreach.proxy.carry import Carrier
+from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.lease import ARRIVE_PART, SEND_PART
 from flintreach.proxy.metrics import VIOLATION, Metrics
 from flintreach.proxy.request import Request
@@ -125,11 +125,13 @@
         self.held = self.fixture.view.endpoints["e"]
         self.metrics = Metrics()
         bounds = TimingBounds(last_call_ms=600_000)
-        self.carrier = Carrier(self.fixture.view, bounds, self.metrics, LoadAggregate())
+        self.forwarder = Forwarder(self.fixture.view, bounds, self.metrics, LoadAggregate())
 
-    def carry(self, id):
+    def forward(self, id):
         low = {"host": "a", "x-try-id": id}
-        return self.carrier.carry(Request("POST", "/x/1", [("X-Try-Id", id)], b"", time.monotonic_ns(), low))
+        return self.forwarder.forward(
+            Request("POST", "/x/1", [("X-Try-Id", id)], b"", time.monotonic_ns(), low)
+        )
 
     def lapse(self):
         """Nothing has confirmed anything for longer than a bound."""
@@ -141,25 +143,25 @@
             self.held.present_at = None
             self.fixture.confirmed = time.monotonic_ns()
             self.endpoint.script.append(act)
-            self.assertEqual(self.carry(f"id-{act}").status, 200)
+            self.assertEqual(self.forward(f"id-{act}").status, 200)
             self.assertEqual(self.held.present_at is not None, renews, act)
 
     def test_one_whose_lease_is_over_is_asked_before_it_is_used(self):
         self.lapse()
-        self.assertEqual(self.carry("1").status, 200)
+        self.assertEqual(self.forward("1").status, 200)
         self.assertEqual(self.metrics.counts["asked for presence"], 1)
-        self.assertEqual(self.carry("2").status, 200)
+        self.assertEqual(self.forward("2").status, 200)
         self.assertEqual(self.metrics.counts["asked for presence"], 1)
 
     def test_one_that_says_that_it_leaves_gets_nothing(self):
         self.lapse()
         self.endpoint.well = False
-        self.assertEqual(self.carry("3").status, 503)
+        self.assertEqual(self.forward("3").status, 503)
         self.assertFalse(self.endpoint.ran)
 
     def test_many_that_wait_for_one_endpoint_ask_once(self):
         self.lapse()
-        jobs = [gevent.spawn(self.carry, f"m{number}") for number in range(5)]
+        jobs = [gevent.spawn(self.forward, f"m{number}") for number in range(5)]
         self.assertEqual({job.get(timeout=10).status for job in jobs}, {200})
         self.assertEqual(self.metrics.counts["asked for presence"], 1)
 
@@ -193,13 +195,13 @@
         fixture = Fixture(addr=slow.addr, last_call_ms=1000)
         fixture.view.clock = time.monotonic_ns
         fixture.confirmed = time.monotonic_ns()
-        carrier = Carrier(fixture.view, TimingBounds(last_call_ms=1000), Metrics(), LoadAggregate())
+        forwarder = Forwarder(fixture.view, TimingBounds(last_call_ms=1000), Metrics(), LoadAggregate())
         request = Request(
             "POST", "/x/1", [], bytes(8 << 20), time.monotonic_ns(), {"host": "a", "x-try-id": "1"}
         )
         until = time.monotonic_ns() + 4 * SECOND
         reading = gevent.spawn(slow.read)
-        gevent.spawn(carrier.attempt, request, "desk", fixture.view.endpoints["e"], until)
+        gevent.spawn(forwarder.attempt, request, "desk", fixture.view.endpoints["e"], until)
         gevent.sleep(0.2)
         left = fixture.confirmed = time.monotonic_ns()
         fixture.tell("closing")
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -6,10 +6,10 @@
 
 class Fronts(unittest.TestCase):
     def test_what_two_readers_could_take_for_two_things_is_refused(self):
-        from flintreach.proxy.intake import BadRequest, parse
+        from flintreach.proxy.request_parser import BadRequest, parse_head
 
         good = b"POST /a%2Fb?q=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3"
-        self.assertEqual(parse(good).target, "/a%2Fb?q=1")
+        self.assertEqual(parse_head(good).target, "/a%2Fb?q=1")
         bad = [
             good + b"\r\nContent-Length: 3",
             good + b"\r\nTransfer-Encoding: chunked",
@@ -25,20 +25,20 @@
         ]
         for head in bad:
             with self.assertRaises(BadRequest, msg=head):
-                parse(head)
+                parse_head(head)
 
     def test_a_request_under_way_is_not_idle(self):
         """The trace of LOST on a hunted day: the leaving loop closed a connection that worked."""
-        from flintreach.proxy.front import FrontHandler
+        from flintreach.proxy.client_listener import ClientHandler
 
         class Quiet:
             def recv(self, *_):
                 raise BlockingIOError
 
-        handler = FrontHandler(SimpleNamespace(_sock=Quiet()), None, None)
-        self.assertTrue(handler.idle())
+        handler = ClientHandler(SimpleNamespace(_sock=Quiet()), None, None)
+        self.assertTrue(handler.is_idle())
         handler.pending = 1
-        self.assertFalse(handler.idle())
+        self.assertFalse(handler.is_idle())
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from flintreach.config.configuration import RequestLimits
-from flintreach.proxy.front import FrontHandler
-from flintreach.proxy.intake import BadRequest, Source, parse
-from flintreach.proxy.reply import Replies
+from flintreach.proxy.client_listener import ClientHandler
+from flintreach.proxy.request_parser import BadRequest, ByteSource, parse_head
+from flintreach.proxy.response import ResponseParser
 
 CALM = settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -74,20 +74,23 @@
 
 
 class Server:
-    """Counts what reaches the carrying path."""
+    """Counts what reaches the forwarder."""
 
     draining = False
 
     def __init__(self):
-        self.handlers, self.carrier, self.came, self.hangups = set(), self, [], NoHangups()
+        self.handlers: set = set()
+        self.forwarder = self
+        self.came: list = []
+        self.hangups = NoHangups()
 
     def limits(self):
         return RequestLimits(envelope_bytes=500, contents_bytes=1000)
 
-    def alike(self, request):
+    def may_pipeline(self, request):
         return False
 
-    def carry(self, request):
+    def forward(self, request):
         from flintreach.proxy.request import Answer
 
         self.came.append(request)
@@ -96,7 +99,7 @@
 
 def served(data, portion):
     server, peer = Server(), Peer(data, portion)
-    gevent.spawn(FrontHandler(peer, ("10.0.0.1", 1), server).handle).get(timeout=5)
+    gevent.spawn(ClientHandler(peer, ("10.0.0.1", 1), server).handle).get(timeout=5)
     return server.came, peer.out
 
 
@@ -105,10 +108,10 @@
     @given(st.lists(WORDS | st.binary(max_size=6), max_size=30), st.integers(1, 40))
     def test_any_bytes_end_in_answers_or_a_close(self, parts, portion):
         came, out = served(b"".join(parts), portion)
-        replies = Replies()
-        replies.feed(out)  # what the client gets is HTTP to the last byte
-        self.assertFalse(replies.begun)
-        self.assertLessEqual(len(came), len(replies.whole))
+        parser = ResponseParser()
+        parser.feed(out)  # what the client gets is HTTP to the last byte
+        self.assertFalse(parser.begun)
+        self.assertLessEqual(len(came), len(parser.complete))
 
     @CALM
     @given(st.binary(max_size=300), st.integers(1, 200), st.integers(1, 50))
@@ -128,17 +131,17 @@
     @given(st.binary(max_size=200))
     def test_a_head_is_read_or_refused(self, data):
         try:
-            request = parse(data)
+            request = parse_head(data)
         except BadRequest:
             return
         again = f"{request.method} {request.target} HTTP/1.1\r\n" + "\r\n".join(
             f"{name}: {value}" for name, value in request.headers
         )
-        self.assertEqual(parse(again.encode("latin-1")).headers, request.headers)
+        self.assertEqual(parse_head(again.encode("latin-1")).headers, request.headers)
 
     def test_portions_of_a_source_add_up(self):
-        source = Source(Peer(b"abc\r\ndef", 1))
-        self.assertEqual((source.until(b"\r\n", 10), source.read(9)), (b"abc", b"def"))
+        source = ByteSource(Peer(b"abc\r\ndef", 1))
+        self.assertEqual((source.read_until(b"\r\n", 10), source.read(9)), (b"abc", b"def"))
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -13,9 +13,9 @@
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.balancing import FleetPosition
-from flintreach.proxy.carry import Carrier
-from flintreach.proxy.front import Front
-from flintreach.proxy.hedging import LOSER_S
+from flintreach.proxy.client_listener import ClientListener
+from flintreach.proxy.forwarding import Forwarder
+from flintreach.proxy.hedging import LOSER_GRACE_S
 from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
@@ -52,7 +52,7 @@
 
 
 class Site:
-    """A front with its carrier and two endpoints; `mbps`: of the proxy's link."""
+    """A front with its forwarder and two endpoints; `mbps`: of the proxy's link."""
 
     def __init__(self, mbps: float = 0.0):
         self.endpoints = [Adversary("e0"), Adversary("e1")]
@@ -75,8 +75,8 @@
         for endpoint in self.endpoints:
             fields = {"line": "desk", "addr": endpoint.addr, "zone": "n", "berths": 4}
             self.updates.offer(f"hut/{endpoint.id}", [1, 0], {**fields, "state": "ready", "cold": 0})
-        self.carrier = Carrier(self.view, bounds, self.metrics, LoadAggregate(), mbps)
-        self.front = Front(("127.0.0.1", 0), self.carrier, RequestLimits)
+        self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate(), mbps)
+        self.front = ClientListener(("127.0.0.1", 0), self.forwarder, RequestLimits)
         self.front.start()
 
     def stop(self) -> None:
@@ -274,7 +274,7 @@
     def test_what_is_broken_off_tells_nothing_of_its_endpoint(self):
         """Nor of the usual time, nor does it use up a budget; the next client is served there."""
         self.site.script("late", "late")
-        work = dict(self.site.carrier.work)
+        work = dict(self.site.forwarder.endpoint_client.usual_work_ns)
         for _ in range(2):
             sock = self.site.connect()
             id = self.site.send(sock)
@@ -282,8 +282,8 @@
             sock.close()
             self.assertTrue(self.settled())
         self.assertTrue(self.blameless())
-        self.assertEqual(self.site.carrier.work, work)
-        self.assertEqual(sum(self.site.carrier.budget("desk").retries), 0)
+        self.assertEqual(self.site.forwarder.endpoint_client.usual_work_ns, work)
+        self.assertEqual(sum(self.site.forwarder.budget("desk").retries), 0)
         self.assertEqual(len(self.site.broken_off()), 2)
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
@@ -305,7 +305,7 @@
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
         self.assertEqual(self.site.came(), [id, id])
         self.assertEqual(self.site.broken_off(), [])
-        gevent.sleep(LOSER_S + 0.1)
+        gevent.sleep(LOSER_GRACE_S + 0.1)
         self.assertEqual(self.site.broken_off(), [id])
         self.assertTrue(self.blameless())
 
@@ -346,14 +346,14 @@
         return id
 
     def test_for_its_turn_among_large_answers(self):
-        gate = self.site.carrier.gate
-        gate.under = held = 1 << 40
+        admission = self.site.forwarder.link_admission
+        admission.in_flight_bytes = held = 1 << 40
         self.leaves_while_waiting("/d/1")
         self.assertTrue(self.settled())
-        self.assertEqual((len(gate.queue), gate.under), (0, held))
-        gate.leave(held)
+        self.assertEqual((len(admission.queue), admission.in_flight_bytes), (0, held))
+        admission.leave(held)
         gevent.sleep(0.05)
-        self.assertEqual((self.site.came(), gate.under), ([], 0))
+        self.assertEqual((self.site.came(), admission.in_flight_bytes), ([], 0))
 
     def test_for_a_connection(self):
         for endpoint in self.site.held():
--- a/tests/proxy/test_reply.py
+++ b/tests/proxy/test_response.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from flintreach.proxy.reply import HTTPParseError, Replies
+from flintreach.proxy.response import HTTPParseError, ResponseParser
 
 
 class Answers(unittest.TestCase):
@@ -12,37 +12,37 @@
         return self.HEAD % (id, len(body)) + body
 
     def test_a_body_ends_where_its_message_ends(self):
-        replies = Replies()
-        replies.feed(self.answer(b"1", b"a") + self.answer(b"0", b"old"))
-        self.assertEqual([bytes(m.body) for m in replies.whole], [b"a", b"old"])
+        parser = ResponseParser()
+        parser.feed(self.answer(b"1", b"a") + self.answer(b"0", b"old"))
+        self.assertEqual([bytes(m.body) for m in parser.complete], [b"a", b"old"])
 
     def test_what_is_whole_before_garbage_counts_and_the_rest_is_told(self):
-        replies = Replies()
+        parser = ResponseParser()
         with self.assertRaises(HTTPParseError):
-            replies.feed(self.answer(b"1", b"abc") + b"\x00\x01garbage\r\n\r\n")
-        self.assertEqual([bytes(m.body) for m in replies.whole], [b"abc"])
-        self.assertTrue(replies.parser_failed() or replies.begun)
+            parser.feed(self.answer(b"1", b"abc") + b"\x00\x01garbage\r\n\r\n")
+        self.assertEqual([bytes(m.body) for m in parser.complete], [b"abc"])
+        self.assertTrue(parser.parser_failed() or parser.begun)
 
     def test_cut_bodies_never_look_whole(self):
         whole = self.answer(b"1", b"abcdef")
         for cut in range(len(whole)):
-            replies = Replies()
-            replies.feed(whole[:cut])
-            self.assertEqual(replies.whole, [])
+            parser = ResponseParser()
+            parser.feed(whole[:cut])
+            self.assertEqual(parser.complete, [])
 
     def test_an_answer_to_head_ends_with_its_head(self):
-        replies = Replies(bare=True)
-        replies.feed(self.HEAD % (b"1", 500))
-        self.assertEqual([(m.get("content-length"), bytes(m.body)) for m in replies.whole], [("500", b"")])
+        parser = ResponseParser(to_head=True)
+        parser.feed(self.HEAD % (b"1", 500))
+        self.assertEqual([(m.get("content-length"), bytes(m.body)) for m in parser.complete], [("500", b"")])
 
     def test_interim_answers_are_passed_over_in_any_portions(self):
         data = b"HTTP/1.1 100 Continue\r\n\r\n" + self.answer(b"7", b"xy")
         for size in range(1, len(data)):
-            replies = Replies()
+            parser = ResponseParser()
             for at in range(0, len(data), size):
-                replies.feed(data[at : at + size])
+                parser.feed(data[at : at + size])
             self.assertEqual(
-                [(m.status, m.get("x-try-id"), bytes(m.body)) for m in replies.whole],
+                [(m.status, m.get("x-try-id"), bytes(m.body)) for m in parser.complete],
                 [(200, "7", b"xy")],
                 size,
             )
