--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_request_parser.py
@@ -1,13 +1,12 @@
-"""Clients' connections."""
+"""Heads of requests: read, or refused."""
 
 import unittest
-from types import SimpleNamespace
 
+from flintreach.proxy.request_parser import BadRequest, parse_head
 
-class Fronts(unittest.TestCase):
-    def test_what_two_readers_could_take_for_two_things_is_refused(self):
-        from flintreach.proxy.request_parser import BadRequest, parse_head
 
+class Heads(unittest.TestCase):
+    def test_what_two_readers_could_take_for_two_things_is_refused(self) -> None:
         good = b"POST /a%2Fb?q=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3"
         self.assertEqual(parse_head(good).target, "/a%2Fb?q=1")
         bad = [
@@ -27,19 +26,6 @@
             with self.assertRaises(BadRequest, msg=head):
                 parse_head(head)
 
-    def test_a_request_under_way_is_not_idle(self):
-        """The trace of LOST on a hunted day: the leaving loop closed a connection that worked."""
-        from flintreach.proxy.client_listener import ClientHandler
-
-        class Quiet:
-            def recv(self, *_):
-                raise BlockingIOError
-
-        handler = ClientHandler(SimpleNamespace(_sock=Quiet()), None, None)
-        self.assertTrue(handler.is_idle())
-        handler.pending = 1
-        self.assertFalse(handler.is_idle())
-
 
 if __name__ == "__main__":
     unittest.main()
