--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -3,7 +3,8 @@
 import itertools
 import time
 import unittest
-from collections import namedtuple
+from collections.abc import Callable, Iterable, Sequence
+from typing import NamedTuple
 from unittest import mock
 
 import gevent
@@ -21,22 +22,36 @@
 from flintreach.proxy.client_listener import ClientListener
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.metrics import Metrics
+from flintreach.proxy.request import Answer, Request
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import ACTS, RESET, Adversary, Asked, text
 
-CALM = settings(derandomize=True, deadline=None, max_examples=120)
+EXAMPLES = settings(derandomize=True, deadline=None, max_examples=120)
 
 
+# Statuses that promise that a request has not run.
 PROMISES = (408, 421, 429, 503)
 
 
-Sent = namedtuple("Sent", "kind id method target body")
+class Sent(NamedTuple):
+    """A request of a client, of a kind of `KINDS`."""
 
+    kind: str
+    id: str
+    method: str
+    target: str
+    body: bytes
 
-Got = namedtuple("Got", "status headers body")
 
+class Received(NamedTuple):
+    """An answer as its client has read it; headers by their names in lower case."""
 
-# kind of request -> method, path, whether it may be repeated
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
+# kind of request -> method, path, whether it is idempotent
 KINDS = {
     "look": ("GET", "/s/%s", True),
     "head": ("HEAD", "/s/%s", True),
@@ -63,8 +78,8 @@
 )
 
 
-def table(*routes) -> bytes:
-    """A configuration: (path, kind, service, aim and deadline in ms) of each route."""
+def configuration(*routes: tuple[str, str, str, int, int]) -> bytes:
+    """A configuration: (path, kind, service, latency target and deadline in ms) of each route."""
     return msgspec.json.encode(
         {
             "edition": "00000001",
@@ -75,11 +90,11 @@
                         {
                             "name": name,
                             "kind": kind,
-                            "target_ms": aim,
+                            "target_ms": target_ms,
                             "sorting": {"postcode": f"/{name}/"},
-                            "dispatch": {"line": line, "deadline_ms": deadline, "tries": 3},
+                            "dispatch": {"line": service, "deadline_ms": deadline_ms, "tries": 3},
                         }
-                        for name, kind, line, aim, deadline in routes
+                        for name, kind, service, target_ms, deadline_ms in routes
                     ],
                 }
             ],
@@ -89,12 +104,12 @@
 
 
 # Where endpoints fall silent each silence costs its deadline; where they do not, none is ever reached.
-QUICK = table(
+QUICK = configuration(
     ("s", "safe", "desk", 20, 30), ("u", "unsafe", "desk", 20, 30), ("k", "unsafe", "lot", 400, 100)
 )
 
 
-PATIENT = table(
+PATIENT = configuration(
     ("s", "safe", "desk", 2000, 4000), ("u", "unsafe", "desk", 2000, 4000), ("k", "unsafe", "lot", 2000, 4000)
 )
 
@@ -102,27 +117,30 @@
 class Client:
     """A client that knows HTTP by itself: it takes no byte for an answer that is none."""
 
-    def __init__(self, address):
-        self.sock, self.buffer = socket.create_connection(address, timeout=5), b""
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.sock = socket.create_connection(address, timeout=5)
+        self.buffer = b""
 
-    def say(self, sent: Sent, *more: str) -> None:
-        rows = [f"{sent.method} {sent.target} HTTP/1.1", "Host: a", *more]
+    def send(self, sent: Sent, *more_headers: str) -> None:
+        """Send a request."""
+        rows = [f"{sent.method} {sent.target} HTTP/1.1", "Host: a", *more_headers]
         rows += [f"X-Try-Id: {sent.id}"] if sent.id else []
         if sent.method == "POST":
             rows.append(f"Content-Length: {len(sent.body)}")
         self.sock.sendall("\r\n".join([*rows, "", ""]).encode("latin-1") + sent.body)
 
-    def need(self, enough) -> bool:
-        while not enough(self.buffer):
+    def read_until(self, is_enough: Callable[[bytes], bool]) -> bool:
+        """Read until the buffer is enough; False where the connection ends before."""
+        while not is_enough(self.buffer):
             data = self.sock.recv(65536)
             if not data:
                 return False
             self.buffer += data
         return True
 
-    def hear(self, sent: Sent) -> Got | None:
+    def receive(self, sent: Sent) -> Received | None:
         """The next answer; None where the connection ended before it."""
-        if not self.need(lambda held: b"\r\n\r\n" in held):
+        if not self.read_until(lambda buffer: b"\r\n\r\n" in buffer):
             assert not self.buffer, f"half an answer: {self.buffer[:80]!r}"
             return None
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
@@ -133,35 +151,43 @@
         found = dict(headers)
         assert len([name for name, _ in headers if name in ("content-length", "x-try-id")]) <= 2, headers
         size = 0 if sent.method == "HEAD" or status in ("204", "304") else int(found["content-length"])
-        if not self.need(lambda held: len(held) >= size):
+        if not self.read_until(lambda buffer: len(buffer) >= size):
             return None  # cut, and seen to be: its length says so
         body, self.buffer = self.buffer[:size], self.buffer[size:]
-        return Got(int(status), found, body)
+        return Received(int(status), found, body)
 
     def end(self) -> bytes:
         """What comes when nothing more is due."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            self.need(lambda held: False)
+            self.read_until(lambda buffer: False)
         except OSError:
             pass
         self.sock.close()
         return self.buffer
 
 
-class Stage:
-    """A listener with its forwarder, and endpoints in trouble: two alike, and one that holds all keys."""
+class ProxyAndEndpoints:
+    """A listener with its forwarder, and faulty endpoints: two alike, and one that owns all keys."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.endpoints = [Adversary("e0"), Adversary("e1"), Adversary("k0")]
         self.numbers = itertools.count(1)
-        self.front = ClientListener(("127.0.0.1", 0), None, RequestLimits)
-        self.renew()
-        self.front.start()
-
-    def renew(self, scripts=(), portion: int = 1 << 20, config: bytes = PATIENT) -> None:
-        """No connection, ledger or judgement of an endpoint outlasts an example."""
-        for handler in [*self.front.handlers]:
+        self.listener = ClientListener(("127.0.0.1", 0), None, RequestLimits)
+        self.reset()
+        self.listener.start()
+
+    def reset(
+        self, scripts: Iterable[Iterable[str]] = (), portion: int = 1 << 20, config: bytes = PATIENT
+    ) -> None:
+        """Begin an example: no connection, count or ejection of an endpoint outlasts another one.
+
+        Args:
+            scripts: what each endpoint does.
+            portion: bytes that an endpoint sends at once.
+            config: the configuration.
+        """
+        for handler in [*self.listener.handlers]:
             handler.end()
         updates = VersionedStore()
         self.view = RoutingView(
@@ -187,100 +213,124 @@
         updates.offer("bunks/lot", [1, 1], [[0, 65535, "k0", "held"]])
         self.metrics = Metrics()
         bounds = TimingBounds(retry_slack=1000)
-        self.front.forwarder = self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate())
+        self.listener.forwarder = self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate())
 
     def request(self, kind: str) -> Sent:
+        """A request of a kind, with an id of its own."""
         id = f"{next(self.numbers):016x}"
         method, path, _ = KINDS[kind]
         return Sent(kind, id, method, path % id, f"body of {id}".encode() if method == "POST" else b"")
 
-    def say(self, client: Client, sent: Sent) -> None:
-        for (
-            endpoint
-        ) in self.view.endpoints.values():  # in use whatever it did: the next request meets what it left
+    def send(self, client: Client, sent: Sent) -> None:
+        """Send a request, with each endpoint in use whatever it did: the request meets what that left."""
+        for endpoint in self.view.endpoints.values():
             endpoint.record_success()
             endpoint.unanswered_since = None
-        client.say(sent, *(["X-Shard-Key: 7"] if sent.kind == "keyed" else []))
+        client.send(sent, *(["X-Shard-Key: 7"] if sent.kind == "keyed" else []))
 
     def settle(self) -> None:
-        """Until nothing is under way any more."""
+        """Wait until nothing is under way any more."""
         with gevent.Timeout(5):
             while (
-                any(endpoint.own_requests for endpoint in self.view.endpoints.values()) or self.front.handlers
+                any(endpoint.own_requests for endpoint in self.view.endpoints.values())
+                or self.listener.handlers
             ):
                 gevent.sleep(0.001)
         for endpoint in self.view.endpoints.values():
             endpoint.pool.close()
 
-    def ran(self, sent: Sent) -> int:
+    def runs(self, sent: Sent) -> int:
+        """How often a request has run."""
         return sum(endpoint.ran[sent.id] for endpoint in self.endpoints)
 
-    def judge(self, sent: Sent, got: Got | None) -> str:
+    def fault(self, sent: Sent, received: Received | None) -> str:
         """What is wrong with the answer to a request, empty where nothing is; asked when all is settled."""
-        ran, repeatable = self.ran(sent), KINDS[sent.kind][2]
-        if not repeatable and ran > 1:
-            return f"run {ran} times"
+        runs = self.runs(sent)
+        idempotent = KINDS[sent.kind][2]
+        if not idempotent and runs > 1:
+            return f"run {runs} times"
         for endpoint in self.endpoints:
             for asked in endpoint.came:
                 if asked.id == sent.id and (asked.method, asked.target, asked.body) != sent[2:]:
                     return f"not what was sent: {asked}"
-        if got is None:
+        if received is None:
             return ""
-        if got.headers.get("x-try-id") != sent.id:
-            return f"answer to {got.headers.get('x-try-id')}"
-        if not repeatable and got.status in PROMISES and ran:
-            return f"{got.status} promised, and it has run"
-        if 200 <= got.status < 300:
+        if received.headers.get("x-try-id") != sent.id:
+            return f"answer to {received.headers.get('x-try-id')}"
+        if not idempotent and received.status in PROMISES and runs:
+            return f"{received.status} promised, and it has run"
+        if 200 <= received.status < 300:
             asked = Asked(sent.method, sent.target, {"x-try-id": sent.id}, sent.body)
             bodies = {f"{endpoint.id}.{sent.id}": text(asked, endpoint.id) for endpoint in self.endpoints}
-            stamp = got.headers.get("x-postmark")
-            if stamp not in bodies or not ran:
-                return f"{got.status} with stamp {stamp}"
-            bare = sent.method == "HEAD" or got.status == 204
-            if got.body != (b"" if bare else bodies[stamp]):
-                return f"not its body: {got.body!r}"
-            if "content-encoding" in got.headers or "transfer-encoding" in got.headers:
-                return f"encoded: {got.headers}"
-            if bare and got.headers.get("content-length") not in (None, str(len(bodies[stamp]))):
-                return f"not its length: {got.headers}"
-            if got.status == 204 and "content-length" in got.headers:
+            stamp = received.headers.get("x-postmark")
+            if stamp not in bodies or not runs:
+                return f"{received.status} with stamp {stamp}"
+            is_bodiless = sent.method == "HEAD" or received.status == 204
+            if received.body != (b"" if is_bodiless else bodies[stamp]):
+                return f"not its body: {received.body!r}"
+            if "content-encoding" in received.headers or "transfer-encoding" in received.headers:
+                return f"encoded: {received.headers}"
+            if is_bodiless and received.headers.get("content-length") not in (None, str(len(bodies[stamp]))):
+                return f"not its length: {received.headers}"
+            if received.status == 204 and "content-length" in received.headers:
                 return "a length where there is no body"
-        elif got.status not in (*PROMISES, 500, 502, 504):
-            return f"status {got.status}"
+        elif received.status not in (*PROMISES, 500, 502, 504):
+            return f"status {received.status}"
         return ""
 
 
 class OnSockets(unittest.TestCase):
+    """Cases that share a proxy and its endpoints."""
+
     @classmethod
-    def setUpClass(cls):
-        cls.stage = Stage()
+    def setUpClass(cls) -> None:
+        cls.stage = ProxyAndEndpoints()
 
     @classmethod
-    def tearDownClass(cls):
-        cls.stage.front.stop(timeout=0)
+    def tearDownClass(cls) -> None:
+        cls.stage.listener.stop(timeout=0)
         for endpoint in cls.stage.endpoints:
             endpoint.stop()
 
-    def play(self, scripts, kinds, ahead=1, leave=None, portion=1 << 20, config=QUICK) -> list:
-        """Requests on one connection, `ahead` of them sent before their answers are read; the client goes
-        away before the answer numbered `leave`.  Returns what was sent, each with what came of it or None."""
+    def play(
+        self,
+        scripts: Iterable[Iterable[str]],
+        kinds: Iterable[str],
+        ahead: int = 1,
+        leave: int | None = None,
+        portion: int = 1 << 20,
+        config: bytes = QUICK,
+    ) -> list[list]:
+        """Requests on one connection.
+
+        Args:
+            scripts: what each endpoint does.
+            kinds: of the requests.
+            ahead: how many are sent before their answers are read.
+            leave: number of the answer before which the client goes away.
+            portion: bytes that an endpoint sends at once.
+            config: the configuration.
+
+        Returns:
+            [request, its answer or None] of each that was sent.
+        """
         stage = self.stage
-        stage.renew(scripts, portion, config)
+        stage.reset(scripts, portion, config)
         with gevent.Timeout(10):
-            client, found, waiting = Client(stage.front.address), [], []
+            client, found, waiting = Client(stage.listener.address), [], []
             for kind in kinds:
                 sent = stage.request(kind)
                 waiting.append(sent)
                 found.append([sent, None])
                 try:
-                    stage.say(client, sent)
+                    stage.send(client, sent)
                     while len(waiting) >= ahead:
-                        if not self.hear(client, waiting, found, leave):
+                        if not self.receive(client, waiting, found, leave):
                             break
                 except OSError:
                     break
             try:
-                while waiting and self.hear(client, waiting, found, leave):
+                while waiting and self.receive(client, waiting, found, leave):
                     pass
                 rest = client.end()
             except OSError:
@@ -290,44 +340,46 @@
             self.assertEqual(rest, b"")
         return found
 
-    def hear(self, client, waiting, found, leave) -> bool:
+    def receive(self, client: Client, waiting: list[Sent], found: list[list], leave: int | None) -> bool:
+        """Read the next answer; False where the connection ended before it."""
         sent = waiting[0]
         place = next(at for at, (other, _) in enumerate(found) if other is sent)
         if place == leave:
             client.sock.close()
             raise OSError
-        got = client.hear(sent)
-        found[place][1] = got
+        received = client.receive(sent)
+        found[place][1] = received
         waiting.pop(0)
-        return got is not None
+        return received is not None
 
-    def check(self, found, *about) -> None:
+    def check(self, found: Sequence[list], *about: object) -> None:
+        """Assert that answers belong to their requests, and that none is missing before the end."""
         ended = False
-        for sent, got in found:
-            self.assertEqual(self.stage.judge(sent, got), "", (sent, got, *about))
-            self.assertTrue(got or ended, ("no answer", sent, *about))
-            ended = ended or got is None or "close" in got.headers.get("connection", "")
+        for sent, received in found:
+            self.assertEqual(self.stage.fault(sent, received), "", (sent, received, *about))
+            self.assertTrue(received or ended, ("no answer", sent, *about))
+            ended = ended or received is None or "close" in received.headers.get("connection", "")
 
 
-class Acts(OnSockets):
-    """Each trouble by itself, then two plain requests on what it left behind."""
+class EachFault(OnSockets):
+    """Each fault of an endpoint by itself, then plain requests on what it left behind."""
 
-    def test_each_trouble_for_each_kind_of_request(self):
+    def test_answers_belong_to_their_requests_after_each_fault_and_kind_of_request(self) -> None:
         for act in ACTS:
             for kind in ("look", "head", "book", "keyed"):
                 with self.subTest(act=act, kind=kind):
                     found = self.play([[act], [act], [act]], [kind, "look", "book", "keyed"])
                     self.check(found, self.stage.metrics.counts)
 
-    def test_an_answer_that_is_well_arrives(self):
+    def test_a_sound_answer_arrives(self) -> None:
         for act in (act for act in PLAIN if act in ACTS):
             for kind in KINDS:
                 with self.subTest(act=act, kind=kind):
                     found = self.play([[act]] * 3, [kind, "look", "book", "keyed"], config=PATIENT)
                     self.check(found, self.stage.metrics.counts)
-                    self.assertEqual({got.status for _, got in found} - {200, 204}, set())
+                    self.assertEqual({received.status for _, received in found} - {200, 204}, set())
 
-    def test_two_troubles_at_a_holder_of_keys(self):
+    def test_answers_belong_to_their_requests_after_two_faults_of_a_sole_owner_of_keys(self) -> None:
         for first in ("503", "421", "refused twice", "surplus later", "late", "earlier", "interim", "cut"):
             for second in ("refused twice", "late"):
                 with self.subTest(first=first, second=second):
@@ -335,119 +387,122 @@
                     self.check(found, self.stage.metrics.counts)
 
 
-class Ways(OnSockets):
-    """One trace each."""
+class Scenarios(OnSockets):
+    """One course of events each."""
 
-    def one(self, sent, *more, client=None):
-        mine = client or Client(self.stage.front.address)
+    def exchange(self, sent: Sent, *more_headers: str, client: Client | None = None) -> Received | None:
+        """Send one request and read its answer, on a connection of its own unless there is a client."""
+        connection = client or Client(self.stage.listener.address)
         with gevent.Timeout(5):
-            mine.say(sent, *more)
-            got = mine.hear(sent)
+            connection.send(sent, *more_headers)
+            received = connection.receive(sent)
             if client is None:
-                self.assertEqual(mine.end(), b"")
-        return got
+                self.assertEqual(connection.end(), b"")
+        return received
 
-    def test_a_fault_in_forwarding_leaves_no_gap_for_the_next_answer(self):
+    def test_an_exception_in_forwarding_leaves_no_gap_for_the_next_answer(self) -> None:
         stage = self.stage
-        stage.renew()
+        stage.reset()
         sent = [stage.request("look") for _ in range(4)]
         forward = stage.forwarder.forward
 
-        def falls(request):
+        def fail_second(request: Request) -> Answer:
             if request.by_name["x-try-id"] == sent[1].id:
                 raise KeyError("a fault of ours")
             return forward(request)
 
-        client = Client(stage.front.address)
+        client = Client(stage.listener.address)
         with (
-            mock.patch.object(stage.forwarder, "forward", falls),
+            mock.patch.object(stage.forwarder, "forward", fail_second),
             gevent.Timeout(5),
-            mock.patch.object(gevent.get_hub(), "handle_error") as told,
+            mock.patch.object(gevent.get_hub(), "handle_error") as handle_error,
         ):
-            for one in sent:
-                stage.say(client, one)
-            got = [client.hear(one) for one in sent]
+            for request in sent:
+                stage.send(client, request)
+            received = [client.receive(request) for request in sent]
         self.assertEqual(
-            [(one.status, one.headers["x-try-id"]) for one in got],
-            [(502 if one is sent[1] else 200, one.id) for one in sent],
+            [(answer.status, answer.headers["x-try-id"]) for answer in received],
+            [(502 if request is sent[1] else 200, request.id) for request in sent],
         )
-        self.assertEqual(told.call_count, 1)
+        self.assertEqual(handle_error.call_count, 1)
         client.end()
 
-    def behind_one_that_closes(self, **patches):
+    def runs_behind_an_answer_that_closes(self, **patches: Callable) -> int:
         """How often a request that must not run twice has run, sent behind one whose answer closes: the
         client sends it again, as nobody has read it."""
         stage, go = self.stage, Event()
-        stage.renew()
+        stage.reset()
         look, book, forward = stage.request("look"), stage.request("odd book"), stage.forwarder.forward
 
-        def slow(request):
+        def forward_late(request: Request) -> Answer:
             if request.by_name["x-try-id"] == look.id:
                 go.wait()
             return forward(request)
 
-        def leaves():
-            stage.front.draining = True
+        def drain() -> None:
+            stage.listener.draining = True
             go.set()
 
-        client = Client(stage.front.address)
-        with mock.patch.multiple(stage.forwarder, forward=slow, **patches), gevent.Timeout(5):
-            stage.say(client, look)
-            stage.say(client, book)
-            gevent.spawn_later(0.02, leaves)
+        client = Client(stage.listener.address)
+        with mock.patch.multiple(stage.forwarder, forward=forward_late, **patches), gevent.Timeout(5):
+            stage.send(client, look)
+            stage.send(client, book)
+            gevent.spawn_later(0.02, drain)
             try:
-                self.assertEqual(client.hear(look).headers["connection"], "close")
-                self.assertIsNone(client.hear(book))
+                self.assertEqual(client.receive(look).headers["connection"], "close")
+                self.assertIsNone(client.receive(book))
             finally:
-                stage.front.draining = False
+                stage.listener.draining = False
         client.end()
         stage.settle()
-        return stage.ran(book)
+        return stage.runs(book)
 
-    def test_what_must_not_run_twice_does_not_run_behind_an_answer_that_closes(self):
-        self.assertEqual(self.behind_one_that_closes(), 0)
+    def test_what_is_not_idempotent_does_not_run_behind_an_answer_that_closes(self) -> None:
+        self.assertEqual(self.runs_behind_an_answer_that_closes(), 0)
 
-    def test_a_configuration_may_come_between_reading_and_forwarding(self):
+    def test_a_configuration_may_come_between_reading_and_forwarding(self) -> None:
         pipelined = iter([True, True, False])  # as it is read, and as it is forwarded
-        self.assertEqual(self.behind_one_that_closes(may_pipeline=lambda request: next(pipelined)), 0)
+        self.assertEqual(
+            self.runs_behind_an_answer_that_closes(may_pipeline=lambda request: next(pipelined)), 0
+        )
 
-    def test_an_interim_answer_of_ours_stands_behind_what_came_before(self):
+    def test_an_interim_answer_of_the_proxy_stands_behind_the_answers_before_it(self) -> None:
         stage, go = self.stage, Event()
-        stage.renew()
+        stage.reset()
         look, put, forward = stage.request("look"), stage.request("put"), stage.forwarder.forward
 
-        def slow(request):
+        def forward_late(request: Request) -> Answer:
             go.wait()
             return forward(request)
 
-        client = Client(stage.front.address)
-        with mock.patch.object(stage.forwarder, "forward", slow), gevent.Timeout(5):
-            client.say(look)
-            client.say(
+        client = Client(stage.listener.address)
+        with mock.patch.object(stage.forwarder, "forward", forward_late), gevent.Timeout(5):
+            client.send(look)
+            client.send(
                 put._replace(method="PUT", body=b""),
                 "Expect: 100-continue",
                 f"Content-Length: {len(put.body)}",
             )
             gevent.spawn_later(0.02, go.set)
-            self.assertEqual(client.hear(look).headers["x-try-id"], look.id)
-            client.need(lambda held: held.endswith(b"\r\n\r\n"))
+            self.assertEqual(client.receive(look).headers["x-try-id"], look.id)
+            client.read_until(lambda buffer: buffer.endswith(b"\r\n\r\n"))
             self.assertEqual(client.buffer, b"HTTP/1.1 100 Continue\r\n\r\n")
             client.buffer = b""
             client.sock.sendall(put.body)
-            got = client.hear(put)
+            received = client.receive(put)
         client.end()
         stage.settle()
-        self.assertEqual((got.status, stage.judge(put._replace(method="PUT"), got)), (200, ""))
+        self.assertEqual((received.status, stage.fault(put._replace(method="PUT"), received)), (200, ""))
 
-    def test_a_request_without_an_id_shares_its_connection_with_nobody(self):
+    def test_a_request_without_an_id_shares_its_connection_with_nobody(self) -> None:
         """Nothing tells its answer from another's."""
         stage = self.stage
-        stage.renew([[], [], ["answer", "surplus later", "surplus later"]])
-        client, found, endpoint = Client(stage.front.address), [], stage.view.endpoints["k0"]
+        stage.reset([[], [], ["answer", "surplus later", "surplus later"]])
+        client, found, endpoint = Client(stage.listener.address), [], stage.view.endpoints["k0"]
         before = stage.endpoints[2].opened
         for name, id in (("first", "17"), ("second", ""), ("third", ""), ("fourth", "18")):
             sent = Sent("keyed", id, "POST", f"/k/{name}", b"")
-            found.append(self.one(sent, "X-Shard-Key: 7", client=client).body.split(b" ")[3])
+            found.append(self.exchange(sent, "X-Shard-Key: 7", client=client).body.split(b" ")[3])
             found.append((stage.endpoints[2].opened - before, len(endpoint.pool.idle)))
         client.end()
         stage.settle()
@@ -455,57 +510,57 @@
             found, [b"/k/first", (1, 1), b"/k/second", (2, 1), b"/k/third", (3, 1), b"/k/fourth", (3, 1)]
         )
 
-    def test_odd_numbers_of_a_client_are_passed_over(self):
+    def test_malformed_numbers_in_headers_of_a_client_are_ignored(self) -> None:
         stage = self.stage
-        stage.renew()
+        stage.reset()
         for value in ("\xb2", "9" * 5000, "-1", "1e3", ""):
             for name, kind in (("X-Time-Left-Ms", "book"), ("X-Shard-Key", "look")):
                 sent = stage.request(kind)
-                self.assertEqual(self.one(sent, f"{name}: {value}").status, 200, (name, value[:9]))
+                self.assertEqual(self.exchange(sent, f"{name}: {value}").status, 200, (name, value[:9]))
         stage.settle()
 
-    def test_a_client_can_not_have_an_id_taken_off_its_request(self):
+    def test_a_client_cannot_have_the_id_taken_off_its_request(self) -> None:
         stage = self.stage
-        stage.renew()
+        stage.reset()
         sent = stage.request("book")
-        got = self.one(sent, "Connection: X-Try-Id, Host, X-Other", "X-Other: 1")
+        received = self.exchange(sent, "Connection: X-Try-Id, Host, X-Other", "X-Other: 1")
         stage.settle()
-        self.assertEqual((got.status, stage.judge(sent, got), stage.ran(sent)), (200, "", 1))
+        self.assertEqual((received.status, stage.fault(sent, received), stage.runs(sent)), (200, "", 1))
         (asked,) = [asked for endpoint in stage.endpoints for asked in endpoint.came]
         self.assertEqual(("x-other" in asked.low, asked.low["host"]), (False, "a"))
 
-    def test_the_next_owner_of_an_address_runs_nothing(self):
+    def test_the_next_owner_of_an_address_runs_nothing(self) -> None:
         stage = self.stage
         for kind in ("look", "book", "keyed"):
-            stage.renew()
+            stage.reset()
             for other in stage.endpoints:
                 warm = stage.request(kind)  # so that a connection stands
-                self.one(warm, "X-Shard-Key: 7")
+                self.exchange(warm, "X-Shard-Key: 7")
                 other.id, old = "stranger", other.id
                 try:
                     sent = [stage.request(kind) for _ in range(3)]
-                    got = [self.one(each, "X-Shard-Key: 7") for each in sent]
+                    received = [self.exchange(each, "X-Shard-Key: 7") for each in sent]
                 finally:
                     other.id = old
                 for endpoint in stage.view.endpoints.values():
                     endpoint.record_success()
             stage.settle()
-            for each, answer in zip(sent, got):
-                self.assertEqual(stage.judge(each, answer), "")
+            for each, answer in zip(sent, received):
+                self.assertEqual(stage.fault(each, answer), "")
                 self.assertIn(answer.status, (200, 503))
-                self.assertLessEqual(stage.ran(each), answer.status == 200)
+                self.assertLessEqual(stage.runs(each), answer.status == 200)
 
-    def test_no_try_goes_twice_on_one_connection(self):
+    def test_no_request_is_attempted_twice_on_one_connection(self) -> None:
         """Its holder refuses it, then runs it: a surplus refusal has the id of the answer that is due."""
         stage = self.stage
-        stage.renew([[], [], ["refused twice"]])
+        stage.reset([[], [], ["refused twice"]])
         before, sent = stage.endpoints[2].opened, stage.request("keyed")
-        got = self.one(sent, "X-Shard-Key: 7")
+        received = self.exchange(sent, "X-Shard-Key: 7")
         stage.settle()
-        self.assertEqual((stage.judge(sent, got), got.status, stage.ran(sent)), ("", 200, 1))
+        self.assertEqual((stage.fault(sent, received), received.status, stage.runs(sent)), ("", 200, 1))
         self.assertEqual(stage.endpoints[2].opened - before, 2)
 
-    def test_only_a_connection_that_brought_one_whole_answer_is_used_again(self):
+    def test_only_a_connection_that_brought_one_whole_answer_is_used_again(self) -> None:
         """The id would tell what else comes on it, but a second guard stands before that."""
         stage = self.stage
         kept = {
@@ -531,8 +586,8 @@
         }
         for act, count in kept.items():
             for kind in ("book", "look"):
-                stage.renew([[act]] * 3, config=PATIENT if count else QUICK)
-                self.one(stage.request(kind))
+                stage.reset([[act]] * 3, config=PATIENT if count else QUICK)
+                self.exchange(stage.request(kind))
                 endpoints = stage.view.endpoints.values()
                 with gevent.Timeout(5):
                     while any(endpoint.own_requests for endpoint in endpoints):
@@ -541,12 +596,12 @@
                 self.assertEqual(held, {count}, (act, kind))
                 stage.settle()
 
-    def test_an_idle_connection_is_looked_at_before_it_is_used(self):
+    def test_an_idle_connection_is_checked_before_it_is_used(self) -> None:
         """Closed, reset, or with bytes on it: what must not run twice would be lost, with no promise."""
         stage, there = self.stage, self.stage.endpoints[2]
         for trouble in ("close", "reset", "bytes"):
-            stage.renew()
-            self.one(stage.request("keyed"), "X-Shard-Key: 7")
+            stage.reset()
+            self.exchange(stage.request("keyed"), "X-Shard-Key: 7")
             (line,) = there.lines
             if trouble == "bytes":
                 line.sock.sendall(there.reply(Asked("POST", "/k/0", {"x-try-id": "0"})))
@@ -557,22 +612,26 @@
             (idle,) = stage.view.endpoints["k0"].pool.idle
             gevent.socket.wait_read(idle.sock.fileno(), timeout=5)  # it has come
             sent = stage.request("keyed")
-            got = self.one(sent, "X-Shard-Key: 7")
+            received = self.exchange(sent, "X-Shard-Key: 7")
             stage.settle()
-            self.assertEqual((got.status, stage.judge(sent, got), stage.ran(sent)), (200, "", 1), trouble)
+            self.assertEqual(
+                (received.status, stage.fault(sent, received), stage.runs(sent)), (200, "", 1), trouble
+            )
 
-    def test_what_is_read_for_one_answer_is_bounded(self):
+    def test_what_is_read_for_one_answer_is_bounded(self) -> None:
         stage = self.stage
         for act, most in (("many others", 1 << 20), ("never whole", 100)):
-            stage.renew([[act], [act]])
+            stage.reset([[act], [act]])
             sent = stage.request("book")
             with mock.patch("flintreach.proxy.exchange.MAX_RESPONSE_BYTES", most):
-                self.assertEqual(self.one(sent).status, 502, act)  # not 504: it was not waited for
+                self.assertEqual(self.exchange(sent).status, 502, act)  # not 504: it was not waited for
             stage.settle()
 
 
-class Any(OnSockets):
-    @CALM
+class AnyFaults(OnSockets):
+    """Faults drawn at random."""
+
+    @EXAMPLES
     @given(
         st.lists(st.lists(st.sampled_from([*ACTS]), max_size=5), min_size=3, max_size=3),
         st.lists(st.sampled_from([*KINDS]), min_size=1, max_size=6),
@@ -581,8 +640,8 @@
         st.sampled_from([1, 7, 1 << 20]),
     )
     def test_whatever_endpoints_do_answers_belong_and_nothing_runs_twice(
-        self, scripts, kinds, ahead, leave, portion
-    ):
+        self, scripts: list[list[str]], kinds: list[str], ahead: int, leave: int | None, portion: int
+    ) -> None:
         found = self.play(scripts, kinds, ahead, leave, portion)
         self.check(found[:leave], self.stage.metrics.counts)
 
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -3,6 +3,7 @@
 import itertools
 import time
 import unittest
+from collections.abc import Callable, Iterable
 
 import gevent
 import msgspec
@@ -14,14 +15,21 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.client_listener import ClientListener
+from flintreach.proxy.connection import Connection
+from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.hedging import LOSER_GRACE_S
 from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
 
-SOON_S = 0.25  # within which it is over here
-AIM_MS, PATIENCE_S = 400, 0.24  # of the routes; the longest time after which a second endpoint is asked
+# So soon it must be over on this machine.
+SOON_S = 0.25
+
+# Of the routes; and the longest time after which a hedged request is sent.
+LATENCY_TARGET_MS = 400
+HEDGING_DELAY_S = 0.24
+
 # prefix -> kind of route, service
 ROUTES = {
     "s": ("safe", "desk"),
@@ -32,11 +40,12 @@
 
 
 def configuration() -> bytes:
+    """A configuration with a route of each kind."""
     rules = [
         {
             "name": name,
             "kind": kind,
-            "target_ms": AIM_MS,
+            "target_ms": LATENCY_TARGET_MS,
             "sorting": {"postcode": f"/{name}/"},
             "dispatch": {"line": service, "deadline_ms": 5000, "tries": 3},
         }
@@ -51,16 +60,16 @@
     )
 
 
-class Site:
-    """A front with its forwarder and two endpoints; `mbps`: of the proxy's link."""
+class ProxyAndEndpoints:
+    """A listener with its forwarder and two endpoints; `mbps`: of the proxy's link."""
 
-    def __init__(self, mbps: float = 0.0):
+    def __init__(self, mbps: float = 0.0) -> None:
         self.endpoints = [Adversary("e0"), Adversary("e1")]
         self.ids = (f"{number:016x}" for number in itertools.count(1))
-        self.updates, self.metrics = VersionedStore(), Metrics()
-        self.confirmed = (
-            time.monotonic_ns
-        )  # the view is confirmed all the while, unless a case says otherwise
+        self.updates = VersionedStore()
+        self.metrics = Metrics()
+        # The view is confirmed all the while, unless a case says otherwise.
+        self.confirmed_at: Callable[[], int] = time.monotonic_ns
         bounds = TimingBounds(last_call_ms=600_000, retry_slack=1000)
         self.view = RoutingView(
             self.updates,
@@ -68,7 +77,7 @@
             {"n": "r"},
             time.monotonic_ns,
             bounds,
-            lambda: self.confirmed(),
+            lambda: self.confirmed_at(),
             self.metrics,
         )
         self.updates.offer("timetable", 1, configuration())
@@ -76,11 +85,12 @@
             fields = {"line": "desk", "addr": endpoint.addr, "zone": "n", "berths": 4}
             self.updates.offer(f"hut/{endpoint.id}", [1, 0], {**fields, "state": "ready", "cold": 0})
         self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate(), mbps)
-        self.front = ClientListener(("127.0.0.1", 0), self.forwarder, RequestLimits)
-        self.front.start()
+        self.listener = ClientListener(("127.0.0.1", 0), self.forwarder, RequestLimits)
+        self.listener.start()
 
     def stop(self) -> None:
-        self.front.stop(timeout=0)
+        """End the listener and the endpoints."""
+        self.listener.stop(timeout=0)
         for endpoint in self.endpoints:
             endpoint.stop()
 
@@ -90,9 +100,10 @@
             endpoint.script.extend(acts)
 
     def connect(self) -> socket.socket:
-        return socket.create_connection(self.front.address, timeout=5)
+        """A connection of a client."""
+        return socket.create_connection(self.listener.address, timeout=5)
 
-    def send(self, sock, path: str = "/s/1", method: str = "GET", body: bytes = b"") -> str:
+    def send(self, sock: socket.socket, path: str = "/s/1", method: str = "GET", body: bytes = b"") -> str:
         """Send one request; its id."""
         id = next(self.ids)
         rows = (
@@ -105,46 +116,50 @@
         sock.sendall("\r\n".join([*rows, "", ""]).encode() + body)
         return id
 
-    def came(self) -> list[str]:
-        """Ids of all that came to an endpoint, in the order of their sending."""
+    def arrived(self) -> list[str]:
+        """Ids of all requests that arrived at an endpoint, in the order of their sending."""
         return sorted(asked.id for endpoint in self.endpoints for asked in endpoint.came)
 
-    def broken_off(self) -> list[str]:
+    def cancelled(self) -> list[str]:
+        """Ids of the requests whose connection ended before the endpoint had answered."""
         return [id for endpoint in self.endpoints for id in endpoint.broken_off]
 
-    def held(self):
+    def endpoint_views(self) -> Iterable[EndpointView]:
         """The endpoints as the proxy sees them."""
         return self.view.endpoints.values()
 
-    def under_way(self) -> int:
-        return sum(endpoint.own_requests for endpoint in self.held())
+    def in_flight(self) -> int:
+        """Requests at endpoints, as the proxy counts them."""
+        return sum(endpoint.own_requests for endpoint in self.endpoint_views())
 
 
-def until(good, seconds: float = 5.0) -> bool:
-    """Whether `good()` became true in time."""
-    limit = time.monotonic() + seconds
-    while not good():
+def happens(condition: Callable[[], bool], within_s: float = 5.0) -> bool:
+    """Whether a condition became true in time."""
+    limit = time.monotonic() + within_s
+    while not condition():
         if time.monotonic() > limit:
             return False
         gevent.sleep(0.002)
     return True
 
 
-def close(sock) -> None:
+def close(sock: socket.socket) -> None:
+    """The usual end."""
     sock.close()
 
 
-def reset(sock) -> None:
+def reset(sock: socket.socket) -> None:
+    """The end by a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     sock.close()
 
 
-def half_close(sock) -> None:
+def half_close(sock: socket.socket) -> None:
     """The kernel can't tell it from a close, so it counts as one (docs/design/hangups.md)."""
     sock.shutdown(socket.SHUT_WR)
 
 
-def close_behind_bytes(sock) -> None:
+def close_behind_bytes(sock: socket.socket) -> None:
     """The end of the stream stands behind bytes that the proxy does not read meanwhile."""
     sock.sendall(b"POST /u/never HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
     sock.close()
@@ -153,27 +168,30 @@
 WAYS_TO_LEAVE = (close, reset, half_close, close_behind_bytes)
 
 
-class Case(unittest.TestCase):
-    mbps = 0.0  # of the proxy's link
+class HangupCase(unittest.TestCase):
+    """A case with a proxy and endpoints of its own; `mbps`: of the proxy's link."""
+
+    mbps = 0.0
 
-    def setUp(self):
-        self.site = Site(self.mbps)
+    def setUp(self) -> None:
+        self.site = ProxyAndEndpoints(self.mbps)
         self.addCleanup(self.site.stop)
 
-    def tearDown(self):
+    def tearDown(self) -> None:
         """The invariants that the code itself counts."""
         for violation in (SENT_FOR_NOBODY, LATE_ABANDON):
             self.assertEqual(self.site.metrics.counts.get(violation, 0), 0, violation)
 
     def settled(self) -> bool:
         """Whether nothing is under way soon, and no connection of a client is left."""
-        return until(lambda: not self.site.under_way() and not self.site.front.handlers, SOON_S)
+        return happens(lambda: not self.site.in_flight() and not self.site.listener.handlers, SOON_S)
 
-    def runs_somewhere(self, id: str) -> bool:
-        return until(lambda: id in self.site.came())
+    def arrives(self, id: str) -> bool:
+        """Whether a request arrives at an endpoint."""
+        return happens(lambda: id in self.site.arrived())
 
-    def blameless(self) -> bool:
-        """Whether nothing bad was learnt of any endpoint, and none is thought to be at work."""
+    def endpoints_are_healthy(self) -> bool:
+        """Whether no failure of any endpoint was recorded, and none is thought to be at work."""
         return all(
             not (
                 endpoint.consecutive_failures
@@ -181,13 +199,13 @@
                 or endpoint.own_requests
                 or endpoint.unanswered_since
             )
-            for endpoint in self.site.held()
+            for endpoint in self.site.endpoint_views()
         )
 
 
-class Hangups(Case):
-    def test_what_may_be_repeated_is_broken_off_when_its_client_leaves(self):
-        """However it is carried and however the client leaves, the endpoint's connection ends."""
+class Hangups(HangupCase):
+    def test_an_idempotent_request_is_cancelled_when_its_client_leaves(self) -> None:
+        """However it is forwarded and however the client leaves, the endpoint's connection ends."""
         for leave, (method, path) in itertools.product(
             WAYS_TO_LEAVE, (("GET", "/s/1"), ("HEAD", "/s/1"), ("POST", "/s/1"), ("GET", "/d/1"))
         ):
@@ -197,25 +215,25 @@
             self.site.script("late", "late")
             sock = self.site.connect()
             id = self.site.send(sock, path, method)
-            self.assertTrue(self.runs_somewhere(id), case)
+            self.assertTrue(self.arrives(id), case)
             leave(sock)
-            self.assertTrue(until(lambda: id in self.site.broken_off(), SOON_S), case)  # noqa: B023
+            self.assertTrue(happens(lambda: id in self.site.cancelled(), SOON_S), case)  # noqa: B023
             self.assertTrue(self.settled(), case)
 
-    def test_nothing_goes_out_any_more_for_a_client_that_left(self):
-        """Not beside a silent first, not again after a failure, not behind a wait for a turn."""
+    def test_nothing_is_sent_any_more_for_a_client_that_left(self) -> None:
+        """No hedged request beside a silent endpoint, no retry after a failure."""
         sock = self.site.connect()
         self.site.script("late")
         id = self.site.send(sock)
-        self.assertTrue(self.runs_somewhere(id))
+        self.assertTrue(self.arrives(id))
         sock.close()
-        gevent.sleep(PATIENCE_S + 0.1)
-        self.assertEqual(self.site.came(), [id], "a second endpoint was asked beside the first")
+        gevent.sleep(HEDGING_DELAY_S + 0.1)
+        self.assertEqual(self.site.arrived(), [id], "a second endpoint was asked beside the first")
 
         self.site.script("held", "held")
         sock = self.site.connect()
         again = self.site.send(sock, "/u/1", "POST")
-        self.assertTrue(self.runs_somewhere(again))
+        self.assertTrue(self.arrives(again))
         sock.close()
         gevent.sleep(0.05)
         for endpoint in self.site.endpoints:
@@ -224,105 +242,104 @@
                 line.sock.shutdown(socket.SHUT_RDWR)
             endpoint.let_go.set()
         gevent.sleep(0.1)
-        self.assertEqual(self.site.came(), [id, again], "it was sent again")
+        self.assertEqual(self.site.arrived(), [id, again], "it was retried")
         self.assertTrue(self.settled())
 
-    def test_what_waits_behind_others_on_a_connection_that_ended_is_not_carried(self):
+    def test_pipelined_requests_of_a_connection_that_ended_are_not_forwarded(self) -> None:
         """Requests that are read, and some that still lie in the kernel."""
         self.site.script(*["late"] * 4)
         sock = self.site.connect()
         ids = [self.site.send(sock) for _ in range(4)]
-        self.assertTrue(until(lambda: {*ids} <= {*self.site.came()}))
+        self.assertTrue(happens(lambda: {*ids} <= {*self.site.arrived()}))
         ids += [self.site.send(sock, "/u/1", "POST"), self.site.send(sock)]
         gevent.sleep(0.02)
         sock.close()
         self.assertTrue(self.settled())
-        gevent.sleep(PATIENCE_S + 0.1)
-        self.assertFalse({*ids[4:]} & {*self.site.came()})
-        self.assertEqual(len(self.site.came()), 4)
+        gevent.sleep(HEDGING_DELAY_S + 0.1)
+        self.assertFalse({*ids[4:]} & {*self.site.arrived()})
+        self.assertEqual(len(self.site.arrived()), 4)
 
-    def test_one_that_left_before_this_process_looked_is_not_carried(self):
+    def test_a_request_whose_client_left_before_the_event_loop_looked_is_not_sent(self) -> None:
         """The process stood still: a request and its client's end lie in the kernel together."""
         for path, method in (("/s/1", "GET"), ("/s/1", "POST"), ("/u/1", "POST")):
             warm = self.site.connect()  # connections to endpoints stand, so a sending needs no wait
             self.site.send(warm)
             self.assertTrue(warm.recv(65536))
-            self.site.front.hangups.watcher.stop()  # the event loop comes to the request first
+            self.site.listener.hangups.watcher.stop()  # the event loop comes to the request first
             id = self.site.send(warm, path, method)
             warm.close()
             gevent.sleep(0.05)
-            self.assertNotIn(id, self.site.came(), (path, method))
-            self.site.front.hangups.watcher.start(self.site.front.hangups.collect)
+            self.assertNotIn(id, self.site.arrived(), (path, method))
+            self.site.listener.hangups.watcher.start(self.site.listener.hangups.collect)
             self.assertTrue(self.settled())
 
-    def test_what_must_not_be_repeated_goes_on_and_is_not_sent_again(self):
-        """Breaking it off would leave its end unknown to everybody."""
+    def test_a_request_that_is_not_idempotent_goes_on_and_is_not_retried(self) -> None:
+        """Cancelling it would leave its end unknown to everybody."""
         self.site.script("held", "held")
         sock = self.site.connect()
         id = self.site.send(sock, "/u/1", "POST")
-        self.assertTrue(self.runs_somewhere(id))
+        self.assertTrue(self.arrives(id))
         sock.close()
         gevent.sleep(SOON_S)
-        self.assertEqual((self.site.broken_off(), self.site.under_way()), ([], 1))
+        self.assertEqual((self.site.cancelled(), self.site.in_flight()), ([], 1))
         for endpoint in self.site.endpoints:
             endpoint.let_go.set()
         self.assertTrue(self.settled())
-        self.assertEqual(self.site.came(), [id])
-        self.assertEqual([len(endpoint.pool.idle) for endpoint in self.site.held()].count(1), 1)
-        self.assertTrue(self.blameless())
+        self.assertEqual(self.site.arrived(), [id])
+        self.assertEqual([len(endpoint.pool.idle) for endpoint in self.site.endpoint_views()].count(1), 1)
+        self.assertTrue(self.endpoints_are_healthy())
 
-    def test_what_is_broken_off_tells_nothing_of_its_endpoint(self):
-        """Nor of the usual time, nor does it use up a budget; the next client is served there."""
+    def test_a_cancelled_attempt_tells_nothing_of_its_endpoint(self) -> None:
+        """Nor of the usual work, nor does it use up a budget; the next client is served there."""
         self.site.script("late", "late")
         work = dict(self.site.forwarder.endpoint_client.usual_work_ns)
         for _ in range(2):
             sock = self.site.connect()
             id = self.site.send(sock)
-            self.assertTrue(self.runs_somewhere(id))
+            self.assertTrue(self.arrives(id))
             sock.close()
             self.assertTrue(self.settled())
-        self.assertTrue(self.blameless())
+        self.assertTrue(self.endpoints_are_healthy())
         self.assertEqual(self.site.forwarder.endpoint_client.usual_work_ns, work)
         self.assertEqual(sum(self.site.forwarder.budget("desk").retries), 0)
-        self.assertEqual(len(self.site.broken_off()), 2)
+        self.assertEqual(len(self.site.cancelled()), 2)
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
         sock = self.site.connect()
         self.site.send(sock)
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
 
-    def test_the_slower_of_two_tries_ends_soon_after_the_answer(self):
+    def test_the_slower_of_two_hedged_attempts_ends_soon_after_the_answer(self) -> None:
         self.site.script("late")
-        self.site.endpoints[0].script.append(
-            "answer"
-        )  # whichever is asked first is silent, the other answers
+        # Whichever is asked first is silent, the other answers.
+        self.site.endpoints[0].script.append("answer")
         self.site.endpoints[1].script.append("answer")
         sock = self.site.connect()
         id = self.site.send(sock)
-        self.assertTrue(self.runs_somewhere(id))
+        self.assertTrue(self.arrives(id))
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
-        self.assertEqual(self.site.came(), [id, id])
-        self.assertEqual(self.site.broken_off(), [])
+        self.assertEqual(self.site.arrived(), [id, id])
+        self.assertEqual(self.site.cancelled(), [])
         gevent.sleep(LOSER_GRACE_S + 0.1)
-        self.assertEqual(self.site.broken_off(), [id])
-        self.assertTrue(self.blameless())
+        self.assertEqual(self.site.cancelled(), [id])
+        self.assertTrue(self.endpoints_are_healthy())
 
-    def test_a_proxy_that_leaves_does_not_wait_for_clients_that_left(self):
+    def test_a_draining_proxy_does_not_wait_for_clients_that_left(self) -> None:
         self.site.script("late", "late")
         sock = self.site.connect()
-        self.assertTrue(self.runs_somewhere(self.site.send(sock)))
-        self.site.front.draining = True
+        self.assertTrue(self.arrives(self.site.send(sock)))
+        self.site.listener.draining = True
         gevent.sleep(0.02)
-        self.assertTrue(self.site.front.handlers)
+        self.assertTrue(self.site.listener.handlers)
         sock.close()
         self.assertTrue(self.settled())
 
-    def test_a_client_whose_machine_vanishes_is_noticed_by_probes(self):
+    def test_a_client_whose_machine_vanishes_is_noticed_by_probes(self) -> None:
         sock = self.site.connect()
-        self.assertTrue(until(lambda: self.site.front.handlers))
-        (handler,) = self.site.front.handlers
+        self.assertTrue(happens(lambda: self.site.listener.handlers))
+        (handler,) = self.site.listener.handlers
         self.assertTrue(handler.socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
         idle = handler.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
         interval = handler.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
@@ -331,72 +348,74 @@
         sock.close()
 
 
-class Waits(Case):
-    """What a request waits for before it goes out: nothing goes out once its client has left."""
+class HangupsWhileWaiting(HangupCase):
+    """Whatever a request waits for before it is sent: nothing is sent once its client has left."""
 
     mbps = 8.0
 
-    def leaves_while_waiting(self, path: str, method: str = "GET") -> str:
+    def leave_while_waiting(self, path: str, method: str = "GET") -> str:
+        """Send a request, and leave before it can go out; its id."""
         sock = self.site.connect()
         id = self.site.send(sock, path, method)
         gevent.sleep(0.03)
-        self.assertEqual(self.site.came(), [])
+        self.assertEqual(self.site.arrived(), [])
         sock.close()
         gevent.sleep(0.02)
         return id
 
-    def test_for_its_turn_among_large_answers(self):
+    def test_for_admission_among_large_answers(self) -> None:
         admission = self.site.forwarder.link_admission
-        admission.in_flight_bytes = held = 1 << 40
-        self.leaves_while_waiting("/d/1")
+        reserved = 1 << 40
+        admission.in_flight_bytes = reserved
+        self.leave_while_waiting("/d/1")
         self.assertTrue(self.settled())
-        self.assertEqual((len(admission.queue), admission.in_flight_bytes), (0, held))
-        admission.leave(held)
+        self.assertEqual((len(admission.queue), admission.in_flight_bytes), (0, reserved))
+        admission.leave(reserved)
         gevent.sleep(0.05)
-        self.assertEqual((self.site.came(), admission.in_flight_bytes), ([], 0))
+        self.assertEqual((self.site.arrived(), admission.in_flight_bytes), ([], 0))
 
-    def test_for_a_connection(self):
-        for endpoint in self.site.held():
-            endpoint.pool.connect = slowly(endpoint.pool.connect)
+    def test_for_a_connection(self) -> None:
+        for endpoint in self.site.endpoint_views():
+            endpoint.pool.connect = delayed(endpoint.pool.connect)
         for path, method in (("/s/1", "GET"), ("/u/1", "POST")):
-            self.leaves_while_waiting(path, method)
+            self.leave_while_waiting(path, method)
             self.assertTrue(self.settled())
         gevent.sleep(0.1)
-        self.assertEqual(self.site.came(), [])
-        self.assertTrue(self.blameless())
+        self.assertEqual(self.site.arrived(), [])
+        self.assertTrue(self.endpoints_are_healthy())
 
-    def test_for_an_endpoint_that_is_asked_whether_it_is_there(self):
-        """The question goes on, as others wait for its answer too."""
-        self.site.confirmed = lambda: time.monotonic_ns() - 601_000_000_000
+    def test_for_a_health_check(self) -> None:
+        """The check goes on, as others wait for it too."""
+        self.site.confirmed_at = lambda: time.monotonic_ns() - 601_000_000_000
         for endpoint in self.site.endpoints:
             endpoint.holds_health = True
-        gone = self.leaves_while_waiting("/s/1")
+        gone = self.leave_while_waiting("/s/1")
         sock = self.site.connect()
         id = self.site.send(sock, "/u/1", "POST")
         gevent.sleep(0.02)
         for endpoint in self.site.endpoints:
             endpoint.let_go.set()
-        self.assertTrue(self.runs_somewhere(id))
-        self.assertNotIn(gone, self.site.came())
+        self.assertTrue(self.arrives(id))
+        self.assertNotIn(gone, self.site.arrived())
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
 
-    def test_for_keys_between_two_holders(self):
-        self.leaves_while_waiting("/k/1")
+    def test_for_keys_between_two_owners(self) -> None:
+        self.leave_while_waiting("/k/1")
         fields = {"line": "lot", "addr": self.site.endpoints[0].addr, "zone": "n", "berths": 4}
         self.site.updates.offer("hut/e0", [1, 1], {**fields, "state": "ready", "cold": 0})
         self.site.updates.offer("bunks/lot", [1, 1], [[0, 65535, "e0", "held"]])
         gevent.sleep(0.1)
-        self.assertEqual(self.site.came(), [])
+        self.assertEqual(self.site.arrived(), [])
 
 
-def slowly(connect):
-    """Connections that come up, but late."""
+def delayed(connect: Callable[[float], Connection]) -> Callable[[float], Connection]:
+    """Connections that are set up, but late."""
 
-    def slow(timeout):
+    def connect_late(timeout_s: float) -> Connection:
         gevent.sleep(0.15)
-        return connect(timeout)
+        return connect(timeout_s)
 
-    return slow
+    return connect_late
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -1,48 +1,55 @@
-"""Endpoints' answers, parsed."""
+"""Endpoints' responses, parsed."""
 
 import unittest
 
 from flintreach.proxy.response import HTTPParseError, ResponseParser
 
 
-class Answers(unittest.TestCase):
+class Responses(unittest.TestCase):
     HEAD = b"HTTP/1.1 200 OK\r\nX-Try-Id: %b\r\nContent-Length: %d\r\n\r\n"
 
-    def answer(self, id, body):
-        return self.HEAD % (id, len(body)) + body
+    def response(self, request_id: bytes, body: bytes) -> bytes:
+        """The bytes of a response with its length."""
+        return self.HEAD % (request_id, len(body)) + body
 
-    def test_a_body_ends_where_its_message_ends(self):
+    def test_a_body_ends_where_its_message_ends(self) -> None:
         parser = ResponseParser()
-        parser.feed(self.answer(b"1", b"a") + self.answer(b"0", b"old"))
-        self.assertEqual([bytes(m.body) for m in parser.complete], [b"a", b"old"])
+        parser.feed(self.response(b"1", b"a") + self.response(b"0", b"old"))
+        self.assertEqual([bytes(response.body) for response in parser.complete], [b"a", b"old"])
 
-    def test_what_is_whole_before_garbage_counts_and_the_rest_is_told(self):
+    def test_what_is_complete_before_garbage_counts_and_the_rest_is_noted(self) -> None:
         parser = ResponseParser()
         with self.assertRaises(HTTPParseError):
-            parser.feed(self.answer(b"1", b"abc") + b"\x00\x01garbage\r\n\r\n")
-        self.assertEqual([bytes(m.body) for m in parser.complete], [b"abc"])
+            parser.feed(self.response(b"1", b"abc") + b"\x00\x01garbage\r\n\r\n")
+        self.assertEqual([bytes(response.body) for response in parser.complete], [b"abc"])
         self.assertTrue(parser.parser_failed() or parser.begun)
 
-    def test_cut_bodies_never_look_whole(self):
-        whole = self.answer(b"1", b"abcdef")
+    def test_truncated_bodies_never_look_complete(self) -> None:
+        whole = self.response(b"1", b"abcdef")
         for cut in range(len(whole)):
             parser = ResponseParser()
             parser.feed(whole[:cut])
             self.assertEqual(parser.complete, [])
 
-    def test_an_answer_to_head_ends_with_its_head(self):
+    def test_a_response_to_head_ends_with_its_head(self) -> None:
         parser = ResponseParser(to_head=True)
         parser.feed(self.HEAD % (b"1", 500))
-        self.assertEqual([(m.get("content-length"), bytes(m.body)) for m in parser.complete], [("500", b"")])
+        self.assertEqual(
+            [(response.get("content-length"), bytes(response.body)) for response in parser.complete],
+            [("500", b"")],
+        )
 
-    def test_interim_answers_are_passed_over_in_any_portions(self):
-        data = b"HTTP/1.1 100 Continue\r\n\r\n" + self.answer(b"7", b"xy")
+    def test_interim_responses_are_passed_over_in_any_portions(self) -> None:
+        data = b"HTTP/1.1 100 Continue\r\n\r\n" + self.response(b"7", b"xy")
         for size in range(1, len(data)):
             parser = ResponseParser()
             for at in range(0, len(data), size):
                 parser.feed(data[at : at + size])
             self.assertEqual(
-                [(m.status, m.get("x-try-id"), bytes(m.body)) for m in parser.complete],
+                [
+                    (response.status, response.get("x-try-id"), bytes(response.body))
+                    for response in parser.complete
+                ],
                 [(200, "7", b"xy")],
                 size,
             )
