--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -153,7 +153,8 @@
         size = 0 if sent.method == "HEAD" or status in ("204", "304") else int(found["content-length"])
         if not self.read_until(lambda buffer: len(buffer) >= size):
             return None  # cut, and seen to be: its length says so
-        body, self.buffer = self.buffer[:size], self.buffer[size:]
+        body = self.buffer[:size]
+        self.buffer = self.buffer[size:]
         return Received(int(status), found, body)
 
     def end(self) -> bytes:
@@ -317,7 +318,9 @@
         stage = self.stage
         stage.reset(scripts, portion, config)
         with gevent.Timeout(10):
-            client, found, waiting = Client(stage.listener.address), [], []
+            client = Client(stage.listener.address)
+            found = []
+            waiting = []
             for kind in kinds:
                 sent = stage.request(kind)
                 waiting.append(sent)
@@ -430,9 +433,12 @@
     def runs_behind_an_answer_that_closes(self, **patches: Callable) -> int:
         """How often a request that must not run twice has run, sent behind one whose answer closes: the
         client sends it again, as nobody has read it."""
-        stage, go = self.stage, Event()
+        stage = self.stage
+        go = Event()
         stage.reset()
-        look, book, forward = stage.request("look"), stage.request("odd book"), stage.forwarder.forward
+        look = stage.request("look")
+        book = stage.request("odd book")
+        forward = stage.forwarder.forward
 
         def forward_late(request: Request) -> Answer:
             if request.by_name["x-try-id"] == look.id:
@@ -467,9 +473,12 @@
         )
 
     def test_an_interim_answer_of_the_proxy_stands_behind_the_answers_before_it(self) -> None:
-        stage, go = self.stage, Event()
+        stage = self.stage
+        go = Event()
         stage.reset()
-        look, put, forward = stage.request("look"), stage.request("put"), stage.forwarder.forward
+        look = stage.request("look")
+        put = stage.request("put")
+        forward = stage.forwarder.forward
 
         def forward_late(request: Request) -> Answer:
             go.wait()
@@ -498,7 +507,9 @@
         """Nothing tells its answer from another's."""
         stage = self.stage
         stage.reset([[], [], ["answer", "surplus later", "surplus later"]])
-        client, found, endpoint = Client(stage.listener.address), [], stage.view.endpoints["k0"]
+        client = Client(stage.listener.address)
+        found = []
+        endpoint = stage.view.endpoints["k0"]
         before = stage.endpoints[2].opened
         for name, id in (("first", "17"), ("second", ""), ("third", ""), ("fourth", "18")):
             sent = Sent("keyed", id, "POST", f"/k/{name}", b"")
@@ -536,12 +547,13 @@
             for other in stage.endpoints:
                 warm = stage.request(kind)  # so that a connection stands
                 self.exchange(warm, "X-Shard-Key: 7")
-                other.id, old = "stranger", other.id
+                old_id = other.id
+                other.id = "stranger"
                 try:
                     sent = [stage.request(kind) for _ in range(3)]
                     received = [self.exchange(each, "X-Shard-Key: 7") for each in sent]
                 finally:
-                    other.id = old
+                    other.id = old_id
                 for endpoint in stage.view.endpoints.values():
                     endpoint.record_success()
             stage.settle()
@@ -554,7 +566,8 @@
         """Its holder refuses it, then runs it: a surplus refusal has the id of the answer that is due."""
         stage = self.stage
         stage.reset([[], [], ["refused twice"]])
-        before, sent = stage.endpoints[2].opened, stage.request("keyed")
+        before = stage.endpoints[2].opened
+        sent = stage.request("keyed")
         received = self.exchange(sent, "X-Shard-Key: 7")
         stage.settle()
         self.assertEqual((stage.fault(sent, received), received.status, stage.runs(sent)), ("", 200, 1))
@@ -598,13 +611,14 @@
 
     def test_an_idle_connection_is_checked_before_it_is_used(self) -> None:
         """Closed, reset, or with bytes on it: what must not run twice would be lost, with no promise."""
-        stage, there = self.stage, self.stage.endpoints[2]
+        stage = self.stage
+        owner = stage.endpoints[2]
         for trouble in ("close", "reset", "bytes"):
             stage.reset()
             self.exchange(stage.request("keyed"), "X-Shard-Key: 7")
-            (line,) = there.lines
+            (line,) = owner.lines
             if trouble == "bytes":
-                line.sock.sendall(there.reply(Asked("POST", "/k/0", {"x-try-id": "0"})))
+                line.sock.sendall(owner.reply(Asked("POST", "/k/0", {"x-try-id": "0"})))
             else:
                 if trouble == "reset":
                     line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
--- a/tests/proxy/test_balancing.py
+++ b/tests/proxy/test_balancing.py
@@ -1,6 +1,7 @@
 """Load balancing decisions."""
 
 import unittest
+from typing import Any
 
 from flintreach.proxy.balancing import (
     NS_PER_S,
@@ -16,14 +17,17 @@
 from flintreach.proxy.endpoint import EndpointView
 
 
-def endpoint_view(endpoint_id: str, zone: str = "a", region: str = "r", **fields) -> EndpointView:
+def endpoint_view(endpoint_id: str, zone: str = "a", region: str = "r", **fields: Any) -> EndpointView:
     """An endpoint with two requests at a time."""
     return EndpointView(endpoint_id, "desk", "10.0.0.1:80", zone, region, 2, **fields)
 
 
 class EndpointChoice(unittest.TestCase):
     def test_the_nearest_endpoint_that_is_neither_busy_nor_silent_nor_ejected_is_chosen(self) -> None:
-        position, target, work, now = FleetPosition("a", "r"), NS_PER_S, NS_PER_S // 8, 10 * NS_PER_S
+        position = FleetPosition("a", "r")
+        target = NS_PER_S
+        work = NS_PER_S // 8
+        now = 10 * NS_PER_S
         near = endpoint_view("n")
         next_door = endpoint_view("x", "b")
         far = endpoint_view("f", "c", "s")
@@ -75,7 +79,8 @@
             names = [f"f{i}" for i in range(proxies)]
             ranks = dict(zip(names, range(proxies)))
             positions = [FleetPosition("a", "r", proxies, ranks, name) for name in names]
-            last_sent_at, sent = dict.fromkeys(names, -NS_PER_S * 9), []
+            last_sent_at = dict.fromkeys(names, -NS_PER_S * 9)
+            sent = []
             for now_ms in range(0, 3000, 5):
                 now = now_ms * NS_PER_S // 1000
                 for position in positions:
@@ -89,10 +94,13 @@
 
 class IdleConnections(unittest.TestCase):
     def test_idle_connections_of_all_proxies_stay_within_what_an_endpoint_accepts(self) -> None:
-        limit, proxies, longest = 48, 67, 4 * NS_PER_S
+        limit = 48
+        proxies = 67
+        longest = 4 * NS_PER_S
         position = FleetPosition("a", "r", proxies=proxies)
         for per_s in (0.02, 0.15, 1.0, 6.0):  # of each proxy, to the sole owner of some keys
-            endpoint, now = endpoint_view("e", in_subset=False), 0
+            endpoint = endpoint_view("e", in_subset=False)
+            now = 0
             for _ in range(200):
                 now += int(NS_PER_S / per_s)
                 endpoint.begin_request(now)
@@ -101,7 +109,8 @@
             self.assertLessEqual(connections, 0.65 * limit)
 
     def test_a_proxy_keeps_some_connections_to_the_endpoints_of_its_subset_most_in_its_own_zone(self) -> None:
-        limit, longest = 48, 4 * NS_PER_S
+        limit = 48
+        longest = 4 * NS_PER_S
         position = FleetPosition("a", "r", proxies=67, zones=6)
         near = endpoint_view("e", pool=ConnectionPool("10.0.0.1:80"))
         self.assertEqual(idle_time_ns(near, position, limit, longest), longest)
--- a/tests/proxy/test_endpoint.py
+++ b/tests/proxy/test_endpoint.py
@@ -1,11 +1,12 @@
 """What a proxy learns of an endpoint from its answers and its failures."""
 
 import unittest
+from typing import Any
 
 from flintreach.proxy.endpoint import NS_PER_S, EndpointView
 
 
-def endpoint_view(**fields) -> EndpointView:
+def endpoint_view(**fields: Any) -> EndpointView:
     """An endpoint with two requests at a time."""
     return EndpointView("e", "desk", "10.0.0.1:80", "a", "r", 2, **fields)
 
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -7,14 +7,16 @@
 from hypothesis import strategies as st
 
 from flintreach.config.configuration import RequestLimits
+from flintreach.proxy.caller import Caller
 from flintreach.proxy.client_listener import ClientHandler
+from flintreach.proxy.request import Answer, Request
 from flintreach.proxy.request_parser import BadRequest, ByteSource, parse_head
 from flintreach.proxy.response import ResponseParser
 
-CALM = settings(derandomize=True, deadline=None, max_examples=150)
+EXAMPLES = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-WORDS = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"GET ",
         b"POST ",
@@ -44,32 +46,37 @@
 class Peer:
     """A socket that gives bytes in portions and takes whatever is sent."""
 
-    def __init__(self, data, portion):
-        self.data, self.portion, self.out, self._sock = data, portion, b"", self
+    def __init__(self, data: bytes, portion: int) -> None:
+        self.data = data
+        self.portion = portion
+        self.sent = b""
+        self._sock = self
 
-    def recv(self, size, *_):
-        got, self.data = self.data[: self.portion], self.data[self.portion :]
-        return got
+    def recv(self, size: int, *_: int) -> bytes:
+        received = self.data[: self.portion]
+        self.data = self.data[self.portion :]
+        return received
 
-    def sendall(self, data):
-        self.out += data
+    def sendall(self, data: bytes) -> None:
+        self.sent += data
 
-    def settimeout(self, _):
+    def settimeout(self, _: float | None) -> None:
         pass
 
-    shutdown = settimeout
+    def shutdown(self, _: int) -> None:
+        pass
 
-    def close(self):
+    def close(self) -> None:
         pass
 
 
 class NoHangups:
     """In place of the monitor: a peer made of bytes has no descriptor, and stays."""
 
-    def add(self, sock, caller):
+    def add(self, sock: Peer, caller: Caller) -> None:
         pass
 
-    def remove(self, sock):
+    def remove(self, sock: Peer) -> None:
         pass
 
 
@@ -78,44 +85,44 @@
 
     draining = False
 
-    def __init__(self):
-        self.handlers: set = set()
+    def __init__(self) -> None:
+        self.handlers: set[ClientHandler] = set()
         self.forwarder = self
-        self.came: list = []
+        self.requests: list[Request] = []
         self.hangups = NoHangups()
 
-    def limits(self):
+    def limits(self) -> RequestLimits:
         return RequestLimits(envelope_bytes=500, contents_bytes=1000)
 
-    def may_pipeline(self, request):
+    def may_pipeline(self, request: Request) -> bool:
         return False
 
-    def forward(self, request):
-        from flintreach.proxy.request import Answer
-
-        self.came.append(request)
+    def forward(self, request: Request) -> Answer:
+        self.requests.append(request)
         return Answer(200, "OK", [], b"ok")
 
 
-def served(data, portion):
-    server, peer = Server(), Peer(data, portion)
+def serve(data: bytes, portion: int) -> tuple[list[Request], bytes]:
+    """The requests in the bytes that a client sends, and the bytes that it gets."""
+    server = Server()
+    peer = Peer(data, portion)
     gevent.spawn(ClientHandler(peer, ("10.0.0.1", 1), server).handle).get(timeout=5)
-    return server.came, peer.out
+    return server.requests, peer.sent
 
 
-class Fronts(unittest.TestCase):
-    @CALM
-    @given(st.lists(WORDS | st.binary(max_size=6), max_size=30), st.integers(1, 40))
-    def test_any_bytes_end_in_answers_or_a_close(self, parts, portion):
-        came, out = served(b"".join(parts), portion)
+class AnyBytes(unittest.TestCase):
+    @EXAMPLES
+    @given(st.lists(FRAGMENTS | st.binary(max_size=6), max_size=30), st.integers(1, 40))
+    def test_any_bytes_end_in_answers_or_a_close(self, parts: list[bytes], portion: int) -> None:
+        requests, sent = serve(b"".join(parts), portion)
         parser = ResponseParser()
-        parser.feed(out)  # what the client gets is HTTP to the last byte
+        parser.feed(sent)  # what the client gets is HTTP to the last byte
         self.assertFalse(parser.begun)
-        self.assertLessEqual(len(came), len(parser.complete))
+        self.assertLessEqual(len(requests), len(parser.complete))
 
-    @CALM
+    @EXAMPLES
     @given(st.binary(max_size=300), st.integers(1, 200), st.integers(1, 50))
-    def test_a_body_is_never_read_as_a_request(self, body, size, portion):
+    def test_a_body_is_never_read_as_a_request(self, body: bytes, size: int, portion: int) -> None:
         smuggled = b"GET /evil HTTP/1.1\r\nHost: a\r\n\r\n" + body
         plain = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % len(smuggled) + smuggled
         chunks = b"".join(
@@ -124,12 +131,14 @@
         )
         chunked = b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
         for data in (plain, chunked):
-            came, _ = served(data + b"GET /next HTTP/1.1\r\nHost: a\r\n\r\n", portion)
-            self.assertEqual([(r.target, r.body) for r in came], [("/a", smuggled), ("/next", b"")])
+            requests, _ = serve(data + b"GET /next HTTP/1.1\r\nHost: a\r\n\r\n", portion)
+            self.assertEqual(
+                [(request.target, request.body) for request in requests], [("/a", smuggled), ("/next", b"")]
+            )
 
-    @CALM
+    @EXAMPLES
     @given(st.binary(max_size=200))
-    def test_a_head_is_read_or_refused(self, data):
+    def test_a_head_is_read_or_refused(self, data: bytes) -> None:
         try:
             request = parse_head(data)
         except BadRequest:
@@ -139,7 +148,7 @@
         )
         self.assertEqual(parse_head(again.encode("latin-1")).headers, request.headers)
 
-    def test_portions_of_a_source_add_up(self):
+    def test_portions_of_a_source_add_up(self) -> None:
         source = ByteSource(Peer(b"abc\r\ndef", 1))
         self.assertEqual((source.read_until(b"\r\n", 10), source.read(9)), (b"abc", b"def"))
 
--- a/tests/proxy/test_link_admission.py
+++ b/tests/proxy/test_link_admission.py
@@ -18,7 +18,9 @@
     def test_large_answers_wait_in_turn_and_never_exceed_what_the_link_brings(self) -> None:
         draw = random.Random(4)
         admission = LinkAdmission(2.6)
-        woken, inside, waiting = [], [], []
+        woken = []
+        inside = []
+        waiting = []
         admission.observe("big", 90000)
         admission.observe("small", 1500)
         self.assertEqual(admission.expected_size("small", False), 0)
--- a/tests/proxy/test_retry_budget.py
+++ b/tests/proxy/test_retry_budget.py
@@ -9,9 +9,12 @@
 class RetryBudgets(unittest.TestCase):
     def test_budgets_of_all_proxies_add_up_in_every_window(self) -> None:
         draw = random.Random(5)
-        proxies, ratio, slack = 6, 0.2, 60
+        proxies = 6
+        ratio = 0.2
+        slack = 60
         budgets = [RetryBudget(ratio, 10, slack) for _ in range(proxies)]
-        retries_ms, requests_ms = [], []
+        retries_ms = []
+        requests_ms = []
         for now_ms in range(0, 40000, 20):
             now_ns = now_ms * NS_PER_S // 1000
             for budget in budgets:
