--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -120,7 +120,7 @@
             self.watch,
             self.repair.sweep,
             self.peer_exchange.run,
-            self.endpoints.look,
+            self.endpoints.run,
             self.load_placement.keys,
             self.load_placement.run,
         ):
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -150,7 +150,7 @@
 
     def beat(self, call):
         beat = msgspec.json.decode(call.body, type=Heartbeat)
-        return (200, {}) if self.plane.endpoints.beat(call.segments[0], beat) else UNSURE
+        return (200, {}) if self.plane.endpoints.heartbeat(call.segments[0], beat) else UNSURE
 
     def leave(self, call):
         return (200, {}) if self.plane.endpoints.leave(call.segments[0]) else UNSURE
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -47,7 +47,7 @@
     def hear(self, key: str, version, value, age: float = 0.0) -> None:
         kind, _, id = key.partition("/")
         if kind == "hut" and isinstance(value, dict):
-            self.plane.endpoints.heard_of(id, version, value)
+            self.plane.endpoints.merge_update(id, version, value)
         self.plane.updates.offer(key, version, value, age)
 
     # Marks.
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -231,14 +231,14 @@
         "no majority is told as a conflict",
     ),
     "settles-at-once": Plant(
-        f"{CONTROLLER}.voting:",
+        f"{CONTROLLER}.voter_management:",
         "first",
         settles_at_once,
         ("voters", "live", "kept", "durable", "known"),
         "a first start takes for voters whoever is there",
     ),
     "keeps-voters": Plant(
-        f"{CONTROLLER}.voting:", "wanted", nothing, ("voters", "live"), "the voters never change"
+        f"{CONTROLLER}.voter_management:", "wanted", nothing, ("voters", "live"), "the voters never change"
     ),
     "takes-any-number": Plant(
         f"{CONTROLLER}.operator_requests:OperatorRequests",
@@ -249,7 +249,7 @@
     ),
     "acknowledges-from-memory": Plant(
         f"{CONTROLLER}.endpoint_service:EndpointService",
-        "settle",
+        "replicate",
         true,
         ("known",),
         "a closing is acknowledged without a quorum",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -337,7 +337,13 @@
     def registry(self, disk: Disk) -> EndpointRegistry:
         """What a disk holds of endpoints, read as a start reads it."""
         told = SimpleNamespace(huts=disk.huts, facts=disk.facts, voting=True)
-        plane = SimpleNamespace(runtime=self.runtime, store=told, peer_pool=SimpleNamespace(handlers={}))
+        plane = SimpleNamespace(
+            runtime=self.runtime,
+            store=told,
+            peer_pool=SimpleNamespace(handlers={}),
+            updates=None,
+            register=None,
+        )
         return EndpointService(plane, self.shape.report_ms).registry
 
     def answering(self, machine: Machine, method: str) -> None:
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -243,11 +243,11 @@
     def hear(self, row):
         key, version, value, age = row
         if key.startswith("hut/"):
-            self.endpoints.heard_of(key.partition("/")[2], version, value, age)
+            self.endpoints.merge_update(key.partition("/")[2], version, value, age)
         self.updates.offer(key, version, value, age)
 
     def call(self, id, seq, state=READY, addr="10.0.0.9:80"):
-        return self.endpoints.beat(id, Heartbeat("desk", addr, "north", 2, state, seq))
+        return self.endpoints.heartbeat(id, Heartbeat("desk", addr, "north", 2, state, seq))
 
     def state(self, id):
         """What this refuge knows, and what it tells others."""
@@ -420,7 +420,7 @@
         self.assertTrue(fresh.endpoints.begin())
         self.assertEqual(len(fresh.registry.records), 1300)
         self.assertEqual(len(fresh.store.huts), 1300)
-        size = max(len(PACK(net[0].endpoints.on_book(None, [1, after]))) for after in ("", "i-5"))
+        size = max(len(PACK(net[0].endpoints.on_registry_page(None, [1, after]))) for after in ("", "i-5"))
         self.assertLess(size, MOST_BYTES)
 
     def test_what_only_an_old_disk_holds_is_not_told_as_alive(self):
@@ -441,11 +441,11 @@
         net.part(2)
         net[2].deaf = STALE_BOARD + 1
         net[0].endpoints.leave("e")
-        net[2].endpoints.turn(net[2].deaf)
+        net[2].endpoints.check_silence(net[2].deaf)
         self.assertTrue(net[2].endpoints.behind)
         net.cut.clear()
         net[2].deaf = 0.0
-        net[2].endpoints.turn(0.0)
+        net[2].endpoints.check_silence(0.0)
         self.assertEqual((net[2].endpoints.behind, net[2].state("e")), (False, (GONE, GONE)))
 
 
@@ -494,13 +494,13 @@
         for seq in range(3, 8):
             net.at += 1.5
             net[seq % 2].call("e", seq)
-        net[2].endpoints.turn(0.0)
+        net[2].endpoints.check_silence(0.0)
         self.assertEqual(net[2].state("e"), (SILENT, SILENT))
         net.carry()
         self.assertEqual((net[0].state("e"), net[1].state("e")), ((READY, READY),) * 2)
         net.cut.clear()
         net.carry()
-        net[0].endpoints.offer(["e"])
+        net[0].endpoints.publish(["e"])
         self.assertEqual(net[0].updates.entries["hut/e"][0], [SERVES, 7, 0])
 
     def test_a_verdict_that_is_learned_is_no_beat(self):
@@ -508,7 +508,7 @@
         net = Net()
         net[0].call("e", 1)
         net.at += 5
-        net[0].endpoints.turn(0.0)
+        net[0].endpoints.check_silence(0.0)
         fresh = net.controllers[net[1].address] = ControllerProcess(net, net[1].address, Disk())
         net.carry()
         self.assertEqual(fresh.state("e"), (SILENT, SILENT))
@@ -520,12 +520,12 @@
         net = Net()
         net[0].call("e", 1)
         net.at += 60
-        net[0].endpoints.turn(30.0)  # it slept
-        net[0].endpoints.turn(0.0)
-        net[0].endpoints.turn(0.0)
+        net[0].endpoints.check_silence(30.0)  # it slept
+        net[0].endpoints.check_silence(0.0)
+        net[0].endpoints.check_silence(0.0)
         self.assertEqual(net[0].state("e"), (READY, READY))
         net.at += 5
-        net[0].endpoints.turn(0.0)
+        net[0].endpoints.check_silence(0.0)
         self.assertEqual(net[0].state("e"), (SILENT, SILENT))
 
     def test_closing_is_not_undone_by_a_later_beat_whoever_heard_which(self):
@@ -584,7 +584,7 @@
                 for order in orders:
                     order.learn("map", value)
             for controller in net:
-                controller.endpoints.turn(0.0)
+                controller.endpoints.check_silence(0.0)
                 controller.updates.expire()
             net.carry()
             net.follow(proxy)
@@ -635,7 +635,7 @@
         for _ in range(150):
             net.at += 1.0
             for controller in net:
-                controller.endpoints.turn(0.0)
+                controller.endpoints.check_silence(0.0)
                 controller.updates.expire()
             net.carry()
             net.follow(proxy)
@@ -772,7 +772,7 @@
                 self.acked[number] = ENDS
         elif what == "turn":
             net.at += draw / 20
-            controller.endpoints.turn(0.0)
+            controller.endpoints.check_silence(0.0)
         elif what == "carry":
             net.carry()
         elif what == "some" and self.news:
@@ -870,7 +870,7 @@
         play(steps)
 
     def test_planted_faults_are_found(self):
-        hear, join, settle = EndpointRegistry.hear, EndpointRegistry.join, EndpointService.settle
+        hear, join, settle = EndpointRegistry.hear, EndpointRegistry.join, EndpointService.replicate
         answer, init = EndpointService.answer, EndpointService.__init__
 
         def repeat(self, id, rank, *rest):
@@ -909,10 +909,10 @@
 
         planted = {
             "none": (EndpointService, "ended", EndpointService.ended),
-            "a repeat is acknowledged at once": (EndpointService, "settle", repeat),
+            "a repeat is acknowledged at once": (EndpointService, "replicate", repeat),
             "a word is answered before the disk took it": (
                 EndpointService,
-                "hold",
+                "ensure_on_disk",
                 lambda self, id, rank: True,
             ),
             "what others say counts as a quorum": (EndpointService, "answer", hearsay),
@@ -922,7 +922,7 @@
             "an empty disk is counted": (EndpointService, "__init__", counted),
             "a start waits for nobody": (EndpointService, "collect", lambda self: True),
             "one answer is a quorum": (Voters, "met", lambda self, heard: len({*heard}) > 0),
-            "news that are not agreed with are passed on": (EndpointService, "heard_of", lambda *_: None),
+            "news that are not agreed with are passed on": (EndpointService, "merge_update", lambda *_: None),
         }
         for name, (owner, method, fault) in planted.items():
             draw, steps, found = random.Random(11), 0, None
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -576,7 +576,7 @@
                 evacuate=waits("order", TAKEN),
                 get=waits("get", lambda: (True, self.value)),
             ),
-            endpoints=SimpleNamespace(beat=waits("beat", True), leave=waits("leave", True)),
+            endpoints=SimpleNamespace(heartbeat=waits("beat", True), leave=waits("leave", True)),
             load_placement=SimpleNamespace(
                 directions=waits("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5
             ),
