--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -1,248 +1,430 @@
-"""Who votes, at a refuge: the first decision, a new disk's copying, changes that are due, and a handover
-before this process ends. What should follow is decided in `cairn.wanted`, how it comes about in
-`cairn.turnover`."""
+"""Which disks vote, as one controller sees to it.
+
+The first decision of voters, a new disk's catching up, changes that are due, and the handover before this
+process ends. What should follow one configuration is decided in `flintreach.consensus.voter_selection`; how
+it comes about, in `flintreach.consensus.reconfiguration`.
+"""
+
+import dataclasses
+from typing import Protocol
 
 from flintreach.common.log import say
+from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.reconfiguration import Reconfiguration
+from flintreach.consensus.register import Register
 from flintreach.consensus.voter_selection import Disk, Losses, first, ordered, wanted
-from flintreach.membership.member_list import LEFT, SUSPECTED
+from flintreach.membership.member_list import LEFT, SUSPECTED, Member, MemberList
+from flintreach.transport.peer_connection import PeerConnection
+from flintreach.transport.peer_pool import PeerPool
+from flintreach.transport.runtime import Runtime
+
+# Message kinds, the role and the fact on disk keep the bytes that earlier releases wrote: a fleet is
+# exchanged process by process, and a disk outlives the release that wrote it.
+LEAVING_KIND = "leaving"  # [[ip, port] of a process that will end, seconds for which that holds]
+REPLACE_KIND = "replace"  # [[ip, port] to leave out or None, [ip, port] to take in or None]
+DISK_KIND = "disk"  # an epoch or None; answered by `Reconfiguration.on_disk`
+VOTERS_KIND = "voters"  # a configuration or None; answered by `Register.on_voters`
+FORCED_FACT = "forced"  # what an operator forced on the voters while this process was stopped
+ROLE = "refuge"  # of controllers, in the list of members
+
+# Answers to an operator's order; any other text is a reason why it was rejected.
+DONE = ""
+UNFINISHED = "begun, not finished"
+UNKNOWN = "not known yet: look at the voters"
+
+CHECK_INTERVAL_S = 0.25
+FIRST_CHECK_INTERVAL_S = 0.05  # while the first voters are decided, and while this process leaves
+CATCH_UP_INTERVAL_S = 2.0  # after a disk has caught up, until it does so again
+TURN_S = 1.5  # each further controller in the order waits so much longer: two at once would only duel
+UNMET_GRACE_S = 5.0  # after its start a controller takes a voter that nobody has met for one that is gone
+ASK_S = 0.3  # for the answers of other controllers
+TOLD_S = 0.5  # for a quorum of new voters to confirm that they know of it
+HANDOVER_S = 2.0  # a process that ends waits so long for a successor at least
+HANDOVER_RESERVE_S = 1.0  # what is left of the platform's grace period when that wait is over
+
+
+class EndpointCollection(Protocol):
+    """What `VoterManager` uses of `endpoint_service.EndpointService`."""
+
+    def collect(self) -> bool:
+        """Whether what a quorum knows of endpoints is on this disk."""
+        ...
+
+
+class VoterPlane(Protocol):
+    """What `VoterManager` uses of `control_plane.ControlPlane`."""
 
-TICK_S, COPY_S = 0.25, 2.0
-TURN_S = 1.5  # each refuge further down the row waits so much longer before it acts: two would only duel
-UNMET_S = 5.0  # after its start a refuge takes a voter that nobody has met for one that is gone
-HANDOVER_S, SPARE_S = 2.0, 1.0  # how long one that ends waits for a successor at least; what is left then
-ROLE = "refuge"
+    runtime: Runtime
+    register: Register
+    peer_pool: PeerPool
+    member_list: MemberList
+    endpoints: EndpointCollection
+    node: ProcessSettings
+    first_run: bool
+
+    def seeds(self) -> list[Address]:
+        """Addresses to join by, as the settings name them now."""
+        ...
+
+    def peers(self) -> list[Address]:
+        """Addresses of the other controllers that are known to be alive, or vote."""
+        ...
 
 
 class VoterManager:
-    def __init__(self, plane):
-        self.plane, self.runtime, self.register = plane, plane.runtime, plane.register
-        self.reconfiguration = Reconfiguration(self.register, lambda: plane.endpoints.collect())
-        self.began = self.runtime.now()
-        self.leaving: dict[Address, float] = {}  # until when it counts as one that leaves
-        self.seen: frozenset[Address] = frozenset()  # disks that are alive
-        self.seen_at = self.due_at = self.began
-        self.due, self.told, self.copy_at, self.wish = -1, -1, 0.0, None
-        plane.peer_pool.handlers |= {"leaving": self.on_leaving, "replace": self.on_replace}
+    """One controller's part in who votes.
+
+    Attributes:
+        reconfiguration: carries out the changes.
+        leaving: address -> until when, on the steady clock, it counts as a process that will end.
+        alive_disks: addresses of the disks that were alive when they were last looked at.
+        alive_changed_at: when that set last changed, or could not be trusted.
+        due_epoch: the epoch after which a change is due; -1 while none is.
+        due_at: since when it is.
+        reported_epoch: of the voters that the log last told; -1 before any.
+        catch_up_at: when a disk that doesn't vote catches up next.
+        wish: the configuration that should follow, None where the one that stands is well.
+    """
+
+    def __init__(self, plane: VoterPlane) -> None:
+        """Answer the messages of other processes on voters from now on."""
+        self.plane = plane
+        self.runtime = plane.runtime
+        self.register = plane.register
+        self.peer_pool = plane.peer_pool
+        self.address: Address = plane.peer_pool.address
+        self.reconfiguration = Reconfiguration(self.register, self._collect_endpoints)
+        self.started_at = self.runtime.now()
+        self.leaving: dict[Address, float] = {}
+        self.alive_disks: frozenset[Address] = frozenset()
+        self.alive_changed_at = self.started_at
+        self.due_epoch = -1
+        self.due_at = self.started_at
+        self.reported_epoch = -1
+        self.catch_up_at = 0.0
+        self.wish: Voters | None = None
+        self.peer_pool.handlers |= {LEAVING_KIND: self.on_leaving, REPLACE_KIND: self.on_replace}
+
+    def _collect_endpoints(self) -> bool:
+        """Whether what a quorum knows of endpoints is on this disk: needed before it may vote."""
+        return self.plane.endpoints.collect()
 
     @property
     def losses(self) -> Losses:
-        told = self.plane.node.tariffs.losses
-        return Losses(told.machines, told.zones, told.regions)
+        """What may be lost at once with all that was acknowledged kept, as the settings say now."""
+        settings = self.plane.node.tariffs.losses
+        return Losses(settings.machines, settings.zones, settings.regions)
+
+    def _calm_s(self) -> float:
+        """Seconds since a disk came or went."""
+        return self.runtime.now() - self.alive_changed_at
+
+    # The disks that are known.
 
     def disks(self) -> dict[Address, Disk]:
-        """Counted refuges as the roster has them, and voters that it doesn't know."""
-        now, found = self.runtime.now(), {}
-        for m in [*self.plane.member_list.members.values()]:
-            if m.role == ROLE and m.counted:
-                alive, leaving = m.state <= SUSPECTED, now < self.leaving.get(m.address, 0.0)
-                if alive or m.address not in found:  # a successor may have the address of one that is dead
-                    found[m.address] = Disk(
-                        m.address, m.zone, m.region, alive=alive, leaving=leaving or m.state == LEFT
-                    )
-        unmet = [address for address in self.register.group if address not in found]
-        if now - self.began > UNMET_S:
-            found |= {address: Disk(address, "?", "?", alive=False) for address in unmet}
+        """Disks of the controllers that are members, and voters that are no members.
+
+        Notes on the way when a disk came or went.
+        """
+        now = self.runtime.now()
+        disks = self._member_disks(now)
+        unmet = [address for address in self.register.group if address not in disks]
+        if now - self.started_at > UNMET_GRACE_S:
+            disks |= {address: Disk(address, "?", "?", alive=False) for address in unmet}
         elif unmet:
-            self.seen_at = now  # no growth around one that may be gone: its place is for a successor
-        seen = frozenset(address for address, disk in found.items() if disk.alive)
-        if seen != self.seen:
-            self.seen, self.seen_at = seen, now
-        return found
-
-    def asked(self, disks: dict[Address, Disk], outside: bool = True) -> list[Disk]:
-        """The same with what those that don't vote (or all that are alive) tell of themselves. A voter that
-        is told dead is asked as well: news of a death may be wrong, and one that answers must not be
-        replaced."""
-        register, group = self.register, self.register.group
-        others = [
-            a
-            for a, disk in disks.items()
-            if not disk.leaving and (not disk.alive if outside and a in group else disk.alive)
-        ]
-        answers = register.gather(
-            others,
-            "disk",
-            register.voters.epoch if outside else None,
-            lambda got: len(got) == len(others),
-            0.3,
+            # No growth around a voter that may be gone: its place is for a successor.
+            self.alive_changed_at = now
+        alive_disks = frozenset(address for address, disk in disks.items() if disk.alive)
+        if alive_disks != self.alive_disks:
+            self.alive_disks = alive_disks
+            self.alive_changed_at = now
+        return disks
+
+    def _member_disks(self, now: float) -> dict[Address, Disk]:
+        disks: dict[Address, Disk] = {}
+        for member in [*self.plane.member_list.members.values()]:
+            if member.role != ROLE or not member.counted:
+                continue
+            # A successor may have the address of a member that is dead.
+            if member.state <= SUSPECTED or member.address not in disks:
+                disks[member.address] = self._member_disk(member, now)
+        return disks
+
+    def _member_disk(self, member: Member, now: float) -> Disk:
+        announced = now < self.leaving.get(member.address, 0.0)
+        return Disk(
+            member.address,
+            member.zone,
+            member.region,
+            alive=member.state <= SUSPECTED,
+            leaving=announced or member.state == LEFT,
         )
-        told = {address: answer for address, answer in answers if answer}
-        return [
-            self.with_word(disk, *told[address]) if address in told else disk
+
+    def ask_disks(self, disks: dict[Address, Disk]) -> list[Disk]:
+        """The disks, with what those that don't vote say of themselves under the epoch that stands.
+
+        A voter that is reported dead is asked as well: the report may be wrong, and a voter that answers must
+        not be replaced.
+        """
+        group = self.register.group
+        asked = [
+            address
             for address, disk in disks.items()
+            if not disk.leaving and disk.alive != (address in group)
         ]
+        return self._ask(disks, asked, self.register.voters.epoch)
+
+    def ask_alive_disks(self, disks: dict[Address, Disk]) -> list[Disk]:
+        """The disks, with what all that are alive say of themselves, under whichever epoch."""
+        asked = [address for address, disk in disks.items() if disk.alive and not disk.leaving]
+        return self._ask(disks, asked, None)
+
+    def _ask(self, disks: dict[Address, Disk], asked: list[Address], epoch: int | None) -> list[Disk]:
+        def all_answered(answers: list) -> bool:
+            return len(answers) == len(asked)
+
+        gathered = self.register.gather(asked, DISK_KIND, epoch, all_answered, ASK_S)
+        answers = {address: answer for address, answer in gathered if answer}
+        answered_disks = []
+        for address, disk in disks.items():
+            if address in answers:
+                incarnation, caught_up = answers[address]
+                disk = self._answered(disk, incarnation, caught_up)
+            answered_disks.append(disk)
+        return answered_disks
 
     @staticmethod
-    def with_word(disk: Disk, life: str, caught: bool) -> Disk:
-        return Disk(disk.address, disk.zone, disk.region, life, True, disk.leaving, caught)
+    def _answered(disk: Disk, incarnation: str, caught_up: bool) -> Disk:
+        return dataclasses.replace(disk, life=incarnation, alive=True, caught=caught_up)
+
+    def as_if_caught_up(self, disks: dict[Address, Disk]) -> list[Disk]:
+        """The disks as if all that don't vote were alive and had caught up.
+
+        They are asked for it only where something could come of it.
+        """
+        group = self.register.group
+        return [
+            disk if address in group else self._answered(disk, "", True) for address, disk in disks.items()
+        ]
 
     # A first start.
 
     def find(self) -> None:
         """Learn which disks vote: from others, or at a first start by deciding it with them."""
-        plane, runtime, register = self.plane, self.runtime, self.register
-        if plane.first_run and not register.voters.sets:
-            # Kept: after a kill the settings may name other seeds, and those must not decide a second time.
-            register.voters = Voters(0, tuple(sorted((seed, "") for seed in plane.seeds())))
-            while register.store and not register.store.keep({}, register.voters.fact()):
-                runtime.sleep(TICK_S)
-        if register.store and (forced := register.store.facts.get("forced")):
+        self._keep_seeds()
+        store = self.register.store
+        forced = store.facts.get(FORCED_FACT) if store else None
+        if forced:
             say("voters_forced", what=forced)
-        fresh = plane.first_run or (register.store is not None and register.trusted)
-        while not register.voters.epoch:
-            runtime.sleep(0.05)
-            disks = {address: disk for address, disk in self.disks().items() if disk.alive}
-            others = [address for address in disks if address != plane.peer_pool.address]
-            found = plane.peer_pool.gather(others, "voters", None, bool, 0.3) if others else []
-            if found:
-                register.adopt(max((Voters.of(row) for _, row in found), key=lambda voters: voters.epoch))
-            elif fresh and first(disks.values(), self.losses, runtime.now() - self.seen_at):
-                # What an earlier one has decided stands: the disks of the seeds know it.
-                wish = first(self.asked(disks, False), self.losses, runtime.now() - self.seen_at)
-                if wish:
-                    self.reconfiguration.decide(wish)
-        self.tell()
-
-    def tell(self) -> None:
+        may_decide = self.plane.first_run or (store is not None and self.register.trusted)
+        while not self.register.voters.epoch:
+            self.runtime.sleep(FIRST_CHECK_INTERVAL_S)
+            self._find_once(may_decide)
+        self.report()
+
+    def _keep_seeds(self) -> None:
+        """At a first start, store the seeds' disks as those that decide on the first voters.
+
+        After a kill the settings may name other seeds, and those must not decide a second time.
+        """
+        register = self.register
+        if not self.plane.first_run or register.voters.sets:
+            return
+        register.voters = Voters(0, tuple(sorted((seed, "") for seed in self.plane.seeds())))
+        while register.store and not register.store.keep({}, register.voters.fact()):
+            self.runtime.sleep(CHECK_INTERVAL_S)
+
+    def _find_once(self, may_decide: bool) -> None:
+        """Take the latest voters that others know; where none does, decide them if that is due."""
+        disks = {address: disk for address, disk in self.disks().items() if disk.alive}
+        others = [address for address in disks if address != self.address]
+        answers = self.peer_pool.gather(others, VOTERS_KIND, None, bool, ASK_S) if others else []
+        if answers:
+            known = [Voters.of(row) for _, row in answers]
+            self.register.adopt(max(known, key=lambda voters: voters.epoch))
+            return
+        if not may_decide or not first(disks.values(), self.losses, self._calm_s()):
+            return
+        # What an earlier process has decided stands: the disks of the seeds know it.
+        wish = first(self.ask_alive_disks(disks), self.losses, self._calm_s())
+        if wish:
+            self.reconfiguration.decide(wish)
+
+    def report(self) -> None:
+        """Log the voters that stand."""
         voters = self.register.voters
-        self.told = voters.epoch
-        say(
-            "voters",
-            epoch=voters.epoch,
-            votes=self.register.votes(),
-            sets=[[f"{ip}:{port}" for ip, port in sorted(one)] for one in voters.sets],
-        )
+        self.reported_epoch = voters.epoch
+        addresses = [[f"{ip}:{port}" for ip, port in sorted(voter_set)] for voter_set in voters.sets]
+        say("voters", epoch=voters.epoch, votes=self.register.votes(), sets=addresses)
 
-    # Later.
+    # Later changes.
 
     def run(self) -> None:
+        """Catch up, or change the voters where that is due, for as long as the process lives."""
         while True:
-            self.runtime.sleep(TICK_S)
-            if self.register.voters.epoch:
-                self.turn()
-                if self.register.voters.epoch != self.told and not self.register.voters.joint:
-                    self.tell()
-
-    def turn(self) -> None:
-        register, now = self.register, self.runtime.now()
-        me, voters = self.plane.peer_pool.address, register.voters
-        if me not in register.group:
-            if now >= self.copy_at:
-                self.copy_at = now + (COPY_S if self.reconfiguration.catch_up() else 0.0)
-            return
-        if not register.votes():
+            self.runtime.sleep(CHECK_INTERVAL_S)
+            if not self.register.voters.epoch:
+                continue
+            self.check()
+            voters = self.register.voters
+            if voters.epoch != self.reported_epoch and not voters.joint:
+                self.report()
+
+    def check(self) -> None:
+        """One step: a disk that doesn't vote catches up, one that does changes the voters where it must."""
+        register = self.register
+        now = self.runtime.now()
+        voters = register.voters
+        if self.address not in register.group:
+            if now >= self.catch_up_at:
+                caught_up = self.reconfiguration.catch_up()
+                self.catch_up_at = now + (CATCH_UP_INTERVAL_S if caught_up else 0.0)
             return
-        if self.is_due(voters):
-            self.go_on(voters)
+        if register.votes() and self.is_due(voters):
+            self.advance(voters)
 
     def is_due(self, voters: Voters) -> bool:
-        """Whether something is to be done, and it is this refuge's turn to do it."""
-        disks, now = self.disks(), self.runtime.now()
-        self.wish = (
-            voters if voters.joint else wanted(voters, self.hoped(disks), self.losses, now - self.seen_at)
-        )
+        """Whether the voters should change, and it is this controller's turn to see to it."""
+        disks = self.disks()
+        now = self.runtime.now()
+        if voters.joint:
+            self.wish = voters
+        else:
+            calm_s = now - self.alive_changed_at
+            self.wish = wanted(voters, self.as_if_caught_up(disks), self.losses, calm_s)
         if self.wish is None:
-            self.due = -1
+            self.due_epoch = -1
             return False
-        if self.due != voters.epoch:
-            self.due, self.due_at = voters.epoch, now
-        me = self.plane.peer_pool.address
-        row = sorted(a for a in self.register.group if a in disks and disks[a].alive and not disks[a].leaving)
-        place = row.index(me) if me in row else len(row)
-        return now - self.due_at >= place * TURN_S
-
-    def hoped(self, disks: dict[Address, Disk]) -> list[Disk]:
-        """The disks as if all outside had caught up: that is asked only where something could come of it."""
-        return [
-            disk if address in self.register.group else self.with_word(disk, "", True)
-            for address, disk in disks.items()
-        ]
+        if self.due_epoch != voters.epoch:
+            self.due_epoch = voters.epoch
+            self.due_at = now
+        return now - self.due_at >= self._turn(disks) * TURN_S
 
-    def go_on(self, voters: Voters) -> None:
+    def _turn(self, disks: dict[Address, Disk]) -> int:
+        """This controller's place in the order in which voters act; the last where it is not alive there."""
+        order = sorted(
+            address
+            for address in self.register.group
+            if address in disks and disks[address].alive and not disks[address].leaving
+        )
+        return order.index(self.address) if self.address in order else len(order)
+
+    def advance(self, voters: Voters) -> None:
+        """Go on with a joint configuration, or begin the change that is wanted, if it still is."""
         if voters.joint:
             self.reconfiguration.carry_on()
             return
-        wish = wanted(voters, self.asked(self.disks()), self.losses, self.runtime.now() - self.seen_at)
+        disks = self.ask_disks(self.disks())
+        wish = wanted(voters, disks, self.losses, self._calm_s())
         if wish and self.reconfiguration.decide(wish):
             self.reconfiguration.carry_on()
 
-    # Leaving, and orders.
+    # Leaving, and an operator's orders.
 
-    def on_leaving(self, link, body):
-        """Another process will end: [its address, seconds for which its word holds]."""
+    def on_leaving(self, connection: PeerConnection | None, body: list) -> bool:
+        """Another process will end: [its address, seconds for which that holds]; answered True."""
         address, seconds = body
         self.leaving[tuple(address)] = self.runtime.now() + seconds
         return True
 
     def leave(self) -> None:
-        """Before this process ends: where a spare may take over, or the rest suffices, that is waited for, as
-        long as the platform lets it."""
-        me, now = self.plane.peer_pool.address, self.runtime.now()
-        if me not in self.register.group:
+        """Before this process ends, wait until a spare has taken over, or until the others suffice.
+
+        At most for as long as the platform lets it.
+        """
+        if self.address not in self.register.group:
             return
-        until = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - SPARE_S)
-        self.leaving[me] = until + SPARE_S
+        now = self.runtime.now()
+        deadline = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - HANDOVER_RESERVE_S)
+        leaving_until = deadline + HANDOVER_RESERVE_S
+        self.leaving[self.address] = leaving_until
         peers = self.plane.peers()
-        self.plane.peer_pool.gather(
-            peers, "leaving", [list(me), self.leaving[me] - now], lambda got: len(got) == len(peers), 0.3
-        )
-        while self.runtime.now() < until:
-            voters = self.register.voters
-            if me not in self.register.group:
-                if self.reconfiguration.told(0.5):
-                    break
-            # While two sets stand it may be one that both need: it stays until that is over.  A spare that
-            # has just started still copies: who ended at once would leave its set a voter short until then.
-            elif not voters.joint and not wanted(voters, self.hoped(self.disks()), self.losses, 0.0):
-                break
-            self.runtime.sleep(0.05)
-
-    def on_replace(self, link, body):
-        """An operator's order: [address to leave out or None, address to take in or None]; what came of
-        it."""
-        out, into = (tuple(place) if place else None for place in body)
-        wish, reason = ordered(self.register.voters, self.asked(self.disks()), self.losses, out, into)
+
+        def all_answered(answers: list) -> bool:
+            return len(answers) == len(peers)
+
+        announcement = [list(self.address), leaving_until - now]
+        self.peer_pool.gather(peers, LEAVING_KIND, announcement, all_answered, ASK_S)
+        while self.runtime.now() < deadline and not self._handed_over():
+            self.runtime.sleep(FIRST_CHECK_INTERVAL_S)
+
+    def _handed_over(self) -> bool:
+        """Whether the voters get on without this process."""
+        voters = self.register.voters
+        if self.address not in self.register.group:
+            return self.reconfiguration.told(TOLD_S)
+        # While two sets stand both may need this voter: it stays until that is over. And a spare that has
+        # just started is still copying: a voter that ended at once would be missed until that is done.
+        if voters.joint:
+            return False
+        return not wanted(voters, self.as_if_caught_up(self.disks()), self.losses, 0.0)
+
+    def on_replace(self, connection: PeerConnection | None, body: list) -> str:
+        """An operator's order: [address to leave out or None, address to take in or None].
+
+        Returns:
+            `DONE`, `UNFINISHED`, `UNKNOWN`, or why the order was rejected.
+        """
+        leave_out, take_in = (tuple(address) if address else None for address in body)
+        voters = self.register.voters  # read first: an order is for those that stood when it came in
+        disks = self.ask_disks(self.disks())
+        wish, reason = ordered(voters, disks, self.losses, leave_out, take_in)
         if wish is None:
             return reason
         if self.reconfiguration.decide(wish) and self.reconfiguration.carry_on():
-            return ""
-        return "begun, not finished" if self.register.voters.joint else "not known yet: look at the voters"
+            return DONE
+        return UNFINISHED if self.register.voters.joint else UNKNOWN
+
+    # What operators see.
 
     def rows(self) -> list[dict]:
-        """For `flintreach show voters`."""
-        voters, disks = self.register.voters, self.disks()
-        told = {disk.address: disk for disk in self.asked(disks, False)}
-        forced = self.plane.store.facts.get("forced", "") if self.plane.store else ""
-        wish = (
-            ""
-            if self.wish is None
-            else " and ".join(" ".join(sorted(f"{ip}:{port}" for ip, port in one)) for one in self.wish.sets)
-        )
-        rows = []
-        for address in sorted({*voters.members(), *disks}):
-            disk, lives = told.get(address), sorted(voters.lives(address))
-            inside = [
-                name for name, one in (("old", voters.old), ("new", voters.new)) if address in dict(one)
-            ]
-            rows.append(
-                {
-                    "epoch": voters.epoch,
-                    "address": f"{address[0]}:{address[1]}",
-                    "set": " ".join(inside) if voters.joint else "votes" if inside else "",
-                    "life": " ".join(lives),
-                    "told_life": disk.life if disk else "",
-                    "state": "unknown"
-                    if not disk
-                    else "leaving"
-                    if disk.leaving
-                    else "alive"
-                    if disk.alive
-                    else "dead",
-                    "caught_up": bool(disk and disk.caught),
-                    "wanted": wish,
-                    "forced": forced,
-                }
-            )
-        return rows
+        """The disks that vote or may, one a row, as `flintreach show voters` prints them."""
+        voters = self.register.voters
+        disks = self.disks()
+        answered = {disk.address: disk for disk in self.ask_alive_disks(disks)}
+        store = self.register.store
+        shared = {
+            "wanted": self._wish_text(),
+            "forced": store.facts.get(FORCED_FACT, "") if store else "",
+        }
+        addresses = sorted({*voters.members(), *disks})
+        return [self._row(voters, address, answered.get(address)) | shared for address in addresses]
+
+    def _wish_text(self) -> str:
+        if self.wish is None:
+            return ""
+        sets = [" ".join(sorted(f"{ip}:{port}" for ip, port in voter_set)) for voter_set in self.wish.sets]
+        return " and ".join(sets)
+
+    @classmethod
+    def _row(cls, voters: Voters, address: Address, disk: Disk | None) -> dict:
+        return {
+            "epoch": voters.epoch,
+            "address": f"{address[0]}:{address[1]}",
+            "set": cls._set_text(voters, address),
+            "life": " ".join(sorted(voters.lives(address))),
+            "told_life": disk.life if disk else "",
+            "state": cls._state_text(disk),
+            "caught_up": bool(disk and disk.caught),
+        }
+
+    @staticmethod
+    def _set_text(voters: Voters, address: Address) -> str:
+        """In which of two sets an address votes, "votes" where one stands alone, "" where it doesn't vote."""
+        set_names = [
+            name
+            for name, voter_set in (("old", voters.old), ("new", voters.new))
+            if address in dict(voter_set)
+        ]
+        if voters.joint:
+            return " ".join(set_names)
+        return "votes" if set_names else ""
+
+    @staticmethod
+    def _state_text(disk: Disk | None) -> str:
+        if disk is None:
+            return "unknown"
+        if disk.leaving:
+            return "leaving"
+        return "alive" if disk.alive else "dead"
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -494,7 +494,7 @@
         self.assertTrue(net.turnovers["d"].catch_up())
         seen = []
         while net.runtime.now() < 8.0:
-            voting.turn()
+            voting.check()
             if not seen or seen[-1] != net.registers["a"].voters:
                 seen.append(net.registers["a"].voters)
             net.runtime.sleep(0.25)
@@ -527,7 +527,7 @@
             self.assertTrue(net.turnovers["d"].catch_up())
             if silent:
                 net.down.add(at("c"))
-            VoterManager(plane).turn()
+            VoterManager(plane).check()
             self.assertEqual(net.registers["a"].voters, voters(3, "abd") if silent else voters(1, "abc"))
 
 
