--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -121,7 +121,7 @@
             self.repair.sweep,
             self.peer_exchange.run,
             self.endpoints.run,
-            self.load_placement.keys,
+            self.load_placement.key_ranges.run,
             self.load_placement.run,
         ):
             self.runtime.spawn(loop)
--- /dev/null
+++ b/flintreach/controller/key_ranges.py
@@ -0,0 +1,258 @@
+"""Owners of key ranges on one controller: the loop over the sharded services, and where their keys may lie.
+
+For each sharded service of the configuration one `LeaseOwner` grants key ranges to endpoints. This module
+gives it the endpoints that may hold keys, weighted so that a service's keys lie in one region where its
+clients are sent there anyway (`flintreach.sharding.region_affinity`), and the load by key that proxies count.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from functools import partial
+from typing import Protocol
+
+from flintreach.config.configuration import Routes
+from flintreach.config.settings import ProcessSettings
+from flintreach.consensus.register import Register
+from flintreach.controller.lease_owner import KEY_RANGES_PREFIX, LeaseOwner
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.endpoints.registry import READY, EndpointRecord, EndpointRegistry
+from flintreach.membership.member_list import MemberList
+from flintreach.sharding.key_load import KeyLoad
+from flintreach.sharding.range_assignment import KEYS
+from flintreach.sharding.region_affinity import RegionBias, bound, carried, target
+from flintreach.transport.peer_connection import PeerConnection
+from flintreach.transport.peer_pool import PeerPool
+from flintreach.transport.runtime import Runtime
+
+# Kind of the message that tells other controllers the load by key; as earlier releases wrote it.
+KEY_LOAD_KIND = "warmth"
+
+PROXY_ROLE = "bothy"  # of proxies, in the list of members
+BANDWIDTH_POST = "mbps"  # what a proxy tells of its link there, in Mbit/s
+INTERVAL_S = 0.4
+SOON_INTERVAL_S = INTERVAL_S / 8  # while keys that were released wait for their next holder
+
+
+class EndedEndpoints(Protocol):
+    """What `KeyRanges` uses of `endpoint_service.EndpointService`."""
+
+    def ended(self, endpoint_id: str) -> bool:
+        """Whether an endpoint has surely ended."""
+        ...
+
+
+class KeyRangePlane(Protocol):
+    """What `KeyRanges` uses of `control_plane.ControlPlane`."""
+
+    runtime: Runtime
+    updates: VersionedStore
+    register: Register
+    peer_pool: PeerPool
+    member_list: MemberList
+    endpoints: EndedEndpoints
+    node: ProcessSettings
+    routes: Routes | None
+    serving: bool
+
+    @property
+    def registry(self) -> EndpointRegistry:
+        """What is known of endpoints."""
+        ...
+
+    def away(self) -> set[str]:
+        """Zones that are evacuated."""
+        ...
+
+
+@dataclass(frozen=True, slots=True)
+class KeyCandidates:
+    """Endpoints that may hold keys of one service.
+
+    Attributes:
+        endpoints: all of them.
+        warm: those that are warm, or hold keys already.
+        region_by_id: their regions, "" where the settings name none for a zone.
+        capacity_by_region: concurrency limits of the warm ones, summed by region.
+    """
+
+    endpoints: list[EndpointRecord]
+    warm: list[EndpointRecord]
+    region_by_id: dict[str, str]
+    capacity_by_region: dict[str, float]
+
+
+@dataclass(frozen=True, slots=True)
+class KeyRegion:
+    """Where the keys of a service are to lie.
+
+    Attributes:
+        region: None where its clients come from everywhere.
+        share: part of the keys that lies there now, from 0 to 1.
+    """
+
+    region: str | None = None
+    share: float = 0.0
+
+
+EVERYWHERE = KeyRegion()
+
+
+class KeyRanges:
+    """The owners of key ranges of all sharded services, as far as this controller takes part.
+
+    Attributes:
+        lease_owners: by service.
+        key_load: the load by key, as proxies count it.
+        region_biases: by service, how much of its load is to lie in one region.
+    """
+
+    def __init__(self, plane: KeyRangePlane) -> None:
+        """Take the load by key that other controllers tell, from now on."""
+        self.plane = plane
+        self.runtime = plane.runtime
+        self.updates = plane.updates
+        self.member_list = plane.member_list
+        self.lease_owners: dict[str, LeaseOwner] = {}
+        self.key_load = KeyLoad()
+        self.region_biases: dict[str, RegionBias] = {}
+        plane.peer_pool.handlers |= {KEY_LOAD_KIND: self.on_key_load}
+
+    def on_key_load(self, connection: PeerConnection | None, body: dict) -> None:
+        """The controller that places tells the load by key."""
+        self.key_load.hear(body)
+
+    # The loop.
+
+    def run(self) -> None:
+        """Step all owners at every interval, for as long as the process lives."""
+        while True:
+            self.runtime.sleep(self._interval_s())
+            # A process that has just started may know an old state: it owns nothing before it is up to date.
+            if not self.plane.serving or self.plane.routes is None or not self.plane.register.votes():
+                continue
+            self._follow_configuration()
+            for lease_owner in self.lease_owners.values():
+                lease_owner.tick()
+
+    def _interval_s(self) -> float:
+        if any(lease_owner.soon for lease_owner in self.lease_owners.values()):
+            return SOON_INTERVAL_S
+        return INTERVAL_S
+
+    def _follow_configuration(self) -> None:
+        """One owner for each sharded service of the configuration, none for others."""
+        services = [name for name, config in self.plane.routes.service_configs.items() if config.sharded]
+        self.forget_services({*services})
+        for service in services:
+            if service not in self.lease_owners:
+                self.lease_owners[service] = self._new_lease_owner(service)
+
+    def _new_lease_owner(self, service: str) -> LeaseOwner:
+        node = self.plane.node
+        return LeaseOwner(
+            node.sender.node_name,
+            service,
+            self.plane.register,
+            node.bounds.hold_cap_ms,
+            partial(self.eligible, service),
+            self.plane.endpoints.ended,
+            partial(self.updates.offer, f"{KEY_RANGES_PREFIX}{service}"),
+            partial(self.key_load.of, service),
+        )
+
+    def forget_services(self, sharded: set[str]) -> None:
+        """Keep nothing for services that are no more, or are no longer sharded.
+
+        Args:
+            sharded: the services that are.
+        """
+        for table in (self.lease_owners, self.region_biases, self.key_load.keys, self.key_load.bytes):
+            for service in table.keys() - sharded:
+                del table[service]
+        for service in sorted(self.updates.under(KEY_RANGES_PREFIX).keys() - sharded):
+            key = f"{KEY_RANGES_PREFIX}{service}"
+            version = self.updates.entries[key][0]
+            # Later than what the last owner published, earlier than what the next one may.
+            self.updates.offer(key, [*version, 1], None)
+
+    # Endpoints that may hold keys.
+
+    def eligible(self, service: str) -> dict[str, tuple[float, str]]:
+        """Endpoints that may be granted keys of a service: their ids, with weight and address."""
+        candidates = self.candidates(service)
+        warm_ids = {record.id for record in candidates.warm}
+        work = self.key_load.at_work({record.id: float(record.berths) for record in candidates.warm})
+        bias = self.region_biases.setdefault(service, RegionBias())
+        region = self.key_region(service).region
+        factors = bias.weigh(region, candidates.capacity_by_region, work)
+        eligible = {}
+        for record in candidates.endpoints:
+            weight = 0.0
+            if record.id in warm_ids or not warm_ids:
+                weight = record.berths * factors.get(candidates.region_by_id[record.id], 1.0)
+            eligible[record.id] = weight, record.addr
+        return eligible
+
+    def candidates(self, service: str) -> KeyCandidates:
+        """Endpoints that may hold keys of a service: those that are ready, in zones that are in use."""
+        evacuated = self.plane.away()
+        now_ns = self.runtime.now_ns()
+        region_by_zone = self.plane.node.network.zones
+        endpoints = [
+            record
+            for record in self.plane.registry.records.values()
+            if record.line == service and record.state == READY and record.zone not in evacuated
+        ]
+        holder_ids = {holder_id for _, _, holder_id, _ in self._published_ranges(service)}
+        # An endpoint that has just started is cold, and would get all requests on its keys at once.
+        warm = [record for record in endpoints if record.cold_until <= now_ns or record.id in holder_ids]
+        region_by_id = {record.id: region_by_zone.get(record.zone, "") for record in endpoints}
+        capacity_by_region: dict[str, float] = {}
+        for record in warm:
+            region = region_by_id[record.id]
+            capacity_by_region[region] = capacity_by_region.get(region, 0.0) + record.berths
+        return KeyCandidates(endpoints, warm, region_by_id, capacity_by_region)
+
+    def _published_ranges(self, service: str) -> Iterable[tuple[int, int, str, str]]:
+        """Ranges [lowest key, highest key, holder's id, state] that are published as held."""
+        return self.updates.get(f"{KEY_RANGES_PREFIX}{service}") or ()
+
+    # Regions.
+
+    def key_region(self, service: str) -> KeyRegion:
+        """Where the keys of a service are to lie, and how much of them lies there."""
+        homes = [
+            self.home_regions(host)
+            for host, routes in self.plane.routes.hosts.items()
+            if any(service == name for route in routes for name, _ in route.services)
+        ]
+        if not homes or None in homes:
+            return EVERYWHERE
+        all_homes = set.union(*homes)
+        if len(all_homes) > 1:
+            return EVERYWHERE
+        candidates = self.candidates(service)
+        share_by_region: dict[str, float] = {}
+        for low, high, holder_id, _ in self._published_ranges(service):
+            region = candidates.region_by_id.get(holder_id, "")
+            share_by_region[region] = share_by_region.get(region, 0.0) + (high - low + 1) / KEYS
+        region = target(all_homes, share_by_region, candidates.capacity_by_region)
+        if not carried(self.key_load.bytes.get(service), self._links_mbps(region)):
+            return EVERYWHERE
+        return KeyRegion(region, share_by_region.get(region, 0.0))
+
+    def _links_mbps(self, region: str | None) -> list[float]:
+        """Bandwidths of the links of a region's proxies, in Mbit/s; 0 where one tells none."""
+        return [
+            float(member.posts.get(BANDWIDTH_POST, 0))
+            for member in self.member_list.alive(PROXY_ROLE)
+            if member.region == region and member.ready
+        ]
+
+    def home_regions(self, host: str) -> set[str] | None:
+        """Home regions of a host, empty where its routes are bound to keys alone; None where one is free."""
+        routes = self.plane.routes
+        if routes is None:
+            return None
+        sharded = {name for name, config in routes.service_configs.items() if config.sharded}
+        return bound(routes.hosts.get(host.lower(), ()), sharded)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -1,252 +1,230 @@
-"""Placement, keys and directions at a refuge: what it decides from the sums that come up from the proxies."""
+"""Placement on one controller: which endpoints serve which slice, by the load that proxies sum up.
+
+A slice is what one route sends to one service. Proxies count requests and the endpoints' load; the sums come
+up the tree of relays to a controller. Those of all controllers go to one, which searches for a better
+assignment (`flintreach.placement.placer`) and writes it to the register. `LoadPlacement` also holds the two
+other parts that work by these sums: `key_ranges` and `directory`.
+"""
 
 import zlib
+from typing import Protocol
 
 import msgspec
 
-from flintreach.controller.lease_owner import LeaseOwner
-from flintreach.controller.repair import ROLE
+from flintreach.config.configuration import Routes
+from flintreach.config.settings import ProcessSettings
+from flintreach.consensus.register import Register
+from flintreach.controller.directory import Directory
+from flintreach.controller.key_ranges import KEY_LOAD_KIND, EndedEndpoints, KeyRanges
+from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.load_aggregate import LoadAggregate
-from flintreach.endpoints.registry import READY
-from flintreach.membership.member_list import ALIVE, Member
+from flintreach.dissemination.versioned_store import VersionedStore
+from flintreach.endpoints.registry import READY, EndpointRegistry
+from flintreach.membership.member_list import Member, MemberList
 from flintreach.placement.placer import Candidate, Placer
-from flintreach.sharding.key_load import KeyLoad
-from flintreach.sharding.range_assignment import KEYS
-from flintreach.sharding.region_affinity import RegionBias, bound, carried, target
+from flintreach.transport.peer_connection import PeerConnection
+from flintreach.transport.peer_pool import PeerPool
+from flintreach.transport.runtime import Runtime
+
+PACK = msgspec.msgpack.encode
+UNPACK = msgspec.msgpack.decode
+
+# Message kind and keys, as earlier releases wrote them.
+LOAD_KIND = "counts"  # sums of load, to the controller that places
+ASSIGNMENT_KEY = "map"  # in the register: [number, slice -> ids]; among the published updates: the number
+SLICE_KEY_PREFIX = "slice/"  # among the published updates: the ids of one slice
+
+INTERVAL_S = 1.0
+TELL_S = 0.8  # for a message that tells sums
+WRITE_S = 1.0  # for a change of the register
+
+Slice = tuple[str, str, tuple[str, ...]]  # name, service, home regions of its route
+
+
+class AssignmentFollower(Protocol):
+    """What `LoadPlacement` uses of `operator_requests.OperatorRequests`."""
 
-PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
-TTL, ASKED = (0.5, 1.5), 300  # seconds an answer of the directory holds; answers a second of one refuge
-MOSTLY, STAY_S = 0.8, 0.5  # of a service's keys in one region, for its clients to be sent there
-KEYS_S, PLACE_S = 0.4, 1.0
+    def learn(self, key: str, value: bytes | None) -> None:
+        """Publish what stands in the register."""
+        ...
+
+
+class PlacementPlane(Protocol):
+    """What `LoadPlacement` and its parts use of `control_plane.ControlPlane`."""
+
+    runtime: Runtime
+    updates: VersionedStore
+    register: Register
+    peer_pool: PeerPool
+    member_list: MemberList
+    endpoints: EndedEndpoints
+    operator_requests: AssignmentFollower
+    node: ProcessSettings
+    routes: Routes | None
+    serving: bool
+
+    @property
+    def registry(self) -> EndpointRegistry:
+        """What is known of endpoints."""
+        ...
+
+    def peers(self) -> list[tuple[str, int]]:
+        """Addresses of the other controllers that are known to be alive, or vote."""
+        ...
+
+    def away(self) -> set[str]:
+        """Zones that are evacuated."""
+        ...
 
 
 def leader(controllers: list[Member]) -> Member | None:
-    """Who places: the first by name of those that are ready; one that still starts may hold an old map."""
-    return min(
-        (member for member in controllers if member.ready), key=lambda member: member.name, default=None
-    )
+    """The controller that places: the first by name of those that are ready.
+
+    One that still starts may know an old assignment.
+    """
+    ready = (member for member in controllers if member.ready)
+    return min(ready, key=lambda member: member.name, default=None)
 
 
 class LoadPlacement:
-    def __init__(self, plane):
-        self.plane, self.runtime = plane, plane.runtime
-        self.lease_owners: dict[str, LeaseOwner] = {}
-        self.asked, self.asked_in, self.ttl = 0, 0.0, TTL[0]
-        self.load_aggregate, self.key_load = LoadAggregate(), KeyLoad()
-        self.leans: dict[str, RegionBias] = {}
-        self.stays, self.stays_at = {}, 0.0  # host -> region of its clients, looked up now and then
+    """Placement of endpoints on slices, with the owners of key ranges and the directory beside it.
+
+    Attributes:
+        key_ranges: owners of the key ranges of sharded services.
+        directory: answers to clients that look for a proxy.
+        load_aggregate: sums of load since they were last taken.
+        placer: the search for a better assignment.
+    """
+
+    def __init__(self, plane: PlacementPlane) -> None:
+        """Take the sums that other controllers tell, from now on."""
+        self.plane = plane
+        self.runtime = plane.runtime
+        self.updates = plane.updates
+        self.register = plane.register
+        self.peer_pool = plane.peer_pool
+        self.member_list = plane.member_list
+        self.load_aggregate = LoadAggregate()
         self.placer = Placer(zlib.crc32(plane.node.sender.node_name.encode()))
-        plane.peer_pool.handlers |= {
-            "counts": lambda link, body: self.hear_tally(body),
-            "warmth": lambda link, body: self.key_load.hear(body),
-        }
+        self.key_ranges = KeyRanges(plane)
+        self.directory = Directory(plane, self.key_ranges)
+        self.peer_pool.handlers |= {LOAD_KIND: self.on_load}
 
-    def hear_tally(self, body) -> None:
+    # Load.
+
+    def on_load(self, connection: PeerConnection | None, body: dict) -> None:
+        """Another controller tells the sums that came up to it."""
+        self.hear_tally(body)
+
+    def hear_tally(self, body: dict) -> None:
+        """Add sums of load that proxies, or another controller, told."""
         self.load_aggregate.add(body)
 
-    def able(self, line: str) -> dict[str, tuple[float, str]]:
-        """Endpoints that may hold keys of a service: their weights and addresses."""
-        found, warm, region, berths = self.keyed(line)
-        busy = self.key_load.at_work({r.id: float(r.berths) for r in warm})
-        lean = self.leans.setdefault(line, RegionBias())
-        factors = lean.weigh(self.region_of(line)[0], berths, busy)
-        return {
-            r.id: (r.berths * factors.get(region[r.id], 1.0) if r in warm or not warm else 0.0, r.addr)
-            for r in found
-        }
-
-    def keyed(self, line: str):
-        """Endpoints that may hold keys, those that are warm or hold some, their regions; berths by region."""
-        away, now, zones = self.plane.away(), self.runtime.now_ns(), self.plane.node.network.zones
-        found = [
-            r
-            for r in self.plane.registry.records.values()
-            if r.line == line and r.state == READY and r.zone not in away
-        ]
-        holders = {row[2] for row in self.plane.updates.get(f"bunks/{line}") or ()}
-        # One that has just started is cold, and would get all requests on its keys at once.
-        warm = [r for r in found if r.cold_until <= now or r.id in holders]
-        region = {r.id: zones.get(r.zone, "") for r in found}
-        berths: dict[str, float] = {}
-        for r in warm:
-            berths[region[r.id]] = berths.get(region[r.id], 0.0) + r.berths
-        return found, warm, region, berths
-
-    def region_of(self, line: str) -> tuple[str | None, float]:
-        """Where the keys of a service are to lie, None where its clients come from everywhere; and which part
-        of them lies there."""
-        homes = [
-            self.homes(host)
-            for host, routes in self.plane.routes.hosts.items()
-            if any(line == name for route in routes for name, _ in route.services)
-        ]
-        if not homes or None in homes or len(set.union(*homes)) > 1:
-            return None, 0.0
-        _, _, region, berths = self.keyed(line)
-        keys: dict[str, float] = {}
-        for low, high, holder, _ in self.plane.updates.get(f"bunks/{line}") or ():
-            place = region.get(holder, "")
-            keys[place] = keys.get(place, 0.0) + (high - low + 1) / KEYS
-        found = target(set.union(*homes), keys, berths)
-        links = [
-            float(m.posts.get("mbps", 0))
-            for m in self.plane.member_list.alive("bothy")
-            if m.region == found and m.ready
-        ]
-        if not carried(self.key_load.bytes.get(line), links):
-            return None, 0.0
-        return found, keys.get(found, 0.0)
+    # The directory.
 
-    def keys(self) -> None:
-        while True:
-            # Keys that were just released wait for nothing but their next holder.
-            self.runtime.sleep(
-                KEYS_S / 8 if any(keeper.soon for keeper in self.lease_owners.values()) else KEYS_S
-            )
-            # One that has just started may hold old news: it leads nothing before it knows what stands.
-            if not self.plane.serving or self.plane.routes is None or not self.plane.register.votes():
-                continue
-            self.forget_services(
-                {
-                    name
-                    for name, service_config in self.plane.routes.service_configs.items()
-                    if service_config.sharded
-                }
-            )
-            for name, service_config in self.plane.routes.service_configs.items():
-                if service_config.sharded and name not in self.lease_owners:
-                    tell = lambda version, rows, name=name: self.plane.updates.offer(  # noqa: E731
-                        f"bunks/{name}", version, rows
-                    )
-                    node = self.plane.node
-                    self.lease_owners[name] = LeaseOwner(
-                        node.sender.node_name,
-                        name,
-                        self.plane.register,
-                        node.bounds.hold_cap_ms,
-                        lambda name=name: self.able(name),
-                        self.plane.endpoints.ended,
-                        tell,
-                        lambda name=name: self.key_load.of(name),
-                    )
-            for name, keeper in self.lease_owners.items():
-                keeper.tick()
-
-    def forget_services(self, sharded: set[str]) -> None:
-        """Nothing is kept for services that are no more, or have no keys any more."""
-        updates = self.plane.updates
-        for table in (self.lease_owners, self.leans, self.key_load.keys, self.key_load.bytes):
-            for name in table.keys() - sharded:
-                del table[name]
-        for name in sorted(updates.under("bunks/").keys() - sharded):
-            # Later than what its last keeper told, earlier than what the next one may.
-            updates.offer(f"bunks/{name}", [*updates.entries[f"bunks/{name}"][0], 1], None)
+    def directions(self, host: str, region: str, zone: str) -> list[str]:
+        """Addresses of the proxies that a client is to use: see `Directory.proxies`."""
+        return self.directory.proxies(host, region, zone)
+
+    def valid(self, now: float) -> float:
+        """Seconds for which such an answer holds: see `Directory.valid_s`."""
+        return self.directory.valid_s(now)
+
+    # Placement.
 
     def run(self) -> None:
-        """One refuge, the first by name, places; the others hand it what they heard.  Two at once do no harm:
-        the map changes only where it is still the one that was searched from."""
+        """Place, or hand on the sums, at every interval, for as long as the process lives.
+
+        One controller places. Two at once do no harm: the assignment changes only where it is still the one
+        that the search began from.
+        """
         while True:
-            self.runtime.sleep(PLACE_S)
-            body, routes = self.load_aggregate.take(), self.plane.routes
-            first = leader(self.plane.member_list.alive(ROLE))
-            if first is not self.plane.member_list.me:
-                if body and first is not None:
-                    self.runtime.spawn(self.plane.peer_pool.ask, first.address, "counts", body, 0.8)
+            self.runtime.sleep(INTERVAL_S)
+            load = self.load_aggregate.take()
+            routes = self.plane.routes
+            placing = leader(self.member_list.alive(ROLE))
+            if placing is not self.member_list.me:
+                if load and placing is not None:
+                    self._tell(placing.address, LOAD_KIND, load)
                 continue
             if routes is None:
                 continue
-            if told := self.key_load.take(body):
-                for address in self.plane.peers():  # whoever keeps the keys of a service divides them by it
-                    self.runtime.spawn(self.plane.peer_pool.ask, address, "warmth", told, 0.8)
-            plain = [
-                (f"{route.name} {line}", line, route.homes)
-                for route in routes.all
-                for line, _ in route.services
-                if not routes.service_configs[line].sharded
-            ]
-            number = self.plane.updates.get("map", 0)
-            self.placer.slices(plain, self.plane.updates.under("slice/"))
-            self.placer.heard(body["came"] if body else {}, self.runtime.now_ns())
-            for _ in self.placer.run(self.places(body["load"] if body else {}), self.runtime.now_ns()):
-                self.runtime.sleep(0)
-            if self.placer.changed or self.plane.updates.under("slice/").keys() - {
-                name for name, _, _ in plain
-            }:
-                self.remap(number, {name for name, _, _ in plain}, self.placer.changed)
-
-    def places(self, load) -> list[Candidate]:
-        now, away = self.runtime.now_ns(), self.plane.away()
-        zones = self.plane.node.network.zones
+            self._share_key_load(load)
+            self._place(routes, load)
+
+    def _tell(self, address: tuple[str, int], kind: str, body: dict) -> None:
+        self.runtime.spawn(self.peer_pool.ask, address, kind, body, TELL_S)
+
+    def _share_key_load(self, load: dict | None) -> None:
+        """Tell the load by key to all controllers: any of them may own the keys of a service."""
+        key_load = self.key_ranges.key_load.take(load)
+        if not key_load:
+            return
+        for address in self.plane.peers():
+            self._tell(address, KEY_LOAD_KIND, key_load)
+
+    def _place(self, routes: Routes, load: dict | None) -> None:
+        """Search for a better assignment, and write it where one was found or slices are no more."""
+        slices = self._slices(routes)
+        number = self.updates.get(ASSIGNMENT_KEY, 0)
+        request_counts = load["came"] if load else {}
+        endpoint_load = load["load"] if load else {}
+        self.placer.slices(slices, self.updates.under(SLICE_KEY_PREFIX))
+        self.placer.heard(request_counts, self.runtime.now_ns())
+        for _ in self.placer.run(self.candidates(endpoint_load), self.runtime.now_ns()):
+            self.runtime.sleep(0)  # the search is long: others get their turn
+        slice_names = {name for name, _, _ in slices}
+        if self.placer.changed or self.updates.under(SLICE_KEY_PREFIX).keys() - slice_names:
+            self.write_assignment(number, slice_names, self.placer.changed)
+
+    @staticmethod
+    def _slices(routes: Routes) -> list[Slice]:
+        """Slices of the configuration; services that are sharded have key ranges in their place."""
         return [
-            Candidate(
-                r.id,
-                r.line,
-                zones.get(r.zone, ""),
-                r.berths,
-                r.cold_until > now,
-                load[r.id][0] / load[r.id][1] if r.id in load else None,
-            )
-            for r in self.plane.registry.records.values()
-            if r.state == READY and r.zone not in away
+            (f"{route.name} {service}", service, route.homes)
+            for route in routes.all
+            for service, _ in route.services
+            if not routes.service_configs[service].sharded
         ]
 
-    def remap(self, number: int, known: set[str], changed: dict[str, list[str]]) -> None:
-        def step(old):
-            stands, tables = UNPACK(old) if old else (0, {})
-            if stands != number:
-                return None  # another refuge was faster: searched again from its map
-            kept = {name: ids for name, ids in tables.items() if name in known}
+    def candidates(self, load: dict[str, list]) -> list[Candidate]:
+        """Endpoints that may serve: those that are ready, in zones that are in use.
+
+        Args:
+            load: endpoint -> [sum of the loads that it told, over its concurrency limit; their number].
+        """
+        now_ns = self.runtime.now_ns()
+        evacuated = self.plane.away()
+        region_by_zone = self.plane.node.network.zones
+        candidates = []
+        for record in self.plane.registry.records.values():
+            if record.state != READY or record.zone in evacuated:
+                continue
+            mean_load = None
+            if record.id in load:
+                total, count = load[record.id]
+                mean_load = total / count
+            region = region_by_zone.get(record.zone, "")
+            cold = record.cold_until > now_ns
+            candidates.append(Candidate(record.id, record.line, region, record.berths, cold, mean_load))
+        return candidates
+
+    def write_assignment(self, number: int, slice_names: set[str], changed: dict[str, list[str]]) -> None:
+        """Write a new assignment to the register, and publish it.
+
+        Args:
+            number: of the assignment that the search began from.
+            slice_names: the slices of the configuration; others are dropped.
+            changed: ids by slice, of those that are new.
+        """
+
+        def step(old_value: bytes | None) -> bytes | None:
+            current_number, tables = UNPACK(old_value) if old_value else (0, {})
+            if current_number != number:
+                return None  # another controller was faster: the next search begins from its assignment
+            kept = {name: ids for name, ids in tables.items() if name in slice_names}
             return PACK([number + 1, kept | changed])
 
-        done, value = self.plane.register.change("map", step, 1.0)
+        done, value = self.register.change(ASSIGNMENT_KEY, step, WRITE_S)
         if done:
-            self.plane.operator_requests.learn("map", value)
-
-    def homes(self, name: str) -> set[str] | None:
-        """Home regions of a host, empty where its routes are bound to keys alone; None where one is free."""
-        if self.plane.routes is None:
-            return None
-        sharded = {
-            line
-            for line, service_config in self.plane.routes.service_configs.items()
-            if service_config.sharded
-        }
-        return bound(self.plane.routes.hosts.get(name.lower(), ()), sharded)
-
-    def stay(self, name: str) -> str | None:
-        """The region to which clients of a host are sent; None: to their own."""
-        homes, known = self.homes(name), self.plane.routes
-        routes = known.hosts.get(name.lower(), ()) if known else ()
-        if homes and all(route.homes for route in routes):
-            return sorted(homes)[0]
-        if homes is None:
-            return None
-        lines = {line for route in routes if not route.homes for line, _ in route.services}
-        found = {region for region, part in map(self.region_of, lines) if part >= MOSTLY}
-        return found.pop() if len(found) == 1 else None
-
-    def valid(self, now: float) -> float:
-        """How long an answer of the directory holds: so short that clients soon leave a front without power,
-        longer where so many ask that answering would cost more than that is worth."""
-        if now - self.asked_in >= 1.0:
-            self.ttl = min(TTL[1], max(TTL[0], self.ttl * self.asked / (now - self.asked_in) / ASKED))
-            self.asked, self.asked_in = 0, now
-        self.asked += 1
-        return min(self.ttl, self.plane.node.bounds.ttl_max_s)
-
-    def directions(self, name: str, region: str, zone: str) -> list[str]:
-        now = self.runtime.now()
-        if now - self.stays_at > STAY_S:
-            self.stays, self.stays_at = {}, now
-        if name not in self.stays:
-            self.stays[name] = self.stay(name)
-        stay = self.stays[name]
-        if stay is not None and region != stay and region not in (self.homes(name) or ()):
-            # Its requests end there anyway: a front of that region brings them on without another long way.
-            region, zone = stay, ""
-        fronts = [m for m in self.plane.member_list.alive("bothy") if m.ready and m.state == ALIVE]
-        own = [m for m in fronts if m.zone == zone]
-        for near in (own, [m for m in fronts if m.region == region], fronts):
-            if len(near) >= 2:
-                break
-        return [m.posts["front"] for m in near][:64]
+            self.plane.operator_requests.learn(ASSIGNMENT_KEY, value)
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -184,17 +184,17 @@
 class LeaseOwner(lease_owner.LeaseOwner):
     """Grants go to simulated endpoints."""
 
-    def exchange(self, kind: str, r) -> tuple[int | None, str | None]:
+    def exchange(self, kind: str, r) -> lease_owner.CallResult:
         process = self.runtime.process
         site, waiter = process.site, Waiter(process)
         if kind != lease_owner.GRANT and site.on_release is not None:
             struck, site.on_release = site.on_release, None
             site.sim.after(0, struck, process.machine)
             waiter.wait(0.95)  # it was not sent any more
-            return 0, None
+            return lease_owner.NO_ANSWER
         site.knock(process, kind, r, self, waiter)
         told = waiter.wait(0.95)
-        return (0, None) if told is None else told
+        return lease_owner.NO_ANSWER if told is None else told
 
 
 class Site:
@@ -409,13 +409,13 @@
             if not network.joined(here.ip, outside.ip):
                 return
             if self.endpoints.get(r.addr) is None:
-                sim.after(network.delay(here, outside), process.do, waiter.wake, (0, None))
+                sim.after(network.delay(here, outside), process.do, waiter.wake, lease_owner.NO_ANSWER)
             else:
                 sim.after(network.delay(here, outside), process.do, connected)
 
         def connected():
             if not keeper.state.goes_out(kind, r, keeper.runtime.now()):
-                waiter.wake((None, None))
+                waiter.wake(lease_owner.NOT_SENT)
                 return
             hold = keeper.state.hold if kind == GRANT else 0.0
             late = sim.chance.random() < 0.05
@@ -432,6 +432,6 @@
             # Each call names whom it is for: another that has its address now turns it away.
             told = endpoint.take(process, kind, r, hold) if endpoint.id == r.holder else (421, None)
             if sim.chance.random() >= self.lost_answers:
-                sim.after(network.delay(here, outside), process.do, waiter.wake, told)
+                sim.after(network.delay(here, outside), process.do, waiter.wake, lease_owner.answered(*told))
 
         sim.after(network.delay(here, outside), connects)
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from flintreach.common import log
-from flintreach.controller import load_placement
+from flintreach.controller import key_ranges
 from flintreach.simulation.callers import Callers
 from flintreach.simulation.engine import MS, SECOND, Broken, Simulation
 from flintreach.simulation.faults import Faults
@@ -139,7 +139,7 @@
     def told(what: str, fields: dict) -> None:
         sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
 
-    with mock.patch.object(log, "teller", told), mock.patch.object(load_placement, "LeaseOwner", LeaseOwner):
+    with mock.patch.object(log, "teller", told), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
         yield
 
 
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -13,7 +13,7 @@
 from flintreach.consensus.register import Register
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.endpoint_service import EndpointService
-from flintreach.controller.load_placement import LoadPlacement
+from flintreach.controller.key_ranges import KeyRanges
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.dissemination.relay import Relay, Subscription
 from flintreach.dissemination.versioned_store import (
@@ -37,7 +37,6 @@
 )
 from flintreach.proxy.choice import Here
 from flintreach.proxy.view import RoutingView
-from flintreach.sharding.key_load import KeyLoad
 from flintreach.sharding.range_assignment import Allocation, LoadDistribution
 from flintreach.sharding.range_lease import RangeLeases
 from flintreach.transport.peer_connection import ConnectionClosed
@@ -675,22 +674,21 @@
         updates = VersionedStore()
         updates.offer("bunks/old", [3, 9], [[0, 9, "e", "held"]])
         updates.offer("bunks/new", [3, 9], [[0, 9, "e", "held"]])
-        load_placement = LoadPlacement.__new__(LoadPlacement)
-        load_placement.plane, load_placement.key_load = mock.Mock(updates=updates), KeyLoad()
-        load_placement.lease_owners, load_placement.leans = (
-            dict.fromkeys(("old", "new")),
-            dict.fromkeys(("old", "new")),
-        )
-        load_placement.key_load.keys, load_placement.key_load.bytes = {"old": {}}, {"old": 1.0, "new": 2.0}
-        load_placement.forget_services({"new"})
+        plane = mock.Mock(updates=updates, peer_pool=mock.Mock(handlers={}))
+        key_ranges = KeyRanges(plane)
+        key_ranges.lease_owners = dict.fromkeys(("old", "new"))
+        key_ranges.region_biases = dict.fromkeys(("old", "new"))
+        key_ranges.key_load.keys = {"old": {}}
+        key_ranges.key_load.bytes = {"old": 1.0, "new": 2.0}
+        key_ranges.forget_services({"new"})
         self.assertEqual(
             [
                 [*table]
                 for table in (
-                    load_placement.lease_owners,
-                    load_placement.leans,
-                    load_placement.key_load.keys,
-                    load_placement.key_load.bytes,
+                    key_ranges.lease_owners,
+                    key_ranges.region_biases,
+                    key_ranges.key_load.keys,
+                    key_ranges.key_load.bytes,
                     updates.under("bunks/"),
                 )
             ],
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -30,7 +30,7 @@
 from flintreach.controller import quorum_contact
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.http_api import ALONE, GONE, LARGE, LEFT, SLEPT, SMALL, TIMED, ControlApi, Handler
-from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.controller.lease_owner import NOT_SENT, LeaseOwner, answered
 from flintreach.controller.operator_requests import DROPPED, LATE, OperatorRequests
 from flintreach.controller.peer_exchange import PeerExchange
 from flintreach.controller.quorum_contact import (
@@ -918,9 +918,9 @@
         server = gevent.spawn(take)
         self.addCleanup(server.kill)
         r = Range(0, 9, "e", 3, HELD, addr=f"127.0.0.1:{listener.getsockname()[1]}")
-        self.assertEqual(keeper.exchange(GRANT, r), (200, None))
+        self.assertEqual(keeper.exchange(GRANT, r), answered(200, None))
         clock[0] += 5.0
-        self.assertEqual(keeper.exchange(GRANT, r), (None, None))
+        self.assertEqual(keeper.exchange(GRANT, r), NOT_SENT)
         gevent.sleep(0)
         self.assertEqual([bool(data) for data in sent], [True, False][: len(sent)])
 
--- a/tests/proxy/test_carry.py
+++ b/tests/proxy/test_carry.py
@@ -12,7 +12,8 @@
 
 from flintreach.config.settings import TimingBounds
 from flintreach.consensus.quorum import Voters
-from flintreach.controller.load_placement import TTL, LoadPlacement, leader
+from flintreach.controller.directory import SHORTEST_TTL_S, Directory
+from flintreach.controller.load_placement import leader
 from flintreach.controller.quorum_contact import NEVER, QuorumContact
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
@@ -293,14 +294,17 @@
         self.assertIsNone(leader(members[:1]))
 
     def test_the_directory_is_asked_often_until_it_has_much_to_answer(self):
-        plane = SimpleNamespace(node=SimpleNamespace(bounds=TimingBounds()))
-        controller = SimpleNamespace(ttl=TTL[0], asked=0, asked_in=0.0, plane=plane)
+        plane = SimpleNamespace(
+            node=SimpleNamespace(bounds=TimingBounds()), runtime=None, member_list=None, routes=None
+        )
+        directory = Directory(plane, key_ranges=None)
+        self.assertEqual((directory.ttl_s, directory.answer_count), (SHORTEST_TTL_S, 0))
         for clients, least, most in ((30, 0.5, 0.5), (400, 1.1, 1.5), (30, 0.5, 0.5)):
-            now = controller.asked_in
+            now = directory.counted_since
             for _ in range(12):  # each client comes back when its answer is over
-                for _ in range(int(clients / controller.ttl)):
-                    now += controller.ttl / clients
-                    told = LoadPlacement.valid(controller, now)
+                for _ in range(int(clients / directory.ttl_s)):
+                    now += directory.ttl_s / clients
+                    told = directory.valid_s(now)
             self.assertTrue(least <= told <= most, (clients, told))
 
 
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.controller.lease_owner import NO_ANSWER, LeaseOwner
 from flintreach.sharding import range_assignment, range_lease, region_affinity
 from flintreach.sharding.key_load import KeyLoad
 from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution
@@ -306,6 +306,6 @@
         there, _ = listener.accept()
         self.addCleanup(there.close)
         there.recv(65536)
-        self.assertEqual(job.get(), (0, None))
+        self.assertEqual(job.get(), NO_ANSWER)
         with self.assertRaises(ConnectionResetError):
             there.recv(1)
