--- /dev/null
+++ b/tests/controller/test_key_ranges.py
@@ -0,0 +1,30 @@
+"""Owners of key ranges follow the services of the configuration."""
+
+import unittest
+from unittest import mock
+
+from flintreach.controller.key_ranges import KeyRanges
+from flintreach.dissemination.versioned_store import VersionedStore
+
+
+class ForgottenServices(unittest.TestCase):
+    def test_nothing_is_kept_for_services_that_are_no_longer_sharded(self) -> None:
+        updates = VersionedStore()
+        updates.offer("bunks/old", [3, 9], [[0, 9, "e", "held"]])
+        updates.offer("bunks/new", [3, 9], [[0, 9, "e", "held"]])
+        key_ranges = KeyRanges(mock.Mock(updates=updates, peer_pool=mock.Mock(handlers={})))
+        key_ranges.lease_owners = dict.fromkeys(("old", "new"))
+        key_ranges.region_biases = dict.fromkeys(("old", "new"))
+        key_ranges.key_load.keys = {"old": {}}
+        key_ranges.key_load.bytes = {"old": 1.0, "new": 2.0}
+        key_ranges.forget_services({"new"})
+        self.assertEqual([*key_ranges.lease_owners], ["new"])
+        self.assertEqual([*key_ranges.region_biases], ["new"])
+        self.assertEqual([*key_ranges.key_load.keys], [])
+        self.assertEqual([*key_ranges.key_load.bytes], ["new"])
+        self.assertEqual([*updates.under("bunks/")], ["new"])
+        self.assertTrue(updates.offer("bunks/old", [3, 10], []), "its next owner is not heard")
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/controller/test_load_placement.py
@@ -0,0 +1,21 @@
+"""Which controller places."""
+
+import unittest
+
+from flintreach.controller.load_placement import leader
+from flintreach.membership.member_list import Member
+
+
+class Leader(unittest.TestCase):
+    def test_a_controller_that_still_starts_does_not_place(self) -> None:
+        ready_by_name = {"a": False, "b": True, "c": True}
+        members = [
+            Member(name, "refuge", "10.0.0.1", 7, "z", "r", ready=ready)
+            for name, ready in ready_by_name.items()
+        ]
+        self.assertEqual(leader(members).name, "b")
+        self.assertIsNone(leader(members[:1]))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/proxy/test_carry.py
+++ b/tests/proxy/test_carry.py
@@ -3,7 +3,6 @@
 import random
 import time
 import unittest
-from types import SimpleNamespace
 from unittest import mock
 
 import gevent.socket
@@ -12,12 +11,9 @@
 
 from flintreach.config.settings import TimingBounds
 from flintreach.consensus.quorum import Voters
-from flintreach.controller.directory import SHORTEST_TTL_S, Directory
-from flintreach.controller.load_placement import leader
 from flintreach.controller.quorum_contact import NEVER, QuorumContact
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
-from flintreach.membership.member_list import Member
 from flintreach.proxy.carry import Carrier
 from flintreach.proxy.choice import SECOND, Here
 from flintreach.proxy.connection import Connection
@@ -285,28 +281,6 @@
             contact.heard(circle[address], at, {}, at)
             self.assertEqual(contact.age(voters, 60.0), age)
 
-    def test_one_that_has_just_started_leads_nothing(self):
-        names = {"a": False, "b": True, "c": True}
-        members = [
-            Member(name, "refuge", "10.0.0.1", 7, "z", "r", ready=ready) for name, ready in names.items()
-        ]
-        self.assertEqual(leader(members).name, "b")
-        self.assertIsNone(leader(members[:1]))
-
-    def test_the_directory_is_asked_often_until_it_has_much_to_answer(self):
-        plane = SimpleNamespace(
-            node=SimpleNamespace(bounds=TimingBounds()), runtime=None, member_list=None, routes=None
-        )
-        directory = Directory(plane, key_ranges=None)
-        self.assertEqual((directory.ttl_s, directory.answer_count), (SHORTEST_TTL_S, 0))
-        for clients, least, most in ((30, 0.5, 0.5), (400, 1.1, 1.5), (30, 0.5, 0.5)):
-            now = directory.counted_since
-            for _ in range(12):  # each client comes back when its answer is over
-                for _ in range(int(clients / directory.ttl_s)):
-                    now += directory.ttl_s / clients
-                    told = directory.valid_s(now)
-            self.assertTrue(least <= told <= most, (clients, told))
-
 
 if __name__ == "__main__":
     unittest.main()
