--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -100,8 +100,8 @@
             self.watch_clock,
             self.repair.sweep,
             self.peer_exchange.run,
-            self.endpoints.look,
-            self.load_placement.keys,
+            self.endpoints.run,
+            self.load_placement.key_ranges.run,
             self.load_placement.run,
         ):
             self.runtime.spawn(loop)
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -248,7 +248,7 @@
     def record_heartbeat(self, call: Call) -> Answer:
         """Take an endpoint's heartbeat."""
         heartbeat = msgspec.json.decode(call.body, type=Heartbeat)
-        return OK if self.plane.endpoints.beat(call.segments[0], heartbeat) else NO_MAJORITY
+        return OK if self.plane.endpoints.heartbeat(call.segments[0], heartbeat) else NO_MAJORITY
 
     def record_leave(self, call: Call) -> Answer:
         """Take an endpoint's sign-off."""
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -104,7 +104,7 @@
         """
         kind, _, id = key.partition("/")
         if kind == ENDPOINT_KEY_KIND and isinstance(value, dict):
-            self.plane.endpoints.heard_of(id, version, value)
+            self.plane.endpoints.merge_update(id, version, value)
         self.plane.updates.offer(key, version, value, age)
 
     # Accepted ballots.
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -250,7 +250,7 @@
     ),
     "acknowledges-from-memory": Plant(
         f"{CONTROLLER}.endpoint_service:EndpointService",
-        "settle",
+        "replicate",
         true,
         ("known",),
         "a closing is acknowledged without a quorum",
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -21,6 +21,14 @@
 
 
 class ContactAge(unittest.TestCase):
+    def test_alone_means_without_a_report_from_a_majority(self) -> None:
+        addresses = [(f"10.0.0.{number}", 7) for number in range(5)]
+        voters = Voters(1, tuple((address, "") for address in addresses))
+        contact = QuorumContact()
+        for number, asked_at, age in ((0, 59.0, NEVER), (1, 50.0, NEVER), (3, 30.0, 30.0), (2, 40.0, 20.0)):
+            contact.record_report(addresses[number], asked_at, {}, asked_at)
+            self.assertEqual(contact.age(voters, 60.0), age)
+
     def test_a_quorum_counts_from_its_latest_common_question(self) -> None:
         cases = (((10, 9, 2), 1.0), ((10, 3, 2), 7.0), ((1, 9, 8), 2.0), ((10,), NEVER), ((), NEVER))
         for times, expected_age in cases:
--- a/tests/controller/test_suspended_process.py
+++ b/tests/controller/test_suspended_process.py
@@ -6,7 +6,7 @@
 import gevent
 import gevent.socket
 
-from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.controller.lease_owner import NOT_SENT, LeaseOwner, answered
 from flintreach.membership.member_list import ALIVE, DEAD, LEFT, SUSPECTED, Member, MemberList
 from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution, Range, RangeState
 from flintreach.sharding.range_lease import SEND_BOUND_S, CallKind, RangeLeases
@@ -65,9 +65,9 @@
         server = gevent.spawn(serve)
         self.addCleanup(server.kill)
         granted = Range(0, 9, "e", 3, RangeState.HELD, address=f"127.0.0.1:{listener.getsockname()[1]}")
-        self.assertEqual(owner.exchange(CallKind.GRANT, granted), (200, None))
+        self.assertEqual(owner.exchange(CallKind.GRANT, granted), answered(200, None))
         clock[0] += 5.0
-        self.assertEqual(owner.exchange(CallKind.GRANT, granted), (None, None))
+        self.assertEqual(owner.exchange(CallKind.GRANT, granted), NOT_SENT)
         gevent.sleep(0)
         self.assertEqual([bool(data) for data in received], [True, False][: len(received)])
 
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -14,7 +14,7 @@
 import msgspec
 from gevent import socket
 
-from flintreach.controller.lease_owner import LeaseOwner
+from flintreach.controller.lease_owner import NO_ANSWER, LeaseOwner
 from flintreach.sharding import range_assignment, range_lease
 from flintreach.sharding.range_assignment import (
     EVEN_LOAD,
@@ -264,7 +264,7 @@
         connection, _ = listener.accept()
         self.addCleanup(connection.close)
         connection.recv(65536)
-        self.assertEqual(exchange.get(), (0, None))
+        self.assertEqual(exchange.get(), NO_ANSWER)
         with self.assertRaises(ConnectionResetError):
             connection.recv(1)
 
