--- a/flintreach/pilot/logic.py
+++ b/flintreach/pilot/logic.py
@@ -216,8 +216,11 @@
 
     def quotas(self):
         """Hundredths of a mean server by listed weight; less where it is crowded, on trial or warms up."""
-        raw = {tgt: tgt.weight * tgt.bears * self.warmth(tgt) for tgt in self.targets.values()
-               if tgt.mode not in CLOSED and tgt not in self.shut}
+        raw = {
+            tgt: tgt.weight * tgt.bears * self.warmth(tgt)
+            for tgt in self.targets.values()
+            if tgt.mode not in CLOSED and tgt not in self.shut
+        }
         scale = 100 * len(raw) / max(sum(raw.values()), 1e-9)
         return {tgt: part * scale for tgt, part in raw.items()}
 
@@ -268,8 +271,11 @@
         amounts, gap = self.loads(self.quotas()) if bare else ({}, {})
         for unit in bare if gap else ():
             # Many slices, or a hot one, would push a cold server over: one a run, and within its quota.
-            able = [tgt for tgt in gap
-                    if tgt.mode not in TENDER or not tgt.gained and gap[tgt] + amounts[unit][True] <= 0]
+            able = [
+                tgt
+                for tgt in gap
+                if tgt.mode not in TENDER or not tgt.gained and gap[tgt] + amounts[unit][True] <= 0
+            ]
             best = min(able or gap, key=gap.get)
             best.gained = True
             unit.want[best] = 1.0
@@ -279,8 +285,11 @@
         for tgt in self.targets.values():
             if tgt.mode == "cold" and self.warmth(tgt) >= 1 or tgt.mode == "out" and self.now >= tgt.until:
                 self.step(tgt, "warm" if tgt.mode == "cold" else "due")
-        mute = {tgt: "no answer to a question" for tgt in self.targets.values()
-                if tgt.mute > self.now - SECOND and tgt.mode not in CLOSED}
+        mute = {
+            tgt: "no answer to a question"
+            for tgt in self.targets.values()
+            if tgt.mute > self.now - SECOND and tgt.mode not in CLOSED
+        }
         if any(tgt.mute < self.now - BEAT for tgt in mute):  # those of one cut are mute at one time
             self.condemn(mute)
         if self.now >= self.judge_at and not self.work:
@@ -391,8 +400,11 @@
                 old[place[tgt]].add(p)
         tender = {x: max(share, self.fills(t, 0)) * quota[t] for t, x in place.items() if t.mode in TENDER}
         room = [len(held) * memory - MEMORY * self.fills(t, share) * quota[t] for held, t in zip(old, tgts)]
-        changed = [(p, sorted(place[tgt] for tgt in unit.want if tgt in place), unit.copies)
-                   for p, unit in enumerate(units) if len(unit.want) != unit.copies]
+        changed = [
+            (p, sorted(place[tgt] for tgt in unit.want if tgt in place), unit.copies)
+            for p, unit in enumerate(units)
+            if len(unit.want) != unit.copies
+        ]
         states, starts = [(tgt.mode, tgt.gained) for tgt in tgts], [[*unit.want] for unit in units]
         least, gained = min(DEV, DEV_ALL * share), [gained for _, gained in states]  # deviations add up
         self.dev = max(least, self.dev - least * STEP)
@@ -411,8 +423,10 @@
         self.counter = search.counter
         self.orders.append(face.Log(f"run: gap {search.widest:.0f}, dev {self.dev:.0f}, {moves} placements"))
         found, quota = [[] for _ in units], self.quotas()
-        bears = [tgt in quota and mode == tgt.mode and gained >= (tgt.gained and mode in TENDER)
-                 for tgt, (mode, gained) in zip(tgts, states)]
+        bears = [
+            tgt in quota and mode == tgt.mode and gained >= (tgt.gained and mode in TENDER)
+            for tgt, (mode, gained) in zip(tgts, states)
+        ]
         for x, held in enumerate(holds):
             for p in held:
                 found[p].append(x)
@@ -428,20 +442,30 @@
         limits, proxies = self.settings, len(self.joined)
         waiting = sum(lines * (self.now < at + LOST) for row in self.joined.values() for _, lines, at in row)
         low = {tgt for tgt in self.targets.values() if self.let_in([tgt]) < 1}
-        changed = [(self.urgent(unit), unit) for unit in self.units.values() if unit.ours and (
-            unit.want != unit.have
-            or unit.level != (1 if low.isdisjoint(unit.want) else self.let_in(unit.want)))]
+        changed = [
+            (self.urgent(unit), unit)
+            for unit in self.units.values()
+            if unit.ours
+            and (
+                unit.want != unit.have
+                or unit.level != (1 if low.isdisjoint(unit.want) else self.let_in(unit.want))
+            )
+        ]
         pace = limits.messages_window / max(1, limits.messages_most - 1) if limits.messages_most else 0
         calm = self.now >= self.sent_at + max(SECOND // 2, 2 * pace)
         if self.now < self.sent_at + pace or not (calm or any(urgent for urgent, _ in changed)):
             return
         # A zone's slices can fill the channel past the grace: one line a proxy shuts a server out before.
         named = {tgt for unit in self.ours() for tgt in unit.have} if self.shut else ()
-        stale = dict.fromkeys(tgt for _, unit in changed for tgt in unit.have
-                              if tgt not in unit.want and unit is not self.whole)
+        stale = dict.fromkeys(
+            tgt for _, unit in changed for tgt in unit.have if tgt not in unit.want and unit is not self.whole
+        )
         shut = [tgt for tgt in stale if tgt.mode in ("leaving", "out") and tgt not in self.shut]
-        back = [tgt for tgt in self.shut
-                if (changed and tgt not in named if tgt.mode in CLOSED else tgt not in stale)]
+        back = [
+            tgt
+            for tgt in self.shut
+            if (changed and tgt not in named if tgt.mode in CLOSED else tgt not in stale)
+        ]
         self.shut = {tgt: None for tgt in [*self.shut, *shut] if tgt not in back}
         lines, level = [face.Withdraw(t.server, t in shut) for t in shut + back], self.let_in([self.fleet])
         if level != self.level:  # one line a proxy, where each slice's would fill the channel
@@ -454,8 +478,11 @@
             dead = (tgt for tgt in unit.have if urgent and tgt.mode == "out" and tgt in self.shut)
             left = {tgt: unit.have[tgt] for tgt in dead} | unit.want
             delta = [face.SetLine(unit.slice, tgt.server, 0) for tgt in unit.have if tgt not in left]
-            delta += [face.SetLine(unit.slice, tgt.server, weight) for tgt, weight in unit.want.items()
-                      if unit.have.get(tgt) != weight]
+            delta += [
+                face.SetLine(unit.slice, tgt.server, weight)
+                for tgt, weight in unit.want.items()
+                if unit.have.get(tgt) != weight
+            ]
             level = unit.level if urgent else self.let_in(unit.want)  # levels wait where slices must move
             if level != unit.level:
                 delta.append(face.Admit(unit.slice, (self.ops[0],), level, 1))
--- a/flintreach/policy/map.py
+++ b/flintreach/policy/map.py
@@ -79,8 +79,11 @@
         found = set()
         for rows in self.orders[:2]:
             found.update((min(x, y), max(x, y)) for _, x in rows[:NEAR] for _, y in rows[-NEAR:])
-        return [(gap, x, y) for x, y in sorted(found)
-                if (gap := abs(self.memory[x] - self.memory[y]) + abs(self.demand[x] - self.demand[y])) > 0]
+        return [
+            (gap, x, y)
+            for x, y in sorted(found)
+            if (gap := abs(self.memory[x] - self.memory[y]) + abs(self.demand[x] - self.demand[y])) > 0
+        ]
 
     def welcome(self, p, y):
         """A target that warms up must not be pushed over: one slice a run, and only one that it can bear."""
@@ -95,14 +98,20 @@
     def swaps(self, x, y):  # (benefit, p, q): the valid moves and swaps that bring two targets closer
         memory, demand = self.memory[x] - self.memory[y], self.demand[x] - self.demand[y]
         before, both = abs(memory) + abs(demand), abs(memory)
-        mine, theirs = ([(p, self.amounts[p][False]) for p in sorted(self.holds[a] - self.holds[b])
-                         if self.welcome(p, b)] for a, b in ((x, y), (y, x)))
+        mine, theirs = (
+            [(p, self.amounts[p][False]) for p in sorted(self.holds[a] - self.holds[b]) if self.welcome(p, b)]
+            for a, b in ((x, y), (y, x))
+        )
         away, back = (abs(memory - 2 * self.unit * way) for way in (1, -1))
         swaps = [(q, b, both) for q, b in theirs] + [(NONE, 0.0, away)]
         rows = [(p, a, swaps) for p, a in mine] + [(NONE, 0.0, [(q, b, back) for q, b in theirs])]
         self.tried += len(rows) * len(swaps)
-        return [(benefit, p, q) for p, a, ways in rows for q, b, gap in ways
-                if (benefit := before - abs(demand - 2 * (a - b)) - gap) > 1e-9]
+        return [
+            (benefit, p, q)
+            for p, a, ways in rows
+            for q, b, gap in ways
+            if (benefit := before - abs(demand - 2 * (a - b)) - gap) > 1e-9
+        ]
 
 
 class Search:  # for a map near the old one: it knows places alone, so it can run beside the decisions
@@ -150,7 +159,7 @@
             if x not in barred:
                 insort(found, (least + 20 * self.draw(x - bisect_left(barred, x) + 1), x))
         self.counter += len(load) - len(barred)
-        for _, x in found[:max(0, few)]:
+        for _, x in found[: max(0, few)]:
             part.put(p, x, 1)
 
     def improve(self, part, sure):
