--- a/flintreach/pilot/logic.py
+++ b/flintreach/pilot/logic.py
@@ -8,7 +8,11 @@
 
 from flintreach.pilot import interface as face
 from flintreach.pilot.interface import SECOND
-from flintreach.policy.map import EFFORT, STEP, Partition, Ring, Search, recopy
+from flintreach.policy.demand import SlidingSums as Ring
+from flintreach.policy.demand import replica_count
+from flintreach.policy.partition import Partition
+from flintreach.policy.search import DEVIATION_STEP as STEP
+from flintreach.policy.search import TURN_BUDGET_US, Search
 
 BEAT, RUN_EVERY, RUN_FIRST = SECOND // 4, 10 * SECOND, 4 * SECOND  # between looks, and full runs; the first
 SMOOTHING, RECENT, LAST = 10, 3, 2  # seconds: of demand that a slice's figure covers; of a jump; of a death
@@ -102,7 +106,9 @@
             self.beat()
             self.stir = True
         elif self.work and now >= self.go_at:
-            self.go_on(0 if self.stir or self.orders else EFFORT)  # what was ordered must not wait for it
+            self.go_on(
+                0 if self.stir or self.orders else TURN_BUDGET_US
+            )  # what was ordered must not wait for it
         if self.stir:
             self.stir = False
             self.evacuate()
@@ -117,7 +123,9 @@
             if self.owed is None:
                 self.work, self.owed, self.stir = None, 0, True
                 return
-        self.go_at = self.now + EFFORT * 500  # half as long: a call takes several passes of its host's loop
+        self.go_at = (
+            self.now + TURN_BUDGET_US * 500
+        )  # half as long: a call takes several passes of its host's loop
         self.orders.append(face.Wake(self.go_at))
 
     def target(self, server):
@@ -294,7 +302,7 @@
             self.condemn(mute)
         if self.now >= self.judge_at and not self.work:
             self.judge_at, self.work = self.now + SECOND, self.second()
-            self.go_on(EFFORT)
+            self.go_on(TURN_BUDGET_US)
 
     def second(self):
         """What is done each second; before each part it gives what that costs, in about microseconds."""
@@ -390,7 +398,10 @@
             return
         tgts = list(quota)
         for unit in units:
-            recopy(unit, demand[unit][False] / 100, 1 if self.settings.exclusive else len(tgts), full)
+            most = 1 if self.settings.exclusive else len(tgts)
+            unit.copies, unit.low = replica_count(
+                unit.copies, unit.low, demand[unit][False] / 100, most, full
+            )
         yield 2 * len(units)
         share, memory = len(units) / len(self.units), MEMORY * 100 * len(tgts) / len(self.units)
         amounts = [(usual / unit.copies, most / unit.copies) for unit, (usual, most) in demand.items()]
@@ -430,7 +441,7 @@
         for x, held in enumerate(holds):
             for p in held:
                 found[p].append(x)
-        moved = {p for held, was in zip(holds, search.start.old) if held is not was for p in held ^ was}
+        moved = {p for held, was in zip(holds, search.start.original) if held is not was for p in held ^ was}
         for p, (unit, chosen, start) in enumerate(zip(units, found, starts)):
             if p in moved or len(chosen) != len(start):
                 stands = self.units.get(unit.slice) is unit and [*unit.want] == start
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -7,7 +7,9 @@
 
 from dataclasses import dataclass, field
 
-from flintreach.policy.map import Partition, Ring, Search, recopy
+from flintreach.policy.demand import SlidingSums, replica_count
+from flintreach.policy.partition import Partition
+from flintreach.policy.search import Search
 
 SECOND = 1_000_000_000
 SMOOTHING = 10  # seconds of demand that a slice's figure covers
@@ -24,7 +26,7 @@
     line: str
     homes: tuple[str, ...] = ()
     since: int | None = None  # when the first request was told
-    came: Ring = field(default_factory=lambda: Ring(SMOOTHING + 2, 1))
+    came: SlidingSums = field(default_factory=lambda: SlidingSums(SMOOTHING + 2, 1))
     want: set[str] = field(default_factory=set)
     copies: int = 1
     low: int = 0
@@ -49,8 +51,8 @@
 
     bars: list[set[int]]
 
-    def welcome(self, p, y):
-        return y not in self.bars[p] and super().welcome(p, y)
+    def may_gain(self, p, y):
+        return y not in self.bars[p] and super().may_gain(p, y)
 
     def barred(self, p):
         return {*super().barred(p), *self.bars[p]}
@@ -114,7 +116,8 @@
         amounts, old, changed = [], [set() for _ in here], []
         for p, unit in enumerate(units):
             demand = 100 * len(here) * unit.rate / total
-            recopy(unit, demand / 100, max(1, len(here) - len(bars[p])), full)
+            most = max(1, len(here) - len(bars[p]))
+            unit.copies, unit.low = replica_count(unit.copies, unit.low, demand / 100, most, full)
             unit.copies = min(unit.copies, max(1, len(here) - len(bars[p])))
             amounts.append((demand / unit.copies,) * 2)
             has = sorted(at[id] for id in unit.want if id in at and at[id] not in bars[p])
--- /dev/null
+++ b/flintreach/policy/search.py
@@ -0,0 +1,152 @@
+"""The search for a better map of units to targets, near the old one.  Pure, and random only by its seed.
+
+Source: L. Cherkasova, S. Ponnekanti, "FLEX", HPL-2000-27 (closest repartitioning); docs/design.md.
+"""
+
+import math
+import zlib
+from bisect import bisect_left, insort
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
+
+from flintreach.policy.partition import NO_UNIT, Partition
+
+DEVIATION_STEP = 1 / 2  # of the permitted deviation: candidates within one step are alike
+CANDIDATES = 20  # a run
+SURE_CANDIDATES = 2  # of these, whose moves are the best ones and not drawn
+LEAST_ATTEMPTS = 20  # moves a candidate at least
+DRAW_SPREAD = 20  # hundredths of a mean target: how far a draw outweighs room, for a new replica
+TURN_BUDGET_US = 6000  # of a second's work in one turn: about microseconds of a core
+MOVE_COST_US = 150  # of a move or swap, likewise
+CANDIDATE_COST_US = 2  # a target
+
+
+class Solution(NamedTuple):
+    """A map that a search found, and what it is judged by."""
+
+    cost: tuple[float, int]  # deviation, in steps; placements that differ from the old map
+    placements: list[set[int]]  # the units of each target
+
+
+class Search:
+    """One run: it knows positions and figures alone, so that another process can do it on a copy."""
+
+    def __init__(
+        self,
+        seed: int,
+        counter: int,
+        start: Partition,
+        changed: list[tuple[int, list[int], int]],
+        deviation: float,
+        elsewhere: bool = False,
+    ) -> None:
+        """Prepare a search; `steps` does it.
+
+        Args:
+            seed: of the draws.
+            counter: draws made before, so that no two runs repeat them.
+            start: the map that stands.
+            changed: unit, its targets and its wanted number of replicas, where these differ.
+            deviation: what is permitted, in hundredths of a mean target.
+            elsewhere: its steps are taken by another process; until it has answered, `steps` waits.
+        """
+        self.seed = seed
+        self.counter = counter
+        self.start = start
+        self.changed = changed
+        self.deviation = deviation
+        self.elsewhere = elsewhere
+        self.best: Solution | None = None
+        self.widest = start.widest
+
+    def _draw(self, ahead: int = 1) -> float:
+        """The draw, from 0 to 1, that is so many ahead; the counter stays."""
+        return zlib.crc32(b"%d %d" % (self.seed, self.counter + ahead)) / 2**32
+
+    def _chance(self, row: tuple[float, int, int]) -> float:
+        """A random key: the larger a row's first value, the likelier it wins.
+
+        Source: Efraimidis and Spirakis, "Weighted random sampling with a reservoir" (2006).
+        """
+        self.counter += 1
+        return self._draw(0) ** (1 / row[0])
+
+    def steps(self) -> Iterator[int]:
+        """Do the search; `best` has the outcome.
+
+        A candidate that fits a smaller deviation wins, then one with fewer changed placements.
+
+        Yields:
+            What the next part costs, in about microseconds.
+        """
+        while self.elsewhere:
+            yield TURN_BUDGET_US
+        if self.best:
+            return
+        size = len(self.start.original)
+        for number in range(CANDIDATES):
+            yield CANDIDATE_COST_US * size
+            candidate = self.start.fork()
+            for unit, targets, replicas in self.changed:
+                yield MOVE_COST_US
+                self._adjust_replicas(candidate, unit, targets, replicas)
+            yield from self._improve_candidate(candidate, number < SURE_CANDIDATES)
+
+    def _improve_candidate(self, candidate: Partition, sure: bool) -> Iterator[int]:
+        """Move until it fits the permitted deviation or nothing helps; keep it where it is the best yet."""
+        size = len(self.start.original)
+        step = self.deviation * DEVIATION_STEP
+        for _ in range(max(LEAST_ATTEMPTS, size) + 1):
+            deviation = max(self.deviation, step * math.ceil(candidate.widest / step))
+            cost = deviation, candidate.distance
+            if self.best is None or cost < self.best.cost:
+                self.best = Solution(cost, candidate.placements[:])
+                candidate.shared = {*range(size)}
+            if deviation <= self.deviation or not self._improve(candidate, sure):
+                return
+            yield MOVE_COST_US + candidate.examined // 4  # as the last one was
+            candidate.examined = 0
+
+    def _adjust_replicas(self, candidate: Partition, unit: int, targets: list[int], replicas: int) -> None:
+        """Place further replicas where load is least, or take some from where it is most.
+
+        Targets are met by their load: once even the best draw can't win, the rest needs no draw.
+        """
+        load = candidate.demand_gaps
+        missing = replicas - len(targets)
+        for target in sorted(targets, key=load.__getitem__)[replicas:]:
+            candidate.remove(unit, target)
+        barred = sorted({*targets, *candidate.barred(unit)})
+        chosen: list[tuple[float, int]] = []
+        for least, target in candidate.rankings[2]:
+            if len(chosen) >= missing and (missing <= 0 or least > chosen[missing - 1][0]):
+                break
+            if target not in barred:
+                draw = self._draw(target - bisect_left(barred, target) + 1)
+                insort(chosen, (least + DRAW_SPREAD * draw, target))
+        self.counter += len(load) - len(barred)
+        for _, target in chosen[: max(0, missing)]:
+            candidate.add(unit, target)
+
+    def _improve(self, candidate: Partition, sure: bool) -> bool:
+        """Make one move or swap: the best of the widest pair, or drawn by deviation and benefit.
+
+        Returns:
+            Whether there was one.
+        """
+        key: Callable[[tuple[float, int, int]], float] = _value if sure else self._chance
+        for _, x, y in sorted(candidate.pairs(), key=key, reverse=True):
+            swaps = candidate.swaps(x, y)
+            if not swaps:  # a guarded target is soon full, and its pairs have none
+                continue
+            _, leaving, coming = max(swaps, key=key)
+            for unit, source, target in ((leaving, x, y), (coming, y, x)):
+                if unit != NO_UNIT:
+                    candidate.remove(unit, source)
+                    candidate.add(unit, target)
+            return True
+        return False
+
+
+def _value(row: tuple[float, int, int]) -> float:
+    return row[0]
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -25,6 +25,8 @@
 from flintreach.pilot import interface as face
 from flintreach.pilot import logic
 from flintreach.pilot.interface import SECOND
+from flintreach.policy.partition import Partition
+from flintreach.policy.search import Search
 from flintreach.standins.discovery import Discovery
 from flintreach.standins.peer import Peer
 from flintreach.standins.platform import listing, row, told
@@ -646,12 +648,12 @@
 
 def test_a_search_that_its_process_does_not_end_is_left_to_the_decisions(shop):
     fleet = Fleet(servers=12, slices=60, demand=9)
-    start = logic.Partition(
+    start = Partition(
         [set() for _ in range(12)], [0.0] * 12, [0.0] * 12, [(1.0, 1.0)] * 61, 1.0, {}, [False] * 12
     )
     front, searches = (
         shop.service.clients,
-        [logic.Search(seed, 0, start, [(n, [], 1) for n in range(60)], 30.0, True) for seed in range(3)],
+        [Search(seed, 0, start, [(n, [], 1) for n in range(60)], 30.0, True) for seed in range(3)],
     )
 
     def solved(search):
@@ -662,7 +664,7 @@
     front.solve(searches[0])
     shop.until(lambda: solved(searches[0]))
     (event,) = solved(searches[0])
-    here = logic.Search(0, 0, start, [(n, [], 1) for n in range(60)], 30.0)
+    here = Search(0, 0, start, [(n, [], 1) for n in range(60)], 30.0)
     for _ in here.steps():
         pass
     assert event.best == here.best and event.counter == here.counter
--- a/tests/pilot/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -4,7 +4,9 @@
 
 from flintreach.pilot import interface as face
 from flintreach.pilot.interface import SECOND
-from flintreach.pilot.logic import MODES, Partition, Ring
+from flintreach.pilot.logic import MODES
+from flintreach.policy.demand import SlidingSums
+from flintreach.policy.partition import Partition
 from tests.helpers import Fleet
 
 
@@ -113,7 +115,7 @@
 def test_a_hot_slice_is_not_put_on_a_cold_server(amount, held, welcome):
     """It fits alone, but what is hot grows on: parts are of the server's quota of 40."""
     part = Partition([set(), set()], [0, 0], [0, 40 * (held - 1)], [(9, 40 * amount)], 1, {1: 40}, [0, 0])
-    assert part.welcome(0, 1) == welcome
+    assert part.may_gain(0, 1) == welcome
 
 
 def grown(number, pilots=5, lots=(0, 0, 0)):
@@ -326,7 +328,7 @@
 @pytest.mark.parametrize("span, expected", [(1, [12, 0, 0]), (3, [4, 4, 4]), (0, [12, 0, 0]), (9, [2, 2, 2])])
 def test_a_line_of_sums_is_booked_over_its_span(span, expected):
     """Lines of a large fleet come by turns and span seconds; booked at once they read as bursts."""
-    ring = Ring(6, 1)
+    ring = SlidingSums(6, 1)
     ring.add(100 * SECOND, span * SECOND, 12)
     assert [ring.total((100 - back) * SECOND, 1)[0] for back in range(3)] == expected
 
--- a/tests/pilot/test_recorded.py
+++ b/tests/pilot/test_recorded.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture(autouse=True)
 def one_turn(monkeypatch):
-    monkeypatch.setattr(logic, "EFFORT", 10**18)
+    monkeypatch.setattr(logic, "TURN_BUDGET_US", 10**18)
 
 
 @pytest.mark.parametrize("size, seconds, digest", RECORDED)
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -75,7 +75,7 @@
     search = next(order.search for order in fleet.replies[-1][1] if isinstance(order, face.Solve))
     for _ in search_steps(search):
         pass
-    maps = enumerate(zip(search.best[1], search.start.old))
+    maps = enumerate(zip(search.best[1], search.start.original))
     gains = {x: held - was for x, (held, was) in maps if held - was}
     target = max(gains, key=lambda x: len(gains[x]))
     server = [tgt.server for tgt in fleet.pilot.quotas()][target]
@@ -132,7 +132,7 @@
     turns = [costs for costs in seen if costs]
     assert len(turns) > 20
     # The last cost is of the part that was not begun.
-    assert all(sum(costs[:-1]) <= max(logic.EFFORT, max(costs[:-1], default=0)) for costs in turns)
+    assert all(sum(costs[:-1]) <= max(logic.TURN_BUDGET_US, max(costs[:-1], default=0)) for costs in turns)
 
 
 @pytest.mark.parametrize("answer", ["found", "nobody", "late"])
