--- a/flintreach/cores/fold.py
+++ b/flintreach/cores/fold.py
@@ -1,7 +1,7 @@
 """How a worker sums up what is reported, so that the deciding core reads less and loses nothing.  Pure.
 
 Lines about one server from one zone over as many seconds, or about one slice and operation, become one row
-while the decisions would judge each of them alike: `pilot.logic.kind` says so, not this module.  Counts
+while the decisions would judge each of them alike: `pilot.reports.kind` says so, not this module.  Counts
 and the sum of latencies are kept exactly; of two spans within the same second the longer stands; the newest
 load report of a server goes with its last row.  A row of another kind than the last of its object is urgent.
 """
--- a/flintreach/cores/solver.py
+++ b/flintreach/cores/solver.py
@@ -1,6 +1,6 @@
 """The swap search beside the decisions: it is given places and figures, and gives a map back.
 
-It decides nothing of its own: the search is `flintreach.policy.search.Search`, the text that one process runs.
+It decides nothing of its own: the search is `flintreach.policy.search.Search`, as in one process.
 """
 
 import asyncio
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -23,7 +23,7 @@
 from flintreach.net.limits import Limits
 from flintreach.net.reading import whole
 from flintreach.pilot import interface as face
-from flintreach.pilot import logic, settings
+from flintreach.pilot import reports, settings
 from flintreach.pilot.registry import Registry
 
 DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG of prctl(2)
@@ -54,7 +54,7 @@
         self.loads, self.registry = settings.LOADS, Registry(self.settings)
         self.clock = Clock(loop, 0, self.limits)
         objective = min(self.settings.operations, key=lambda op: op.billed_value).objective
-        self.fold = Fold(lambda event: logic.kind(event, objective), self.limits.events)
+        self.fold = Fold(lambda event: reports.kind(event, objective), self.limits.events)
         self.pace, self.due, self.timer = Pace(told.ratio, told.wait), False, None
         self.by_number: dict[int, face.Server] = {}
         self.numbers: dict[face.Server, int] = {}
--- /dev/null
+++ b/flintreach/pilot/admission.py
@@ -0,0 +1,51 @@
+"""How much a strained server bears, and how much of the cheapest operation is let in.  Pure."""
+
+from collections.abc import Iterable
+
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.records import ServerState
+from flintreach.pilot.state import FleetState
+
+CROWDED_STRAIN = 0.6  # strain from which a server is crowded
+CROWDED_RATIO = 1.5  # and by the best quarter's
+CAPACITY_FALL = 0.8  # factor of a crowded server's quota
+CAPACITY_RISE = 0.05
+LEAST_CAPACITY = 0.5
+LEVEL_FALL = 0.4  # the lowest factor of one fall
+LEVEL_RISE = 0.2
+LEAST_LEVEL = 0.05
+CALM_LATENESS = 2 / 3  # below it a level rises
+HARD_UNANSWERED = 0.3  # part unanswered that strains a server
+LEVEL_STEPS = 5  # levels are ordered in fifths
+
+
+def adjust(state: FleetState, server: ServerState, strain: float, usual_strain: float) -> None:
+    """Let a server that is worse off than its peers bear less; where it is late, let less in.
+
+    Args:
+        state: of the fleet.
+        server: whose shares change.
+        strain: of the server; 1 is hard.
+        usual_strain: of the best quarter of its peers.
+    """
+    crowded = strain > max(CROWDED_STRAIN, CROWDED_RATIO * usual_strain)
+    if crowded and state.now_ns >= server.hold_until_ns:
+        server.capacity_share = max(LEAST_CAPACITY, server.capacity_share * CAPACITY_FALL)
+        # The next fall waits for reports of after this one, else shares fall to nothing meanwhile.
+        server.hold_until_ns = state.now_ns + SECOND + state.report_span_ns
+        if server.lateness > 1 and not server.idle:
+            fall = max(LEVEL_FALL, 1 / server.lateness)
+            server.admission_level = max(LEAST_LEVEL, server.admission_level * fall)
+    reports_idle = server.idle and server.load is not None
+    if strain < CROWDED_STRAIN / 2 or (reports_idle and server.unanswered_share < HARD_UNANSWERED / 2):
+        server.capacity_share = min(1.0, server.capacity_share + CAPACITY_RISE)
+    calm = server.lateness < CALM_LATENESS
+    server.admission_level = min(1.0, server.admission_level + LEVEL_RISE * calm)
+
+
+def admitted_level(state: FleetState, servers: Iterable[ServerState]) -> float:
+    """The lowest level of some servers; in steps, since each change costs a line at each proxy."""
+    if state.settings.admits_by != "share":
+        return 1.0
+    lowest = min((server.admission_level for server in servers), default=1)
+    return round(LEVEL_STEPS * lowest) / LEVEL_STEPS
--- /dev/null
+++ b/flintreach/pilot/placement.py
@@ -0,0 +1,179 @@
+"""Which server has which slice: empty tables are filled at once, the map is improved by a search.  Pure."""
+
+from dataclasses import dataclass
+
+from flintreach.pilot import interface as face
+from flintreach.pilot.load import Demands, Gaps, filled_share, loads
+from flintreach.pilot.records import GUARDED_MODES, Mode, ServerState, SliceTable
+from flintreach.pilot.state import FleetState
+from flintreach.policy.partition import Partition
+from flintreach.policy.replicas import replica_count
+from flintreach.policy.search import DEVIATION_STEP, Costs, Search
+
+DEVIATION = 30.0  # permitted to one pilot, in hundredths of a mean server
+FLEET_DEVIATION = 70.0  # permitted to all pilots
+DEVIATION_SLACK = 1 / 3  # beyond the permitted one, before a run begins
+MEMORY_WEIGHT = 0.25  # of memory against demand
+TABLE_COST_US = 2
+SERVER_COST_US = 2
+ADOPT_COST_US = 3  # of one table
+
+
+@dataclass(slots=True)
+class Run:
+    """A search and what stood when it began; positions in the search are those in these lists."""
+
+    search: Search
+    tables: list[SliceTable]
+    servers: list[ServerState]
+    before: list[list[ServerState]]  # the servers of each table
+    modes: list[tuple[Mode, bool]]  # of each server: mode, and whether it had gained
+
+
+def evacuate(state: FleetState) -> None:
+    """Slices leave dead, draining and ejected servers at once; no table stays empty if it can be."""
+    closed = {server for server in state.servers.values() if server.closed}
+    for table in state.own_tables():
+        if not closed.isdisjoint(table.wanted):
+            table.wanted = {server: weight for server, weight in table.wanted.items() if server not in closed}
+    empty = [table for table in state.own_tables() if not table.wanted]
+    if not empty:
+        return
+    demands, gaps = loads(state, state.quotas())
+    if not gaps:
+        return
+    for table in empty:
+        usual, guarded = demands[table]
+        # Many slices, or a hot one, would push a cold server over: one a run, and within its quota.
+        able = [
+            server
+            for server in gaps
+            if not server.guarded or (not server.gained and gaps[server] + guarded <= 0)
+        ]
+        best = min(able or gaps, key=gaps.__getitem__)
+        best.gained = True
+        table.wanted[best] = 1.0
+        gaps[best] += guarded if best.guarded else usual
+
+
+class Placement:
+    """Runs that bring load nearer to quotas with few moves, and what they remember of each other."""
+
+    def __init__(self, state: FleetState) -> None:
+        """Begin with the deviation that one pilot is permitted."""
+        self._state = state
+        self._deviation = DEVIATION  # that the last run reached
+        self._draws = 0  # of all runs
+
+    def run(self, full: bool) -> Costs:
+        """Search for a better map, and take it over; a full run also tries empty servers that warm up."""
+        state = self._state
+        yield TABLE_COST_US * len(state.tables) + SERVER_COST_US * len(state.servers)
+        tables = state.own_tables()
+        quotas = state.quotas()
+        for server in quotas:
+            on_hold = state.now_ns < server.hold_until_ns
+            server.gained = server.mode == Mode.COLD and (on_hold or not filled_share(state, server, 1))
+        demands, gaps = loads(state, quotas)
+        if len(quotas) < 2 or not sum(usual for usual, _ in demands.values()):
+            return
+        most = 1 if state.settings.exclusive else len(quotas)
+        for table, (usual, _) in demands.items():
+            count = replica_count(table.replicas, table.surplus_runs, usual / 100, most, full)
+            table.replicas, table.surplus_runs = count
+        yield TABLE_COST_US * len(tables)
+        run = self._prepare(quotas, demands, gaps, full)
+        search = run.search
+        if search.widest <= self._deviation + search.deviation * DEVIATION_SLACK and not search.changed:
+            return
+        if search.elsewhere:
+            state.orders.append(face.Solve(search))
+        yield from search.steps()
+        yield ADOPT_COST_US * len(tables)
+        self._adopt(run)
+
+    def _prepare(self, quotas: dict[ServerState, float], demands: Demands, gaps: Gaps, full: bool) -> Run:
+        """Describe the map that stands, and the search for a better one, by positions alone."""
+        state = self._state
+        tables = list(demands)
+        servers = list(quotas)
+        positions = {server: position for position, server in enumerate(servers)}
+        share = len(tables) / len(state.tables)
+        unit_memory = MEMORY_WEIGHT * 100 * len(servers) / len(state.tables)
+        placements: list[set[int]] = [set() for _ in servers]
+        changed = []
+        for unit, table in enumerate(tables):
+            targets = sorted(positions[server] for server in table.wanted if server in positions)
+            for target in targets:
+                placements[target].add(unit)
+            if len(table.wanted) != table.replicas:
+                changed.append((unit, targets, table.replicas))
+        memory_gaps = [
+            len(units) * unit_memory - MEMORY_WEIGHT * filled_share(state, server, share) * quotas[server]
+            for units, server in zip(placements, servers)
+        ]
+        guarded_quotas = {
+            target: max(share, filled_share(state, server, 0)) * quotas[server]
+            for server, target in positions.items()
+            if server.guarded
+        }
+        replica_demands = [
+            (usual / table.replicas, guarded / table.replicas) for table, (usual, guarded) in demands.items()
+        ]
+        start = Partition(
+            placements,
+            memory_gaps,
+            [*gaps.values()],
+            replica_demands + [(0.0, 0.0)],
+            unit_memory,
+            guarded_quotas,
+            [server.gained for server in servers],
+            2 * DEVIATION if full else 0.0,
+        )
+        permitted = min(DEVIATION, FLEET_DEVIATION * share)  # the pilots' deviations add up
+        self._deviation = max(permitted, self._deviation - permitted * DEVIATION_STEP)
+        settings = state.settings
+        search = Search(settings.seed, self._draws, start, changed, permitted, settings.elsewhere)
+        modes = [(server.mode, server.gained) for server in servers]
+        return Run(search, tables, servers, [[*table.wanted] for table in tables], modes)
+
+    def _adopt(self, run: Run) -> None:
+        """Take the outcome over; what has gone, or has been moved, while the search ran stays so."""
+        state = self._state
+        search = run.search
+        (self._deviation, moves), placements = search.best
+        self._draws = search.counter
+        text = f"run: gap {search.widest:.0f}, dev {self._deviation:.0f}, {moves} placements"
+        state.orders.append(face.Log(text))
+        usable = self._usable(run)
+        chosen: list[list[int]] = [[] for _ in run.tables]
+        moved: set[int] = set()
+        for target, (units, original) in enumerate(zip(placements, search.start.original)):
+            for unit in units:
+                chosen[unit].append(target)
+            if units is not original:
+                moved |= units ^ original
+        for unit, table in enumerate(run.tables):
+            targets = chosen[unit]
+            before = run.before[unit]
+            if unit not in moved and len(targets) == len(before):
+                continue
+            stands = state.tables.get(table.slice) is table and [*table.wanted] == before
+            if stands and targets and all(usable[target] for target in targets):
+                table.wanted = {run.servers[target]: 1.0 for target in targets}
+
+    def _usable(self, run: Run) -> list[bool]:
+        """Whether each server may still gain what the search gave it."""
+        quotas = self._state.quotas()
+        usable = []
+        for server, (mode, had_gained) in zip(run.servers, run.modes):
+            gained_since = server.gained and mode in GUARDED_MODES and not had_gained
+            usable.append(server in quotas and server.mode == mode and not gained_since)
+        return usable
+
+
+def on_solved(event: face.Solved) -> None:
+    """Take the answer of a search that was done elsewhere; its run goes on."""
+    event.search.elsewhere = False
+    event.search.best = event.best
+    event.search.counter = event.counter
--- /dev/null
+++ b/flintreach/pilot/reports.py
@@ -0,0 +1,99 @@
+"""What lists, reports and probes tell of servers, taken into the state.  Pure."""
+
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from flintreach.pilot.records import RECENT_S, Cause, Mode, ServerState
+from flintreach.pilot.state import LEAST_WEIGHT, REPORT_CYCLE_NS, FleetState
+from flintreach.policy.window import SlidingSums
+
+STORM_SHARE = 0.2  # part of a line unanswered: it holds repeats
+SUSPECT_SHARE = 0.3  # part of a line unanswered, and two at least: its server may be dead
+JAMMED_LATENCY = 0.5  # part of the latency objective that empties a cold server
+IDLE_BELOW = {"queue": 1, "util": 0.8}  # reports below which late answers are not a server's own load
+PROBE_PAUSE_NS = SECOND
+SPAN_SMOOTHING = 50  # reports by which the learned span follows
+SILENT_STATUSES = ("connect_failed", "timeout", "reset")
+
+
+def kind(line: face.Demand | face.Heard, objective_ns: int) -> tuple[bool, ...]:
+    """What a line is judged by alone: lines of one kind may be summed up.
+
+    Returns:
+        Of demand, (a storm of repeats); of a server, (suspect, jammed, nothing waits).
+    """
+    if isinstance(line, face.Demand):
+        return (line.unanswered > STORM_SHARE * line.tries,)
+    idle_signs = [value < IDLE_BELOW[name] for name, value in line.load.items() if name in IDLE_BELOW]
+    late = line.latency > JAMMED_LATENCY * objective_ns
+    jammed = late and line.tries - line.unanswered > 1  # retries feed a jam
+    suspect = line.unanswered > max(1, SUSPECT_SHARE * line.tries)
+    return suspect, jammed, bool(idle_signs) and all(idle_signs)
+
+
+def on_roster(state: FleetState, event: face.Roster) -> None:
+    """Take a list of servers; where it could not be had, ask again."""
+    if event.how == "failed":
+        state.orders.append(face.Observe(True))
+        return
+    for entry in event.entries:
+        _on_entry(state, entry)
+    if event.how == "delta":
+        return
+    listed = {entry.server for entry in event.entries}
+    for server in [state.servers[name] for name in state.servers if name not in listed]:
+        state.transition(server, Cause.LEAVE, "gone from the list")
+
+
+def _on_entry(state: FleetState, entry: face.Entry) -> None:
+    server = state.server(entry.server)
+    server.weight = max(entry.weight, LEAST_WEIGHT)
+    restarted = entry.started > server.started_ns
+    server.started_ns = max(entry.started, server.started_ns)
+    if entry.state != "ready":
+        state.transition(server, Cause.LEAVE, entry.state)
+    elif restarted and state.warm_share(server) < 1:  # its old load may still be there
+        server.answers = SlidingSums(RECENT_S + 2, 3)
+        server.host_load = 0.0
+        age_s = (state.now_ns - server.started_ns) / 1e9
+        state.transition(server, Cause.STARTED, f"{age_s:.1f}s ago")
+    elif server.mode in (Mode.UNKNOWN, Mode.LEAVING):
+        state.transition(server, Cause.READY)
+
+
+def on_heard(state: FleetState, event: face.Heard) -> None:
+    """Take what proxies met at a server; one that may be dead is probed, a cold one that jams relieved."""
+    server = state.server(event.server)
+    answered = max(0, event.tries - event.unanswered)
+    # A dead process's sums come late, and must not condemn the one that follows it.
+    of_this_process = state.now_ns - event.span - REPORT_CYCLE_NS > server.started_ns
+    lost = event.unanswered if of_this_process else 0
+    server.answers.add(state.now_ns, event.span, answered + lost, lost, answered * event.latency)
+    suspect, jammed, server.idle = event.kind or kind(event, state.cheapest.objective)
+    server.reported_ns = state.now_ns
+    state.report_span_ns += (event.span - state.report_span_ns) // SPAN_SMOOTHING
+    server.load = event.load.get("util", server.load)
+    if lost and suspect:
+        _probe(state, server)
+    if jammed and not server.idle:
+        state.transition(server, Cause.STRAINED)
+
+
+def _probe(state: FleetState, server: ServerState) -> None:
+    """The sums of a death come late and by halves: a probe tells at once."""
+    if server.closed or state.now_ns <= server.probed_ns + PROBE_PAUSE_NS:
+        return
+    server.probed_ns = state.now_ns
+    if state.settings.probes:
+        state.orders.append(face.Probe(server.server))
+
+
+def on_measured(state: FleetState, event: face.Measured) -> None:
+    """Take a host's load: it only adds to a report, and stands through silence, which frees nobody."""
+    if event.age < REPORT_CYCLE_NS and event.server in state.servers:
+        state.servers[event.server].host_load = event.busy
+
+
+def on_probed(state: FleetState, event: face.Probed) -> None:
+    """Note a probe without an answer; `health.check_silent` judges it."""
+    if event.status in SILENT_STATUSES:
+        state.server(event.server).silent_ns = state.now_ns
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -7,9 +7,10 @@
 
 from dataclasses import dataclass, field
 
-from flintreach.policy.demand import SlidingSums, replica_count
 from flintreach.policy.partition import Partition
+from flintreach.policy.replicas import replica_count
 from flintreach.policy.search import Search
+from flintreach.policy.window import SlidingSums
 
 SECOND = 1_000_000_000
 SMOOTHING = 10  # seconds of demand that a slice's figure covers
--- a/flintreach/policy/partition.py
+++ b/flintreach/policy/partition.py
@@ -6,6 +6,7 @@
 import copy
 import math
 from bisect import bisect_left, insort
+from dataclasses import dataclass
 
 FILL = 0.25  # part of a guarded target's quota that a newcomer may fill beyond it
 NO_UNIT = -1  # in a swap: nothing moves in this direction
@@ -16,48 +17,29 @@
 Swap = tuple[float, int, int]  # benefit; the unit that leaves x for y; the one that leaves y for x
 
 
+@dataclass(eq=False)
 class Partition:
     """Placements, and their gaps between load and quota in hundredths of a mean target, kept as they change.
 
     Guarded targets are those that warm up or are on trial: they gain one unit a run at the most.
     """
 
-    def __init__(
-        self,
-        original: list[set[int]],
-        memory_gaps: list[float],
-        demand_gaps: list[float],
-        demands: list[tuple[float, float]],
-        unit_memory: float,
-        guarded_quotas: dict[int, float],
-        gains: list[int],
-        empty_deviation: float = 0.0,
-    ) -> None:
-        """Begin with a map that stands.
-
-        Args:
-            original: the units of each target; not changed.
-            memory_gaps: of each target, the memory that its units need less its quota's.
-            demand_gaps: of each target, its demand less its quota.
-            demands: of each replica of a unit, at a usual target and at a guarded one; last (0, 0).
-            unit_memory: what a unit adds to a memory gap.
-            guarded_quotas: quota by target, of those that are guarded.
-            gains: units that each target has gained in this run.
-            empty_deviation: what a guarded target that is empty and may gain counts as.
-        """
-        self.original = original
-        self.placements = original
-        self.shared = {*range(len(original))}  # targets whose set belongs to a map that is kept
+    original: list[set[int]]  # the units of each target; not changed
+    memory_gaps: list[float]  # of each target: the memory that its units need, less its quota's
+    demand_gaps: list[float]  # of each target: its demand, less its quota
+    demands: list[tuple[float, float]]  # of a replica, at a usual and at a guarded target; last (0, 0)
+    unit_memory: float  # what a unit adds to a memory gap
+    guarded_quotas: dict[int, float]  # by guarded target
+    gains: list[int]  # units that each target has gained in this run
+    empty_deviation: float = 0.0  # what a guarded target that is empty and may gain counts as
+
+    def __post_init__(self) -> None:
+        """Rank the targets of the map that stands."""
+        self.placements = self.original
+        self.shared = {*range(len(self.original))}  # targets whose set belongs to a map that is kept
         self.distance = 0  # placements that differ from the original
         self.examined = 0  # swaps looked at: what the work cost
-        self.memory_gaps = memory_gaps
-        self.demand_gaps = demand_gaps
-        self.gains = gains
-        self.demands = demands
-        self.unit_memory = unit_memory
-        self.guarded_quotas = guarded_quotas
-        self.empty_deviation = empty_deviation
-        self.figures = [self._figures_of(target) for target in range(len(original))]
+        self.figures = [self._figures_of(target) for target in range(len(self.original))]
         self.rankings = [
             sorted((value, target) for target, value in enumerate(column)) for column in zip(*self.figures)
         ]
@@ -124,10 +106,9 @@
             insort(ranking, (new, target))
 
     def pairs(self) -> list[tuple[float, int, int]]:
-        """Give pairs of targets with the distance of their gaps, among them the widest.
+        """Pair the ends of the rankings by the gaps' sum and difference, which hold the widest pair.
 
-        The ends of the rankings by sum and by difference of the gaps hold the widest, so no look at all
-        pairs is needed.
+        Each pair comes with the distance of its gaps.
         """
         found: set[tuple[int, int]] = set()
         for ranking in self.rankings[:2]:
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -7,6 +7,8 @@
 import zlib
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from operator import itemgetter
 from typing import NamedTuple
 
 from flintreach.policy.partition import NO_UNIT, Partition
@@ -20,6 +22,9 @@
 MOVE_COST_US = 150  # of a move or swap, likewise
 CANDIDATE_COST_US = 2  # a target
 
+Costs = Iterator[int]  # what the next part of some work costs, in about microseconds of a core
+Row = tuple[float, int, int]  # a pair or a swap, by what it is drawn by
+
 
 class Solution(NamedTuple):
     """A map that a search found, and what it is judged by."""
@@ -28,42 +33,27 @@
     placements: list[set[int]]  # the units of each target
 
 
+@dataclass(eq=False)
 class Search:
     """One run: it knows positions and figures alone, so that another process can do it on a copy."""
 
-    def __init__(
-        self,
-        seed: int,
-        counter: int,
-        start: Partition,
-        changed: list[tuple[int, list[int], int]],
-        deviation: float,
-        elsewhere: bool = False,
-    ) -> None:
-        """Prepare a search; `steps` does it.
-
-        Args:
-            seed: of the draws.
-            counter: draws made before, so that no two runs repeat them.
-            start: the map that stands.
-            changed: unit, its targets and its wanted number of replicas, where these differ.
-            deviation: what is permitted, in hundredths of a mean target.
-            elsewhere: its steps are taken by another process; until it has answered, `steps` waits.
-        """
-        self.seed = seed
-        self.counter = counter
-        self.start = start
-        self.changed = changed
-        self.deviation = deviation
-        self.elsewhere = elsewhere
+    seed: int
+    counter: int  # draws made before, so that no two runs repeat them
+    start: Partition  # the map that stands
+    changed: list[tuple[int, list[int], int]]  # unit, its targets, wanted replicas: where these differ
+    deviation: float  # that is permitted, in hundredths of a mean target
+    elsewhere: bool = False  # another process takes the steps; till it has answered, `steps` waits
+
+    def __post_init__(self) -> None:
+        """Begin with nothing found; `steps` searches."""
         self.best: Solution | None = None
-        self.widest = start.widest
+        self.widest = self.start.widest
 
     def _draw(self, ahead: int = 1) -> float:
         """The draw, from 0 to 1, that is so many ahead; the counter stays."""
         return zlib.crc32(b"%d %d" % (self.seed, self.counter + ahead)) / 2**32
 
-    def _chance(self, row: tuple[float, int, int]) -> float:
+    def _chance(self, row: Row) -> float:
         """A random key: the larger a row's first value, the likelier it wins.
 
         Source: Efraimidis and Spirakis, "Weighted random sampling with a reservoir" (2006).
@@ -71,14 +61,8 @@
         self.counter += 1
         return self._draw(0) ** (1 / row[0])
 
-    def steps(self) -> Iterator[int]:
-        """Do the search; `best` has the outcome.
-
-        A candidate that fits a smaller deviation wins, then one with fewer changed placements.
-
-        Yields:
-            What the next part costs, in about microseconds.
-        """
+    def steps(self) -> Costs:
+        """Do the search: who fits a smaller deviation is `best`, then who has fewer changed placements."""
         while self.elsewhere:
             yield TURN_BUDGET_US
         if self.best:
@@ -92,7 +76,7 @@
                 self._adjust_replicas(candidate, unit, targets, replicas)
             yield from self._improve_candidate(candidate, number < SURE_CANDIDATES)
 
-    def _improve_candidate(self, candidate: Partition, sure: bool) -> Iterator[int]:
+    def _improve_candidate(self, candidate: Partition, sure: bool) -> Costs:
         """Move until it fits the permitted deviation or nothing helps; keep it where it is the best yet."""
         size = len(self.start.original)
         step = self.deviation * DEVIATION_STEP
@@ -129,12 +113,8 @@
             candidate.add(unit, target)
 
     def _improve(self, candidate: Partition, sure: bool) -> bool:
-        """Make one move or swap: the best of the widest pair, or drawn by deviation and benefit.
-
-        Returns:
-            Whether there was one.
-        """
-        key: Callable[[tuple[float, int, int]], float] = _value if sure else self._chance
+        """Make one move or swap, if any: the best of the widest pair, or drawn by deviation and benefit."""
+        key: Callable[[Row], float] = itemgetter(0) if sure else self._chance
         for _, x, y in sorted(candidate.pairs(), key=key, reverse=True):
             swaps = candidate.swaps(x, y)
             if not swaps:  # a guarded target is soon full, and its pairs have none
@@ -146,7 +126,3 @@
                     candidate.add(unit, target)
             return True
         return False
-
-
-def _value(row: tuple[float, int, int]) -> float:
-    return row[0]
--- a/flintreach/telemetry/measures.py
+++ b/flintreach/telemetry/measures.py
@@ -49,7 +49,7 @@
 
     def gauges(self) -> dict[str, float]:
         service, pilot = self.service, self.service.pilot
-        modes = Counter(tgt.mode for tgt in pilot.targets.values())
+        modes = Counter(tgt.mode for tgt in pilot.state.servers.values())
         with open("/proc/self/statm") as file:
             resident = int(file.read().split()[1]) * PAGE / 2**20
         found = {
@@ -59,7 +59,9 @@
             "relay.waiting": len(service.calls.waiting),
             "relay.flight": len(service.calls.flight),
             "relay.doubt": int(service.calls.state == "doubt"),
-            "channel.lines": sum(lines for row in pilot.joined.values() for _, lines, _ in row),
+            "channel.lines": sum(
+                lines for row in pilot.dispatcher.unconfirmed.values() for _, lines, _ in row
+            ),
             "probes.open": len(service.servers.open),
             "discovery.known": int(service.roster.known),
             "discovery.failures": service.roster.failures,
@@ -67,7 +69,7 @@
             "news.failures": service.news.failures,
             "news.proxies": len(service.news.joined),
             "news.slices": len(service.news.tables),
-            "level.fleet": pilot.level,
+            "level.fleet": pilot.dispatcher.level,
             "warnings.count": sum(service.counts.values()),
             "process.cpu": time.process_time(),
             "process.memory": round(resident, 2),
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -23,7 +23,7 @@
 from flintreach.net import config as net_config
 from flintreach.net.service import Service
 from flintreach.pilot import interface as face
-from flintreach.pilot import logic
+from flintreach.pilot import reports
 from flintreach.pilot.interface import SECOND
 from flintreach.policy.partition import Partition
 from flintreach.policy.search import Search
@@ -102,7 +102,7 @@
 
 
 def kind(event):
-    return logic.kind(event, SECOND)
+    return reports.kind(event, SECOND)
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
 
     def play(workers):
         rnd, fleet = random.Random(3), Fleet(servers=8, slices=24, demand=30, load_fields=("util",))
-        folds = [Fold(lambda event: logic.kind(event, SECOND), 1000) for _ in range(workers)]
+        folds = [Fold(lambda event: reports.kind(event, SECOND), 1000) for _ in range(workers)]
         for second in range(40):
             if second == 8:
                 fleet.failing = {fleet.servers[2]: 1.0}
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -388,7 +388,7 @@
                 len(service.registry.servers),
                 len(service.registry.names),
                 len(service.servers.addresses),
-                len(service.pilot.targets),
+                len(service.pilot.state.servers),
             )
         )
     assert max(sizes) <= 12 and service.counts["report on an unknown endpoint"] >= 2990
--- a/tests/pilot/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -2,11 +2,13 @@
 
 import pytest
 
+from flintreach.pilot import admission
 from flintreach.pilot import interface as face
 from flintreach.pilot.interface import SECOND
-from flintreach.pilot.logic import MODES
-from flintreach.policy.demand import SlidingSums
+from flintreach.pilot.records import Cause
+from flintreach.pilot.state import TRANSITIONS
 from flintreach.policy.partition import Partition
+from flintreach.policy.window import SlidingSums
 from tests.helpers import Fleet
 
 
@@ -31,8 +33,11 @@
     """The ordinary change was held back by the pace when the server began to drain."""
     fleet = Fleet(messages_most=4)
     fleet.run(3)
-    unit = fleet.pilot.units[fleet.slices[1]]
-    unit.want, fleet.pilot.sent_at = {fleet.pilot.target(fleet.servers[2]): 1.0}, fleet.now - 4 * SECOND
+    unit = fleet.pilot.state.tables[fleet.slices[1]]
+    unit.wanted, fleet.pilot.dispatcher.sent_ns = (
+        {fleet.pilot.state.server(fleet.servers[2]): 1.0},
+        fleet.now - 4 * SECOND,
+    )
     fleet.say(fleet.roster(s1="draining"))
     assert not fleet.holds(fleet.servers[1])
 
@@ -59,12 +64,12 @@
 def test_a_retry_storm_is_not_demand():
     fleet = Fleet(servers=5, slices=20)
     fleet.run(12)
-    unit = fleet.pilot.units[fleet.slices[3]]
+    unit = fleet.pilot.state.tables[fleet.slices[3]]
     before = unit.rate
     for _ in range(5):
         fleet.now += SECOND
         fleet.say(face.Demand(fleet.slices[3], None, fleet.ops[0], 90, 80, SECOND), face.Woke(0))
-    assert unit.rate <= 1.2 * before and unit.press > 10 * before
+    assert unit.rate <= 1.2 * before and unit.recent_rate > 10 * before
 
 
 def test_a_fast_restart_is_relieved_of_its_old_load():
@@ -92,7 +97,7 @@
     fleet.run(8)
     fleet.say(fleet.roster(s1=("ready", fleet.now)))
     for piece in fleet.slices[4:6]:
-        fleet.pilot.units[piece].want = {fleet.pilot.target(fleet.servers[1]): 1.0}
+        fleet.pilot.state.tables[piece].wanted = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
     fleet.run(1)
     assert len(fleet.holds(fleet.servers[1])) >= 2
     return fleet, fleet.servers[1]
@@ -187,7 +192,7 @@
         fleet = Fleet(servers=5, slices=20)
         fleet.load = told
         fleet.run(6)
-        proven.append(fleet.pilot.proven)
+        proven.append(fleet.pilot.state.proven_rate)
     assert abs(proven[0] / proven[1] - part) < 0.02
 
 
@@ -195,23 +200,23 @@
 def test_a_quota_falls_again_once_sums_of_after_the_first_fall_have_come(span, falls):
     """With hundreds of servers a line covers seconds: levels fell to nothing before one told of the first."""
     fleet = Fleet(servers=4, slices=24)
-    fleet.pilot.span = span * SECOND
-    tgt, told, now = fleet.pilot.target(fleet.servers[1]), [], 200
-    tgt.late = 2.0
+    fleet.pilot.state.report_span_ns = span * SECOND
+    tgt, told, now = fleet.pilot.state.server(fleet.servers[1]), [], 200
+    tgt.lateness = 2.0
     for second in range(8):
-        fleet.pilot.now = (now + second) * SECOND
-        fleet.pilot.relent(tgt, 2.0, 0.0)
-        told.append(tgt.bears)
+        fleet.pilot.state.now_ns = (now + second) * SECOND
+        admission.adjust(fleet.pilot.state, tgt, 2.0, 0.0)
+        told.append(tgt.capacity_share)
     assert len(set(told)) == falls
 
 
 @pytest.mark.parametrize("late, level", [(0.9, 1.0), (1.25, 0.8), (5.0, 0.4)])
 def test_one_fall_of_a_level_goes_by_lateness_and_not_to_nothing(late, level):
     fleet = Fleet(servers=4, slices=24)
-    tgt = fleet.pilot.target(fleet.servers[1])
-    tgt.late, fleet.pilot.now = late, 200 * SECOND
-    fleet.pilot.relent(tgt, 2.0, 0.0)
-    assert tgt.level == level
+    tgt = fleet.pilot.state.server(fleet.servers[1])
+    tgt.lateness, fleet.pilot.state.now_ns = late, 200 * SECOND
+    admission.adjust(fleet.pilot.state, tgt, 2.0, 0.0)
+    assert tgt.admission_level == level
 
 
 @pytest.mark.parametrize("after, part", [(1, 1.0), (7, 1.0), (12, 0.0)])
@@ -227,7 +232,7 @@
         fleet.say(face.Given(piece, True), face.Held(piece, fleet.servers[0], 1.0))
     fleet.rates = {piece: rate for piece, rate in fleet.rates.items() if piece not in taken}
     fleet.run(after)
-    rates = [fleet.pilot.units[piece].rate for piece in taken]
+    rates = [fleet.pilot.state.tables[piece].rate for piece in taken]
     assert all(abs(rate - 4 * part) < 0.2 for rate in rates)
 
 
@@ -235,7 +240,7 @@
     fleet = Fleet(servers=4, slices=24)
     for _ in range(300):
         fleet.say(face.Heard(0, fleet.servers[0], 8, 0, SECOND // 5, 6 * SECOND, {}))
-    assert 5 * SECOND < fleet.pilot.span <= 6 * SECOND
+    assert 5 * SECOND < fleet.pilot.state.report_span_ns <= 6 * SECOND
 
 
 @pytest.mark.parametrize("tries, load, emptied", [(30, {}, True), (2, {}, True), (2, {"queue": 0.0}, False)])
@@ -267,12 +272,12 @@
     """Five in a hundred were let in for good at idle servers: fewer than six answers told of them."""
     fleet = Fleet(servers=4, slices=8)
     fleet.run(8)
-    tgt = fleet.pilot.target(fleet.servers[1])
+    tgt = fleet.pilot.state.server(fleet.servers[1])
     fleet.rates = {piece: rate if fleet.servers[1] in fleet.tables[piece] else 4 for piece in fleet.slices}
     fleet.run(4)
-    tgt.level, tgt.late = 0.05, 5.0
+    tgt.admission_level, tgt.lateness = 0.05, 5.0
     fleet.run(30)
-    assert tgt.level == 1 and all(level == 1 for level in fleet.levels.values())
+    assert tgt.admission_level == 1 and all(level == 1 for level in fleet.levels.values())
 
 
 def test_where_all_are_late_one_line_a_proxy_lowers_all_tables():
@@ -311,7 +316,7 @@
     fleet.run(4)
     fleet.failing = {fleet.servers[1]: 1.0}
     fleet.run(3)
-    assert fleet.pilot.target(fleet.servers[1]).mode == "fit"
+    assert fleet.pilot.state.server(fleet.servers[1]).mode == "fit"
 
 
 def test_a_server_worse_off_than_its_peers_bears_less():
@@ -321,7 +326,7 @@
     held = len(fleet.holds(fleet.servers[2]))
     fleet.slow = {fleet.servers[2]: SECOND * 35 // 100}
     fleet.run(20)
-    assert fleet.pilot.target(fleet.servers[2]).bears < 0.7
+    assert fleet.pilot.state.server(fleet.servers[2]).capacity_share < 0.7
     assert len(fleet.holds(fleet.servers[2])) < held and not fleet.levels
 
 
@@ -355,7 +360,7 @@
     fleet.run(5)
     fleet.failing = {fleet.servers[n]: share for n, share in failing.items()}
     fleet.run(5)
-    out = [n for n, server in enumerate(fleet.servers) if fleet.pilot.target(server).mode == "out"]
+    out = [n for n, server in enumerate(fleet.servers) if fleet.pilot.state.server(server).mode == "out"]
     assert out == condemned
     assert all(not fleet.holds(fleet.servers[n]) for n in condemned)
 
@@ -367,7 +372,7 @@
     fleet.say(fleet.roster(**{f"s{n}": ("ready", fleet.now) for n in range(2, 6)}))
     fleet.failing = dict.fromkeys(fleet.servers[:1], 1.0)
     fleet.run(6)
-    assert fleet.pilot.target(fleet.servers[0]).mode == "fit"
+    assert fleet.pilot.state.server(fleet.servers[0]).mode == "fit"
 
 
 def test_a_flapping_server_stays_out_longer_each_time():
@@ -375,7 +380,7 @@
     fleet.run(5)
     fleet.failing = {fleet.servers[1]: 1.0}
     fleet.run(120)
-    tgt = fleet.pilot.target(fleet.servers[1])
+    tgt = fleet.pilot.state.server(fleet.servers[1])
     assert 3 <= tgt.strikes <= 6
 
 
@@ -383,9 +388,9 @@
     """Where the channel has no room for all, slices of a condemned server may wait, a drained one's not."""
     fleet = Fleet(slices=24, proxies=10, channel_limit=400.0, demand=8)
     fleet.run(5)
-    out, drained = fleet.pilot.target(fleet.servers[0]), fleet.servers[1]
+    out, drained = fleet.pilot.state.server(fleet.servers[0]), fleet.servers[1]
     before = [fleet.holds(server) for server in (out.server, drained)]
-    fleet.pilot.step(out, "failing")
+    fleet.pilot.state.transition(out, Cause.FAILING)
     fleet.say(fleet.roster(s1="draining"))
     assert all(map(fleet.mains, before[1])) and not all(map(fleet.mains, before[0]))
 
@@ -394,8 +399,8 @@
     """A crash of a fifth filled the channel for six seconds, half of it with lines to servers shut out."""
     fleet = Fleet(servers=8, slices=48, proxies=10, channel_limit=500.0)
     fleet.run(5)
-    fleet.pilot.step(fleet.pilot.target(fleet.servers[0]), "failing")
-    fleet.pilot.step(fleet.pilot.target(fleet.servers[1]), "failing")
+    fleet.pilot.state.transition(fleet.pilot.state.server(fleet.servers[0]), Cause.FAILING)
+    fleet.pilot.state.transition(fleet.pilot.state.server(fleet.servers[1]), Cause.FAILING)
     fleet.say(face.Woke(0))
     assert all(map(fleet.mains, fleet.slices)) and fleet.shut == set(fleet.servers[:2])
     fleet.run(8)
@@ -512,11 +517,11 @@
     fleet.say(report(fleet, 1, 40, 40))
     fleet.say(fleet.roster(s1=("ready", fleet.now - 2 * SECOND)), report(fleet, 1, 40, 40))
     fleet.run(2)
-    assert fleet.pilot.target(fleet.servers[1]).mode == "cold"
+    assert fleet.pilot.state.server(fleet.servers[1]).mode == "cold"
     fleet.now += 4 * SECOND
     fleet.say(report(fleet, 1, 40, 40))
     fleet.run(1, sums=False)
-    assert fleet.pilot.target(fleet.servers[1]).mode == "out"
+    assert fleet.pilot.state.server(fleet.servers[1]).mode == "out"
 
 
 @pytest.mark.parametrize(
@@ -551,7 +556,7 @@
     fleet = Fleet(slices=24)
     fleet.run(5)
     fleet.say(fleet.roster(s1="gone"))
-    waiting = fleet.pilot.joined[fleet.proxies[0]]
+    waiting = fleet.pilot.dispatcher.unconfirmed[fleet.proxies[0]]
     held = len(waiting)
     for number in (0, 65535, 10**12):
         fleet.say(face.Applied(fleet.proxies[0], number, 0))
@@ -580,14 +585,16 @@
             face.Roster("delta", [face.Entry(gone, "gone", 1.0, 0)]), face.Heard(0, gone, 9, 9, 0, 1, {})
         )
         fleet.run(2)
-    assert len(fleet.pilot.targets) <= 8 and len(fleet.shut) <= 2 and len(fleet.pilot.shut) <= 2
+    assert (
+        len(fleet.pilot.state.servers) <= 8 and len(fleet.shut) <= 2 and len(fleet.pilot.state.shut_out) <= 2
+    )
     assert all(set(table) <= set(fleet.servers) for table in fleet.tables.values())
 
 
 def test_each_mode_answers_or_refuses_each_input():
-    modes = {mode for mode, _ in MODES} | {mode for mode, _ in MODES.values()}
+    modes = {mode for mode, _ in TRANSITIONS} | {*TRANSITIONS.values()}
     assert modes == {"any", "unknown", "fit", "cold", "trial", "out", "leaving"}
-    assert all((mode, "failing") in MODES for mode in ("fit", "cold", "trial"))
+    assert all((mode, "failing") in TRANSITIONS for mode in ("fit", "cold", "trial"))
 
 
 def test_the_same_events_give_the_same_orders():
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -78,8 +78,8 @@
     maps = enumerate(zip(search.best[1], search.start.original))
     gains = {x: held - was for x, (held, was) in maps if held - was}
     target = max(gains, key=lambda x: len(gains[x]))
-    server = [tgt.server for tgt in fleet.pilot.quotas()][target]
-    moved = fleet.pilot.ours()[next(iter(gains[target]))]
+    server = [tgt.server for tgt in fleet.pilot.state.quotas()][target]
+    moved = fleet.pilot.state.own_tables()[next(iter(gains[target]))]
     if change == "drain":
         fleet.say(fleet.roster(**{server.name: "draining"}))
     elif change == "restart":
@@ -88,16 +88,16 @@
         fleet.say(face.Given(moved.slice, False))
     else:
         fleet.say(face.Given(moved.slice, True), face.Held(moved.slice, fleet.servers[3], 1.0))
-    before = {piece: dict(unit.want) for piece, unit in fleet.pilot.units.items()}
+    before = {piece: dict(unit.wanted) for piece, unit in fleet.pilot.state.tables.items()}
     fleet.say(face.Solved(search, search.best, search.counter))
     while fleet.pilot.work:
         fleet.now += 1_000_000
         fleet.say(face.Woke(0))
-    after = {piece: unit.want for piece, unit in fleet.pilot.units.items()}
+    after = {piece: unit.wanted for piece, unit in fleet.pilot.state.tables.items()}
     changed = [piece for piece in before if before[piece].keys() != after[piece].keys()]
     assert changed  # the rest of the answer counts
     if change in ("drain", "restart"):
-        tgt = fleet.pilot.targets[server]
+        tgt = fleet.pilot.state.servers[server]
         assert not any(tgt in after[piece] for piece in changed)
     else:
         assert moved.slice not in changed
