--- a/flintreach/pilot/interface.py
+++ b/flintreach/pilot/interface.py
@@ -1,4 +1,4 @@
-"""What passes between the decisions and whatever protocol carries them.
+"""What passes between the decisions and whatever protocol carries them: events in, orders out.
 
 All times are whole nanoseconds.  Servers, slices, proxies and operations are objects that
 the two sides share and compare by identity; their ids stay with the protocol.
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # in nanoseconds
 
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
@@ -14,22 +14,22 @@
     """A machine's process as the roster names it; it keeps its object over restarts."""
 
     name: str  # for log lines alone
-    zone: int = 0
-    kind: int = 0
-    cell: int = 0
-    lot: int = 0  # drawn from what it is called, so the same at every pilot
+    zone: int = 0  # failure domain, by its number
+    kind: int = 0  # its type, by its number
+    cell: int = 0  # its group, by its number
+    lot: int = 0  # a hash of what it is called, so the same at every pilot
 
 
 @dataclass(slots=True, eq=False)
 class Slice:
-    """A part of the key space, which has one table."""
+    """A shard of the key space, which has one table: the servers that serve it, with their weights."""
 
     number: int
 
 
 @dataclass(slots=True, eq=False)
 class Proxy:
-    """A proxy that has joined at least once."""
+    """A proxy that has joined at least once; it holds the tables and sends invocations by them."""
 
     number: int
     zone: int = 0
@@ -41,9 +41,9 @@
     """A kind of invocation; billed value, objective and effect are the operator's."""
 
     name: str  # for log lines alone
-    place: int
-    objective: int
-    integration_timeout: int
+    place: int  # its position among the operations of the settings
+    objective: int  # latency that it should keep
+    integration_timeout: int  # after it no answer to an attempt comes
     billed_value: float = 1.0
     effect: str = "idempotent"  # or "fingerprinted", "side-effecting"
     group: str = "all"  # fingerprinted: who drops repeats: "all", "zone" or "cell"
@@ -56,26 +56,26 @@
 class Settings:
     """What an instance is told at its start."""
 
-    seed: int = 0
-    number: int = 0
-    pilots: int = 1
-    zone: int = 0
+    seed: int = 0  # of all random draws
+    number: int = 0  # of this pilot
+    pilots: int = 1  # among which the slices are divided
+    zone: int = 0  # of this pilot
     zones: int = 1
     proxies: int = 1
     operations: list[Operation] = field(default_factory=list)
     slices: list[Slice] = field(default_factory=list)
-    exclusive: bool = False
+    exclusive: bool = False  # a slice has one replica at the most
     asks_roster: bool = False  # the roster comes only when asked for
     ask_within: int = 10 * SECOND
     weights: str = "none"  # what a listed weight holds: "none", "nominal", "rough" or "live"
     cold_share: float = 1.0  # a process starts at this part of its capacity, or more
-    warm_up: int = 0
+    warm_up: int = 0  # time until it has all of its capacity
     drain_grace: int = SECOND
     fall_multiple: float = 3.0
     fall_window: int = 2 * SECOND
     only_draining_binds: bool = False
     bare_limit: int = 5 * SECOND
-    tick: int = 1_000_000
+    tick: int = 1_000_000  # how long events gather before a turn takes them
     channel_pace: float = 1000.0  # lines a second
     channel_limit: float = 1000.0  # lines that may wait
     message_head: float = 8.0  # lines that a message costs besides its own
@@ -98,6 +98,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """One server of a roster."""
+
     server: Server
     state: str  # "ready", "draining" or "gone"
     weight: float
@@ -106,23 +108,31 @@
 
 @dataclass(slots=True)
 class Roster:
+    """A list of servers, or what has changed in it."""
+
     how: str  # "delta", "full", "cached" (the last one held, maybe old) or "failed"
     entries: list[Entry]
 
 
 @dataclass(slots=True)
 class Joined:
+    """A proxy has joined; nothing that was sent to it before is outstanding any more."""
+
     proxy: Proxy
     fresh: bool
 
 
 @dataclass(slots=True)
 class Left:
+    """A proxy has gone."""
+
     proxy: Proxy
 
 
 @dataclass(slots=True)
 class Given:
+    """A slice is now ours, or another pilot's."""
+
     slice: Slice
     ours: bool
 
@@ -138,7 +148,7 @@
 
 @dataclass(slots=True)
 class Heard:
-    """What joined proxies of a zone met at a server."""
+    """What joined proxies of a zone met at a server, summed up over `span`."""
 
     zone: int
     server: Server
@@ -161,7 +171,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Invocations that came for a slice; without slices, to a proxy."""
+    """Invocations that came for a slice within `span`; without slices, to a proxy."""
 
     slice: Slice | None
     proxy: Proxy | None
@@ -175,6 +185,8 @@
 
 @dataclass(slots=True)
 class Applied:
+    """A proxy has applied all orders up to a mark."""
+
     proxy: Proxy
     number: int
     latency: int
@@ -182,6 +194,8 @@
 
 @dataclass(slots=True)
 class Probed:
+    """The answer to a `Probe`, or that there was none."""
+
     server: Server
     status: str  # "ok", "error", "full", "timeout", "connect_failed" or "reset"
     latency: int
@@ -199,12 +213,16 @@
 
 @dataclass(slots=True)
 class Told:
+    """A message from another pilot."""
+
     pilot: int
     data: bytes
 
 
 @dataclass(slots=True)
 class Woke:
+    """The time of an earlier `Wake` has come."""
+
     label: int
 
 
@@ -213,6 +231,8 @@
 
 @dataclass(slots=True)
 class SetLine:
+    """Give a server a weight in a slice's table."""
+
     slice: Slice
     server: Server
     weight: float  # 0 removes the line
@@ -229,17 +249,23 @@
 
 @dataclass(slots=True)
 class Clear:
+    """Empty a slice's table."""
+
     slice: Slice
 
 
 @dataclass(slots=True)
 class Withdraw:
+    """Shut a server out of all tables at every proxy, or open it again."""
+
     server: Server
     out: bool
 
 
 @dataclass(slots=True)
 class Admit:
+    """Let in a part of some operations, and say how often a failed attempt may be repeated."""
+
     slice: Slice | None  # None: every table
     operations: tuple[Operation, ...]
     level: float
@@ -248,33 +274,43 @@
 
 @dataclass(slots=True)
 class Mark:
+    """Ask each proxy for `Applied` once it has applied all orders so far."""
+
     number: int
     everyone: bool = False
 
 
 @dataclass(slots=True)
 class Wake:
+    """Ask for a turn at a time, and not earlier."""
+
     at: int
     label: int = 0
 
 
 @dataclass(slots=True)
 class Observe:
+    """Ask for the roster and its changes from then on, or for no more of them."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchRoster:
-    pass
+    """Ask for the whole roster once more."""
 
 
 @dataclass(slots=True)
 class Probe:
+    """Ask a server for its health and load; the answer comes as `Probed`."""
+
     server: Server
 
 
 @dataclass(slots=True)
 class Tell:
+    """Send a message to another pilot, or to all."""
+
     pilot: int | None  # None: all
     data: bytes
 
@@ -288,4 +324,6 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
--- a/flintreach/pilot/settings.py
+++ b/flintreach/pilot/settings.py
@@ -2,9 +2,12 @@
 
 from collections.abc import Callable, Iterator
 from decimal import Decimal
+from typing import Any
 
 from flintreach.pilot import interface as face
 
+ABSENT = "-"
+# The configuration's texts, and what the decisions call the same.
 EFFECTS = {"read_like": "idempotent", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
 LOADS = {
     "active": "inflight",
@@ -17,12 +20,16 @@
 
 
 def nanoseconds(text: str) -> int:
-    """Seconds written out, in whole nanoseconds.
+    """Read seconds written out, as whole nanoseconds; "-" is 0.
+
+    Raises:
+        ValueError: it is not finite.
+        decimal.InvalidOperation: it is no number.
 
     >>> nanoseconds("8.41225"), nanoseconds("12"), nanoseconds("-")
     (8412250000, 12000000000, 0)
     """
-    if text == "-":
+    if text == ABSENT:
         return 0
     value = Decimal(text)
     if not value.is_finite():
@@ -31,7 +38,7 @@
 
 
 def flat(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """The same settings as nested JSON, as pairs of a path and a text.
+    """Turn settings in nested JSON into pairs of a path and a text.
 
     >>> dict(flat({"me": 1, "areas": ["a b", "c"], "ops": [{"x": 0.5}], "on": True}))
     {'me': '1', 'areas': 'a_b,c', 'ops.count': '1', 'ops.0.x': '0.5', 'on': 'true'}
@@ -44,85 +51,125 @@
         for place, inner in enumerate(value):
             yield from flat(inner, f"{path}.{place}")
     elif isinstance(value, list):
-        yield path, ",".join(text for inner in value for _, text in flat(inner)) or "-"
+        yield path, ",".join(text for inner in value for _, text in flat(inner)) or ABSENT
     else:
-        text = str(value).lower() if isinstance(value, bool) else "-" if value is None else str(value)
-        yield path, text.replace(" ", "_").replace(",", "_")
-
-
-def read(seed: int, config: dict[str, str]) -> face.Settings:
-    """The start-up settings; keys that are not known are passed over, absent ones keep their defaults."""
-    told = face.Settings(seed=seed)
-
-    def take(name: str, path: str, kind: Callable) -> None:
-        if config.get(path, "-") != "-":
-            setattr(told, name, kind(config[path]))
-
-    def truth(value: str) -> bool:
-        return value in ("true", "1")
-
-    def whole(value: str) -> int:
-        return int(float(value))
-
-    time, real = nanoseconds, float
-    for name, path, kind in (
-        ("number", "me", whole),
-        ("pilots", "balancers", whole),
-        ("zone", "az", whole),
-        ("weights", "weights", str),
-        ("tick", "tick", time),
-        ("proxies", "specifics.proxies", whole),
-        ("exclusive", "specifics.exclusive", truth),
-        ("ask_within", "invariants.ask_within", time),
-        ("cold_share", "invariants.cold_from", real),
-        ("warm_up", "invariants.warm_up", time),
-        ("drain_grace", "invariants.drain_grace", time),
-        ("fall_multiple", "invariants.fall_multiple", real),
-        ("fall_window", "invariants.tip_after", time),
-        ("only_draining_binds", "invariants.drain_binds_alone", truth),
-        ("bare_limit", "specifics.bare", time),
-        ("channel_pace", "specifics.channel_rate", real),
-        ("channel_limit", "specifics.backlog", real),
-        ("message_head", "specifics.overhead", real),
-        ("messages_most", "specifics.messages_most", whole),
-        ("messages_window", "specifics.update_window", time),
-        ("transit", "specifics.propagation", time),
-        ("transit_most", "specifics.transit_max", time),
-        ("period", "specifics.cycle", time),
-        ("sums_pace", "specifics.reports_per_s", real),
-        ("admits_by", "specifics.admission", str),
-        ("choice", "specifics.choice", str),
-        ("probes", "policy_limits.probes", truth),
-        ("tells", "policy_limits.may_tell", truth),
-    ):
-        take(name, path, kind)
-    told.zones = len(config.get("areas", "-").split(","))
-    told.asks_roster = config.get("discovery") == "on_request"
-    fields = config.get("report.fields", "-")
-    told.load_fields = () if fields in ("-", "") else tuple(LOADS.get(f, f) for f in fields.split(","))
-    told.slices = [face.Slice(n) for n in range(whole(config.get("specifics.ranges", "0")))]
+        yield path, _text(value).replace(" ", "_").replace(",", "_")
+
+
+def _text(value: object) -> str:
+    if isinstance(value, bool):
+        return str(value).lower()
+    return ABSENT if value is None else str(value)
+
+
+Config = dict[str, str]  # texts by their paths
+Fields = tuple[tuple[str, str, Callable[[str], Any]], ...]  # name in `Settings`, path, its reader
+
+
+def _truth(text: str) -> bool:
+    return text in ("true", "1")
+
+
+def _whole(text: str) -> int:
+    return int(float(text))
+
+
+FIELDS: Fields = (
+    ("number", "me", _whole),
+    ("pilots", "balancers", _whole),
+    ("zone", "az", _whole),
+    ("weights", "weights", str),
+    ("tick", "tick", nanoseconds),
+    ("proxies", "specifics.proxies", _whole),
+    ("exclusive", "specifics.exclusive", _truth),
+    ("ask_within", "invariants.ask_within", nanoseconds),
+    ("cold_share", "invariants.cold_from", float),
+    ("warm_up", "invariants.warm_up", nanoseconds),
+    ("drain_grace", "invariants.drain_grace", nanoseconds),
+    ("fall_multiple", "invariants.fall_multiple", float),
+    ("fall_window", "invariants.tip_after", nanoseconds),
+    ("only_draining_binds", "invariants.drain_binds_alone", _truth),
+    ("bare_limit", "specifics.bare", nanoseconds),
+    ("channel_pace", "specifics.channel_rate", float),
+    ("channel_limit", "specifics.backlog", float),
+    ("message_head", "specifics.overhead", float),
+    ("messages_most", "specifics.messages_most", _whole),
+    ("messages_window", "specifics.update_window", nanoseconds),
+    ("transit", "specifics.propagation", nanoseconds),
+    ("transit_most", "specifics.transit_max", nanoseconds),
+    ("period", "specifics.cycle", nanoseconds),
+    ("sums_pace", "specifics.reports_per_s", float),
+    ("admits_by", "specifics.admission", str),
+    ("choice", "specifics.choice", str),
+    ("probes", "policy_limits.probes", _truth),
+    ("tells", "policy_limits.may_tell", _truth),
+)
+
+
+def read(seed: int, config: Config) -> face.Settings:
+    """Read the start-up settings; keys that are not known are passed over, absent ones keep their defaults.
+
+    Args:
+        seed: of the decisions' random draws.
+        config: texts by their paths, as `flat` gives them; "-" stands for absent.
+
+    Returns:
+        The settings that an instance begins with.
+
+    Raises:
+        ValueError: a text that is no number where one is expected.
+        OverflowError: an infinite number where a whole one is expected.
+        decimal.InvalidOperation: a text that is no time where one is expected.
+    """
+    settings = face.Settings(seed=seed)
+    for name, path, reader in FIELDS:
+        if config.get(path, ABSENT) != ABSENT:
+            setattr(settings, name, reader(config[path]))
+    settings.zones = len(config.get("areas", ABSENT).split(","))
+    settings.asks_roster = config.get("discovery") == "on_request"
+    settings.load_fields = _load_fields(config)
+    settings.slices = [face.Slice(number) for number in range(_whole(config.get("specifics.ranges", "0")))]
+    settings.operations = _operations(config)
+    return settings
+
+
+def _load_fields(config: Config) -> tuple[str, ...]:
+    """Which figures servers report, by the decisions' names for them."""
+    text = config.get("report.fields", ABSENT)
+    if text in (ABSENT, ""):
+        return ()
+    return tuple(LOADS.get(name, name) for name in text.split(","))
+
+
+def _operations(config: Config) -> list[face.Operation]:
     writes = config.get("specifics.writers", "").split(",")
-    home = config.get("specifics.home_only", "").split(",")
-    for place in range(whole(config.get("request_classes.count", "0"))):
-
-        def of(key: str, default: str, place: int = place) -> str:
-            return config.get(f"request_classes.{place}.{key}", default)
-
-        def marked(values: list[str], place: int = place) -> bool:
-            return place < len(values) and truth(values[place])
-
-        told.operations.append(
-            face.Operation(
-                name=of("name", str(place)),
-                place=place,
-                objective=time(of("objective", "1")),
-                integration_timeout=time(of("hard_limit", "4")),
-                billed_value=real(of("worth", "1")),
-                effect=EFFECTS.get(of("idempotency", ""), "side-effecting"),
-                group=of("group", "all"),
-                window=time(of("repeat_window", "0")),
-                writes=marked(writes),
-                home_only=marked(home),
-            )
-        )
-    return told
+    home_only = config.get("specifics.home_only", "").split(",")
+    operations = []
+    for place in range(_whole(config.get("request_classes.count", "0"))):
+        operation = _operation(config, place)
+        operation.writes = _marked(writes, place)
+        operation.home_only = _marked(home_only, place)
+        operations.append(operation)
+    return operations
+
+
+def _marked(marks: list[str], place: int) -> bool:
+    return place < len(marks) and _truth(marks[place])
+
+
+def _operation(config: Config, place: int) -> face.Operation:
+    """Read one operation, by its position."""
+
+    def text(key: str, default: str) -> str:
+        return config.get(f"request_classes.{place}.{key}", default)
+
+    return face.Operation(
+        name=text("name", str(place)),
+        place=place,
+        objective=nanoseconds(text("objective", "1")),
+        integration_timeout=nanoseconds(text("hard_limit", "4")),
+        billed_value=float(text("worth", "1")),
+        effect=EFFECTS.get(text("idempotency", ""), "side-effecting"),
+        group=text("group", "all"),
+        window=nanoseconds(text("repeat_window", "0")),
+    )
