--- a/flintreach/__main__.py
+++ b/flintreach/__main__.py
@@ -106,9 +106,9 @@
             f"{len(told.settings.operations)} operations; listens at {told.listen}"
         )
         if file:
-            from flintreach.pilot.operator_file import says
+            from flintreach.pilot.operator_file import describe
 
-            for line in says(file):
+            for line in describe(file):
                 typer.echo(line)
 
     @app.command()
--- a/flintreach/evidence/block.py
+++ b/flintreach/evidence/block.py
@@ -2,15 +2,15 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot.operator_file import count, one_of, place, table, text
+from flintreach.pilot.operator_file import address, count, one_of, table, text
 
 
 @dataclass(frozen=True, slots=True)
 class Block:
     """Addresses are numeric: names are not looked up."""
 
-    listen: str = place()  # for datagrams
-    lines: str = place()  # for Graphite lines
+    listen: str = address()  # for datagrams
+    lines: str = address()  # for Graphite lines
     keys: str = text("")  # collectd's file of users and passwords, read again when it changes
     accept: str = one_of("signed", "signed", "any")  # of datagrams; lines need "any"
     hosts: dict = table({})  # collectd's name of a host, to the list's of its server
--- a/flintreach/telemetry/block.py
+++ b/flintreach/telemetry/block.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot.operator_file import duration, one_of, place, size, table, text
+from flintreach.pilot.operator_file import address, duration, one_of, size, table, text
 
 
 @dataclass(frozen=True, slots=True)
 class Block:
     """Addresses are numeric: names are not looked up."""
 
-    graphite: str = place()
+    graphite: str = address()
     protocol: str = one_of("plaintext", "plaintext", "pickle")
     prefix: str = text("flintreach", r"[A-Za-z0-9_.-]*", "letters, digits, _ . -")
     tags: dict = table({})
--- a/tests/pilot/test_operator_file.py
+++ b/tests/pilot/test_operator_file.py
@@ -45,7 +45,7 @@
     if text is not None:
         path.write_bytes(text.encode("utf-8", "surrogateescape"))
     if error is None:
-        assert operator_file.says(operator_file.load(str(path)))
+        assert operator_file.describe(operator_file.load(str(path)))
         return
     with pytest.raises(operator_file.OperatorError) as raised:
         operator_file.load(str(path))
@@ -66,7 +66,7 @@
     path = tmp_path / "own.hcl"
     lines = shown[shown.index("# cores") :].splitlines()
     path.write_text("\n".join(line.removeprefix("# ") for line in lines))
-    assert set(operator_file.load(str(path)).blocks) == set(operator_file.known())
+    assert set(operator_file.load(str(path)).blocks) == set(operator_file.known_blocks())
     assert operator_file.load("deploy/flintreach.hcl").blocks == {}
 
 
