--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -122,6 +122,23 @@
         ]
 
 
+def cold_server_with_slices() -> tuple[Fleet, face.Server]:
+    """A fleet, and a server of it that has just started and yet has slices."""
+    fleet = Fleet(servers=6, slices=48)
+    fleet.run(8)
+    fleet.say(fleet.roster(s1=("ready", fleet.now)))
+    for piece in fleet.slices[4:6]:
+        fleet.pilot.state.tables[piece].wanted = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
+    fleet.run(1)
+    assert len(fleet.holds(fleet.servers[1])) >= 2
+    return fleet, fleet.servers[1]
+
+
+def report(fleet: Fleet, number: int, tries: int, unanswered: int, **load: float) -> face.Heard:
+    """What proxies met at a server of the fleet within a second."""
+    return face.Heard(0, fleet.servers[number], tries, unanswered, fleet.latency, SECOND, load)
+
+
 # The service with no sockets: time by hand, connections by hand, decisions that only record.
 
 
--- /dev/null
+++ b/tests/pilot/test_demand.py
@@ -0,0 +1,35 @@
+"""Demand of slices, from sums to rates."""
+
+import pytest
+
+from flintreach.pilot import interface as face
+from flintreach.pilot.interface import SECOND
+from tests.helpers import Fleet
+
+
+def test_a_retry_storm_is_not_demand():
+    fleet = Fleet(servers=5, slices=20)
+    fleet.run(12)
+    table = fleet.pilot.state.tables[fleet.slices[3]]
+    before = table.rate
+    for _ in range(5):
+        fleet.now += SECOND
+        fleet.say(face.Demand(fleet.slices[3], None, fleet.ops[0], 90, 80, SECOND), face.Woke(0))
+    assert table.rate <= 1.2 * before and table.recent_rate > 10 * before
+
+
+@pytest.mark.parametrize("after, part", [(1, 1.0), (7, 1.0), (12, 0.0)])
+def test_slices_just_taken_over_count_as_usual_ones_until_their_sums_could_have_come(after, part):
+    """Counted as idle, they made the known ones look heavy: a takeover moved slices about.
+    Without any invocation no line ever comes, so it is for a while."""
+    fleet = Fleet(servers=5, slices=40)
+    taken = fleet.slices[20:]
+    fleet.say(*[face.Given(piece, False) for piece in taken])
+    fleet.run(12)
+    for piece in taken:
+        fleet.tables[piece] = {fleet.servers[0]: 1.0}
+        fleet.say(face.Given(piece, True), face.Held(piece, fleet.servers[0], 1.0))
+    fleet.rates = {piece: rate for piece, rate in fleet.rates.items() if piece not in taken}
+    fleet.run(after)
+    rates = [fleet.pilot.state.tables[piece].rate for piece in taken]
+    assert all(abs(rate - 4 * part) < 0.2 for rate in rates)
