--- a/flintreach/pilot/admission.py
+++ b/flintreach/pilot/admission.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from flintreach.pilot.interface import SECOND
+from flintreach.pilot.interface import ADMITS_BY_SHARE, SECOND
 from flintreach.pilot.records import ServerState
 from flintreach.pilot.state import FleetState
 
@@ -45,7 +45,7 @@
 
 def admitted_level(state: FleetState, servers: Iterable[ServerState]) -> float:
     """The lowest level of some servers; in steps, since each change costs a line at each proxy."""
-    if state.settings.admits_by != "share":
+    if state.settings.admits_by != ADMITS_BY_SHARE:
         return 1.0
     lowest = min((server.admission_level for server in servers), default=1)
     return round(LEVEL_STEPS * lowest) / LEVEL_STEPS
--- a/flintreach/pilot/interface.py
+++ b/flintreach/pilot/interface.py
@@ -5,9 +5,43 @@
 """
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 SECOND = 1_000_000_000  # in nanoseconds
 
+# Figures of load that the decisions read, by their names in `Heard.load`.
+LOAD_QUEUE = "queue"  # invocations that wait
+LOAD_UTILISATION = "util"  # of 1
+ADMITS_BY_SHARE = "share"  # of `Settings.admits_by`: a level is the part of an operation that is let in
+
+
+class RosterKind(StrEnum):
+    """What a roster is, as `Roster.how` holds it."""
+
+    DELTA = "delta"  # what has changed
+    FULL = "full"
+    CACHED = "cached"  # the last full one, which may be old
+    FAILED = "failed"  # there is none
+
+
+class EntryState(StrEnum):
+    """What a roster says of a server, as `Entry.state` holds it."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class ProbeStatus(StrEnum):
+    """How a probe ended, as `Probed.status` holds it."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
 class Server:
@@ -101,7 +135,7 @@
     """One server of a roster."""
 
     server: Server
-    state: str  # "ready", "draining" or "gone"
+    state: str  # of EntryState
     weight: float
     started: int  # 0: long ago
 
@@ -110,7 +144,7 @@
 class Roster:
     """A list of servers, or what has changed in it."""
 
-    how: str  # "delta", "full", "cached" (the last one held, maybe old) or "failed"
+    how: str  # of RosterKind
     entries: list[Entry]
 
 
@@ -197,7 +231,7 @@
     """The answer to a `Probe`, or that there was none."""
 
     server: Server
-    status: str  # "ok", "error", "full", "timeout", "connect_failed" or "reset"
+    status: str  # of ProbeStatus
     latency: int
     load: dict[str, float]
 
--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -1,7 +1,7 @@
 """What lists, reports and probes tell of servers, taken into the state.  Pure."""
 
 from flintreach.pilot import interface as face
-from flintreach.pilot.interface import SECOND
+from flintreach.pilot.interface import SECOND, EntryState, ProbeStatus, RosterKind
 from flintreach.pilot.records import RECENT_S, Cause, Mode, ServerState
 from flintreach.pilot.state import LEAST_WEIGHT, REPORT_CYCLE_NS, FleetState
 from flintreach.policy.window import SlidingSums
@@ -9,10 +9,11 @@
 STORM_SHARE = 0.2  # part of a line unanswered: it holds repeats
 SUSPECT_SHARE = 0.3  # part of a line unanswered, and two at least: its server may be dead
 JAMMED_LATENCY = 0.5  # part of the latency objective that empties a cold server
-IDLE_BELOW = {"queue": 1, "util": 0.8}  # reports below which late answers are not a server's own load
+# Reports below which late answers are not a server's own load.
+IDLE_BELOW = {face.LOAD_QUEUE: 1, face.LOAD_UTILISATION: 0.8}
 PROBE_PAUSE_NS = SECOND
 SPAN_SMOOTHING = 50  # reports by which the learned span follows
-SILENT_STATUSES = ("connect_failed", "timeout", "reset")
+SILENT_STATUSES = (ProbeStatus.CONNECT_FAILED, ProbeStatus.TIMEOUT, ProbeStatus.RESET)
 
 
 def kind(line: face.Demand | face.Heard, objective_ns: int) -> tuple[bool, ...]:
@@ -32,12 +33,12 @@
 
 def on_roster(state: FleetState, event: face.Roster) -> None:
     """Take a list of servers; where it could not be had, ask again."""
-    if event.how == "failed":
+    if event.how == RosterKind.FAILED:
         state.orders.append(face.Observe(True))
         return
     for entry in event.entries:
         _on_entry(state, entry)
-    if event.how == "delta":
+    if event.how == RosterKind.DELTA:
         return
     listed = {entry.server for entry in event.entries}
     for server in [state.servers[name] for name in state.servers if name not in listed]:
@@ -49,7 +50,7 @@
     server.weight = max(entry.weight, LEAST_WEIGHT)
     restarted = entry.started > server.started_ns
     server.started_ns = max(entry.started, server.started_ns)
-    if entry.state != "ready":
+    if entry.state != EntryState.READY:
         state.transition(server, Cause.LEAVE, entry.state)
     elif restarted and state.warm_share(server) < 1:  # its old load may still be there
         server.answers = SlidingSums(RECENT_S + 2, 3)
@@ -71,7 +72,7 @@
     suspect, jammed, server.idle = event.kind or kind(event, state.cheapest.objective)
     server.reported_ns = state.now_ns
     state.report_span_ns += (event.span - state.report_span_ns) // SPAN_SMOOTHING
-    server.load = event.load.get("util", server.load)
+    server.load = event.load.get(face.LOAD_UTILISATION, server.load)
     if lost and suspect:
         _probe(state, server)
     if jammed and not server.idle:
--- a/flintreach/policy/partition.py
+++ b/flintreach/policy/partition.py
@@ -8,6 +8,7 @@
 from bisect import bisect_left, insort
 from dataclasses import dataclass
 
+GUARDED_DEVIATION = 50  # of a guarded target whose demand exceeds its quota by as much again
 FILL = 0.25  # part of a guarded target's quota that a newcomer may fill beyond it
 NO_UNIT = -1  # in a swap: nothing moves in this direction
 PAIRED_ENDS = 3  # targets at each end of a ranking that are paired
@@ -71,7 +72,7 @@
         if quota is None:
             deviation = max(memory, demand)
         elif self.placements[target]:
-            deviation = 50 * demand / quota
+            deviation = GUARDED_DEVIATION * demand / quota
         else:
             deviation = self.empty_deviation * (floor < 0)
         return memory + demand, memory - demand, demand, deviation
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -1,6 +1,6 @@
 """The search for a better map of units to targets, near the old one.  Pure, and random only by its seed.
 
-Source: L. Cherkasova, S. Ponnekanti, "FLEX", HPL-2000-27 (closest repartitioning); docs/design.md.
+Source: L. Cherkasova, S. Ponnekanti, HPL-2000-27 (FLEX: closest repartitioning); docs/design.md.
 """
 
 import math
