--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
 """What the tests share: a small fleet around the decisions, and the service with no sockets."""
 
 import json
+from typing import Any
 
 from flintreach.pilot import interface as face
 from flintreach.pilot.interface import SECOND
@@ -8,14 +9,25 @@
 
 
 class Fleet:
-    """It tracks tables and answers marks, with no bench."""
-
-    def __init__(self, servers=4, slices=8, proxies=3, demand=4, **settings):
+    """A fleet round a `Pilot`: it keeps the tables as ordered and answers marks, with no bench."""
+
+    def __init__(
+        self, servers: int = 4, slices: int = 8, proxies: int = 3, demand: float = 4, **settings: Any
+    ) -> None:
+        """Begin with every server ready, and a slice's table at each in turn.
+
+        Args:
+            servers: how many.
+            slices: how many, all of them given to the pilot.
+            proxies: how many, all joined.
+            demand: of each slice, invocations a second.
+            settings: of the pilot, where they differ from those here.
+        """
         self.ops = [
             face.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
             face.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
         ]
-        told = {
+        defaults = {
             "seed": 7,
             "proxies": proxies,
             "operations": self.ops,
@@ -24,21 +36,29 @@
             "warm_up": 10 * SECOND,
             "channel_limit": 8000.0,
         }
-        self.settings = face.Settings(**(told | settings))
-        self.slices, self.now, self.log, self.replies = self.settings.slices, 100 * SECOND, [], []
+        self.settings = face.Settings(**(defaults | settings))
+        self.slices = self.settings.slices
+        self.now = 100 * SECOND  # steady clock, in nanoseconds
+        self.log: list[str] = []
+        self.replies: list[tuple[int, list]] = []  # orders, and when
         self.servers = [face.Server(f"s{n}", zone=n % self.settings.zones) for n in range(servers)]
         self.proxies = [face.Proxy(n) for n in range(proxies)]
         self.tables = {piece: {} for piece in self.slices}
         self.rates = dict.fromkeys(self.slices, demand)
-        self.failing, self.levels, self.latency, self.slow, self.load = {}, {}, SECOND // 5, {}, {}
-        self.shut, self.marks = set(), []  # withdrawn; not yet answered
+        self.failing: dict[face.Server, float] = {}  # parts unanswered
+        self.levels: dict[tuple, float] = {}  # as ordered, by slice and operation
+        self.latency = SECOND // 5
+        self.slow: dict[face.Server, int] = {}  # latencies of their own
+        self.load: dict[str, float] = {}  # that every server reports
+        self.shut: set[face.Server] = set()  # withdrawn
+        self.marks: list[int] = []  # not yet answered
         self.pilot = Pilot(self.settings)
         self.say(self.roster("cached"), *[face.Joined(proxy, True) for proxy in self.proxies])
         for n, piece in enumerate(self.slices):
             self.tables[piece] = {self.servers[n % servers]: 1.0}
             self.say(face.Given(piece, True), face.Held(piece, self.servers[n % servers], 1.0))
 
-    def roster(self, how="delta", **states):
+    def roster(self, how: str = "delta", **states: Any) -> face.Roster:
         """roster(s1="gone", s2=("ready", started)); a list that is not a delta holds all the others too."""
         rows = {server.name: "ready" for server in self.servers if how != "delta"} | states
         entries = []
@@ -50,7 +70,8 @@
                 entries.append(face.Entry(server, state, 1.0, started))
         return face.Roster(how, entries)
 
-    def say(self, *events):
+    def say(self, *events: object) -> list:
+        """Hand events to the pilot and carry its orders out; repeated or idle orders fail the test."""
         orders = self.pilot.handle(self.now, list(events))
         self.replies.append((self.now, orders))
         for order in orders:
@@ -74,7 +95,7 @@
                     self.log.append(text)
         return orders
 
-    def run(self, seconds, sums=True):
+    def run(self, seconds: int, sums: bool = True) -> None:
         """Beats of a quarter second; the marks of each reply are answered in the next."""
         for beat in range(4 * seconds):
             due = self.now + SECOND // 4
@@ -84,14 +105,15 @@
             self.marks = []
             self.say(*events, face.Woke(0), *(self.sums() if sums and beat % 4 == 0 else []))
 
-    def go_on(self, due):
+    def go_on(self, due: int) -> None:
         """A second's work goes on in turns."""
         while self.pilot.work and self.now + self.settings.tick < due:
             self.now += self.settings.tick
             self.say(face.Woke(0))
 
-    def sums(self):
-        came = {}
+    def sums(self) -> list:
+        """What the proxies report of the last second, by rates, tables and faults."""
+        came: dict[face.Server, float] = {}
         for piece, rate in self.rates.items():
             lines = {server: weight for server, weight in self.tables[piece].items() if weight >= 1}
             for server in lines:
@@ -113,10 +135,12 @@
             face.Demand(piece, None, self.ops[0], rate, 0, SECOND) for piece, rate in self.rates.items()
         ]
 
-    def holds(self, server):
+    def holds(self, server: face.Server) -> list[face.Slice]:
+        """The slices that a server serves."""
         return [piece for piece, table in self.tables.items() if server in table and server not in self.shut]
 
-    def mains(self, piece):
+    def mains(self, piece: face.Slice) -> list[face.Server]:
+        """The servers that serve a slice with a full weight."""
         return [
             server for server, weight in self.tables[piece].items() if weight >= 1 and server not in self.shut
         ]
