--- a/flintreach/cli/pilot.py
+++ b/flintreach/cli/pilot.py
@@ -46,9 +46,9 @@
         f"{len(settings.operations)} operations; listens at {configuration.listen}"
     )
     if operator_file:
-        from flintreach.pilot.operator_file import says
+        from flintreach.pilot.operator_file import describe
 
-        for line in says(operator_file):
+        for line in describe(operator_file):
             typer.echo(line)
 
 
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -1,4 +1,4 @@
-"""Which endpoints serve each slice, by FLEX's closest repartitioning, on the search in `policy.map`.
+"""Which endpoints serve each slice, by FLEX's closest repartitioning, on the search in `policy.search`.
 
 A slice is one route with one of its services; each of its replicas is an endpoint that serves it.  Per
 service a partition of its slices among its endpoints is sought whose endpoints' loads deviate little from
@@ -14,7 +14,10 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from flintreach.policy.map import Partition, Ring, Search, recopy
+from flintreach.policy.partition import Partition
+from flintreach.policy.replicas import replica_count
+from flintreach.policy.search import Search
+from flintreach.policy.window import SlidingSums
 
 NS_PER_S = 1_000_000_000
 SMOOTHING_S = 10  # of demand that a slice's rate covers
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True, eq=False)
 class SliceState:
-    """One slice.  The search's rule of replicas reads and writes `copies` and `low`, so they keep its names.
+    """One slice.
 
     Attributes:
         service: the service of it.
@@ -40,8 +43,8 @@
         first_demand_ns: when the first request was reported.
         arrivals: requests, by second.
         endpoints: ids of the endpoints that serve it.
-        copies: how many are to serve it.
-        low: full runs in a row in which it had one more than it needs.
+        replicas: how many are to serve it.
+        surplus_runs: full runs in a row in which it had one more than it needs.
         rate: smoothed requests a second.
     """
 
@@ -49,10 +52,10 @@
     service: str
     homes: tuple[str, ...] = ()
     first_demand_ns: int | None = None
-    arrivals: Ring = field(default_factory=lambda: Ring(SMOOTHING_S + 2, 1))
+    arrivals: SlidingSums = field(default_factory=lambda: SlidingSums(SMOOTHING_S + 2, 1))
     endpoints: set[str] = field(default_factory=set)
-    copies: int = 1
-    low: int = 0
+    replicas: int = 1
+    surplus_runs: int = 0
     rate: float = 0.0
 
     def update_rate(self, now_ns: int) -> None:
@@ -97,9 +100,9 @@
 
     excluded: list[set[int]]
 
-    def welcome(self, p: int, y: int) -> bool:
+    def may_gain(self, p: int, y: int) -> bool:
         """Whether endpoint `y` may gain slice `p`."""
-        return y not in self.excluded[p] and super().welcome(p, y)
+        return y not in self.excluded[p] and super().may_gain(p, y)
 
     def barred(self, p: int) -> set[int]:
         """The endpoints that may not gain slice `p`."""
@@ -182,8 +185,8 @@
             state.homes = homes
             if name in in_force:
                 state.endpoints = {*in_force[name]}
-                if state.copies == 1:
-                    state.copies = max(1, len(state.endpoints))
+                if state.replicas == 1:
+                    state.replicas = max(1, len(state.endpoints))
         self.slices = slices
         services = {state.service for state in slices.values()}
         self.deviations = {
@@ -267,16 +270,18 @@
             excluded = problem.excluded[slice_index]
             demand = MEAN_QUOTA * count * state.rate / total_rate
             max_replicas = max(1, count - len(excluded))
-            recopy(state, demand / MEAN_QUOTA, max_replicas, full)
-            state.copies = min(state.copies, max_replicas)
-            per_replica = demand / state.copies
+            state.replicas, state.surplus_runs = replica_count(
+                state.replicas, state.surplus_runs, demand / MEAN_QUOTA, max_replicas, full
+            )
+            state.replicas = min(state.replicas, max_replicas)
+            per_replica = demand / state.replicas
             problem.demands.append((per_replica, per_replica))
             present = (index_of[id] for id in state.endpoints if id in index_of)
             replicas = sorted(index for index in present if index not in excluded)
             for index in replicas:
                 problem.assigned[index].add(slice_index)
-            if len(replicas) != state.copies:
-                problem.changes.append(ReplicaChange(slice_index, replicas, state.copies))
+            if len(replicas) != state.replicas:
+                problem.changes.append(ReplicaChange(slice_index, replicas, state.replicas))
         problem.excluded.append(set())
         return problem
 
@@ -284,7 +289,7 @@
         """The search from the placement in force, with all loads on the scale of quotas."""
         quotas = problem.quotas
         assigned = problem.assigned
-        replicas = max(1, sum(state.copies for state in problem.slices))
+        replicas = max(1, sum(state.replicas for state in problem.slices))
         memory = MEMORY_WEIGHT * MEAN_QUOTA * len(quotas) / replicas
         demand_gaps = [
             sum(problem.demands[slice_index][0] for slice_index in served) - quota
@@ -296,22 +301,22 @@
             for gap, candidate, quota in zip(demand_gaps, problem.candidates, quotas)
         ]
         start = ConstrainedPartition(
-            old=assigned,
-            memory=[len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)],
-            demand=demand_gaps,
-            amounts=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
-            unit=memory,
-            tender={
+            original=assigned,
+            memory_gaps=[len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)],
+            demand_gaps=demand_gaps,
+            demands=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
+            unit_memory=memory,
+            guarded_quotas={
                 index: quotas[index]
                 for index, candidate in enumerate(problem.candidates)
                 if candidate.warming_up
             },
-            gained=[0] * len(quotas),
-            empty=0.0,
+            gains=[0] * len(quotas),
+            empty_deviation=0.0,
         )
         start.excluded = problem.excluded
         changes = [(change.slice_index, change.replicas, change.wanted) for change in problem.changes]
-        return Search(self.seed, self.counter, start, changed=changes, dev=PERMITTED_DEVIATION)
+        return Search(self.seed, self.counter, start, changed=changes, deviation=PERMITTED_DEVIATION)
 
     def take_over(self, problem: ServiceProblem, assigned: Sequence[set[int]]) -> None:
         """Note the slices whose endpoints are new; one that would have none keeps those that it has."""
