--- a/flintreach/cli/system.py
+++ b/flintreach/cli/system.py
@@ -118,11 +118,12 @@
     @app.command()
     def state(folder: Path, as_json: bool = typer.Option(False, "--json", help="Rows as JSON.")) -> None:
         """Look into the disk folder of a refuge that does not run; nothing there is changed."""
+        from flintreach.cli.register_values import describe
         from flintreach.consensus.inspection import rows
         from flintreach.consensus.store import StoreError
 
         try:
-            found = rows(str(folder))
+            found = rows(str(folder), describe)
         except StoreError as error:
             fail(2, str(error))
         for title, table in found.items():
--- a/flintreach/consensus/__init__.py
+++ b/flintreach/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The register: values of keys, replicated to a quorum of disks and changed one version at a time."""
+"""The replicated register: values of keys on a quorum of disks, each changed one version at a time."""
--- a/flintreach/consensus/acceptor.py
+++ b/flintreach/consensus/acceptor.py
@@ -1,64 +1,120 @@
-"""One disk's part in the register, as a state machine without input or output.
+"""One disk's acceptor, as a state machine without input or output.
 
-Each key is a register of its own in the manner of single-decree Paxos (L. Lamport, "Paxos Made Simple"),
-changed in place as in D. Rystsov, "CASPaxos: Replicated State Machines without logs".  A ballot is
-(round, writer), so two writers never make one.  What `prepare` and `accept` return must be on disk before
-it is told to anybody.
+Each key is a register of its own. `register.py` carries requests to the acceptor and writes what it returns
+to the disk: a promise or an acceptance must be on disk before anybody is told of it.
+
+Source: L. Lamport, "Paxos Made Simple" (2001); D. Rystsov, "CASPaxos: Replicated State Machines without
+logs" (2018), for the change of a value in place.
 """
 
-from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+import msgspec
+
+
+class Ballot(NamedTuple):
+    """A proposal number. The writer is part of it, so two writers never make the same one."""
+
+    round: int
+    writer: str
+
 
-NOTHING = (0, "")
+NO_BALLOT = Ballot(0, "")  # below every ballot that is proposed
 
 
-@dataclass(slots=True)
-class Slot:
-    """What this disk has promised and accepted of one key."""
+class Slot(msgspec.Struct, array_like=True):
+    """What this disk has promised and accepted of one key.
 
-    promised: tuple[int, str] = NOTHING
-    accepted: tuple[int, str] = NOTHING
+    On the wire an array [promised, accepted, value], each ballot an array [round, writer].
+    """
+
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: bytes | None = None
 
 
+class Verdict(StrEnum):
+    """What an acceptor makes of a request; the words are on the wire as earlier releases wrote them."""
+
+    PROMISE = "promise"
+    ACCEPTED = "accepted"
+    REFUSED = "refused"  # a higher ballot was promised
+    MUTE = "mute"  # an answer that counts for nothing
+
+
+class Decision(NamedTuple):
+    """An acceptor's verdict with a slot.
+
+    The slot is the one to write to disk for `PROMISE` and `ACCEPTED`, the one that stands for `REFUSED`, and
+    None for `MUTE`.
+    """
+
+    verdict: Verdict
+    slot: Slot | None
+
+
+MUTE = Decision(Verdict.MUTE, None)
+
+
 class Acceptor:
-    """`life` names the disk: one that came back empty is another, and what the old one promised binds it not.
+    """The slots of one disk, and whether its answers count.
 
-    While `voting` is false the disk came back empty and does not know yet what it had promised: it answers
-    nothing that counts.
+    Attributes:
+        incarnation: names the disk. A disk that came back empty is another incarnation, and isn't bound by
+            what the lost one promised.
+        voting: false while a disk that came back empty doesn't know yet what it had promised: it answers
+            nothing that counts.
+        slots: key -> slot, as on the disk.
     """
 
-    def __init__(self, life: str, voting: bool, slots: dict[str, Slot] | None = None):
-        self.life, self.voting, self.slots = life, voting, slots or {}
+    def __init__(self, incarnation: str, voting: bool, slots: dict[str, Slot] | None = None) -> None:
+        self.incarnation = incarnation
+        self.voting = voting
+        self.slots: dict[str, Slot] = slots or {}
 
-    def prepare(self, key: str, ballot: tuple[int, str]) -> tuple[str, Slot | None]:
-        """("promise", the slot to keep) or ("refused", the slot as it stands) or ("mute", None)."""
+    def prepare(self, key: str, ballot: Ballot) -> Decision:
+        """Promise to accept nothing of a key below a ballot, unless a ballot as high was promised."""
         if not self.voting:
-            return "mute", None
+            return MUTE
         slot = self.slots.get(key, Slot())
         if ballot <= slot.promised:
-            return "refused", slot
-        return "promise", Slot(ballot, slot.accepted, slot.value)
-
-    def accept(
-        self, key: str, ballot: tuple[int, str], value: bytes | None, life: str
-    ) -> tuple[str, Slot | None]:
-        """("accepted", the slot to keep), ("refused", the slot as it stands) or ("mute", None)."""
-        # A promise given by the disk that was lost must not count: its other promises are forgotten.
-        if not self.voting or life != self.life:
-            return "mute", None
+            return Decision(Verdict.REFUSED, slot)
+        return Decision(Verdict.PROMISE, Slot(ballot, slot.accepted, slot.value))
+
+    def accept(self, key: str, ballot: Ballot, value: bytes | None, incarnation: str) -> Decision:
+        """Accept a value of a key, unless a higher ballot was promised.
+
+        Args:
+            key: the register's key.
+            ballot: the proposal that a quorum has promised.
+            value: the proposed value.
+            incarnation: the disk that gave the promise for this ballot. A promise by a disk that was lost
+                must not count, because its other promises are forgotten.
+        """
+        if not self.voting or incarnation != self.incarnation:
+            return MUTE
         slot = self.slots.get(key, Slot())
         if ballot < slot.promised:
-            return "refused", slot
-        return "accepted", Slot(ballot, ballot, value)
+            return Decision(Verdict.REFUSED, slot)
+        return Decision(Verdict.ACCEPTED, Slot(ballot, ballot, value))
 
 
 def merged(answers: list[dict[str, Slot]]) -> dict[str, Slot]:
-    """Slots for a disk that came back empty, from what enough others hold (`Voters.covered`)."""
-    found: dict[str, Slot] = {}
-    for held in answers:
-        for key, slot in held.items():
-            mine = found.setdefault(key, Slot())
-            mine.promised = max(mine.promised, slot.promised)
-            if slot.accepted > mine.accepted:
-                mine.accepted, mine.value = slot.accepted, slot.value
-    return found
+    """Merge slots of other disks into slots for a disk that came back empty.
+
+    Args:
+        answers: the slots of each disk that answered; `Voters.covered` tells whether they are enough.
+
+    Returns:
+        For each key the highest promise, and the value that was accepted with the highest ballot.
+    """
+    result: dict[str, Slot] = {}
+    for slots in answers:
+        for key, slot in slots.items():
+            merged_slot = result.setdefault(key, Slot())
+            merged_slot.promised = max(merged_slot.promised, slot.promised)
+            if slot.accepted > merged_slot.accepted:
+                merged_slot.accepted = slot.accepted
+                merged_slot.value = slot.value
+    return result
--- a/flintreach/consensus/inspection.py
+++ b/flintreach/consensus/inspection.py
@@ -1,92 +1,136 @@
-"""What stands on a refuge's disk, read without the refuge and without a change to the folder."""
+"""What is on a controller's disk, read without the controller and without a change to the folder."""
 
-import json
+import contextlib
 import os
 import shutil
 import sqlite3
 import tempfile
+from collections.abc import Callable, Iterator
 from typing import Any
 
 import msgspec
 
-from flintreach.config.configuration import ConfigurationHistory
-from flintreach.consensus.store import FORMAT, StoreError
+from flintreach.consensus.quorum import MemberRow, VotersRow
+from flintreach.consensus.reconfiguration import VOTERS_KEY
+from flintreach.consensus.store import (
+    FILE_NAME,
+    SELECT_ENDPOINTS,
+    SELECT_FACTS,
+    SELECT_SLOTS,
+    StoreError,
+    check_format,
+)
 
-UNPACK = msgspec.msgpack.decode
+Describe = Callable[[str, bytes], str | None]
+Rows = list[dict[str, Any]]
 
+decode = msgspec.msgpack.decode
 
-def meaning(key: str, value: bytes | None) -> str:
+# What a value of another shape than its key's raises while it is described.
+UNREADABLE = (ValueError, TypeError, KeyError, IndexError, AttributeError, msgspec.DecodeError)
+
+
+def describe_nothing(key: str, value: bytes) -> str | None:
+    """The description of a value where the caller knows no keys."""
+    return None
+
+
+def describe_members(members: list[MemberRow]) -> str:
+    """Addresses of one set of voters."""
+    return " ".join(f"{member.ip}:{member.port}" for member in members)
+
+
+def describe_voters(value: bytes) -> str:
+    """One line on a configuration of voters."""
+    voters = msgspec.msgpack.decode(value, type=VotersRow)
+    sets = [describe_members(members) for members in (voters.old, voters.new) if members]
+    return f"epoch {voters.epoch}: " + " and ".join(sets)
+
+
+def describe_slot(key: str, value: bytes | None, describe: Describe) -> str:
     """One line on what a key of the register holds."""
     if value is None:
         return "promised, nothing accepted"
     try:
-        if key == "timetable":
-            told = json.loads(ConfigurationHistory.of(value).body)
-            routes = sum(len(virtual_host["regulations"]) for virtual_host in told["wickets"])
-            return f"edition {told['edition']}, {routes} routes, {len(told['depots'])} services"
-        told = UNPACK(value)
-        if key == "evac":
-            away = sorted(zone for zone, on in told[1].items() if on)
-            return f"change {told[0]}: {' '.join(away) or 'nothing'}"
-        if key == "map":
-            return f"change {told[0]}: {len(told[1])} tables"
-        if key.startswith("bunks/"):
-            return f"keeper {told[0]}, epoch {told[1]}, highest fence {told[3]}, {len(told[4])} ranges"
-        if key == "voters":
-            epoch, *sets = told
-            return f"epoch {epoch}: " + " and ".join(
-                " ".join(f"{ip}:{port}" for ip, port, _ in one) for one in sets if one
-            )
-    except (ValueError, TypeError, KeyError, IndexError, AttributeError, msgspec.DecodeError):
+        text = describe_voters(value) if key == VOTERS_KEY else describe(key, value)
+    except UNREADABLE:
         return f"{len(value)} bytes that can't be read"
-    return f"{len(value)} bytes"
+    return f"{len(value)} bytes" if text is None else text
 
 
-def rows(folder: str) -> dict[str, list[dict[str, Any]]]:
-    """Tables by title.  Raises StoreError where there is no such file or it can't be read."""
-    path = os.path.join(folder, "cairn.db")
-    if not os.path.isfile(path):
-        raise StoreError(f"{path}: no such file")
+@contextlib.contextmanager
+def opened_copy(folder: str) -> Iterator[sqlite3.Connection]:
+    """A copy of the database in a folder, for as long as it is read."""
     with tempfile.TemporaryDirectory() as copy:
         # The newest commits stand in the log beside the file; opening them in place would fold them in.
-        for name in ("cairn.db", "cairn.db-wal"):
+        for name in (FILE_NAME, f"{FILE_NAME}-wal"):
             if os.path.exists(os.path.join(folder, name)):
                 shutil.copyfile(os.path.join(folder, name), os.path.join(copy, name))
-        base = sqlite3.connect(os.path.join(copy, "cairn.db"))
+        base = sqlite3.connect(os.path.join(copy, FILE_NAME))
         try:
-            facts = dict(base.execute("select name, value from facts"))
-            if facts.get("format") != FORMAT:
-                raise StoreError(f"{path}: written in format {facts.get('format')}, expected {FORMAT}")
-            slots = base.execute(
-                "select key, promised_n, promised_by, accepted_n, accepted_by, value from slots order by key"
-            )
-            register = [
-                {
-                    "key": key,
-                    "promised": f"{pn} {pb}".strip(),
-                    "accepted": f"{an} {ab}".strip(),
-                    "bytes": len(value or b""),
-                    "holds": meaning(key, value),
-                }
-                for key, pn, pb, an, ab, value in slots
-            ]
-            huts = [UNPACK(row) for _, row in base.execute("select id, row from huts order by id")]
-        except sqlite3.Error as error:
-            raise StoreError(f"{path}: {error}") from None
+            yield base
         finally:
             base.close()
+
+
+def register_rows(base: sqlite3.Connection, describe: Describe) -> Rows:
+    """The register's keys."""
+    return [
+        {
+            "key": key,
+            "promised": f"{promised_round} {promised_by}".strip(),
+            "accepted": f"{accepted_round} {accepted_by}".strip(),
+            "bytes": len(value or b""),
+            "holds": describe_slot(key, value, describe),
+        }
+        for key, promised_round, promised_by, accepted_round, accepted_by, value in base.execute(
+            f"{SELECT_SLOTS} order by key"
+        )
+    ]
+
+
+def endpoint_table(base: sqlite3.Connection) -> Rows:
+    """The endpoint records, by the positions in which the endpoint registry writes them."""
+    table = []
+    for _, encoded in base.execute(f"{SELECT_ENDPOINTS} order by id"):
+        endpoint_id, service, address, zone, _, _, state, call_seq, *_ = decode(encoded)
+        table.append(
+            {
+                "id": endpoint_id,
+                "line": service,
+                "addr": address,
+                "zone": zone,
+                "state": state,
+                "call_seq": call_seq,
+            }
+        )
+    return table
+
+
+def rows(folder: str, describe: Describe = describe_nothing) -> dict[str, Rows]:
+    """What is on a disk, as tables by title.
+
+    Args:
+        folder: of the disk.
+        describe: one line on what a key of the register holds, given the key and its value; None where it
+            doesn't know the key. The keys belong to the register's users, so this package can't tell.
+
+    Raises:
+        StoreError: there is no such file, or it can't be read.
+    """
+    path = os.path.join(folder, FILE_NAME)
+    if not os.path.isfile(path):
+        raise StoreError(f"{path}: no such file")
+    try:
+        with opened_copy(folder) as base:
+            facts = dict(base.execute(SELECT_FACTS))
+            check_format(path, facts)
+            register = register_rows(base, describe)
+            endpoints = endpoint_table(base)
+    except sqlite3.Error as error:
+        raise StoreError(f"{path}: {error}") from None
     return {
         "disk": [{"fact": name, "value": value} for name, value in sorted(facts.items())],
         "register": register,
-        "endpoints": [
-            {
-                "id": row[0],
-                "line": row[1],
-                "addr": row[2],
-                "zone": row[3],
-                "state": row[6],
-                "call_seq": row[7],
-            }
-            for row in huts
-        ],
+        "endpoints": endpoints,
     }
--- a/flintreach/consensus/quorum.py
+++ b/flintreach/consensus/quorum.py
@@ -1,92 +1,149 @@
-"""Which disks vote, as a value with an epoch: a configuration of the register's acceptors.  Pure.
+"""Which disks vote: a configuration of the register's acceptors, a value with an epoch. No input or output.
 
-Changed by joint configurations, as in D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus
-Algorithm" (section 6): a change goes from one set to both at once, and from both to the new one.  While two
-sets stand, a quorum is a majority of each.  An epoch is decided in the register, under the epoch before it;
-each prepare, accept and word on endpoints carries the epoch of its sender, and one who knows a later epoch
-refuses it and tells the later one.
+A change of voters goes by joint configurations: from one set to both at once, and from both to the new one.
+While two sets stand, a quorum is a majority of each. An epoch is decided in the register, under the epoch
+before it. Each prepare, accept and message on endpoints carries its sender's epoch; a receiver that knows a
+later epoch refuses it and answers with the later one.
+
+Source: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), section 6.
 """
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 
-PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 Address = tuple[str, int]
+Member = tuple[Address, str]  # a voter's address and its disk's incarnation
+
+VOTERS_FACT = "voters"
+LEGACY_VOTERS_FACT = "circle"  # the list of voters, without epochs, that earlier releases wrote
+
+encode = msgspec.msgpack.encode
+decode = msgspec.msgpack.decode
+
+
+class MemberRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """A voter on the wire and on disk: an array [ip, port, incarnation]."""
+
+    ip: str
+    port: int
+    incarnation: str
+
+
+class VotersRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """A configuration on the wire and on disk: an array [epoch, old set, new set]."""
+
+    epoch: int
+    old: list[MemberRow] = []
+    new: list[MemberRow] = []
+
+
+def member_rows(members: tuple[Member, ...]) -> list[MemberRow]:
+    """The wire form of one set of voters."""
+    return [MemberRow(ip, port, incarnation) for (ip, port), incarnation in members]
+
+
+def members_of(rows: list[MemberRow]) -> tuple[Member, ...]:
+    """One set of voters from its wire form."""
+    return tuple(((row.ip, row.port), row.incarnation) for row in rows)
 
 
 @dataclass(frozen=True, slots=True)
 class Voters:
-    """`old` and `new`: address -> the life of its disk when it was taken in ("" in epoch 0, where the seeds'
-    disks decide on the first voters); `new` is empty while one set stands alone."""
+    """A configuration of voters.
+
+    Attributes:
+        epoch: number of the configuration; 0 before the first is decided.
+        old: voters, each with the incarnation of its disk when it was taken in. The incarnation is "" in
+            epoch 0, where the disks of the seeds decide on the first voters.
+        new: the set that follows; empty while one set stands alone.
+    """
 
     epoch: int = 0
-    old: tuple[tuple[Address, str], ...] = ()
-    new: tuple[tuple[Address, str], ...] = ()
+    old: tuple[Member, ...] = ()
+    new: tuple[Member, ...] = ()
 
     @classmethod
-    def of(cls, row: list) -> "Voters":
-        epoch, *sets = row
-        return cls(epoch, *(tuple(((ip, port), life) for ip, port, life in one) for one in sets))
+    def of(cls, row: VotersRow | list[Any]) -> "Voters":
+        """A configuration from its wire form, decoded or still a plain list."""
+        if not isinstance(row, VotersRow):
+            row = msgspec.convert(row, VotersRow)
+        return cls(row.epoch, members_of(row.old), members_of(row.new))
 
-    def row(self) -> list[Any]:
-        return [self.epoch, *([[*address, life] for address, life in one] for one in (self.old, self.new))]
+    def row(self) -> VotersRow:
+        """The wire form."""
+        return VotersRow(self.epoch, member_rows(self.old), member_rows(self.new))
 
     @classmethod
-    def kept(cls, facts: dict[str, str]) -> "Voters":
-        """What a disk holds: its latest configuration, or the list that earlier texts kept, as epoch 1."""
-        if "voters" in facts:
-            return cls.of(UNPACK(bytes.fromhex(facts["voters"])))
-        if circle := facts.get("circle"):
-            rows = [place.rpartition(":") for place in circle.split(",")]
-            return cls(1, tuple(sorted(((ip, int(port)), "") for ip, _, port in rows)))
-        return cls()
-
-    def fact(self) -> dict[str, str]:
-        """As `kept` reads it from the disk."""
-        return {"voters": PACK(self.row()).hex()}
+    def from_facts(cls, facts: dict[str, str]) -> "Voters":
+        """The latest configuration on a disk, or the list that earlier releases wrote, as epoch 1."""
+        if VOTERS_FACT in facts:
+            return cls.of(decode(bytes.fromhex(facts[VOTERS_FACT])))
+        legacy_list = facts.get(LEGACY_VOTERS_FACT)
+        if not legacy_list:
+            return cls()
+        endpoints = [text.rpartition(":") for text in legacy_list.split(",")]
+        return cls(1, tuple(sorted(((ip, int(port)), "") for ip, _, port in endpoints)))
+
+    def to_facts(self) -> dict[str, str]:
+        """The fact to write to a disk, as `from_facts` reads it."""
+        return {VOTERS_FACT: encode(self.row()).hex()}
 
     @property
     def sets(self) -> list[set[Address]]:
         """One set of addresses, or two while they change."""
-        return [{address for address, _ in one} for one in (self.old, self.new) if one]
+        return [{address for address, _ in members} for members in (self.old, self.new) if members]
 
     @property
     def joint(self) -> bool:
+        """Whether two sets stand."""
         return bool(self.new)
 
     def members(self) -> list[Address]:
-        """All that vote, in either set."""
+        """All that vote, in either set, sorted."""
         return sorted(set().union(*self.sets))
 
-    def lives(self, address: Address) -> set[str]:
-        """Lives recorded for an address: none where it doesn't vote."""
-        return {life for one in (self.old, self.new) for who, life in one if who == address}
-
-    def renewed(self, address: Address, life: str) -> "Voters":
-        """The next configuration with the same voters, one of whose disks is another."""
+    def incarnations(self, address: Address) -> set[str]:
+        """Disk incarnations recorded for an address: none where it doesn't vote."""
+        return {
+            incarnation
+            for members in (self.old, self.new)
+            for member, incarnation in members
+            if member == address
+        }
+
+    def renewed(self, address: Address, incarnation: str) -> "Voters":
+        """The next configuration with the same voters, one of which has another disk."""
         sets = (
-            tuple((who, life if who == address else held) for who, held in one)
-            for one in (self.old, self.new)
+            tuple((member, incarnation if member == address else recorded) for member, recorded in members)
+            for members in (self.old, self.new)
         )
         return Voters(self.epoch + 1, *sets)
 
-    def met(self, heard) -> bool:
-        """Whether these addresses are a quorum: a majority of each set.  Nobody is one of an empty set.
+    def met(self, addresses: Iterable[Address]) -> bool:
+        """Whether these addresses are a quorum: a majority of each set. An empty set has no quorum.
 
         >>> Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), ""))).met({("a", 1), ("c", 1)})
         True
         """
-        heard = set(heard)
-        return bool(self.sets) and all(len(heard & one) > len(one) // 2 for one in self.sets)
+        present = set(addresses)
+        return bool(self.sets) and all(len(present & members) > len(members) // 2 for members in self.sets)
+
+    def covered(self, address: Address, addresses: Iterable[Address]) -> bool:
+        """Whether some voters know all that the lost disk of another may have promised.
 
-    def covered(self, address: Address, heard) -> bool:
-        """Whether these others know all that a lost disk of `address` may have promised: in each set that it
-        is in, any `size - majority + 1` others have a member of every majority that it was part of."""
-        heard = set(heard) - {address}
+        In each set that the lost disk is in, any `size - majority + 1` others have a member of every majority
+        that it was part of.
+
+        Args:
+            address: the voter whose disk was lost.
+            addresses: the voters that have told what they hold.
+        """
+        others = set(addresses) - {address}
         return all(
-            len(heard & one) >= min(len(one) - 1, len(one) - len(one) // 2)
-            for one in self.sets
-            if address in one
+            len(others & members) >= min(len(members) - 1, len(members) - len(members) // 2)
+            for members in self.sets
+            if address in members
         )
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -1,177 +1,286 @@
-"""How the voters change: a disk that copies, the joint epoch, what must be written once more before the next.
-
-After D. Rystsov, "CASPaxos: Replicated State Machines without logs" (section 2.3, changes of the members),
-made of joint configurations. In epoch e the voters are C; a change of the key "voters" decides e+1 = (C, C');
-there every key is read and, where it must be, written once more, and the endpoint records are collected anew,
-so that a quorum of C' holds all that a quorum of C held; then e+2 = (C') is decided under the quorums of e+1.
-Any two epochs that follow each other share majorities of a set, and before e+2 a majority of C has moved to
-e+1, so no change of e can end any more. A proposer may die at any step: whoever finds a joint configuration
-goes on with it.
+"""How the voters change: a new disk copies, then a joint epoch, then the new set alone.
+
+In epoch e the voters are C. A change of the key "voters" decides e+1 = (C, C'). There every key is read and,
+where it must be, written once more, and the endpoint records are collected anew, so that a quorum of C' holds
+all that a quorum of C held. Then e+2 = (C') is decided under the quorums of e+1. Any two epochs that follow
+each other share majorities of a set, and before e+2 a majority of C has moved to e+1, so no change of e can
+end any more. A proposer may die at any step: whoever finds a joint configuration goes on with it.
+
+Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018), section 2.3, changes of the
+members, made of joint configurations.
 """
 
 from collections.abc import Callable
+from typing import Any, NamedTuple
 
 import msgspec
 
-from flintreach.consensus.acceptor import NOTHING
+from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Slot
+from flintreach.consensus.messages import DiskStatus, EpochMismatch, MessageKind
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.register import Register
+from flintreach.consensus.voting_process import Answers
+
+VOTERS_KEY = "voters"  # the register's key for the configuration
+QUORUM_TIMEOUT_S = 1.0
+COPY_TIMEOUT_S = 2.0
+SYNC_TIMEOUT_S = 2.0
+
+encode = msgspec.msgpack.encode
+decode = msgspec.msgpack.decode
+
+
+class NewestCopy(NamedTuple):
+    """The highest accepted ballot of a key among a quorum, and who has it (None: nobody has the key)."""
+
+    ballot: Ballot
+    holder: Address | None
 
-PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
-KEY = "voters"
+
+NO_COPY = NewestCopy(NO_BALLOT, None)
+
+
+def newest_copies(answers: dict[Address, dict[str, Any]], known_keys: list[str]) -> dict[str, NewestCopy]:
+    """The newest copy of each key, of those that are known or that a voter told of.
+
+    Args:
+        answers: accepted ballots by key, of each voter that answered.
+        known_keys: keys of this disk.
+    """
+    newest: dict[str, NewestCopy] = dict.fromkeys(known_keys, NO_COPY)
+    for address, ballots in answers.items():
+        for key, row in ballots.items():
+            copy = NewestCopy(msgspec.convert(row, Ballot), address)
+            newest[key] = max(newest.get(key, NO_COPY), copy, key=lambda candidate: candidate.ballot)
+    return newest
 
 
 class Reconfiguration:
-    """`collect()`: whether the endpoint records of a quorum are on this disk."""
+    """Changes of the voters, as one process takes part in them.
+
+    Attributes:
+        caught_up_epoch: the epoch under which this disk, which doesn't vote, copied what a quorum holds.
+        synced_epoch: the joint epoch under which this disk collected the endpoint records.
+    """
 
-    def __init__(self, register: Register, collect: Callable[[], bool]):
-        self.register, self.runtime, self.collect = register, register.runtime, collect
-        self.caught, self.synced = -1, -1  # the epochs under which this disk copied, and collected
-        register.peer_pool.handlers |= {"disk": self.on_disk, "sync": self.on_sync}
+    def __init__(self, register: Register, collect: Callable[[], bool]) -> None:
+        """Take part in changes of a register's voters.
 
-    # At a disk that does not vote.
+        Args:
+            register: this process's register.
+            collect: collects endpoint records; whether those of a quorum are on this disk.
+        """
+        self.register = register
+        self.runtime = register.runtime
+        self.collect = collect
+        self.caught_up_epoch = -1
+        self.synced_epoch = -1
+        register.peer_pool.handlers |= {
+            MessageKind.DISK_STATUS: self.on_disk_status,
+            MessageKind.SYNC_RECORDS: self.on_sync_records,
+        }
+
+    # At a disk that doesn't vote.
 
     def catch_up(self) -> bool:
-        """Whether this disk, which does not vote, now holds just what a quorum holds.
+        """Make this disk, which doesn't vote, hold just what a quorum holds.
 
         What it held before goes: an old voter's accepted values may be such as no quorum took, with ballots
         above those of later changes. They count for nothing while it doesn't vote, and must not come back
         with it.
+
+        Returns:
+            Whether it holds that now.
         """
-        register, voters = self.register, self.register.voters
-        me = register.peer_pool.address
-        if not register.acceptor or not voters.epoch or me in register.group or register.busy:
+        register = self.register
+        voters = register.voters
+        address = register.peer_pool.address
+        if not register.acceptor or not voters.epoch or address in register.group or register.busy:
             return False
-        answers = register.quorum("stamps", voters.epoch, 1.0)
+        answers = register.quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
         if answers is None:
             return False
-        newest: dict[str, tuple[tuple[int, str], Address | None]] = dict.fromkeys(
-            register.acceptor.slots, (NOTHING, None)
-        )
-        for address, held in answers.items():
-            for key, stamp in held.items():
-                newest[key] = max(
-                    newest.get(key, (NOTHING, None)), (tuple(stamp), address), key=lambda pair: pair[0]
-                )
-        good = []
-
-        def copy(key, stamp, holder):
-            held = register.acceptor.slots.get(key)
-            if held and (held.accepted, held.promised) == (stamp, stamp):
-                return good.append(key)
-            fresh = register.fetch(holder, key, stamp) if stamp != NOTHING else None
-            if fresh is None and stamp != NOTHING:
-                return None
-            # Once it votes, only prepares and accepts may change what it holds: they wait for the same lock.
-            with register.guarded(key):
-                if register.voters != voters or not register.store.keep({key: fresh}):
-                    return None
-                if fresh:
-                    register.acceptor.slots[key] = fresh
-                else:
-                    register.acceptor.slots.pop(key, None)
-            return good.append(key)
-
-        self.runtime.all([lambda key=key, pair=pair: copy(key, *pair) for key, pair in newest.items()], 2.0)
-        if len(good) < len(newest) or register.voters != voters:
+        if not self.copy_all(newest_copies(answers, list(register.acceptor.slots)), voters):
             return False
-        if self.caught != voters.epoch and not self.collect():
+        if self.caught_up_epoch != voters.epoch and not self.collect():
             return False
         if register.voters == voters:
-            self.caught = voters.epoch
-        return self.caught == voters.epoch
+            self.caught_up_epoch = voters.epoch
+        return self.caught_up_epoch == voters.epoch
+
+    def copy_all(self, copies: dict[str, NewestCopy], voters: Voters) -> bool:
+        """Whether all keys are on this disk as the newest copies have them, under the same configuration."""
+        copied: list[str] = []
+
+        def copy(key: str, newest: NewestCopy) -> None:
+            if self.copy_key(key, newest, voters):
+                copied.append(key)
+
+        calls = [lambda key=key, newest=newest: copy(key, newest) for key, newest in copies.items()]
+        self.runtime.all(calls, COPY_TIMEOUT_S)
+        return len(copied) >= len(copies) and self.register.voters == voters
+
+    def copy_key(self, key: str, newest: NewestCopy, voters: Voters) -> bool:
+        """Whether a key is on this disk as its newest copy has it; a key that no voter has is dropped."""
+        register = self.register
+        local_slot = register.acceptor.slots.get(key)
+        if local_slot and local_slot.accepted == newest.ballot and local_slot.promised == newest.ballot:
+            return True
+        slot: Slot | None = None
+        if newest.ballot != NO_BALLOT:
+            slot = register.fetch(newest.holder, key, newest.ballot)
+            if slot is None:
+                return False
+        # Once it votes, only prepares and accepts may change what it holds: they wait for the same lock.
+        with register.lock_of(key):
+            if register.voters != voters or not register.store.keep({key: slot}):
+                return False
+            if slot:
+                register.acceptor.slots[key] = slot
+            else:
+                register.acceptor.slots.pop(key, None)
+        return True
 
-    def on_disk(self, link, epoch):
-        """[life, whether it has caught up under this epoch and does not vote]; epoch None: no matter
-        which."""
+    def on_disk_status(self, link: Any, epoch: int | None) -> DiskStatus | EpochMismatch | None:
+        """What this process tells of its disk under an epoch (None: no matter which); None: it has none."""
         register = self.register
-        if epoch is not None and (late := register.check(epoch)):
-            return late
+        if epoch is not None:
+            mismatch = register.check(epoch)
+            if mismatch is not None:
+                return mismatch
         if not register.store:
             return None
-        return [
-            register.store.life,
-            self.caught == register.voters.epoch and register.peer_pool.address not in register.group,
-        ]
+        caught_up = self.caught_up_epoch == register.voters.epoch
+        return DiskStatus(
+            register.store.incarnation, caught_up and register.peer_pool.address not in register.group
+        )
 
     # At a voter.
 
     def enter(self) -> bool:
-        """Whether this disk votes, or need not. One that came back empty has its life recorded first: from
-        then on the others take no change of an epoch in which the lost disk's word still counts."""
-        register, me = self.register, self.register.peer_pool.address
-        if register.acceptor and not register.votes() and me in register.group:
-            life = register.store.life
-            if register.voters.lives(me) != {life} and not self.decide(register.voters.renewed(me, life)):
+        """Make this disk vote, if it is a voter's.
+
+        A disk that came back empty has its incarnation recorded first: from then on the others take no change
+        of an epoch in which the lost disk's answers still count.
+
+        Returns:
+            Whether it votes, or need not.
+        """
+        register = self.register
+        address = register.peer_pool.address
+        if register.acceptor and not register.votes() and address in register.group:
+            incarnation = register.store.incarnation
+            recorded = register.voters.incarnations(address) == {incarnation}
+            if not recorded and not self.decide(register.voters.renewed(address, incarnation)):
                 return False
         return register.relearn()
 
-    def on_sync(self, link, epoch):
+    def on_sync_records(self, link: Any, epoch: int) -> bool | EpochMismatch | None:
         """True once this disk holds the endpoint records that a quorum held after it moved to a joint
         epoch."""
         register = self.register
-        if late := register.check(epoch):
-            return late
-        if self.synced != epoch:
+        mismatch = register.check(epoch)
+        if mismatch is not None:
+            return mismatch
+        if self.synced_epoch != epoch:
             if not register.votes() or not self.collect() or register.voters.epoch != epoch:
                 return register.check(epoch)
-            self.synced = epoch
+            self.synced_epoch = epoch
         return True
 
     def decide(self, wish: Voters, timeout: float = 1.0) -> bool:
-        """Whether `wish` now stands: the epoch after ours, decided under ours. Another that was decided first
-        is taken instead."""
+        """Propose a configuration as the one after ours, under ours.
+
+        Args:
+            wish: the configuration.
+            timeout: seconds in all.
+
+        Returns:
+            Whether it stands now. Another that was decided first is adopted instead.
+        """
         register = self.register
 
-        def step(old):
-            stands = Voters.of(UNPACK(old)) if old else Voters()
-            late = stands.epoch > register.voters.epoch or wish.epoch != register.voters.epoch + 1
-            return None if late else PACK(wish.row())
+        def step(value: bytes | None) -> bytes | None:
+            standing = Voters.of(decode(value)) if value else Voters()
+            if standing.epoch > register.voters.epoch or wish.epoch != register.voters.epoch + 1:
+                return None
+            return encode(wish.row())
 
-        done, value = register.change(KEY, step, timeout)
+        done, value = register.change(VOTERS_KEY, step, timeout)
         if done and value:
-            register.adopt(Voters.of(UNPACK(value)))
+            register.adopt(Voters.of(decode(value)))
         return register.voters == wish
 
     def rewrite(self, timeout: float = 2.0) -> bool:
-        """Whether a quorum of the epoch that stands holds what stands of every key.
+        """Read every key under the configuration that stands.
 
-        A read writes back what only a part of it holds; and its promises turn down, at each later quorum,
+        A read writes back what only a part of a quorum holds; and its promises refuse, at each later quorum,
         what a few may have accepted under an earlier epoch.
+
+        Args:
+            timeout: seconds for all keys.
+
+        Returns:
+            Whether a quorum of this epoch holds what stands of every key.
         """
-        register, voters = self.register, self.register.voters
-        answers = register.quorum("stamps", voters.epoch, 1.0)
+        register = self.register
+        voters = register.voters
+        answers = register.quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
         if answers is None:
             return False
-        keys, good = {key for held in answers.values() for key in held} - {KEY}, []
+        keys = {key for ballots in answers.values() for key in ballots} - {VOTERS_KEY}
+        rewritten: list[str] = []
 
-        def one(key):
-            if register.read(key, timeout)[0]:
-                good.append(key)
+        def rewrite_key(key: str) -> None:
+            if register.read(key, timeout).done:
+                rewritten.append(key)
 
-        self.runtime.all([lambda key=key: one(key) for key in sorted(keys)], timeout)
-        return len(good) == len(keys) and register.voters == voters
+        self.runtime.all([lambda key=key: rewrite_key(key) for key in sorted(keys)], timeout)
+        return len(rewritten) == len(keys) and register.voters == voters
 
     def carry_on(self) -> bool:
-        """From a joint configuration to the new set alone; whether that stands, and a quorum of it knows. To
-        be called by anybody, at any time, again after any failure."""
-        register, voters = self.register, self.register.voters
+        """Go from a joint configuration to the new set alone.
+
+        To be called by anybody, at any time, again after any failure.
+
+        Returns:
+            Whether the new set stands alone, and a quorum of it knows.
+        """
+        register = self.register
+        voters = register.voters
         if not voters.joint or not self.rewrite():
             return False
-        after = Voters(voters.epoch + 1, voters.new)
-        said = lambda answers: after.met(a for a, word in answers if word is True)  # noqa: E731
-        answers = register.gather(after.members(), "sync", voters.epoch, said, 2.0)
-        return said(answers) and register.voters == voters and self.decide(after) and self.told()
+        successor = Voters(voters.epoch + 1, voters.new)
+
+        def is_synced(answers: Answers) -> bool:
+            return successor.met(address for address, synced in answers if synced is True)
+
+        members = successor.members()
+        answers = register.gather(members, MessageKind.SYNC_RECORDS, voters.epoch, is_synced, SYNC_TIMEOUT_S)
+        if not is_synced(answers) or register.voters != voters:
+            return False
+        return self.decide(successor) and self.announce()
+
+    def announce(self, timeout: float = 1.0) -> bool:
+        """Tell the voters the configuration that stands.
+
+        Until a quorum has it on disk, who proposed it must not die together with who was left out: those who
+        know the joint epoch alone would ask for a majority of the old set too, and never learn that it is
+        over.
 
-    def told(self, timeout: float = 1.0) -> bool:
-        """Whether a quorum of the configuration that stands has it on its disks.
+        Args:
+            timeout: seconds in all.
 
-        Until then who proposed it must not die together with who was left out: those who know the joint epoch
-        alone would ask for a majority of the old set too, and never learn that it is over.
+        Returns:
+            Whether a quorum of this configuration has it on its disks.
         """
-        register, voters = self.register, self.register.voters
-        met = lambda answers: voters.met(  # noqa: E731
-            address for address, row in answers if Voters.of(row).epoch >= voters.epoch
+        register = self.register
+        voters = register.voters
+
+        def is_known(answers: Answers) -> bool:
+            return voters.met(address for address, row in answers if Voters.of(row).epoch >= voters.epoch)
+
+        answers = register.peer_pool.gather(
+            voters.members(), MessageKind.VOTERS, voters.row(), is_known, timeout
         )
-        answers = register.peer_pool.gather(voters.members(), "voters", voters.row(), met, timeout)
-        return met(answers)
+        return is_known(answers)
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -45,7 +45,7 @@
         self.seeds, self.on_begin = seeds, on_begin
         self.first_run = node.sender.first_run
         self.updates = VersionedStore(self.runtime.now)
-        self.register = Register(peer_pool, Voters.kept(store.facts if store else {}), store)
+        self.register = Register(peer_pool, Voters.from_facts(store.facts if store else {}), store)
         self.serving = False
         self.quorum_contact, self.suspend_detector = QuorumContact(), SuspendDetector(self.runtime.now())
         self.refusals: dict[str, list] = {}  # reason -> [calls refused, when the last was]
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -39,14 +39,14 @@
         self.registry = EndpointRegistry(report_ms)
         self.blind = self.behind = False  # out of touch of late; for so long that tombstones were missed
         now = self.runtime.now_ns()
-        for row in self.store.huts.values() if self.store else ():
+        for row in self.store.endpoint_rows.values() if self.store else ():
             record = EndpointRecord.of(UNPACK(row), now)
             record.kept = record.rank
             self.registry.join(record, now)
         # A disk that came back empty may lack what it had told others that it holds.
         told = self.store.facts.get(COMPLETE, "1" if self.store.voting else "0") if self.store else "0"
         self.complete = told == "1"
-        self.on_disk: set[str] = {*self.store.huts} if self.store else set()
+        self.on_disk: set[str] = {*self.store.endpoint_rows} if self.store else set()
         plane.peer_pool.handlers |= {"beat": self.on_beat, "leave": self.on_leave, "book": self.on_book}
 
     # What is told to others and kept on this disk.
@@ -92,7 +92,7 @@
         if record.durable >= rank:
             return True
         answers = self.plane.register.poll(
-            kind, body, ACK_S, mine=lambda: (kept.result(ACK_S), self.hold(id, rank) or None)[1]
+            kind, body, ACK_S, local_answer=lambda: (kept.result(ACK_S), self.hold(id, rank) or None)[1]
         )
         if answers is None:
             return False
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -1,6 +1,6 @@
 """The register at a refuge: what a start waits for; reads mend, the sweep finds the rest."""
 
-from flintreach.consensus.reconfiguration import KEY
+from flintreach.consensus.reconfiguration import VOTERS_KEY
 from flintreach.controller.voter_management import ROLE, VoterManager
 
 __all__ = ["ROLE", "Repair"]
@@ -41,7 +41,7 @@
         if not voters.met(address for address, _ in answers) or self.register.voters != voters:
             return False
         crew, lagging = [], {}
-        for key in sorted({key for _, held in answers for key in held} - {KEY}):
+        for key in sorted({key for _, held in answers for key in held} - {VOTERS_KEY}):
             seen = [tuple(held.get(key, (0, ""))) for _, held in answers]
             newest = max(seen)
             if min(seen) != newest:
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -86,7 +86,7 @@
         if plane.first_run and not register.voters.sets:
             # Kept: after a kill the settings may name other seeds, and those must not decide a second time.
             register.voters = Voters(0, tuple(sorted((seed, "") for seed in plane.seeds())))
-            while register.store and not register.store.keep({}, register.voters.fact()):
+            while register.store and not register.store.keep({}, register.voters.to_facts()):
                 runtime.sleep(TICK_S)
         if register.store and (forced := register.store.facts.get("forced")):
             say("voters_forced", what=forced)
@@ -191,7 +191,7 @@
         while self.runtime.now() < until:
             voters = self.register.voters
             if me not in self.register.group:
-                if self.reconfiguration.told(0.5):
+                if self.reconfiguration.announce(0.5):
                     break
             # While two sets stand it may be one that both need: it stays until that is over.  A spare that
             # has just started still copies: who ended at once would leave its set a voter short until then.
@@ -222,7 +222,7 @@
         )
         rows = []
         for address in sorted({*voters.members(), *disks}):
-            disk, lives = told.get(address), sorted(voters.lives(address))
+            disk, lives = told.get(address), sorted(voters.incarnations(address))
             inside = [
                 name for name, one in (("old", voters.old), ("new", voters.new)) if address in dict(one)
             ]
@@ -232,7 +232,7 @@
                     "address": f"{address[0]}:{address[1]}",
                     "set": " ".join(inside) if voters.joint else "votes" if inside else "",
                     "life": " ".join(lives),
-                    "told_life": disk.life if disk else "",
+                    "told_life": disk.incarnation if disk else "",
                     "state": "unknown"
                     if not disk
                     else "leaving"
@@ -240,7 +240,7 @@
                     else "alive"
                     if disk.alive
                     else "dead",
-                    "caught_up": bool(disk and disk.caught),
+                    "caught_up": bool(disk and disk.caught_up),
                     "wanted": wish,
                     "forced": forced,
                 }
--- a/flintreach/simulation/engine.py
+++ b/flintreach/simulation/engine.py
@@ -593,7 +593,7 @@
 
     def __init__(self, sim: Simulation):
         self.sim, self.trouble = sim, ""
-        self.slots, self.facts, self.huts = {}, {}, {}
+        self.slots, self.facts, self.endpoint_rows = {}, {}, {}
 
     def wait(self) -> int:
         chance = self.sim.chance
@@ -612,17 +612,17 @@
             whole = "1" if first_run else "0"
             disk.facts = {"format": "1", "node": node, "life": life, "voting": whole, "books": whole}
         self.slots = {key: Slot(s.promised, s.accepted, s.value) for key, s in disk.slots.items()}
-        self.facts, self.huts = {**disk.facts}, {**disk.huts}
-        self.life, self.voting = self.facts["life"], self.facts["voting"] == "1"
+        self.facts, self.endpoint_rows = {**disk.facts}, {**disk.endpoint_rows}
+        self.incarnation, self.voting = self.facts["life"], self.facts["voting"] == "1"
 
-    def keep(self, slots, facts=None, huts=None) -> bool:
+    def keep(self, slots, facts=None, endpoint_rows=None) -> bool:
         waiter = Waiter(self.process)
         # As it stands now: its caller may go on changing what it handed over.
         self.pending.append(
             (
                 {key: s and Slot(s.promised, s.accepted, s.value) for key, s in slots.items()},
                 {**(facts or {})},
-                {**(huts or {})},
+                {**(endpoint_rows or {})},
                 waiter,
             )
         )
@@ -648,14 +648,14 @@
 
     def commit(self, batch) -> None:
         disk = self.disk
-        for slots, facts, huts, _ in batch:
+        for slots, facts, endpoint_rows, _ in batch:
             disk.slots |= slots
             for key in [key for key, slot in slots.items() if slot is None]:
                 del disk.slots[key]
             disk.facts |= facts
-            disk.huts |= huts
-            for id in [id for id, row in huts.items() if not row]:
-                del disk.huts[id]
+            disk.endpoint_rows |= endpoint_rows
+            for id in [id for id, row in endpoint_rows.items() if not row]:
+                del disk.endpoint_rows[id]
 
     def end(self) -> None:
         """The process is gone: what was under way may have reached the disk."""
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -375,7 +375,10 @@
             held = {"board": {key[4:] for key in self.updates(process).entries if key.startswith("hut/")}}
             if hasattr(process, "plane"):
                 registry, disk = process.plane.registry, self.site.disks[process.machine.ip]
-                held |= {"book": {*registry.records, *getattr(registry, "gone", ())}, "disk": {*disk.huts}}
+                held |= {
+                    "book": {*registry.records, *getattr(registry, "gone", ())},
+                    "disk": {*disk.endpoint_rows},
+                }
             for where, found in held.items():
                 if old := sorted(found & ids):
                     self.broke("forgotten", f"{process.name}: {len(old)} of {len(ids)} in its {where}")
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -26,7 +26,7 @@
 def first_accept(accepted):
     def planted(self, *args):
         accepted(self, *args)
-        if self.state == "accept" and self.taken:
+        if self.state == "accept" and self.acceptances:
             self.state = "done"
 
     return planted
@@ -52,7 +52,7 @@
 
 def any_life(accept):
     def planted(self, key, ballot, value, life, *args):
-        return accept(self, key, ballot, value, self.life, *args)
+        return accept(self, key, ballot, value, self.incarnation, *args)
 
     return planted
 
@@ -162,21 +162,21 @@
 PLANTS = {
     "first-accept": Plant(
         f"{CONSENSUS}.proposer:Proposal",
-        "accepted",
+        "record_acceptance",
         first_accept,
         ("durable", "kept"),
         "a change is done when the first disk has accepted it",
     ),
     "no-write-back": Plant(
         f"{CONSENSUS}.proposer:Proposal",
-        "promised",
+        "record_promise",
         no_write_back,
         ("kept", "durable"),
         "a read answers what a minority alone may hold",
     ),
     "votes-when-empty": Plant(
         f"{CONSENSUS}.register:Register",
-        "settle",
+        "update_voting",
         votes_when_empty,
         ("kept", "durable"),
         "a disk that came back empty votes at once",
@@ -270,7 +270,7 @@
     ),
     "done-when-decided": Plant(
         "flintreach.consensus.reconfiguration:Reconfiguration",
-        "told",
+        "announce",
         true,
         ("live",),
         "an exchange of voters is done when only its proposer knows",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -336,7 +336,7 @@
 
     def registry(self, disk: Disk) -> EndpointRegistry:
         """What a disk holds of endpoints, read as a start reads it."""
-        told = SimpleNamespace(huts=disk.huts, facts=disk.facts, voting=True)
+        told = SimpleNamespace(endpoint_rows=disk.endpoint_rows, facts=disk.facts, voting=True)
         plane = SimpleNamespace(runtime=self.runtime, store=told, peer_pool=SimpleNamespace(handlers={}))
         return EndpointService(plane, self.shape.report_ms).registry
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from flintreach.cli.register_values import describe
 from flintreach.config import configuration
 from flintreach.config.configuration import ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
@@ -58,12 +59,12 @@
         return store
 
     def test_the_command_state_shows_what_it_showed(self):
-        self.assertEqual(rows(str(self.folder)), json.loads((DISK / "state.json").read_text()))
+        self.assertEqual(rows(str(self.folder), describe), json.loads((DISK / "state.json").read_text()))
 
     def test_the_identity_of_the_disk_stands(self):
         store = self.opened()
         self.addCleanup(self.close)
-        self.assertEqual((store.life, store.voting), ("0c0ffee0c0ff", True))
+        self.assertEqual((store.incarnation, store.voting), ("0c0ffee0c0ff", True))
         self.assertEqual(store.facts["forced"], "epoch 2 given up")
 
     def test_the_register_is_read_with_its_ballots(self):
@@ -113,13 +114,13 @@
     def test_the_voters_are_read_and_written_back_as_they_were(self):
         store = self.opened()
         self.addCleanup(self.close)
-        voters = Voters.kept(store.facts)
+        voters = Voters.from_facts(store.facts)
         self.assertEqual((voters.epoch, len(voters.members())), (7, 4))
         self.assertEqual(PACK(voters.row()), store.slots["voters"].value)
-        self.assertEqual(voters.fact()["voters"], store.facts["voters"])
+        self.assertEqual(voters.to_facts()["voters"], store.facts["voters"])
 
     def test_the_voters_of_earlier_releases_are_read(self):
-        voters = Voters.kept({"circle": "10.1.0.13:7720,10.2.0.43:7720"})
+        voters = Voters.from_facts({"circle": "10.1.0.13:7720,10.2.0.43:7720"})
         self.assertEqual(voters.epoch, 1)
         self.assertEqual(voters.members(), [("10.1.0.13", 7720), ("10.2.0.43", 7720)])
 
@@ -127,7 +128,7 @@
         store = self.opened()
         self.addCleanup(self.close)
         now = 400 * SECOND
-        records = {id: EndpointRecord.of(UNPACK(row), now) for id, row in store.huts.items()}
+        records = {id: EndpointRecord.of(UNPACK(row), now) for id, row in store.endpoint_rows.items()}
         states = {id: (record.state, record.rank, record.seq) for id, record in records.items()}
         self.assertEqual(
             states,
@@ -148,7 +149,10 @@
         self.addCleanup(self.close)
         now = 400 * SECOND
         for id in ("desk-5", "lot-1"):
-            self.assertEqual(PACK(EndpointRecord.of(UNPACK(store.huts[id]), now).row(now)), store.huts[id])
+            self.assertEqual(
+                PACK(EndpointRecord.of(UNPACK(store.endpoint_rows[id]), now).row(now)),
+                store.endpoint_rows[id],
+            )
 
     def test_the_new_text_writes_on_beside_what_stands(self):
         shutil.copytree(self.folder, self.folder / "before")
--- /dev/null
+++ b/tests/consensus/test_recovery.py
@@ -0,0 +1,58 @@
+"""One disk stands for all: by an operator's order, only a disk that knows, far above the survivors."""
+
+import sqlite3
+
+from flintreach.consensus.acceptor import Slot
+from flintreach.consensus.quorum import Voters
+from flintreach.consensus.recovery import EPOCHS_SKIPPED, alone
+from flintreach.consensus.store import FILE_NAME, StoreError
+from tests.consensus.cluster_model import Cluster, address_of
+from tests.consensus.test_store import StoreInFolder, opened_store
+
+
+class TestAlone(StoreInFolder):
+    def test_the_last_resort_is_explicit_fenced_and_logged(self) -> None:
+        with opened_store(self.folder) as store:
+            incarnation = store.incarnation
+            voters = Voters(
+                7, ((address_of("a"), incarnation), (address_of("b"), "b0"), (address_of("c"), "c0"))
+            )
+            store.keep({}, voters.to_facts())
+            with self.assertRaisesRegex(StoreError, "locked"):
+                alone(str(self.folder), 7, address_of("a"))
+        for epoch, name, reason in (
+            (6, "a", "epoch 7, not 6"),
+            (7, "d", "no voter"),
+            (7, "b", "came back empty"),
+        ):
+            with self.assertRaisesRegex(StoreError, reason):
+                alone(str(self.folder), epoch, address_of(name))
+        forced = alone(str(self.folder), 7, address_of("a"))
+        self.assertEqual(forced, Voters(7 + EPOCHS_SKIPPED, ((address_of("a"), incarnation),)))
+        with opened_store(self.folder) as store:
+            self.assertEqual(Voters.from_facts(store.facts), forced)
+            self.assertIn("epoch 1007 by hand over 7", store.facts["forced"])
+
+    def test_a_survivor_is_refused_and_decides_nothing_with_the_others(self) -> None:
+        cluster = Cluster("abc", "abc")
+        cluster.registers["a"].adopt(Voters(1001, ((address_of("a"), "a0"),)))
+        self.assertTrue(cluster.put("b", "k", b"later"))
+        self.assertEqual(cluster.registers["b"].voters.epoch, 1001)
+        values = {
+            name: register.acceptor.slots.get("k", Slot()).value
+            for name, register in cluster.registers.items()
+        }
+        self.assertEqual(values, {"a": b"later", "b": None, "c": None})
+
+    def test_a_disk_that_came_back_empty_is_no_last_resort(self) -> None:
+        with opened_store(self.folder) as store:
+            voters = Voters(7, ((address_of("a"), store.incarnation),))
+            store.keep({}, voters.to_facts() | {"voting": "0"})
+        with self.assertRaisesRegex(StoreError, "came back empty"):
+            alone(str(self.folder), 7, address_of("a"))
+        base = sqlite3.connect(self.folder / FILE_NAME)
+        base.execute("update facts set value = '9' where name = 'format'")
+        base.commit()
+        base.close()
+        with self.assertRaisesRegex(StoreError, "format 9"):
+            alone(str(self.folder), 7, address_of("a"))
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,102 +1,132 @@
-"""What stands on a refuge's disk after power went at any point of a write; disks that are not ours."""
+"""What is on a controller's disk after power failed at any point of a write; disks that are not ours."""
 
 import shutil
 import sqlite3
 import tempfile
 import unittest
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
-from flintreach.consensus.acceptor import Slot
-from flintreach.consensus.store import Store, StoreError
+from flintreach.consensus.acceptor import Ballot, Slot
+from flintreach.consensus.store import FILE_NAME, LOG_BYTES, Store, StoreError
 
+LOG_NAME = f"{FILE_NAME}-wal"
+SHARED_MEMORY_NAME = f"{FILE_NAME}-shm"
+FIRST_BALLOT = Ballot(1, "a")
+SECOND_BALLOT = Ballot(2, "b")
 
-class Disk:
-    """A store in a folder, with its threads ended at the end."""
-
-    def __init__(self, folder, node="n1", first_run=True):
-        self.store = Store(str(folder), node, first_run)
 
-    def __enter__(self):
-        return self.store
-
-    def __exit__(self, *_):
-        self.store.writer.kill()
-        self.store.pool.apply(self.store.base.close)
-        self.store.pool.kill()
+@contextmanager
+def opened_store(folder: Path, node: str = "n1", first_run: bool = True) -> Iterator[Store]:
+    """A store in a folder, with its threads ended at the end."""
+    store = Store(str(folder), node, first_run)
+    try:
+        yield store
+    finally:
+        store.writer.kill()
+        store.pool.apply(store.base.close)
+        store.pool.kill()
 
 
-def held(folder):
-    with Disk(folder, first_run=False) as store:
-        return {key: slot.value for key, slot in store.slots.items()}, dict(store.huts), store.voting
+def stored(folder: Path) -> tuple[dict[str, bytes | None], dict[str, bytes], bool]:
+    """Values by key, endpoint rows by id, and whether the disk votes, as a restart reads them."""
+    with opened_store(folder, first_run=False) as store:
+        values = {key: slot.value for key, slot in store.slots.items()}
+        return values, dict(store.endpoint_rows), store.voting
 
 
-class Power(unittest.TestCase):
-    def setUp(self):
+class StoreInFolder(unittest.TestCase):
+    def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def copy(self, name, source="live"):
+
+class TestPowerFailure(StoreInFolder):
+    def copy(self, name: str, source: str = "live") -> Path:
         shutil.copytree(self.folder / source, self.folder / name)
         return self.folder / name
 
-    def test_power_may_go_at_any_byte_of_a_write(self):
-        """What was acknowledged before is read back; what was being written is whole or absent."""
-        old, new = {"timetable": Slot((1, "a"), (1, "a"), b"old" * 50)}, {}
-        new["timetable"] = Slot((2, "b"), (2, "b"), b"new" * 50)
-        with Disk(self.folder / "live") as store:
-            self.assertTrue(store.keep(old, None, {"e1": b"ready"}))
-            before = (self.folder / "live" / "cairn.db-wal").stat().st_size
-            self.assertTrue(store.keep(new, None, {"e1": b"closing"}))
+    def test_power_may_fail_at_any_byte_of_a_write(self) -> None:
+        """What was acknowledged before is read back; what was being written is complete or absent."""
+        old_slots = {"timetable": Slot(FIRST_BALLOT, FIRST_BALLOT, b"old" * 50)}
+        new_slots = {"timetable": Slot(SECOND_BALLOT, SECOND_BALLOT, b"new" * 50)}
+        with opened_store(self.folder / "live") as store:
+            self.assertTrue(store.keep(old_slots, None, {"e1": b"ready"}))
+            size_before = (self.folder / "live" / LOG_NAME).stat().st_size
+            self.assertTrue(store.keep(new_slots, None, {"e1": b"closing"}))
             self.copy("after")
-        wal = (self.folder / "after" / "cairn.db-wal").read_bytes()
-        self.assertGreater(len(wal), before)
-        found = []
-        for cut in [*range(before, len(wal), 397), len(wal)]:
-            for torn in {b"", b"\xff" * (len(wal) - cut)}:  # the rest is missing, or is not what was written
-                place = self.copy(f"cut-{cut}-{len(torn)}", "after")
-                (place / "cairn.db-wal").write_bytes(wal[:cut] + torn)
-                (place / "cairn.db-shm").unlink(missing_ok=True)
-                slots, huts, voting = held(place)
+        log = (self.folder / "after" / LOG_NAME).read_bytes()
+        self.assertGreater(len(log), size_before)
+        outcomes = []
+        for cut in [*range(size_before, len(log), 397), len(log)]:
+            for torn in {b"", b"\xff" * (len(log) - cut)}:  # the rest is missing, or is not what was written
+                copy = self.copy(f"cut-{cut}-{len(torn)}", "after")
+                (copy / LOG_NAME).write_bytes(log[:cut] + torn)
+                (copy / SHARED_MEMORY_NAME).unlink(missing_ok=True)
+                values, endpoint_rows, voting = stored(copy)
                 self.assertTrue(voting)
-                pair = slots["timetable"][:3], huts["e1"]
-                self.assertIn(pair, ((b"old", b"ready"), (b"new", b"closing")), (cut, bool(torn)))
-                found.append(pair)
-        self.assertEqual(found[0], (b"old", b"ready"))
-        self.assertEqual(found[-1], (b"new", b"closing"))
-
-    def test_only_a_first_start_votes_at_once(self):
-        with Disk(self.folder / "a", first_run=True) as store:
+                outcome = values["timetable"][:3], endpoint_rows["e1"]
+                self.assertIn(outcome, ((b"old", b"ready"), (b"new", b"closing")), (cut, bool(torn)))
+                outcomes.append(outcome)
+        self.assertEqual(outcomes[0], (b"old", b"ready"))
+        self.assertEqual(outcomes[-1], (b"new", b"closing"))
+
+
+class TestOpening(StoreInFolder):
+    def test_only_a_first_start_votes_at_once(self) -> None:
+        with opened_store(self.folder / "a", first_run=True) as store:
             self.assertTrue(store.voting)
-            life = store.life
-        with Disk(self.folder / "a", first_run=False) as store:
-            self.assertEqual((store.voting, store.life), (True, life))
-        with Disk(self.folder / "b", first_run=False) as store:
+            incarnation = store.incarnation
+        with opened_store(self.folder / "a", first_run=False) as store:
+            self.assertEqual((store.voting, store.incarnation), (True, incarnation))
+        with opened_store(self.folder / "b", first_run=False) as store:
             self.assertFalse(store.voting)
-            self.assertNotEqual(store.life, life)
+            self.assertNotEqual(store.incarnation, incarnation)
 
-    def test_a_disk_of_another_node_or_format_is_told_and_left_alone(self):
+    def test_a_disk_of_another_node_or_format_is_reported_and_left_alone(self) -> None:
         for name in ("a", "b"):
-            with Disk(self.folder / name):
+            with opened_store(self.folder / name):
                 pass
         with self.assertRaisesRegex(StoreError, "belongs to n1"):
             Store(str(self.folder / "b"), "n2", False)
-        base = sqlite3.connect(self.folder / "a" / "cairn.db")
+        base = sqlite3.connect(self.folder / "a" / FILE_NAME)
         base.execute("update facts set value = '0' where name = 'format'")
         base.commit()
         base.close()
         with self.assertRaisesRegex(StoreError, "format 0"):
             Store(str(self.folder / "a"), "n1", False)
 
-    def test_a_disk_that_refuses_a_write_says_so_and_takes_the_next(self):
-        with Disk(self.folder / "a") as store:
-            first = {"k": Slot((1, "a"), (1, "a"), b"1")}
+
+class TestWriting(StoreInFolder):
+    def test_a_disk_that_refuses_a_write_says_so_and_takes_the_next(self) -> None:
+        with opened_store(self.folder / "a") as store:
+            first = {"k": Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")}
             self.assertTrue(store.keep(first))
             store.pool.apply(store.base.execute, ("pragma max_page_count = 1",))
-            big = {"big": Slot((1, "a"), (1, "a"), b"x" * 100_000)}
+            big = {"big": Slot(FIRST_BALLOT, FIRST_BALLOT, b"x" * 100_000)}
             self.assertFalse(store.keep(big))
-            self.assertTrue(store.keep({"k": Slot((2, "a"), (2, "a"), b"2")}))
-        slots, _, _ = held(self.folder / "a")
-        self.assertEqual(slots, {"k": b"2"})
+            self.assertTrue(store.keep({"k": Slot(Ballot(2, "a"), Ballot(2, "a"), b"2")}))
+        values, _, _ = stored(self.folder / "a")
+        self.assertEqual(values, {"k": b"2"})
+
+    def test_the_file_and_its_log_stay_bounded(self) -> None:
+        with opened_store(self.folder) as store:
+            for number in range(3000):
+                value = bytes([number % 251]) * 4000
+                ballot = Ballot(number, "a")
+                self.assertTrue(store.keep({f"k{number % 7}": Slot(ballot, ballot, value)}))
+            sizes = [(self.folder / name).stat().st_size for name in (FILE_NAME, LOG_NAME)]
+        self.assertLess(sizes[0], 400_000)
+        self.assertLessEqual(sizes[1], LOG_BYTES)
+
+    def test_a_slot_that_is_dropped_is_gone_from_the_disk(self) -> None:
+        slot = Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")
+        with opened_store(self.folder) as store:
+            store.keep({"k": slot, "m": slot})
+            self.assertTrue(store.keep({"k": None}))
+        with opened_store(self.folder) as store:
+            self.assertEqual([*store.slots], ["m"])
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_voter_selection.py
+++ b/tests/consensus/test_voter_selection.py
@@ -2,41 +2,166 @@
 
 import unittest
 
-from flintreach.consensus import voter_selection as wishes
+from flintreach.consensus.quorum import Address
+from flintreach.consensus.voter_selection import (
+    GROWTH_CALM_S,
+    MAX_VOTERS,
+    Disk,
+    Losses,
+    borne,
+    exchanged,
+    first,
+    ordered,
+    wanted,
+)
+from tests.consensus.cluster_model import address_of, disks_of, voters_of
 
 
-class Circle(unittest.TestCase):
-    def disks(self, zones, each):
-        return [wishes.Disk((f"10.0.{z}.{i}", 7), f"z{z}", "r") for z in range(zones) for i in range(each)]
+def grid_of_disks(zones: int, each: int) -> list[Disk]:
+    """So many disks in each of so many zones."""
+    return [
+        Disk((f"10.0.{zone}.{number}", 7), f"z{zone}", "r") for zone in range(zones) for number in range(each)
+    ]
 
-    def first(self, disks, losses, calm):
-        found = wishes.first(disks, losses, calm)
-        return found and found.members()
 
-    def test_zones_take_turns_and_the_number_is_bounded(self):
-        disks, losses = self.disks(3, 5), wishes.Losses(1, 1)
-        found = self.first(disks, losses, 1.0)
-        self.assertEqual(len(found), wishes.MOST)
-        self.assertEqual({ip.split(".")[2] for ip, _ in found}, {"0", "1", "2"})
-        self.assertEqual(self.first(disks[::-1], losses, 1.0), found)
-        self.assertEqual(self.first(disks[:1], wishes.Losses(), 1.0), [("10.0.0.0", 7)])
+def first_members(disks: list[Disk], losses: Losses, calm_s: float) -> list[Address] | None:
+    """Addresses of the first voters, None while more disks are waited for."""
+    voters = first(disks, losses, calm_s)
+    return None if voters is None else voters.members()
 
-    def test_a_first_start_waits_for_disks_that_come_but_not_for_ever(self):
+
+class TestLosses(unittest.TestCase):
+    def test_losses_that_are_borne(self) -> None:
+        """(zones of the voters, losses, whether they are borne)"""
+        for places, losses, expected in (
+            ("a", (0, 0), True),
+            ("a", (1, 0), False),
+            ("ab", (1, 0), False),
+            ("abc", (1, 1), True),
+            ("abcd", (1, 1), True),
+            ("aabb", (0, 1), False),
+            ("aabbc", (1, 1), True),
+            ("abcc", (1, 1), False),
+            ("abcd", (2, 1), False),
+            ("abcde", (2, 1), True),
+            ("aabbc", (2, 1), True),
+            ("aaabb", (2, 1), False),
+            ("abcdef", (2, 1), True),
+            ("aaa", (0, 1), False),
+        ):
+            self.assertEqual(
+                borne([(zone, "r") for zone in places], Losses(*losses)), expected, (places, losses)
+            )
+        regions = [("a", "r"), ("b", "r"), ("c", "s")]
+        self.assertTrue(borne(regions, Losses(1, 1, 0)))
+        self.assertFalse(borne(regions, Losses(1, 1, 1)))
+
+
+class TestFirstStart(unittest.TestCase):
+    def test_zones_take_turns_and_the_number_is_bounded(self) -> None:
+        disks = grid_of_disks(3, 5)
+        losses = Losses(1, 1)
+        members = first_members(disks, losses, 1.0)
+        self.assertEqual(len(members), MAX_VOTERS)
+        self.assertEqual({ip.split(".")[2] for ip, _ in members}, {"0", "1", "2"})
+        self.assertEqual(first_members(disks[::-1], losses, 1.0), members)
+        self.assertEqual(first_members(disks[:1], Losses(), 1.0), [("10.0.0.0", 7)])
+
+    def test_a_first_start_waits_for_disks_that_come_but_not_for_ever(self) -> None:
         """(disks, losses, seconds without a new one, how many are to vote: 0 while more are waited for)"""
-        one, two = wishes.Losses(1, 1), wishes.Losses(2, 1)
-        for count, losses, calm, votes in (
-            (0, one, 9.0, 0),
-            (3, one, 0.5, 0),
-            (3, one, 0.6, 3),
-            (2, one, 2.5, 0),
-            (2, one, 6.0, 2),
-            (3, two, 2.5, 0),
-            (4, two, 5.9, 0),
-            (4, two, 6.0, 4),
-            (5, two, 0.6, 5),
+        one_machine = Losses(1, 1)
+        two_machines = Losses(2, 1)
+        for count, losses, calm_s, voter_count in (
+            (0, one_machine, 9.0, 0),
+            (3, one_machine, 0.5, 0),
+            (3, one_machine, 0.6, 3),
+            (2, one_machine, 2.5, 0),
+            (2, one_machine, 6.0, 2),
+            (3, two_machines, 2.5, 0),
+            (4, two_machines, 5.9, 0),
+            (4, two_machines, 6.0, 4),
+            (5, two_machines, 0.6, 5),
+        ):
+            members = first_members(grid_of_disks(count, 1), losses, calm_s)
+            self.assertEqual(len(members or ()), voter_count, (count, losses, calm_s))
+
+    def test_fewer_voters_than_bear_the_losses_are_not_chosen_while_more_may_come(self) -> None:
+        """The first start of a grown site: two of five were there after 0.6 s, and voted for ever."""
+        five = disks_of("a:v b:w c:x d:y e:z")
+        losses = Losses(2, 1)
+        for known in range(1, 5):
+            self.assertIsNone(first(five[:known], losses, 2.5), known)
+        self.assertEqual(first_members(five, losses, 0.6), [address_of(name) for name in "abcde"])
+        self.assertEqual(first_members(five[:3], losses, 6.0), [address_of(name) for name in "abc"])
+        self.assertEqual(first(five[:1], Losses(), 0.6), voters_of(1, "a"))
+        # A second disk of a zone would make the loss of that zone fatal: it is left out until there are more.
+        four = disks_of("a:x b:y c:z d:z")
+        self.assertEqual(first(four, Losses(1, 1), 0.6), voters_of(1, "abc"))
+
+
+class TestWanted(unittest.TestCase):
+    def test_what_should_follow(self) -> None:
+        """(voters, disks, machines and zones to be borne, seconds of calm, the set that follows or "")"""
+        calm_s = GROWTH_CALM_S
+        for old, known, losses, since_s, expected in (
+            ("abc", "a:x b:y c:z", (1, 1), 99, ""),
+            ("abc", "a:x b:y c:z-", (1, 1), 99, ""),  # dead, and nobody to take its place
+            ("abc", "a:x b:y c:z- d:z+", (1, 1), 0, "abd"),  # without delay
+            ("abc", "a:x b:y c:z- d:z", (1, 1), 99, ""),  # not caught up
+            ("abc", "a:x b:y c:z- d:z+-", (1, 1), 99, ""),
+            ("abc", "a:x b:y c:z d:z+", (1, 1), 99, ""),  # two of four in one zone
+            ("abc", "a:x b:y c:z~ d:z+", (1, 1), 0, "abd"),
+            ("abc", "a:x b:y c:z- d:y+ e:z+", (1, 1), 0, "abe"),  # the zone of the lost one first
+            ("abc", "a:x b:y c:z- d:y+", (1, 1), 0, "abd"),  # machines borne again, if not zones
+            ("abd", "a:x b:y d:y c:z+", (1, 1), calm_s, "acd"),  # and the zones when one comes there
+            ("abc", "a:x b:y c:z d:w+", (1, 1), 0, ""),
+            ("abc", "a:x b:y c:z d:w+", (1, 1), calm_s, "abcd"),
+            ("abcd", "a:x b:y c:z d:w-", (1, 1), 0, "abc"),  # of an even number it costs nothing
+            ("abcde", "a:v b:w c:x d:y e:z-", (1, 1), 99, ""),  # of an odd one it would gain nothing
+            ("abcde", "a:v b:w c:x d:y- e:z-", (1, 1), 99, ""),  # cut off, perhaps
+            ("abcde", "a:v b:w c:x d:y~ e:z~", (1, 1), 0, "abce"),
+            ("abcdef", "a:u b:v c:w d:x e:y f:z~", (2, 1), 0, "abcde"),
+            ("abcde", "a:v b:w c:x d:y e:z~", (2, 1), 0, ""),  # it may only restart
+            ("ab", "a:x b:y c:z+", (1, 1), calm_s, "abc"),
+            ("a", "a:x b:x+", (1, 1), calm_s, "ab"),
+            ("abcdefghi", "a:a b:b c:c d:d e:e f:f g:g h:h i:i j:j+", (2, 1), 99, ""),
+        ):
+            successor = wanted(voters_of(4, old), disks_of(known), Losses(*losses), since_s)
+            members = () if successor is None else successor.new
+            names = "".join(chr(96 + int(address[0].split(".")[3])) for address, _ in members)
+            self.assertEqual(names, expected, (old, known))
+            if successor:
+                self.assertEqual((successor.epoch, successor.old), (5, voters_of(4, old).old))
+                self.assertLessEqual(len({*successor.old} ^ {*successor.new}), 2)
+        self.assertEqual(MAX_VOTERS, 9)
+
+    def test_nothing_follows_while_the_voters_change_or_are_not_known(self) -> None:
+        self.assertIsNone(wanted(voters_of(4, "ab", "ac"), disks_of("a:x b:y- c:z d:y+"), Losses(1, 1), 99))
+        self.assertIsNone(wanted(voters_of(0, "ab"), disks_of("a:x b:y- c:z+"), Losses(1, 1), 99))
+
+    def test_a_voter_that_nobody_has_met_counts_with_all_such_as_one_place(self) -> None:
+        voters = voters_of(4, "abc")
+        successor = wanted(voters, disks_of("a:x b:y c:?- d:z+"), Losses(1, 1), 0)
+        self.assertEqual(successor, exchanged(voters, address_of("c"), disks_of("d:z")[0]))
+
+
+class TestOrdered(unittest.TestCase):
+    def test_what_an_operator_may_order(self) -> None:
+        known = disks_of("a:x b:y c:z d:z+ e:z")
+        for out, into, reason in (
+            ("c", "d", ""),
+            ("c", "e", "no disk"),
+            (None, "d", "losses"),
+            ("c", None, "losses"),
+            ("d", None, "does not vote"),
+            (None, None, "nobody"),
         ):
-            found = self.first(self.disks(count, 1), losses, calm)
-            self.assertEqual(len(found or ()), votes, (count, losses, calm))
+            out_address = out and address_of(out)
+            into_address = into and address_of(into)
+            voters, answer = ordered(voters_of(4, "abc"), known, Losses(1, 1), out_address, into_address)
+            self.assertEqual((voters is not None, reason in answer), (not reason, True), (out, into, answer))
+        _, answer = ordered(voters_of(4, "ab", "ac"), known, Losses(), address_of("a"), None)
+        self.assertIn("settled", answer)
 
 
 if __name__ == "__main__":
--- a/tests/consensus/voters_model.py
+++ b/tests/consensus/voters_model.py
@@ -1,362 +1,520 @@
-"""The changes of voters as a graph of states, walked breadth first: each step is one question and its answer.
+"""The changes of voters as a graph of states, walked breadth first: each step is one request and its answer.
 
-Nodes are the shipped `Register` (its `on_prepare`, `on_accept`, `check`, `adopt`, `settle`), loaded with a
-state and read back; attempts are the shipped `Change`. What is never delivered is lost; a proposer that takes
-no further step has died. After each step it is asked what every quorum would read.
+Nodes are the shipped `Register` (its `prepare`, `accept`, `check`, `adopt`, `update_voting`), loaded with a
+state and read back; attempts are the shipped `Proposal`. What is never delivered is lost; a proposer that
+takes no further step has died. After each step it is asked what every quorum would read.
 """
 
 import contextlib
 import itertools
+from collections.abc import Iterable, Iterator
 from functools import lru_cache
 from types import SimpleNamespace
-from typing import NamedTuple
-
-from flintreach.consensus.acceptor import Slot, merged
-from flintreach.consensus.proposer import Proposal
-from flintreach.consensus.quorum import Voters
+from typing import Any, NamedTuple
+
+from flintreach.consensus.acceptor import Slot, Verdict, merged
+from flintreach.consensus.messages import (
+    AcceptorAnswer,
+    AcceptRequest,
+    EarlierEpoch,
+    EpochMismatch,
+    LaterEpoch,
+    PrepareRequest,
+)
+from flintreach.consensus.proposer import Proposal, ProposalState
+from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.register import Register
 
-NAMES = {name: (name, 7) for name in "abcd"}
+ADDRESSES: dict[str, Address] = {name: (name, 7) for name in "abcd"}
+DATA_KEY = "k"
+VOTERS_KEY = "voters"
+MAX_STATES = 2_000_000
+
+SlotRow = tuple[str, tuple, tuple, Any]  # key, promised, accepted, value
+
+
+def first_incarnation(name: str) -> str:
+    """The disk that a node starts with."""
+    return f"{name}0"
+
+
+def second_incarnation(name: str) -> str:
+    """The disk that a node has after it lost the first."""
+    return f"{name}1"
 
 
-def single(epoch, names):
-    return Voters(epoch, tuple((NAMES[name], f"{name}0") for name in names))
+def single(epoch: int, names: Iterable[str]) -> Voters:
+    """A configuration of one set, with their first disks."""
+    return Voters(epoch, tuple((ADDRESSES[name], first_incarnation(name)) for name in names))
 
 
-def joint(voters, names):
+def joint(voters: Voters, names: Iterable[str]) -> Voters:
+    """The joint configuration that leads to a set."""
     return Voters(voters.epoch + 1, voters.old, single(0, names).old)
 
 
 class Node(NamedTuple):
+    """A process with a disk.
+
+    Attributes:
+        relearned: of a wiped disk: (name, slots) of others that it has asked under its epoch.
+    """
+
     voters: Voters
-    life: str
+    incarnation: str
     trusted: bool = True
-    slots: tuple = ()  # (key, promised, accepted, value)
-    heard: tuple = ()  # of a wiped disk that relearns: (name, slots) of others, under its epoch
+    slots: tuple[SlotRow, ...] = ()
+    relearned: tuple[tuple[str, tuple[SlotRow, ...]], ...] = ()
 
 
 class Attempt(NamedTuple):
-    """A `Change` by what it was told."""
+    """A `Proposal` by the answers that it got.
+
+    Attributes:
+        promises: (name, incarnation, accepted ballot, value) of each node that promised.
+        acceptances: names of the nodes that accepted.
+    """
 
     key: str
     voters: Voters
-    ballot: tuple
-    promises: tuple = ()  # (name, life, accepted, value)
-    taken: tuple = ()
+    ballot: tuple[int, str]
+    promises: tuple[tuple[str, str, tuple, Any], ...] = ()
+    acceptances: tuple[str, ...] = ()
+
+    @property
+    def incarnations(self) -> dict[str, str]:
+        """The disks that promised, by name of the node."""
+        return {name: incarnation for name, incarnation, _, _ in self.promises}
 
 
 class Actor(NamedTuple):
-    kind: str  # a letter: writes it once; "P", "Q": change the voters; a number: records a disk's new life
+    """One who proposes.
+
+    Attributes:
+        kind: a small letter writes that letter once; "P" and "Q" change the voters; the number of a node
+            records that node's new disk.
+        attempts_left: attempts that it may still begin.
+    """
+
+    kind: str
     voters: Voters
     round: int = 0
-    left: int = 2  # attempts that it may still begin
+    attempts_left: int = 2
     attempt: Attempt | None = None
-    over: bool = False
+    finished: bool = False
+
+    @property
+    def changes_voters(self) -> bool:
+        """Whether it leads the voters to a goal."""
+        return self.kind in "PQ"
+
+    @property
+    def records_disk(self) -> bool:
+        """Whether it records a node's new disk."""
+        return self.kind.isdigit()
 
 
 class State(NamedTuple):
-    nodes: tuple
-    actors: tuple
-    acked: str = ""
-    decided: tuple = ()
+    """All nodes and actors, what was acknowledged and decided so far, and how many disks may be lost."""
+
+    nodes: tuple[Node, ...]
+    actors: tuple[Actor, ...]
+    acknowledged: str = ""
+    decided: tuple[Voters, ...] = ()
     wipes: int = 0
 
 
-def rows(slots):
+def slot_rows(slots: dict[str, Slot]) -> tuple[SlotRow, ...]:
+    """Slots in a form that can be hashed."""
     return tuple(sorted((key, slot.promised, slot.accepted, slot.value) for key, slot in slots.items()))
 
 
+def slots_of(rows: Iterable[SlotRow]) -> dict[str, Slot]:
+    """Slots from the form that can be hashed."""
+    return {key: Slot(promised, accepted, value) for key, promised, accepted, value in rows}
+
+
+def replaced(items: tuple, index: int, item: Any) -> tuple:
+    """A tuple with one item exchanged."""
+    return (*items[:index], item, *items[index + 1 :])
+
+
+def idle_register(register_class: type[Register], name: str) -> Register:
+    """A register that sends nothing, on a disk that takes all."""
+    runtime = SimpleNamespace(lock=contextlib.nullcontext, now=lambda: 0.0)
+    peer_pool = SimpleNamespace(address=ADDRESSES[name], handlers={}, runtime=runtime)
+    store = SimpleNamespace(incarnation="", voting=False, slots={}, facts={}, keep=lambda *_: True)
+    return register_class(peer_pool, Voters(), store)
+
+
 class Model:
-    """`register`: the class that the nodes run; `rewrite`: whether the key is read before the new set is
-    alone; `renew`: whether a lost disk's life is recorded before it relearns; `rounds`: from where an actor
-    counts."""
+    """The graph of states from one start.
+
+    Its slow functions depend on their arguments alone and are cached.
+    """
 
     def __init__(
         self,
-        start,
-        target,
-        actors,
-        wipes=0,
-        register=Register,
-        rewrite=True,
-        renew=True,
-        goals=None,
-        retries=2,
-        rounds=None,
-    ):
-        self.rewrite_, self.renew = rewrite, renew
+        start: str,
+        target: str,
+        actors: str,
+        wipes: int = 0,
+        register: type[Register] = Register,
+        rewrite: bool = True,
+        renew: bool = True,
+        goals: dict[str, str] | None = None,
+        retries: int = 2,
+        rounds: dict[str, int] | None = None,
+    ) -> None:
+        """Set up the first state.
+
+        Args:
+            start: names of the first voters.
+            target: names of the voters to which "P" and "Q" lead.
+            actors: the kind of each actor, a letter or number each.
+            wipes: how many disks are lost.
+            register: the class that the nodes run.
+            rewrite: whether the key is read before the new set is alone.
+            renew: whether a lost disk's new incarnation is recorded before it relearns.
+            goals: targets by actor, in place of `target`.
+            retries: attempts that each actor may begin.
+            rounds: from where an actor's ballots count, if not from 0.
+        """
+        self.rewrite = rewrite
+        self.renew = renew
         self.goals = goals or {}
         self.target = target
-        names = sorted(set(start) | set(target) | {name for goal in self.goals.values() for name in goal})
-        self.names = names
-        first = single(1, start)
-        self.registers = {name: self.made(register, name) for name in names}
-        self.begin = State(
-            tuple(Node(first, f"{name}0", trusted=name in start) for name in names),
-            tuple(
-                Actor(kind, first, (rounds or {}).get(kind, 0), 0 if kind.isdigit() else retries)
-                for kind in actors
-            ),
-            decided=(first,),
-            wipes=wipes,
-        )
+        self.names = sorted({*start, *target, *itertools.chain.from_iterable(self.goals.values())})
+        self.registers = {name: idle_register(register, name) for name in self.names}
+        self.first_state = self.make_first_state(start, actors, wipes, retries, rounds or {})
         self.deliver = lru_cache(None)(self.deliver)
-        self.change = lru_cache(None)(self.change)
-        self.voting = lru_cache(None)(self.voting)
-        self.good = lru_cache(None)(self.good)
-
-    @staticmethod
-    def made(register, name):
-        host = SimpleNamespace(lock=contextlib.nullcontext, now=lambda: 0.0)
-        peer_pool = SimpleNamespace(address=NAMES[name], handlers={}, runtime=host)
-        store = SimpleNamespace(life="", voting=False, slots={}, facts={}, keep=lambda *_: True)
-        return register(peer_pool, Voters(), store)
-
-    def load(self, name, node):
+        self.proposal = lru_cache(None)(self.proposal)
+        self.would_vote = lru_cache(None)(self.would_vote)
+        self.fault = lru_cache(None)(self.fault)
+
+    def make_first_state(
+        self, start: str, actors: str, wipes: int, retries: int, rounds: dict[str, int]
+    ) -> State:
+        """All disks are empty, and the first configuration is decided."""
+        voters = single(1, start)
+        nodes = tuple(Node(voters, first_incarnation(name), trusted=name in start) for name in self.names)
+        first_actors = tuple(
+            Actor(kind, voters, rounds.get(kind, 0), 0 if kind.isdigit() else retries) for kind in actors
+        )
+        return State(nodes, first_actors, decided=(voters,), wipes=wipes)
+
+    # Between the model and the shipped classes.
+
+    def load(self, name: str, node: Node) -> Register:
+        """The node's register, in the node's state."""
         register = self.registers[name]
-        register.store.life = register.acceptor.life = node.life
-        register.voters, register.trusted = node.voters, node.trusted
+        register.store.incarnation = node.incarnation
+        register.acceptor.incarnation = node.incarnation
+        register.voters = node.voters
+        register.trusted = node.trusted
         register.acceptor.voting = node.trusted
-        register.acceptor.slots = {key: Slot(p, a, value) for key, p, a, value in node.slots}
-        register.settle()
+        register.acceptor.slots = slots_of(node.slots)
+        register.update_voting()
         return register
 
-    def saved(self, register, node, **more):
+    def saved(self, register: Register, node: Node, relearned: tuple) -> Node:
+        """The node with its register's state."""
         return node._replace(
-            voters=register.voters, trusted=register.trusted, slots=rows(register.acceptor.slots), **more
+            voters=register.voters,
+            trusted=register.trusted,
+            slots=slot_rows(register.acceptor.slots),
+            relearned=relearned,
         )
 
-    def deliver(self, name, node, kind, body, voters):
-        """A question at a node, after `heed`: one that is behind adopts first.  (node, answer)."""
+    def deliver(
+        self, name: str, node: Node, request: PrepareRequest | AcceptRequest, voters: Voters
+    ) -> tuple[Node, AcceptorAnswer | EpochMismatch]:
+        """A request at a node, after `resolve_mismatch`: a node that is behind first adopts `voters`."""
         register = self.load(name, node)
-        answer = getattr(register, f"on_{kind}")(None, body)
-        if answer[0] == "behind":
+        handle = register.prepare if isinstance(request, PrepareRequest) else register.accept
+        answer = handle(request)
+        if isinstance(answer, EarlierEpoch):
             register.adopt(voters)
-            answer = getattr(register, f"on_{kind}")(None, body)
-        heard = node.heard if register.voters == node.voters else ()
-        return self.saved(register, node, heard=heard), tuple(answer[:1]) + tuple(
-            tuple(map(self.frozen, part)) if isinstance(part, list) else part for part in answer[1:]
-        )
-
-    @staticmethod
-    def frozen(part):
-        return tuple(part) if isinstance(part, list) else part
-
-    def change(self, kind, attempt):
-        """The attempt as a `Change`, told all that it was told."""
-        if attempt.key == "voters":
-            goal, known = self.goals.get(kind, self.target), attempt.voters
-            if kind.isdigit():  # the disk of this place is another
-                name = self.names[int(kind)]
-                wish = known.renewed(NAMES[name], f"{name}1")
-            else:
-                wish = Voters(known.epoch + 1, known.new) if known.joint else joint(known, goal)
-            change = Proposal(
-                known.met, attempt.ballot, lambda old: None if old and old.epoch > known.epoch else wish
-            )
-        elif kind in "PQ":
-            change = Proposal(attempt.voters.met, attempt.ballot, lambda old: None)
-        else:
-            change = Proposal(attempt.voters.met, attempt.ballot, lambda old: (old or "") + kind)
-        for name, life, accepted, value in attempt.promises:
-            change.promised(NAMES[name], life, accepted, value)
-        for name in attempt.taken:
-            change.accepted(NAMES[name])
-        return change
+            answer = handle(request)
+        relearned = node.relearned if register.voters == node.voters else ()
+        return self.saved(register, node, relearned), answer
+
+    def proposal(self, kind: str, attempt: Attempt) -> Proposal:
+        """The attempt as a `Proposal` that got the same answers."""
+        proposal = Proposal(attempt.voters.met, attempt.ballot, self.step(kind, attempt))
+        for name, incarnation, accepted, value in attempt.promises:
+            proposal.record_promise(ADDRESSES[name], incarnation, accepted, value)
+        for name in attempt.acceptances:
+            proposal.record_acceptance(ADDRESSES[name])
+        return proposal
+
+    def step(self, kind: str, attempt: Attempt) -> Any:
+        """What an actor wants to write."""
+        if attempt.key == VOTERS_KEY:
+            known = attempt.voters
+            wish = self.wish(kind, known)
+            return lambda voters: None if voters and voters.epoch > known.epoch else wish
+        if kind in "PQ":
+            return lambda text: None
+        return lambda text: (text or "") + kind
+
+    def wish(self, kind: str, known: Voters) -> Voters:
+        """The configuration that an actor proposes after the one that it knows."""
+        if kind.isdigit():
+            name = self.names[int(kind)]
+            return known.renewed(ADDRESSES[name], second_incarnation(name))
+        if known.joint:
+            return Voters(known.epoch + 1, known.new)
+        return joint(known, self.goals.get(kind, self.target))
 
     # What may happen next.
 
-    def after(self, state):
+    def successors(self, state: State) -> Iterator[State]:
+        """All states that one step leads to."""
         for number, actor in enumerate(state.actors):
-            if actor.over:
+            if actor.finished:
                 continue
-            if actor.attempt is None:
-                if actor.left:
-                    yield self.put(state, number, self.begun(actor))
+            if actor.attempt is not None:
+                yield from self.after_requests(state, number)
+            elif actor.attempts_left:
+                yield self.with_actor(state, number, self.begun(actor))
+        for index, name in enumerate(self.names):
+            yield from self.after_disk_events(state, index, name)
+
+    def after_requests(self, state: State, number: int) -> Iterator[State]:
+        """An actor's next requests, each delivered."""
+        actor = state.actors[number]
+        attempt = actor.attempt
+        proposal = self.proposal(actor.kind, attempt)
+        epoch = attempt.voters.epoch
+        for index, name in enumerate(self.names):
+            if ADDRESSES[name] not in attempt.voters.members():
                 continue
-            attempt = actor.attempt
-            change = self.change(actor.kind, attempt)
-            for place, name in enumerate(self.names):
-                if NAMES[name] not in attempt.voters.members():
-                    continue
-                epoch = attempt.voters.epoch
-                if change.state == "prepare" and all(name != who for who, *_ in attempt.promises):
-                    body = (attempt.key, attempt.ballot, epoch)
-                    yield self.asked(state, number, place, "prepare", body)
-                elif change.state == "accept" and name not in attempt.taken:
-                    lives = {who: life for who, life, *_ in attempt.promises}
-                    body = (attempt.key, attempt.ballot, change.value, lives.get(name, f"{name}0"), epoch)
-                    yield self.asked(state, number, place, "accept", body)
-        for place, name in enumerate(self.names):
-            yield from self.disk(state, place, name)
-
-    def put(self, state, number, actor):
-        return state._replace(actors=(*state.actors[:number], actor, *state.actors[number + 1 :]))
-
-    def begun(self, actor):
-        reads = self.rewrite_ and actor.voters.joint if actor.kind in "PQ" else actor.kind.islower()
-        key = "k" if reads else "voters"
+            if proposal.state == ProposalState.PREPARE and name not in attempt.incarnations:
+                request = PrepareRequest(attempt.key, attempt.ballot, epoch)
+                yield self.after_request(state, number, index, request)
+            elif proposal.state == ProposalState.ACCEPT and name not in attempt.acceptances:
+                incarnation = attempt.incarnations.get(name, first_incarnation(name))
+                request = AcceptRequest(attempt.key, attempt.ballot, proposal.value, incarnation, epoch)
+                yield self.after_request(state, number, index, request)
+
+    def with_actor(self, state: State, number: int, actor: Actor) -> State:
+        """The state with one actor exchanged."""
+        return state._replace(actors=replaced(state.actors, number, actor))
+
+    def begun(self, actor: Actor) -> Actor:
+        """The actor with a new attempt."""
+        if actor.changes_voters:
+            writes_data = self.rewrite and actor.voters.joint
+        else:
+            writes_data = actor.kind.islower()
+        key = DATA_KEY if writes_data else VOTERS_KEY
         return actor._replace(
             round=actor.round + 1,
-            left=actor.left - 1,
+            attempts_left=actor.attempts_left - 1,
             attempt=Attempt(key, actor.voters, (actor.round + 1, actor.kind)),
         )
 
-    def asked(self, state, number, place, kind, body):
-        actor, name = state.actors[number], self.names[place]
+    def after_request(
+        self, state: State, number: int, index: int, request: PrepareRequest | AcceptRequest
+    ) -> State:
+        """The state after one request of an actor was delivered to a node, and its answer to the actor."""
+        name = self.names[index]
+        voters = state.actors[number].attempt.voters
+        node, answer = self.deliver(name, state.nodes[index], request, voters)
+        actor = self.answered(state.actors[number], name, node, answer)
+        state = self.with_actor(state._replace(nodes=replaced(state.nodes, index, node)), number, actor)
+        return self.after_attempt(state, number) if actor.attempt else state
+
+    def answered(self, actor: Actor, name: str, node: Node, answer: AcceptorAnswer | EpochMismatch) -> Actor:
+        """The actor after a node's answer."""
         attempt = actor.attempt
-        node, answer = self.deliver(name, state.nodes[place], kind, body, attempt.voters)
-        nodes = (*state.nodes[:place], node, *state.nodes[place + 1 :])
-        if answer[0] == "newer":
-            actor = self.moved(actor, node.voters)
-        elif answer[0] == "promise":
-            _, (_, accepted, value), life = answer
-            attempt = attempt._replace(
-                promises=tuple(
-                    sorted((*attempt.promises, (name, life, accepted, value)), key=lambda row: row[0])
-                )
-            )
-            actor = actor._replace(attempt=attempt)
-        elif answer[0] == "accepted":
-            actor = actor._replace(attempt=attempt._replace(taken=tuple(sorted((*attempt.taken, name)))))
-        elif answer[0] == "refused":
-            actor = actor._replace(attempt=None, round=max(actor.round, answer[1][0][0]), over=not actor.left)
-        state = self.put(state._replace(nodes=nodes), number, actor)
-        return self.ended(state, number) if actor.attempt else state
-
-    def moved(self, actor, voters):
-        """Told a later epoch: what was asked is over, and is asked anew under it."""
-        over = not actor.left or (actor.kind in "PQ" and not voters.joint and self.reached(actor, voters))
-        return actor._replace(voters=voters, attempt=None, over=over)
-
-    def reached(self, actor, voters):
+        if isinstance(answer, LaterEpoch):
+            return self.moved(actor, node.voters)
+        if isinstance(answer, EarlierEpoch):
+            return actor
+        if answer.verdict == Verdict.PROMISE:
+            promise = (name, answer.incarnation, answer.slot.accepted, answer.slot.value)
+            promises = tuple(sorted((*attempt.promises, promise), key=lambda row: row[0]))
+            return actor._replace(attempt=attempt._replace(promises=promises))
+        if answer.verdict == Verdict.ACCEPTED:
+            acceptances = tuple(sorted((*attempt.acceptances, name)))
+            return actor._replace(attempt=attempt._replace(acceptances=acceptances))
+        if answer.verdict == Verdict.REFUSED:
+            highest_round = max(actor.round, answer.slot.promised[0])
+            return actor._replace(attempt=None, round=highest_round, finished=not actor.attempts_left)
+        return actor
+
+    def moved(self, actor: Actor, voters: Voters) -> Actor:
+        """The actor in a later epoch: its attempt is over, and is begun anew under that."""
+        finished = not actor.attempts_left or (
+            actor.changes_voters and not voters.joint and self.reached(actor, voters)
+        )
+        return actor._replace(voters=voters, attempt=None, finished=finished)
+
+    def reached(self, actor: Actor, voters: Voters) -> bool:
+        """Whether a configuration has the voters to which an actor leads."""
         goal = self.goals.get(actor.kind, self.target)
-        return {NAMES[name] for name in goal} == {*voters.members()}
+        return {ADDRESSES[name] for name in goal} == {*voters.members()}
 
-    def ended(self, state, number):
-        """What follows an attempt that is done."""
+    def after_attempt(self, state: State, number: int) -> State:
+        """What follows an attempt that is done; the same state if it isn't."""
         actor = state.actors[number]
-        attempt, change = actor.attempt, self.change(actor.kind, actor.attempt)
-        if change.state != "done":
+        attempt = actor.attempt
+        proposal = self.proposal(actor.kind, attempt)
+        if proposal.state != ProposalState.DONE:
             return state
-        if attempt.key == "k" and actor.kind not in "PQ":
-            return self.put(state, number, actor._replace(attempt=None, over=True))._replace(
-                acked="".join(sorted({*state.acked, actor.kind}))
-            )
-        if attempt.key == "k":  # written once more: the new set alone is next
+        if attempt.key == DATA_KEY and not actor.changes_voters:
+            state = self.with_actor(state, number, actor._replace(attempt=None, finished=True))
+            return state._replace(acknowledged="".join(sorted({*state.acknowledged, actor.kind})))
+        if attempt.key == DATA_KEY:  # written once more: the new set alone is next
             ballot = actor.round + 1, actor.kind
-            return self.put(
-                state,
-                number,
-                actor._replace(round=actor.round + 1, attempt=Attempt("voters", actor.voters, ballot)),
-            )
-        decided = tuple(sorted({*state.decided, change.value}, key=repr))
-        if actor.kind.isdigit():
+            next_attempt = Attempt(VOTERS_KEY, actor.voters, ballot)
+            return self.with_actor(state, number, actor._replace(round=actor.round + 1, attempt=next_attempt))
+        voters = proposal.value
+        decided = tuple(sorted({*state.decided, voters}, key=repr))
+        return self.with_actor(state._replace(decided=decided), number, self.after_decision(actor, voters))
+
+    def after_decision(self, actor: Actor, voters: Voters) -> Actor:
+        """The actor after a configuration was decided at its proposal."""
+        if actor.records_disk:
             name = self.names[int(actor.kind)]
-            return self.put(
-                state._replace(decided=decided),
-                number,
-                actor._replace(
-                    voters=change.value,
-                    attempt=None,
-                    over=not actor.left or change.value.lives(NAMES[name]) == {f"{name}1"},
-                ),
-            )
-        actor = actor._replace(
-            voters=change.value,
+            recorded = voters.incarnations(ADDRESSES[name]) == {second_incarnation(name)}
+            return actor._replace(voters=voters, attempt=None, finished=not actor.attempts_left or recorded)
+        return actor._replace(
+            voters=voters,
             attempt=None,
-            left=max(1, actor.left),
-            over=not change.value.joint and self.reached(actor, change.value),
+            attempts_left=max(1, actor.attempts_left),
+            finished=not voters.joint and self.reached(actor, voters),
         )
-        return self.put(state._replace(decided=decided), number, actor)
 
-    def disk(self, state, place, name):
+    # Disks that are lost.
+
+    def after_disk_events(self, state: State, index: int, name: str) -> Iterator[State]:
         """A voter loses its disk, and asks the others for what it had promised."""
-        node = state.nodes[place]
-        if state.wipes and node.voters.lives(NAMES[name]) and node.life.endswith("0"):
-            fresh = Node(Voters(), f"{name}1", trusted=False)
-            actors = tuple(
-                actor._replace(voters=node.voters, left=2) if actor.kind == str(place) else actor
-                for actor in state.actors
-            )
-            yield state._replace(
-                nodes=(*state.nodes[:place], fresh, *state.nodes[place + 1 :]), wipes=0, actors=actors
-            )
-        if node.trusted or not node.life.endswith("1"):
+        node = state.nodes[index]
+        has_first_disk = node.incarnation == first_incarnation(name)
+        if state.wipes and node.voters.incarnations(ADDRESSES[name]) and has_first_disk:
+            yield self.wiped(state, index, name)
+        if node.trusted or has_first_disk:
             return
-        for other, them in zip(self.names, state.nodes):
-            if other == name or not them.voters.epoch or any(other == who for who, _ in node.heard):
+        for other_index, other_name in enumerate(self.names):
+            other = state.nodes[other_index]
+            if other_name == name or not other.voters.epoch:
                 continue
-            nodes = [*state.nodes]
-            mine = node
-            if them.voters.epoch > mine.voters.epoch:
-                mine = mine._replace(voters=them.voters, heard=())
-            elif them.voters.epoch < mine.voters.epoch:
-                register = self.load(other, them)
-                register.adopt(mine.voters)
-                them = self.saved(register, them, heard=())
-                nodes[self.names.index(other)] = them
-            if NAMES[other] in mine.voters.members() and self.voting(other, them, them.voters):
-                mine = mine._replace(heard=tuple(sorted((*mine.heard, (other, them.slots)))))
-            heard = [NAMES[who] for who, _ in mine.heard]
-            recorded = mine.voters.lives(NAMES[name])
-            if (
-                recorded
-                and recorded <= ({node.life} if self.renew else {node.life, f"{name}0"})
-                and mine.voters.covered(NAMES[name], heard)
-            ):
-                slots = merged([{key: Slot(p, a, v) for key, p, a, v in held} for _, held in mine.heard])
-                mine = mine._replace(trusted=True, heard=(), slots=rows(slots))
-            nodes[place] = mine
-            yield state._replace(nodes=tuple(nodes))
+            if all(other_name != asked for asked, _ in node.relearned):
+                yield self.after_relearning_from(state, index, other_index)
+
+    def wiped(self, state: State, index: int, name: str) -> State:
+        """A node has another disk, an empty one; whoever is to record that may begin."""
+        node = state.nodes[index]
+        fresh = Node(Voters(), second_incarnation(name), trusted=False)
+        actors = tuple(
+            actor._replace(voters=node.voters, attempts_left=2) if actor.kind == str(index) else actor
+            for actor in state.actors
+        )
+        return state._replace(nodes=replaced(state.nodes, index, fresh), wipes=0, actors=actors)
+
+    def after_relearning_from(self, state: State, index: int, other_index: int) -> State:
+        """A wiped node has asked another for its slots, after both came to the later epoch of the two."""
+        other_name = self.names[other_index]
+        node = state.nodes[index]
+        other = state.nodes[other_index]
+        nodes = state.nodes
+        if other.voters.epoch > node.voters.epoch:
+            node = node._replace(voters=other.voters, relearned=())
+        elif other.voters.epoch < node.voters.epoch:
+            register = self.load(other_name, other)
+            register.adopt(node.voters)
+            other = self.saved(register, other, relearned=())
+            nodes = replaced(nodes, other_index, other)
+        is_member = ADDRESSES[other_name] in node.voters.members()
+        if is_member and self.would_vote(other_name, other, other.voters):
+            relearned = tuple(sorted((*node.relearned, (other_name, other.slots))))
+            node = node._replace(relearned=relearned)
+        if self.knows_enough(self.names[index], node):
+            slots = merged([slots_of(rows) for _, rows in node.relearned])
+            node = node._replace(trusted=True, relearned=(), slots=slot_rows(slots))
+        return state._replace(nodes=replaced(nodes, index, node))
+
+    def knows_enough(self, name: str, node: Node) -> bool:
+        """Whether a wiped node is recorded and has asked enough others to vote."""
+        recorded = node.voters.incarnations(ADDRESSES[name])
+        allowed = {node.incarnation} if self.renew else {node.incarnation, first_incarnation(name)}
+        if not recorded or not recorded <= allowed:
+            return False
+        asked = [ADDRESSES[other_name] for other_name, _ in node.relearned]
+        return node.voters.covered(ADDRESSES[name], asked)
 
     # What must hold.
 
-    def voting(self, name, node, voters):
+    def would_vote(self, name: str, node: Node, voters: Voters) -> bool:
+        """Whether a node's answers count once it has adopted a configuration."""
         register = self.load(name, node)
         register.adopt(voters)
         return register.acceptor.voting
 
-    def good(self, nodes, acked, decided):
-        """What was acknowledged is in every later read; what can still act for an epoch is no quorum of it
-        once another that shares none with it was decided."""
+    def fault(self, nodes: tuple[Node, ...], acknowledged: str, decided: tuple[Voters, ...]) -> str:
+        """What is wrong with a state, or "".
+
+        What was acknowledged is in every later read; those that can still act for an epoch are no quorum of
+        it once another that shares none with it was decided.
+        """
         latest = max(voters.epoch for voters in decided)
         if len({voters.epoch for voters in decided}) < len(decided):
             return "two configurations of one epoch"
         for voters in decided:
             able = [
-                (NAMES[name], node)
+                (ADDRESSES[name], node)
                 for name, node in zip(self.names, nodes)
                 if node.voters.epoch <= voters.epoch
-                and NAMES[name] in voters.members()
-                and self.voting(name, node, voters)
+                and ADDRESSES[name] in voters.members()
+                and self.would_vote(name, node, voters)
             ]
             if voters.epoch < latest - 1 and voters.met(address for address, _ in able):
                 return f"epoch {voters.epoch} can still decide beside epoch {latest}"
-            for size in range(1, len(able) + 1):
-                for some in itertools.combinations(able, size):
-                    if not voters.met(address for address, _ in some):
-                        continue
-                    held = [row for _, node in some for row in node.slots if row[0] == "k"]
-                    _, _, _, value = max(held, key=lambda row: row[2], default=("", 0, 0, None))
-                    if not set(acked) <= set(value or ""):
-                        return f"epoch {voters.epoch}: {value!r} is read though {acked!r} was acknowledged"
+            fault = self.fault_of_reads(voters, able, acknowledged)
+            if fault:
+                return fault
+        return ""
+
+    def fault_of_reads(self, voters: Voters, able: list[tuple[Address, Node]], acknowledged: str) -> str:
+        """What some quorum of the nodes that can act for an epoch would miss, or ""."""
+        for size in range(1, len(able) + 1):
+            for group in itertools.combinations(able, size):
+                if not voters.met(address for address, _ in group):
+                    continue
+                rows = [row for _, node in group for row in node.slots if row[0] == DATA_KEY]
+                _, _, _, value = max(rows, key=lambda row: row[2], default=("", 0, 0, None))
+                if not set(acknowledged) <= set(value or ""):
+                    return f"epoch {voters.epoch}: {value!r} is read though {acknowledged!r} was acknowledged"
         return ""
 
-    def explore(self, most=2_000_000):
-        """(states walked, the first broken invariant or "", configurations that were decided somewhere)."""
-        seen, row, last = {self.begin}, [self.begin], set()
-        while row:
-            after = []
-            for state in row:
-                if fault := self.good(state.nodes, state.acked, state.decided):
-                    return len(seen), fault, last
-                last.add((state.decided[-1].epoch, state.acked))
-                for other in self.after(state):
-                    if other not in seen:
-                        seen.add(other)
-                        after.append(other)
-                if len(seen) > most:
-                    return len(seen), "too many states", last
-            row = after
-        return len(seen), "", last
+    def explore(self, limit: int = MAX_STATES) -> tuple[int, str, set[tuple[int, str]]]:
+        """Walk all states.
+
+        Args:
+            limit: how many states at most.
+
+        Returns:
+            How many states were walked, the first fault or "", and (epoch decided last, acknowledged) of each
+            state.
+        """
+        seen = {self.first_state}
+        layer = [self.first_state]
+        ends: set[tuple[int, str]] = set()
+        while layer:
+            next_layer = []
+            for state in layer:
+                fault = self.fault(state.nodes, state.acknowledged, state.decided)
+                if fault:
+                    return len(seen), fault, ends
+                ends.add((state.decided[-1].epoch, state.acknowledged))
+                for successor in self.successors(state):
+                    if successor not in seen:
+                        seen.add(successor)
+                        next_layer.append(successor)
+                if len(seen) > limit:
+                    return len(seen), "too many states", ends
+            layer = next_layer
+        return len(seen), "", ends
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -183,23 +183,23 @@
     """What lasts; `refuses`: it takes no writes."""
 
     def __init__(self, voting=True):
-        self.facts, self.huts, self.slots, self.life = {}, {}, {}, "life"
+        self.facts, self.endpoint_rows, self.slots, self.incarnation = {}, {}, {}, "life"
         self.voting, self.refuses, self.writes = voting, False, 0
 
-    def keep(self, slots, facts=None, huts=None):
+    def keep(self, slots, facts=None, endpoint_rows=None):
         if self.refuses:
             return False
         self.writes += 1
         self.facts |= facts or {}
-        for id, row in (huts or {}).items():
-            self.huts[id] = row
+        for id, row in (endpoint_rows or {}).items():
+            self.endpoint_rows[id] = row
             if not row:
-                del self.huts[id]
+                del self.endpoint_rows[id]
         return True
 
     def rank(self, id):
         """The rank at which an endpoint stands here; -1: it does not."""
-        return EndpointRecord.of(UNPACK(self.huts[id]), 0).rank if id in self.huts else -1
+        return EndpointRecord.of(UNPACK(self.endpoint_rows[id]), 0).rank if id in self.endpoint_rows else -1
 
 
 class ControllerProcess:
@@ -334,7 +334,9 @@
 
     def test_words_of_another_epoch_are_refused_and_told_again(self):
         net = Net(size=5, voters=3)
-        later = Voters(2, net.voters.old, tuple((net[n].address, net[n].store.life) for n in (2, 3, 4)))
+        later = Voters(
+            2, net.voters.old, tuple((net[n].address, net[n].store.incarnation) for n in (2, 3, 4))
+        )
         for number in (1, 2, 3, 4):
             self.assertTrue(net[number].register.adopt(later))
         net[0].register.voters, net.voters = net.voters, later
@@ -419,7 +421,7 @@
         fresh = net.restart(2)
         self.assertTrue(fresh.endpoints.begin())
         self.assertEqual(len(fresh.registry.records), 1300)
-        self.assertEqual(len(fresh.store.huts), 1300)
+        self.assertEqual(len(fresh.store.endpoint_rows), 1300)
         size = max(len(PACK(net[0].endpoints.on_book(None, [1, after]))) for after in ("", "i-5"))
         self.assertLess(size, MOST_BYTES)
 
@@ -601,7 +603,7 @@
                                     len(r.updates.entries),
                                     len(r.registry.records),
                                     len(r.registry.claims),
-                                    len(r.store.huts),
+                                    len(r.store.endpoint_rows),
                                     len(r.endpoints.on_disk),
                                     len(r.updates.told_at),
                                 ]
@@ -642,7 +644,8 @@
             proxy.expire()
         for controller in net:
             self.assertEqual(
-                (controller.registry.records, controller.registry.claims, controller.store.huts), ({}, {}, {})
+                (controller.registry.records, controller.registry.claims, controller.store.endpoint_rows),
+                ({}, {}, {}),
             )
             self.assertEqual(len(controller.updates.entries), 6)  # the map and its five tables
         self.assertEqual(
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -203,7 +203,11 @@
         self.world, self.address, self.handlers, self.chance = world, address, {}, world.chance
         self.updates, self.peer_pool, self.runtime = VersionedStore(), self, self
         disk = SimpleNamespace(
-            life=f"life {address}", voting=True, slots=dict(slots or {}), facts={}, keep=lambda *rows: True
+            incarnation=f"life {address}",
+            voting=True,
+            slots=dict(slots or {}),
+            facts={},
+            keep=lambda *rows: True,
         )
         self.register = Register(self, world.voters, disk)
         self.serving, self.refusals = True, []
@@ -238,7 +242,8 @@
         if {(self.address, address), (address, self.address)} & self.world.cut:
             return None
         there = self.world.nodes[self.world.addresses.index(address)]
-        return there.handlers[kind](None, body)
+        answer = there.handlers[kind](None, msgspec.msgpack.decode(msgspec.msgpack.encode(body)))
+        return msgspec.msgpack.decode(msgspec.msgpack.encode(answer))
 
     def gather(self, addresses, kind, body, enough, timeout=1.0, ask=None):
         answers, first = [], self.world.addresses.index(self.address)
@@ -752,7 +757,7 @@
     def test_what_a_refuge_confirmed_before_it_died_is_learned_by_the_next_marks(self):
         """It told no news; the stamps tell of it, and the age counts from before until it is known."""
         world = World(3)
-        world.nodes[0].register.lives = {address: f"life {address}" for address in world.addresses}
+        world.nodes[0].register.incarnations = {address: f"life {address}" for address in world.addresses}
         self.assertEqual(self.marks(world, 1, 2), 0.0)
         self.assertEqual(world.nodes[0].operator_requests.put(4, table(4)), TAKEN)
         world.nodes[0].operator_requests.evacuate("north", True)
