--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -19,121 +19,124 @@
 )
 
 
-class Turning(unittest.TestCase):
-    def test_a_change_goes_on_whatever_message_its_proposer_died_before(self):
+class TestReconfiguration(unittest.TestCase):
+    def test_a_change_goes_on_whatever_message_its_proposer_died_before(self) -> None:
         """The first exchange ends at each of its messages in turn; another voter finishes it."""
         deaths = 0
-        for breath in range(500):
-            net = Cluster("abcd", "abc")
-            self.assertTrue(net.put("a", "k", b"1") and net.put("b", "m", b"1"))
-            self.assertTrue(net.reconfigurations["d"].catch_up())
-            net.down.add(address_of("c"))
-            net.dying = address_of("a")
-            net.requests_before_death = breath
+        for request_count in range(500):
+            cluster = Cluster("abcd", "abc")
+            self.assertTrue(cluster.put("a", "k", b"1") and cluster.put("b", "m", b"1"))
+            self.assertTrue(cluster.reconfigurations["d"].catch_up())
+            cluster.down.add(address_of("c"))
+            cluster.dying = address_of("a")
+            cluster.requests_before_death = request_count
             done = False
             with contextlib.suppress(ProcessDied):
-                done = net.exchange("a", "c", "d")
-            net.dying = None
-            self.assertTrue(net.put("b", "k", b"2"), breath)  # what stands is written on in any case
+                done = cluster.exchange("a", "c", "d")
+            cluster.dying = None
+            self.assertTrue(
+                cluster.put("b", "k", b"2"), request_count
+            )  # what stands is written on in any case
             for _ in range(4):
-                if net.registers["b"].voters.joint:
-                    net.reconfigurations["b"].carry_on()
-                elif address_of("d") not in net.registers["b"].group:
-                    self.assertTrue(net.exchange("b", "c", "d"), breath)
-            self.assertEqual(net.registers["b"].voters, voters_of(3, "abd"), breath)
-            net.down.add(address_of("a"))  # the new one and one of the old hold all that was acknowledged
+                if cluster.registers["b"].voters.joint:
+                    cluster.reconfigurations["b"].carry_on()
+                elif address_of("d") not in cluster.registers["b"].group:
+                    self.assertTrue(cluster.exchange("b", "c", "d"), request_count)
+            self.assertEqual(cluster.registers["b"].voters, voters_of(3, "abd"), request_count)
+            cluster.down.add(address_of("a"))  # the new one and one of the old hold all that was acknowledged
             for by in "bd":
-                self.assertEqual(net.registers[by].read("k", 0.5), (True, b"2"), breath)
-                self.assertEqual(net.registers[by].read("m", 0.5), (True, b"1"), breath)
-            net.down.remove(address_of("c"))  # and the one left out is refused, told, and decides nothing
-            net.down.add(address_of("b"))
-            self.assertFalse(net.put("c", "k", b"old"))
+                self.assertEqual(cluster.registers[by].read("k", 0.5), (True, b"2"), request_count)
+                self.assertEqual(cluster.registers[by].read("m", 0.5), (True, b"1"), request_count)
+            cluster.down.remove(address_of("c"))  # and the one left out is refused, told, and decides nothing
+            cluster.down.add(address_of("b"))
+            self.assertFalse(cluster.put("c", "k", b"old"))
             deaths += not done
             if done:
                 break
         self.assertTrue(done)
         self.assertGreater(deaths, 15)
 
-    def test_once_an_exchange_is_done_its_proposer_may_go_with_the_one_left_out(self):
+    def test_once_an_exchange_is_done_its_proposer_may_go_with_the_one_left_out(self) -> None:
         """Who knows the joint epoch alone would need a majority of the old set, of which two are gone."""
         for proposer in "ab":
-            net = Cluster("abcd", "abc")
-            self.assertTrue(net.put("a", "k", b"1") and net.reconfigurations["d"].catch_up())
-            self.assertTrue(net.exchange(proposer, "c", "d"))
-            net.down |= {address_of(proposer), address_of("c")}
+            cluster = Cluster("abcd", "abc")
+            self.assertTrue(cluster.put("a", "k", b"1") and cluster.reconfigurations["d"].catch_up())
+            self.assertTrue(cluster.exchange(proposer, "c", "d"))
+            cluster.down |= {address_of(proposer), address_of("c")}
             left = next(name for name in "ab" if name != proposer)
-            self.assertTrue(net.put(left, "k", b"2"))
-            self.assertEqual(net.registers["d"].read("k", 0.5), (True, b"2"))
+            self.assertTrue(cluster.put(left, "k", b"2"))
+            self.assertEqual(cluster.registers["d"].read("k", 0.5), (True, b"2"))
 
-    def test_an_exchange_that_a_quorum_of_the_new_set_has_not_on_disk_is_not_done(self):
-        net, full = Cluster("abcd", "abc"), False
+    def test_an_exchange_that_a_quorum_of_the_new_set_has_not_on_disk_is_not_done(self) -> None:
+        cluster = Cluster("abcd", "abc")
+        full = False
 
         def keeps(keep):
             return lambda slots, facts=None: not (full and "voters" in (facts or ())) and keep(slots, facts)
 
-        def decide(wish, first=net.reconfigurations["a"].decide):
+        def decide(wish, first=cluster.reconfigurations["a"].decide):
             nonlocal full
             full = not wish.joint  # two disks take none of the last step
             return first(wish)
 
-        self.assertTrue(net.reconfigurations["d"].catch_up())
+        self.assertTrue(cluster.reconfigurations["d"].catch_up())
         for name in "bd":
-            net.registers[name].store.keep = keeps(net.registers[name].store.keep)
-        net.reconfigurations["a"].decide = decide
-        self.assertFalse(net.exchange("a", "c", "d"))
-        self.assertEqual(net.registers["a"].voters, voters_of(3, "abd"))
+            cluster.registers[name].store.keep = keeps(cluster.registers[name].store.keep)
+        cluster.reconfigurations["a"].decide = decide
+        self.assertFalse(cluster.exchange("a", "c", "d"))
+        self.assertEqual(cluster.registers["a"].voters, voters_of(3, "abd"))
         full = False
-        self.assertTrue(net.reconfigurations["a"].announce())
-        self.assertEqual([net.registers[name].voters.epoch for name in "ab"], [3, 3])
-
-    def test_the_endpoint_records_are_collected_before_the_new_set_is_alone(self):
-        net = Cluster("abcd", "abc")
-        self.assertTrue(net.reconfigurations["d"].catch_up())
-        net.collected.clear()
-        net.reconfigurations["d"].collect = lambda: False
-        net.reconfigurations["b"].collect = lambda: False
-        self.assertFalse(net.exchange("a", "c", "d"))
-        self.assertTrue(net.registers["a"].voters.joint)
-        net.reconfigurations["d"].collect = lambda: True
-        self.assertTrue(net.reconfigurations["b"].carry_on())
-
-    def test_an_old_voter_comes_back_without_what_no_quorum_took(self):
+        self.assertTrue(cluster.reconfigurations["a"].announce())
+        self.assertEqual([cluster.registers[name].voters.epoch for name in "ab"], [3, 3])
+
+    def test_the_endpoint_records_are_collected_before_the_new_set_is_alone(self) -> None:
+        cluster = Cluster("abcd", "abc")
+        self.assertTrue(cluster.reconfigurations["d"].catch_up())
+        cluster.collected.clear()
+        cluster.reconfigurations["d"].collect = lambda: False
+        cluster.reconfigurations["b"].collect = lambda: False
+        self.assertFalse(cluster.exchange("a", "c", "d"))
+        self.assertTrue(cluster.registers["a"].voters.joint)
+        cluster.reconfigurations["d"].collect = lambda: True
+        self.assertTrue(cluster.reconfigurations["b"].carry_on())
+
+    def test_an_old_voter_comes_back_without_what_no_quorum_took(self) -> None:
         """Its accepted value has a ballot above those of later changes: it must not come to light with it."""
-        net = Cluster("abcd", "abc")
-        self.assertTrue(net.put("a", "k", b"1"))
-        old = net.registers["c"]
+        cluster = Cluster("abcd", "abc")
+        self.assertTrue(cluster.put("a", "k", b"1"))
+        old = cluster.registers["c"]
         old.acceptor.slots["k"] = Slot((90, "x"), (90, "x"), b"never")
         old.acceptor.slots["n"] = Slot((90, "x"), (90, "x"), b"never")
-        net.down.add(address_of("c"))
-        self.assertTrue(net.reconfigurations["d"].catch_up() and net.exchange("a", "c", "d"))
-        net.down.clear()
-        self.assertFalse(net.reconfigurations["c"].on_disk_status(None, None).caught_up)
+        cluster.down.add(address_of("c"))
+        self.assertTrue(cluster.reconfigurations["d"].catch_up() and cluster.exchange("a", "c", "d"))
+        cluster.down.clear()
+        self.assertFalse(cluster.reconfigurations["c"].on_disk_status(None, None).caught_up)
         self.assertEqual(old.read("k", 0.5), (True, b"1"))  # it hears that it doesn't vote
-        self.assertTrue(net.reconfigurations["c"].catch_up())
-        self.assertEqual(net.reconfigurations["c"].on_disk_status(None, 3), DiskStatus("c0", True))
+        self.assertTrue(cluster.reconfigurations["c"].catch_up())
+        self.assertEqual(cluster.reconfigurations["c"].on_disk_status(None, 3), DiskStatus("c0", True))
         self.assertEqual(
             {key: slot.value for key, slot in old.acceptor.slots.items() if key != "voters"}, {"k": b"1"}
         )
-        self.assertTrue(net.exchange("b", "a", "c"))
+        self.assertTrue(cluster.exchange("b", "a", "c"))
         self.assertEqual(old.read("k", 0.5), (True, b"1"))
         self.assertTrue(old.votes())
 
-    def test_a_lost_disk_has_its_life_recorded_and_learns_before_it_votes(self):
-        net = Cluster("abc", "abc")
-        self.assertTrue(net.put("a", "k", b"1"))
-        fresh = net.join("c", Voters(), False, 1)
-        fresh.adopt(net.registers["a"].voters)
+    def test_a_lost_disk_has_its_incarnation_recorded_and_relearns_before_it_votes(self) -> None:
+        cluster = Cluster("abc", "abc")
+        self.assertTrue(cluster.put("a", "k", b"1"))
+        fresh = cluster.join("c", Voters(), False, 1)
+        fresh.adopt(cluster.registers["a"].voters)
         self.assertEqual(fresh.on_prepare(None, ["k", [9, "z"], 1]).verdict, Verdict.MUTE)
-        self.assertFalse(fresh.relearn(), "its life is not recorded yet")
-        net.down.add(address_of("b"))
-        self.assertFalse(net.reconfigurations["c"].enter())  # one other is no quorum
-        net.down.clear()
-        self.assertTrue(net.reconfigurations["c"].enter())
+        self.assertFalse(fresh.relearn(), "its incarnation is not recorded yet")
+        cluster.down.add(address_of("b"))
+        self.assertFalse(cluster.reconfigurations["c"].enter())  # one other is no quorum
+        cluster.down.clear()
+        self.assertTrue(cluster.reconfigurations["c"].enter())
         self.assertEqual(fresh.voters.incarnations(address_of("c")), {"c1"})
         self.assertEqual((fresh.voters.epoch, fresh.acceptor.slots["k"].value), (2, b"1"))
         self.assertEqual(fresh.store.facts["voting"], "1")
-        before = Register(FakePeerPool(net, address_of("c")), fresh.voters, InMemoryStore("c0"))
-        self.assertFalse(before.votes(), "the disk of before came back")
+        before = Register(FakePeerPool(cluster, address_of("c")), fresh.voters, InMemoryStore("c0"))
+        self.assertFalse(before.votes(), "the lost disk came back")
 
 
 class Starts(unittest.TestCase):
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -17,6 +17,7 @@
 
 from flintreach.__main__ import commands
 from flintreach.config.settings import place
+from flintreach.cli.register_values import describe
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.store import StoreError
 from flintreach.demo.cluster import TIMETABLE, DemoCluster
@@ -114,7 +115,7 @@
         with self.subTest("all are killed, and what was acknowledged stands on the disks"):
             for machine in cluster.machines:
                 machine.end(signal.SIGKILL)
-            disks = [rows(os.path.join(machine.folder, "disk")) for machine in cluster.of("refuge")]
+            disks = [rows(os.path.join(machine.folder, "disk"), describe) for machine in cluster.of("refuge")]
             held = [row["holds"] for disk in disks for row in disk["register"] if row["key"] == "timetable"]
             self.assertGreaterEqual(sum("edition 00000002" in holds for holds in held), 2)
             self.assertEqual({row["line"] for disk in disks for row in disk["endpoints"]}, {"desk", "store"})
