--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -16,8 +16,8 @@
 from typer.testing import CliRunner
 
 from flintreach.__main__ import commands
-from flintreach.config.settings import place
 from flintreach.cli.register_values import describe
+from flintreach.config.settings import place
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.store import StoreError
 from flintreach.demo.cluster import TIMETABLE, DemoCluster
