--- a/flintreach/cli/inspection.py
+++ b/flintreach/cli/inspection.py
@@ -41,11 +41,12 @@
 
 def state(folder: Path, as_json: bool = JSON_OPTION) -> None:
     """Look into the disk folder of a controller that does not run; nothing there is changed."""
+    from flintreach.cli.register_values import describe
     from flintreach.consensus.inspection import rows
     from flintreach.consensus.store import StoreError
 
     try:
-        tables = rows(str(folder))
+        tables = rows(str(folder), describe)
     except StoreError as error:
         fail(ExitStatus.UNUSABLE, str(error))
     if as_json:
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -79,7 +79,7 @@
         self.on_begin = on_begin
         self.first_run = node.sender.first_run
         self.updates = VersionedStore(self.runtime.now)
-        self.register = Register(peer_pool, Voters.kept(store.facts if store else {}), store)
+        self.register = Register(peer_pool, Voters.from_facts(store.facts if store else {}), store)
         self.serving = False
         self.quorum_contact = QuorumContact()
         self.suspend_detector = SuspendDetector(self.runtime.now())
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -125,12 +125,12 @@
         self.out_of_contact = False
         self.behind = False
         now_ns = self.runtime.now_ns()
-        for row in self.store.huts.values() if self.store else ():
+        for row in self.store.endpoint_rows.values() if self.store else ():
             record = EndpointRecord.from_row(msgspec.msgpack.decode(row, type=EndpointRow), now_ns)
             record.stored_rank = record.rank
             self.registry.merge(record, now_ns)
         self.complete = self._complete_on_disk()
-        self.on_disk: set[str] = {*self.store.huts} if self.store else set()
+        self.on_disk: set[str] = {*self.store.endpoint_rows} if self.store else set()
         self.peer_pool.handlers |= {
             HEARTBEAT_KIND: self.on_heartbeat,
             SIGN_OFF_KIND: self.on_sign_off,
@@ -221,7 +221,7 @@
             local_write.result(ACKNOWLEDGE_S)
             return True if self.ensure_on_disk(endpoint_id, rank) else None
 
-        answers = self.register.poll(kind, body, ACKNOWLEDGE_S, mine=local_answer)
+        answers = self.register.poll(kind, body, ACKNOWLEDGE_S, local_answer=local_answer)
         if answers is None:
             return False
         record.durable_rank = max(record.durable_rank, rank)
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from flintreach.consensus.quorum import Address, Voters
-from flintreach.consensus.reconfiguration import KEY
+from flintreach.consensus.reconfiguration import VOTERS_KEY
 from flintreach.consensus.register import Register
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.controller.quorum_contact import NO_BALLOT, Ballot
@@ -67,7 +67,7 @@
 
 def compare_keys(answers: list[tuple[Address, BallotsByKey]]) -> Iterator[KeyComparison]:
     """Compare the voters' accepted ballots key by key, except that of the voters' own set."""
-    keys = {key for _, ballots in answers for key in ballots} - {KEY}
+    keys = {key for _, ballots in answers for key in ballots} - {VOTERS_KEY}
     for key in sorted(keys):
         accepted = [(address, tuple(ballots.get(key, NO_BALLOT))) for address, ballots in answers]
         newest = max(ballot for _, ballot in accepted)
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -196,7 +196,7 @@
 
     @staticmethod
     def _answered(disk: Disk, incarnation: str, caught_up: bool) -> Disk:
-        return dataclasses.replace(disk, life=incarnation, alive=True, caught=caught_up)
+        return dataclasses.replace(disk, incarnation=incarnation, alive=True, caught_up=caught_up)
 
     def as_if_caught_up(self, disks: dict[Address, Disk]) -> list[Disk]:
         """The disks as if all that don't vote were alive and had caught up.
@@ -232,7 +232,7 @@
         if not self.plane.first_run or register.voters.sets:
             return
         register.voters = Voters(0, tuple(sorted((seed, "") for seed in self.plane.seeds())))
-        while register.store and not register.store.keep({}, register.voters.fact()):
+        while register.store and not register.store.keep({}, register.voters.to_facts()):
             self.runtime.sleep(CHECK_INTERVAL_S)
 
     def _find_once(self, may_decide: bool) -> None:
@@ -353,7 +353,7 @@
         """Whether the voters get on without this process."""
         voters = self.register.voters
         if self.address not in self.register.group:
-            return self.reconfiguration.told(TOLD_S)
+            return self.reconfiguration.announce(TOLD_S)
         # While two sets stand both may need this voter: it stays until that is over. And a spare that has
         # just started is still copying: a voter that ended at once would be missed until that is done.
         if voters.joint:
@@ -403,10 +403,10 @@
             "epoch": voters.epoch,
             "address": f"{address[0]}:{address[1]}",
             "set": cls._set_text(voters, address),
-            "life": " ".join(sorted(voters.lives(address))),
-            "told_life": disk.life if disk else "",
+            "life": " ".join(sorted(voters.incarnations(address))),
+            "told_life": disk.incarnation if disk else "",
             "state": cls._state_text(disk),
-            "caught_up": bool(disk and disk.caught),
+            "caught_up": bool(disk and disk.caught_up),
         }
 
     @staticmethod
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -302,7 +302,9 @@
         ]
         start = ConstrainedPartition(
             original=assigned,
-            memory_gaps=[len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)],
+            memory_gaps=[
+                len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)
+            ],
             demand_gaps=demand_gaps,
             demands=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
             unit_memory=memory,
--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -215,7 +215,11 @@
         self.peer_pool = self
         self.runtime = self
         disk = SimpleNamespace(
-            life=f"life {address}", voting=True, slots=dict(slots or {}), facts={}, keep=lambda *rows: True
+            incarnation=f"life {address}",
+            voting=True,
+            slots=dict(slots or {}),
+            facts={},
+            keep=lambda *rows: True,
         )
         self.register = Register(self, cluster.voters, disk)
         self.serving = True
@@ -258,7 +262,9 @@
         if {(self.address, address), (address, self.address)} & self.cluster.cut:
             return None
         peer = self.cluster.nodes[self.cluster.addresses.index(address)]
-        return peer.handlers[kind](None, body)
+        packed = msgspec.msgpack.encode(body)
+        answer = peer.handlers[kind](None, msgspec.msgpack.decode(packed))
+        return msgspec.msgpack.decode(msgspec.msgpack.encode(answer))
 
     def gather(
         self,
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -192,31 +192,31 @@
 
     def __init__(self, voting: bool = True) -> None:
         self.facts: dict[str, str] = {}
-        self.huts: dict[str, bytes] = {}
+        self.endpoint_rows: dict[str, bytes] = {}
         self.slots: dict[str, Any] = {}
-        self.life = "life"
+        self.incarnation = "life"
         self.voting = voting
         self.refuses = False
         self.writes = 0
 
     def keep(
-        self, slots: dict, facts: dict[str, str] | None = None, huts: dict[str, bytes] | None = None
+        self, slots: dict, facts: dict[str, str] | None = None, endpoint_rows: dict[str, bytes] | None = None
     ) -> bool:
         if self.refuses:
             return False
         self.writes += 1
         self.facts |= facts or {}
-        for endpoint_id, row in (huts or {}).items():
-            self.huts[endpoint_id] = row
+        for endpoint_id, row in (endpoint_rows or {}).items():
+            self.endpoint_rows[endpoint_id] = row
             if not row:
-                del self.huts[endpoint_id]
+                del self.endpoint_rows[endpoint_id]
         return True
 
     def rank(self, endpoint_id: str) -> int:
         """The rank at which an endpoint is stored; -1: it is not."""
-        if endpoint_id not in self.huts:
+        if endpoint_id not in self.endpoint_rows:
             return -1
-        return EndpointRecord.from_row(UNPACK(self.huts[endpoint_id], type=EndpointRow), 0).rank
+        return EndpointRecord.from_row(UNPACK(self.endpoint_rows[endpoint_id], type=EndpointRow), 0).rank
 
 
 class ControllerProcess:
@@ -381,7 +381,9 @@
 
     def test_messages_of_another_epoch_are_refused_and_sent_again(self) -> None:
         fleet = Fleet(size=5, voters=3)
-        later = Voters(2, fleet.voters.old, tuple((fleet[n].address, fleet[n].store.life) for n in (2, 3, 4)))
+        later = Voters(
+            2, fleet.voters.old, tuple((fleet[n].address, fleet[n].store.incarnation) for n in (2, 3, 4))
+        )
         for number in (1, 2, 3, 4):
             self.assertTrue(fleet[number].register.adopt(later))
         fleet[0].register.voters = fleet.voters
@@ -467,7 +469,7 @@
         fresh = fleet.restart(2)
         self.assertTrue(fresh.endpoints.begin())
         self.assertEqual(len(fresh.registry.records), 1300)
-        self.assertEqual(len(fresh.store.huts), 1300)
+        self.assertEqual(len(fresh.store.endpoint_rows), 1300)
         size = max(len(PACK(fleet[0].endpoints.on_registry_page(None, [1, after]))) for after in ("", "i-5"))
         self.assertLess(size, MAX_PORTION_BYTES)
 
@@ -653,7 +655,7 @@
                     len(controller.updates.entries),
                     len(controller.registry.records),
                     len(controller.registry.claims),
-                    len(controller.store.huts),
+                    len(controller.store.endpoint_rows),
                     len(controller.endpoints.on_disk),
                     len(controller.updates.tombstoned_at),
                 ]
@@ -690,7 +692,8 @@
             proxy.expire()
         for controller in fleet:
             self.assertEqual(
-                (controller.registry.records, controller.registry.claims, controller.store.huts), ({}, {}, {})
+                (controller.registry.records, controller.registry.claims, controller.store.endpoint_rows),
+                ({}, {}, {}),
             )
             self.assertEqual(len(controller.updates.entries), 6)  # the map and its five tables
         self.assertEqual(
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -35,7 +35,7 @@
         """It sent no updates; the ballots show it, and the age counts from before until it is known."""
         cluster = Cluster(3)
         first = cluster.nodes[0]
-        first.register.lives = {address: f"life {address}" for address in cluster.addresses}
+        first.register.incarnations = {address: f"life {address}" for address in cluster.addresses}
         self.assertEqual(exchange_ballots(cluster, 1, 2), 0.0)
         self.assertEqual(first.operator_requests.put(4, BODY), RequestOutcome.ACCEPTED)
         first.operator_requests.evacuate("north", True)
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -16,6 +16,7 @@
 from typer.testing import CliRunner
 
 from flintreach.cli.app import build_app
+from flintreach.cli.register_values import describe
 from flintreach.config.settings import parse_address
 from flintreach.consensus.inspection import rows
 from flintreach.consensus.store import StoreError
@@ -157,7 +158,7 @@
         cluster = self.cluster
         for machine in cluster.machines:
             machine.end(signal.SIGKILL)
-        disks = [rows(machine.store_folder) for machine in cluster.of(CONTROLLER_ROLE)]
+        disks = [rows(machine.store_folder, describe) for machine in cluster.of(CONTROLLER_ROLE)]
         stored = [row["holds"] for disk in disks for row in disk["register"] if row["key"] == "timetable"]
         self.assertGreaterEqual(sum("edition 00000002" in summary for summary in stored), 2)
         self.assertEqual({row["line"] for disk in disks for row in disk["endpoints"]}, {"desk", "store"})
