--- a/flintreach/cli/register_values.py
+++ b/flintreach/cli/register_values.py
@@ -8,14 +8,9 @@
 
 import msgspec
 
+from flintreach.common.keys import ASSIGNMENT_KEY, CONFIGURATION_KEY, EVACUATION_KEY, KEY_RANGES_PREFIX
 from flintreach.config.configuration_history import ConfigurationHistory
 
-# Keys as earlier releases wrote them.
-CONFIGURATION_KEY = "timetable"
-EVACUATION_KEY = "evac"
-ASSIGNMENT_KEY = "map"  # endpoint assignment of each service
-RANGES_KEY_PREFIX = "bunks/"  # owners of key ranges, one key a service
-
 
 def describe_configuration(value: bytes) -> str:
     """One line on the operator's configuration."""
@@ -55,6 +50,6 @@
         return describe_evacuation(value)
     if key == ASSIGNMENT_KEY:
         return describe_assignment(value)
-    if key.startswith(RANGES_KEY_PREFIX):
+    if key.startswith(KEY_RANGES_PREFIX):
         return describe_ranges(value)
     return None
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
+from flintreach.common.keys import VOTERS_KEY
 from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Slot
 from flintreach.consensus.messages import DiskStatus, EpochMismatch, MessageKind
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.register import Register
 from flintreach.consensus.voting_process import Answers
 
-VOTERS_KEY = "voters"  # the register's key for the configuration
 QUORUM_TIMEOUT_S = 1.0
 COPY_TIMEOUT_S = 2.0
 SYNC_TIMEOUT_S = 2.0
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from flintreach.common.keys import CONFIGURATION_KEY, EVACUATION_KEY, ROLE_CONTROLLER
 from flintreach.config.configuration import Configuration
 from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
@@ -20,8 +21,6 @@
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.controller.peer_exchange import PeerExchange
 from flintreach.controller.quorum_contact import (
-    CONFIGURATION_KEY,
-    EVACUATION_KEY,
     MAX_CHECK_GAP_S,
     NEVER,
     QuorumContact,
@@ -29,7 +28,6 @@
 )
 from flintreach.controller.repair import Repair
 from flintreach.controller.views import RefusalCount
-from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import EndpointRegistry
@@ -132,7 +130,7 @@
 
     def peers(self) -> list[Address]:
         """Return the addresses of the other controllers that are alive or vote."""
-        addresses = {member.address for member in self.member_list.alive(ROLE)} | set(self.group)
+        addresses = {member.address for member in self.member_list.alive(ROLE_CONTROLLER)} | set(self.group)
         return sorted(addresses - {self.peer_pool.address})
 
     def forget_left(self) -> None:
--- a/flintreach/controller/directory.py
+++ b/flintreach/controller/directory.py
@@ -6,9 +6,10 @@
 
 from typing import Protocol
 
+from flintreach.common.keys import ROLE_PROXY
 from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
-from flintreach.controller.key_ranges import PROXY_ROLE, KeyRanges
+from flintreach.controller.key_ranges import KeyRanges
 from flintreach.membership.member_list import ALIVE, Member, MemberList
 from flintreach.transport.runtime import Runtime
 
@@ -90,7 +91,7 @@
                 region = client_region
                 zone = ""
         proxies = [
-            member for member in self.member_list.alive(PROXY_ROLE) if member.ready and member.state == ALIVE
+            member for member in self.member_list.alive(ROLE_PROXY) if member.ready and member.state == ALIVE
         ]
         nearest = self._nearest(proxies, region, zone)
         return [member.listen_addresses[FRONT_POST] for member in nearest][:MOST_ADDRESSES]
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -15,6 +15,7 @@
 
 import msgspec
 
+from flintreach.common.keys import ENDPOINT_KEY_PREFIX
 from flintreach.consensus.quorum import Address
 from flintreach.consensus.register import Register
 from flintreach.consensus.store import Store
@@ -40,7 +41,6 @@
 HEARTBEAT_KIND = "beat"  # [epoch or None, endpoint id, heartbeat]
 SIGN_OFF_KIND = "leave"  # [epoch or None, endpoint id]
 REGISTRY_PAGE_KIND = "book"  # [epoch, the id to continue after]
-ENDPOINT_KEY_PREFIX = "hut/"  # key of a published endpoint: this and its id
 REGISTRY_COMPLETE_FACT = "books"  # "1" once a disk that was empty has stored what a quorum had
 REGISTRY_COMPLETE = "1"
 REGISTRY_INCOMPLETE = "0"
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -10,10 +10,11 @@
 from functools import partial
 from typing import Protocol
 
+from flintreach.common.keys import KEY_RANGES_PREFIX, ROLE_PROXY
 from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.register import Register
-from flintreach.controller.lease_owner import KEY_RANGES_PREFIX, LeaseOwner
+from flintreach.controller.lease_owner import LeaseOwner
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import EndpointRecord, EndpointRegistry, EndpointState
 from flintreach.membership.member_list import MemberList
@@ -27,7 +28,6 @@
 # Kind of the message that tells other controllers the load by key; as earlier releases wrote it.
 KEY_LOAD_KIND = "warmth"
 
-PROXY_ROLE = "bothy"  # of proxies, in the list of members
 BANDWIDTH_POST = "mbps"  # what a proxy tells of its link there, in Mbit/s
 INTERVAL_S = 0.4
 SOON_INTERVAL_S = INTERVAL_S / 8  # while keys that were released wait for their next holder
@@ -251,7 +251,7 @@
         """Bandwidths of the links of a region's proxies, in Mbit/s; 0 where one tells none."""
         return [
             float(member.listen_addresses.get(BANDWIDTH_POST, 0))
-            for member in self.member_list.alive(PROXY_ROLE)
+            for member in self.member_list.alive(ROLE_PROXY)
             if member.region == region and member.ready
         ]
 
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -16,6 +16,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from flintreach.api import calls
+from flintreach.common.keys import KEY_RANGES_PREFIX
 from flintreach.common.log import say
 from flintreach.config.settings import parse_address
 from flintreach.consensus.register import Register
@@ -25,7 +26,6 @@
 
 # Prefix of a service's allocation in the register, and of its ranges among the published updates; as earlier
 # releases wrote it.
-KEY_RANGES_PREFIX = "bunks/"
 
 PATHS = {CallKind.GRANT: calls.GRANT, CallKind.RELEASE: calls.RELEASE}
 CHANGE_S = 0.9  # for a change of the register
@@ -139,7 +139,7 @@
             self.state.not_committed()
             return
         if self.state.committed(allocation, started_at, self.runtime.now()):
-            say("keeper", service=self.service, epoch=allocation.epoch)
+            say("lease_acquired", service=self.service, epoch=allocation.epoch)
         self._publish(allocation)
         for kind, key_range in self.state.calls(self.runtime.now()):
             self.runtime.spawn(self.call, kind, key_range)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
+from flintreach.common.keys import ASSIGNMENT_KEY, ROLE_CONTROLLER, SLICE_KEY_PREFIX
 from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.register import Register
 from flintreach.controller.directory import Directory
 from flintreach.controller.key_ranges import KEY_LOAD_KIND, EndedEndpoints, KeyRanges
-from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import EndpointRegistry, EndpointState
@@ -31,8 +31,6 @@
 
 # Message kind and keys, as earlier releases wrote them.
 LOAD_KIND = "counts"  # sums of load, to the controller that places
-ASSIGNMENT_KEY = "map"  # in the register: [number, slice -> ids]; among the published updates: the number
-SLICE_KEY_PREFIX = "slice/"  # among the published updates: the ids of one slice
 
 INTERVAL_S = 1.0
 TELL_S = 0.8  # for a message that tells sums
@@ -142,7 +140,7 @@
             self.runtime.sleep(INTERVAL_S)
             load = self.load_aggregate.take()
             routes = self.plane.routes
-            placing = leader(self.member_list.alive(ROLE))
+            placing = leader(self.member_list.alive(ROLE_CONTROLLER))
             if placing is not self.member_list.local_member:
                 if load and placing is not None:
                     self._tell(placing.address, LOAD_KIND, load)
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -6,18 +6,22 @@
 
 import msgspec
 
+from flintreach.common.keys import (
+    ASSIGNMENT_KEY,
+    CONFIGURATION_KEY,
+    EVACUATION_KEY,
+    SLICE_KEY_PREFIX,
+    VOTERS_KEY,
+)
 from flintreach.config import configuration_history
 from flintreach.config.configuration_history import ConfigurationHistory, PutOutcome
 from flintreach.consensus.quorum import Voters
 from flintreach.consensus.register import Register
-from flintreach.controller.quorum_contact import CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY
 from flintreach.dissemination.versioned_store import VersionedStore
 
 PACK = msgspec.msgpack.encode
 UNPACK = msgspec.msgpack.decode
 REGISTER_TIMEOUT_S = 0.85  # callers give a controller up after a second
-ASSIGNMENT_KEY = "map"  # register key of the endpoint assignment, as earlier releases wrote it
-SHARD_KEY_PREFIX = "slice/"  # updates: one route's endpoints each
 
 MayProceed = Callable[[], bool]
 
@@ -80,15 +84,15 @@
         updates = self.plane.updates
         if not updates.offer(ASSIGNMENT_KEY, number, number):
             return
-        removed_routes = updates.under(SHARD_KEY_PREFIX).keys() - assignment.keys()
+        removed_routes = updates.under(SLICE_KEY_PREFIX).keys() - assignment.keys()
         for name in sorted(removed_routes):
-            updates.offer(f"{SHARD_KEY_PREFIX}{name}", number, None)
+            updates.offer(f"{SLICE_KEY_PREFIX}{name}", number, None)
         changed = [
-            (name, ids) for name, ids in assignment.items() if updates.get(f"{SHARD_KEY_PREFIX}{name}") != ids
+            (name, ids) for name, ids in assignment.items() if updates.get(f"{SLICE_KEY_PREFIX}{name}") != ids
         ]
         # What shrinks goes first.
         for name, ids in sorted(changed, key=lambda entry: len(entry[1])):
-            updates.offer(f"{SHARD_KEY_PREFIX}{name}", number, ids)
+            updates.offer(f"{SLICE_KEY_PREFIX}{name}", number, ids)
 
     def is_published(self, key: str, value: bytes | None) -> bool:
         """Return whether this controller's updates have a value of the register, or a later one."""
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -7,6 +7,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from flintreach.common.keys import ENDPOINT_KEY_PREFIX
 from flintreach.consensus.quorum import Address
 from flintreach.consensus.register import Register
 from flintreach.controller.endpoint_service import EndpointService
@@ -23,7 +24,6 @@
 OUT_OF_CONTACT_S = 1.0  # with updates older than this, a peer is dialled again sooner
 SOON_REDIAL_S = PEER_CHECK_S / 3
 ACCEPTED_BALLOTS_MESSAGE = "accepted"  # kind of the question for ballots, as earlier releases have it
-ENDPOINT_KEY_KIND = "hut"  # what stands before the slash in keys of endpoints
 
 
 class ExchangePlane(Protocol):
@@ -102,9 +102,9 @@
             value: of the key; None or a final state in a tombstone.
             age: seconds since a tombstone was first offered to any controller.
         """
-        kind, _, id = key.partition("/")
-        if kind == ENDPOINT_KEY_KIND and isinstance(value, dict):
-            self.plane.endpoints.merge_update(id, version, value)
+        if key.startswith(ENDPOINT_KEY_PREFIX) and isinstance(value, dict):
+            endpoint_id = key.removeprefix(ENDPOINT_KEY_PREFIX)
+            self.plane.endpoints.merge_update(endpoint_id, version, value)
         self.plane.updates.offer(key, version, value, age)
 
     # Accepted ballots.
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -8,6 +8,7 @@
 from gevent import pywsgi
 from gevent.event import Event
 
+from flintreach.common.keys import ROLE_CONTROLLER
 from flintreach.common.log import say
 from flintreach.config import settings
 from flintreach.config.settings import parse_address
@@ -16,7 +17,6 @@
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.http_api import CallName, listen
 from flintreach.controller.views import Row
-from flintreach.controller.voter_management import ROLE
 from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import LEFT, Member
 from flintreach.transport.peer_connection import PeerConnection
@@ -46,7 +46,7 @@
         store = Store(sender.store_dir, sender.node_name, sender.first_run) if sender.store_dir else None
         member = Member(
             sender.node_name,
-            ROLE,
+            ROLE_CONTROLLER,
             *address,
             sender.zone,
             sender.region,
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -15,11 +15,9 @@
 
 from collections.abc import Mapping
 
+from flintreach.common.keys import CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY
 from flintreach.consensus.quorum import Address, Voters
 
-CONFIGURATION_KEY = "timetable"  # register keys, as earlier releases wrote them
-EVACUATION_KEY = "evac"
-VOTERS_KEY = "voters"
 KEYS = (CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY)  # reported: changed by requests, never all the time
 
 Ballot = tuple[int, str]
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -9,8 +9,8 @@
 from functools import partial
 from typing import Any, Protocol
 
+from flintreach.common.keys import VOTERS_KEY
 from flintreach.consensus.quorum import Address, Voters
-from flintreach.consensus.reconfiguration import VOTERS_KEY
 from flintreach.consensus.register import Register
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.controller.quorum_contact import NO_BALLOT, Ballot
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from flintreach.common.keys import KEY_RANGES_PREFIX, SLICE_KEY_PREFIX
 from flintreach.config.routing import Routes
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.register import Register
-from flintreach.controller.operator_requests import SHARD_KEY_PREFIX
 from flintreach.controller.quorum_contact import QuorumContact, SuspendDetector
 from flintreach.controller.repair import Repair
 from flintreach.dissemination.versioned_store import VersionedStore
@@ -21,7 +21,6 @@
 
 NS_PER_MS = 1_000_000
 MEMBER_STATE_NAMES = ("alive", "suspected", "dead", "left")  # by `Member.state`
-KEY_RANGE_KEY_PREFIX = "bunks/"  # updates, as earlier releases wrote them: a service's ranges of keys
 
 Row = dict[str, Any]
 
@@ -104,7 +103,7 @@
     """Return a row for each shard of endpoints, by its name."""
     return [
         {"slice": name, "endpoints": len(ids), "ids": " ".join(ids)}
-        for name, ids in sorted(plane.updates.under(SHARD_KEY_PREFIX).items())
+        for name, ids in sorted(plane.updates.under(SLICE_KEY_PREFIX).items())
     ]
 
 
@@ -112,7 +111,7 @@
     """Return a row for each key range of each sharded service."""
     return [
         {"line": service, "from": low, "to": high, "holder": holder, "state": state}
-        for service, ranges in sorted(plane.updates.under(KEY_RANGE_KEY_PREFIX).items())
+        for service, ranges in sorted(plane.updates.under(KEY_RANGES_PREFIX).items())
         for low, high, holder, state in ranges
     ]
 
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -8,6 +8,7 @@
 import dataclasses
 from typing import Protocol
 
+from flintreach.common.keys import ROLE_CONTROLLER
 from flintreach.common.log import say
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.quorum import Address, Voters
@@ -26,7 +27,6 @@
 DISK_KIND = "disk"  # an epoch or None; answered by `Reconfiguration.on_disk`
 VOTERS_KIND = "voters"  # a configuration or None; answered by `Register.on_voters`
 FORCED_FACT = "forced"  # what an operator forced on the voters while this process was stopped
-ROLE = "refuge"  # of controllers, in the list of members
 
 # Answers to an operator's order; any other text is a reason why it was rejected.
 DONE = ""
@@ -144,7 +144,7 @@
     def _member_disks(self, now: float) -> dict[Address, Disk]:
         disks: dict[Address, Disk] = {}
         for member in [*self.plane.member_list.members.values()]:
-            if member.role != ROLE or not member.counted:
+            if member.role != ROLE_CONTROLLER or not member.counted:
                 continue
             # A successor may have the address of a member that is dead.
             if member.state <= SUSPECTED or member.address not in disks:
--- a/flintreach/dissemination/versioned_store.py
+++ b/flintreach/dissemination/versioned_store.py
@@ -21,6 +21,8 @@
 
 import msgspec
 
+from flintreach.common.keys import ENDPOINT_KEY_PREFIX
+
 TOMBSTONE_HORIZON_S = 120.0  # how long a tombstone stands after it was first published
 SNAPSHOT_AFTER_S = 60.0  # without updates for longer, a process needs a snapshot
 BUCKETS = 256  # by the first byte of a key's hash
@@ -28,7 +30,6 @@
 MAX_PORTION_ROWS = 500
 MAX_PORTION_BYTES = 128 << 10  # of one portion; a single larger update goes alone
 
-ENDPOINT_KEY_PREFIX = "hut/"  # as earlier releases wrote it
 ENDPOINT_GONE = "gone"  # the state in an endpoint's update that makes it a tombstone
 
 encode = msgspec.msgpack.encode
--- a/flintreach/membership/failure_detector.py
+++ b/flintreach/membership/failure_detector.py
@@ -6,10 +6,10 @@
 import msgspec
 from gevent import socket
 
+from flintreach.common.keys import ROLE_CONTROLLER
 from flintreach.membership.member_list import (
     MS,
     PING,
-    ROLE_CONTROLLER,
     Address,
     Datagrams,
     Member,
--- a/flintreach/membership/member_list.py
+++ b/flintreach/membership/member_list.py
@@ -36,9 +36,6 @@
 JOIN = "join"  # carries the sender's digest
 MEMBERS = "crowd"  # answers a join: rows of the buckets that differ
 
-# Roles, as earlier releases sent them.
-ROLE_CONTROLLER = "refuge"
-ROLE_PROXY = "bothy"
 
 Address = tuple[str, int]  # IP address and port
 Message = list[Any]  # [kind, number, sender's row, piggybacked rows, ...]
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -14,6 +14,7 @@
 from gevent import pywsgi
 from gevent.event import Event
 
+from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
 from flintreach.common.log import say
 from flintreach.config import settings
 from flintreach.config.configuration import RequestLimits
@@ -43,8 +44,6 @@
 READY_PORT = "ready"
 
 # Roles' names on the wire between instances, as earlier releases wrote them.
-ROLE = "bothy"
-CONTROLLER_ROLE = "refuge"
 
 # State of a member that has left, on the same wire.
 LEFT_STATE = 3
@@ -93,7 +92,7 @@
         client_post = node.network.posts[CLIENT_PORT]
         member = Member(
             sender.node_name,
-            ROLE,
+            ROLE_PROXY,
             *address,
             sender.zone,
             sender.region,
@@ -128,11 +127,11 @@
     def parents(self) -> list[tuple[str, int]]:
         """Addresses that updates are to come from, the best first."""
         member_list = self.failure_detector.member_list
-        alive = member_list.alive(CONTROLLER_ROLE)
+        alive = member_list.alive(ROLE_CONTROLLER)
         controllers = [member for member in alive if member.ready] or alive
         if not controllers:
             return []
-        chosen = parents(member_list.local_member, controllers, member_list.alive(ROLE))
+        chosen = parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
         return [member.address for member in chosen]
 
     def update_position(self) -> None:
@@ -141,13 +140,15 @@
         Shares go by the proxies known of late: one that is missing may only be cut off.
         """
         member_list = self.failure_detector.member_list
-        proxies = [member for member in member_list.members.values() if member.role == ROLE]
+        proxies = [member for member in member_list.members.values() if member.role == ROLE_PROXY]
         names = sorted(member.name for member in proxies)
         position = self.position
         position.proxies = len(names)
         position.zones = len({member.zone for member in proxies})
         position.ranks = {name: rank for rank, name in enumerate(names)}
-        zone_names = sorted(member.name for member in member_list.alive(ROLE) if member.zone == position.zone)
+        zone_names = sorted(
+            member.name for member in member_list.alive(ROLE_PROXY) if member.zone == position.zone
+        )
         position.zone_index = SubsetIndex(zone_names.index(position.name), len(zone_names))
 
     def answer_ready(
@@ -220,7 +221,7 @@
         Returns:
             The process's exit status.
         """
-        say("leaving", counts=self.metrics.counts, greatest=self.metrics.greatest())
+        say("draining", counts=self.metrics.counts, greatest=self.metrics.greatest())
         self.client_listener.draining = True
         end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
         self.failure_detector.change(ready=False)
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -11,6 +11,13 @@
 
 import msgspec
 
+from flintreach.common.keys import (
+    CONFIGURATION_KEY,
+    ENDPOINT_KEY_PREFIX,
+    EVACUATION_KEY,
+    KEY_RANGES_PREFIX,
+    SLICE_KEY_PREFIX,
+)
 from flintreach.config.configuration import Configuration
 from flintreach.config.routing import Route, Routes
 from flintreach.config.settings import TimingBounds
@@ -25,12 +32,10 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 
-# Kinds of updates, before the "/" of their keys or the whole key, as earlier releases wrote them.
-ENDPOINT_KIND = "hut"
-CONFIGURATION_KIND = "timetable"
-EVACUATION_KIND = "evac"
-ASSIGNMENT_KIND = "slice"
-KEY_RANGES_KIND = "bunks"
+# Kinds of updates: what stands before the "/" of their keys.
+ENDPOINT_KIND = ENDPOINT_KEY_PREFIX.rstrip("/")
+SLICE_KIND = SLICE_KEY_PREFIX.rstrip("/")
+KEY_RANGES_KIND = KEY_RANGES_PREFIX.rstrip("/")
 
 
 class EndpointUpdate(msgspec.Struct):
@@ -120,11 +125,11 @@
         kind, _, name = key.partition("/")
         if kind == ENDPOINT_KIND:
             self.update_endpoint(name, value)
-        elif kind == CONFIGURATION_KIND:
+        elif kind == CONFIGURATION_KEY:
             self.routes = Routes(msgspec.json.decode(value, type=Configuration))
-        elif kind == EVACUATION_KIND:
+        elif kind == EVACUATION_KEY:
             self.update_evacuations(value)
-        elif kind == ASSIGNMENT_KIND:
+        elif kind == SLICE_KIND:
             self.update_assignment(name, value)
         elif kind == KEY_RANGES_KIND:
             self.update_key_ranges(name, value)
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -11,6 +11,7 @@
 import msgspec
 from gevent.pywsgi import Input
 
+from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
 from flintreach.config import settings
 from flintreach.consensus.quorum import Voters
 from flintreach.controller import lease_owner
@@ -18,13 +19,11 @@
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.http_api import ControlApi
 from flintreach.controller.program import SERVED
-from flintreach.controller.voter_management import ROLE
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import EndpointRegistry
 from flintreach.membership.member_list import Member
-from flintreach.proxy.program import ROLE as PROXY
 from flintreach.sharding.range_lease import CallKind
 from flintreach.simulation.engine import (
     MS,
@@ -88,13 +87,13 @@
     def __init__(self, site: "Site", machine: Machine, first_run: bool):
         super().__init__(site.sim, machine, machine.name, site.crashed)
         self.site, self.listening, self.since = site, False, site.sim.now
-        self.node = site.node(machine, ROLE, first_run)
+        self.node = site.node(machine, ROLE_CONTROLLER, first_run)
         self.peer_pool = PeerPool(self.node.peer_address(REFUGE_POST), self.runtime)
         me = self.node.sender
         self.store = Store(self, site.disks[machine.ip], me.node_name, first_run)
         member = Member(
             me.node_name,
-            ROLE,
+            ROLE_CONTROLLER,
             *self.peer_pool.address,
             me.zone,
             me.region,
@@ -124,7 +123,9 @@
 
     def reread(self) -> None:
         """SIGHUP."""
-        self.node = self.plane.node = self.site.node(self.machine, ROLE, self.node.sender.first_run)
+        self.node = self.plane.node = self.site.node(
+            self.machine, ROLE_CONTROLLER, self.node.sender.first_run
+        )
 
     def stop(self, ended: Callable[[], None]) -> None:
         """SIGTERM; `ended()`: called when it has ended by itself."""
@@ -148,12 +149,12 @@
 
     def __init__(self, site: "Site", machine: Machine):
         super().__init__(site.sim, machine, machine.name, site.crashed)
-        self.node = site.node(machine, PROXY, False)
+        self.node = site.node(machine, ROLE_PROXY, False)
         self.peer_pool = PeerPool(self.node.peer_address(PROXY_POST), self.runtime)
         me = self.node.sender
         member = Member(
             me.node_name,
-            PROXY,
+            ROLE_PROXY,
             *self.peer_pool.address,
             me.zone,
             me.region,
@@ -172,10 +173,10 @@
 
     def parents(self) -> list[tuple[str, int]]:
         member_list = self.failure_detector.member_list
-        known = member_list.alive(ROLE)
+        known = member_list.alive(ROLE_CONTROLLER)
         controllers = [member for member in known if member.ready] or known
         return (
-            [m.address for m in parents(member_list.local_member, controllers, member_list.alive(PROXY))]
+            [m.address for m in parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))]
             if controllers
             else []
         )
@@ -243,9 +244,9 @@
                     "ip": machine.ip,
                     "zone": machine.zone,
                     "region": machine.region,
-                    "counted": role == ROLE,
+                    "counted": role == ROLE_CONTROLLER,
                     "first_run": first_run,
-                    "store_dir": "disk" if role == ROLE else None,
+                    "store_dir": "disk" if role == ROLE_CONTROLLER else None,
                 },
                 "network": {
                     "posts": {"front": f"{machine.ip}:8161", "control": f"{machine.ip}:8166"},
--- a/tests/dissemination/test_relay_tree.py
+++ b/tests/dissemination/test_relay_tree.py
@@ -3,8 +3,9 @@
 import unittest
 from collections import Counter
 
+from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
 from flintreach.dissemination.relay_tree import CONTROLLER_FANOUT, FANOUT, parents
-from flintreach.membership.member_list import ROLE_CONTROLLER, ROLE_PROXY, Member
+from flintreach.membership.member_list import Member
 
 
 def fleet(proxies: int, zones: int = 4, controllers: int = 5) -> tuple[list[Member], list[Member]]:
--- a/tests/membership/test_member_list.py
+++ b/tests/membership/test_member_list.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
+from flintreach.common.keys import ROLE_PROXY
 from flintreach.membership.member_list import (
     ALIVE,
     DEAD,
     DIGEST_BUCKETS,
     MS,
-    ROLE_PROXY,
     SUSPECTED,
     Member,
     MemberList,
