--- a/flintreach/consensus/acceptor_service.py
+++ b/flintreach/consensus/acceptor_service.py
@@ -147,8 +147,10 @@
         return AcceptedValue(slot.accepted, slot.value) if slot else None
 
     def fetch(self, address: Address, key: str, ballot: Ballot) -> Slot | None:
-        """What another disk has accepted of a key, at this ballot or a later one; None: nothing, or no
-        answer."""
+        """What another disk has accepted of a key, at this ballot or a later one.
+
+        None where it has accepted nothing there, or does not answer.
+        """
         request = ValueRequest(self.voters.epoch, key)
         answer = self.ask(address, MessageKind.ACCEPTED_VALUE, request, FETCH_TIMEOUT_S)
         if not answer:
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -176,8 +176,7 @@
         return register.relearn()
 
     def on_sync_records(self, link: Any, epoch: int) -> bool | EpochMismatch | None:
-        """True once this disk holds the endpoint records that a quorum held after it moved to a joint
-        epoch."""
+        """Answer True once this disk has the endpoint records of a quorum in the joint epoch."""
         register = self.register
         mismatch = register.check(epoch)
         if mismatch is not None:
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -190,8 +190,9 @@
         for address, disk in disks.items():
             if address in answers:
                 incarnation, caught_up = answers[address]
-                disk = self._answered(disk, incarnation, caught_up)
-            answered_disks.append(disk)
+                answered_disks.append(self._answered(disk, incarnation, caught_up))
+            else:
+                answered_disks.append(disk)
         return answered_disks
 
     @staticmethod
