--- a/flintreach/demo/cluster.py
+++ b/flintreach/demo/cluster.py
@@ -23,7 +23,7 @@
 
 from flintreach.config.settings import PATH_VARIABLE
 from flintreach.demo.configuration import HOST, PLAIN_SERVICE, SHARDED_SERVICE
-from flintreach.standins.endpoint import Endpoint, told
+from flintreach.standins.endpoint import Endpoint, post_acknowledged
 
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}  # zone -> its region
 
@@ -279,7 +279,10 @@
         body = json.dumps(configuration).encode()
 
         def acknowledged() -> bool:
-            return any(told(ip, port, PUT_PATH, body, PUT_TIMEOUT_S) for ip, port in self.control_addresses())
+            return any(
+                post_acknowledged(ip, port, PUT_PATH, body, PUT_TIMEOUT_S)
+                for ip, port in self.control_addresses()
+            )
 
         return self.wait(acknowledged, until)
 
--- a/flintreach/soak/__main__.py
+++ b/flintreach/soak/__main__.py
@@ -11,17 +11,18 @@
 def main(
     seeds: int = typer.Option(5, help="how many seeds are played"),
     first: int = typer.Option(1, help="the first of them"),
-    seconds: float = typer.Option(20.0, help="how long the troubles of each go on"),
-    mix: Annotated[Mix, typer.Option(help="which troubles overlap")] = Mix.BOTH,
-    controllers: int = typer.Option(3, help="control processes"),
+    seconds: float = typer.Option(20.0, help="how long the faults of each go on"),
+    mix: Annotated[Mix, typer.Option(help="which faults overlap")] = Mix.BOTH,
+    controllers: int = typer.Option(3, help="controller processes"),
     proxies: int = typer.Option(3, help="data plane processes"),
     clients: int = typer.Option(12, help="clients, a third of each kind"),
-    at_once: int = typer.Option(3, help="how many troubles overlap"),
+    at_once: int = typer.Option(3, help="how many faults overlap"),
     base: str = typer.Option("127.45.7", help="three numbers of a loopback network"),
     port: int = typer.Option(7700, help="the first of six ports"),
 ) -> None:
     """Play soaks; a line each, and 1 if an invariant was broken."""
-    plan, broken = SoakPlan(seconds, mix, controllers, proxies, clients, at_once), 0
+    plan = SoakPlan(seconds, mix, controllers, proxies, clients, at_once)
+    broken = 0
     for seed in range(first, first + seeds):
         verdict = Soak(seed, plan, base, port).run()
         print(verdict.line(), flush=True)
--- a/flintreach/soak/clients.py
+++ b/flintreach/soak/clients.py
@@ -1,42 +1,60 @@
-"""Clients of a soak: some ask once a connection, some keep theirs while it stands, some leave early."""
+"""Clients of a soak: some open a connection a request, some keep theirs while it stands, some leave early."""
 
 import random
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 import gevent
 from gevent import socket
 
 from flintreach.demo.cluster import Machine
+from flintreach.demo.configuration import HOST
 from flintreach.proxy.response import HTTPParseError, Response, ResponseParser
-from flintreach.soak.ledger import Ledger, SentRequest, Verdict
+from flintreach.soak.checker import Invariant, Verdict
+from flintreach.soak.history import History, RequestKind, SentRequest
 from flintreach.standins.adversary import RESET
 
-HOST = "camp.example"
-KINDS = ("look", "file", "file", "fetch")
-CONNECT_S, ANSWER_S = 0.5, 6.0
+KINDS = (RequestKind.LOOK, RequestKind.FILE, RequestKind.FILE, RequestKind.FETCH)  # writes weigh double
+PIPELINED_KINDS = (RequestKind.LOOK, RequestKind.FETCH)
+CONNECT_TIMEOUT_S = 0.5
+ANSWER_TIMEOUT_S = 6.0
 PAUSE_S = 0.08  # between the requests of one client
 TIME_LEFT_MS = 3000
-READ_SIZE = 65536
+READ_BYTES = 65536
+PATHS = 100  # different ones of each route
+KEYS = 65536
+PIPELINED_SHARE = 0.3  # of the connections of a client that leaves early
+RESET_SHARE = 0.3  # of its closes
+MAX_STAY_S = 0.3  # before it leaves
 
 
-class Mixed(Exception):
+class MisdeliveredAnswer(Exception):
     """An answer that belongs to another request, or bytes that are no answer."""
 
 
 class ClientConnection:
-    """One connection to a proxy.  Raises OSError where it does not come up or has ended."""
+    """One connection to a proxy."""
 
-    def __init__(self, machine: Machine):
+    def __init__(self, machine: Machine) -> None:
+        """Connect.
+
+        Raises:
+            OSError: no connection came up within `CONNECT_TIMEOUT_S`.
+        """
         host, port = machine.posts["front"].split(":")
-        self.sock = socket.create_connection((host, int(port)), timeout=CONNECT_S)
-        self.sock.settimeout(ANSWER_S)
-        self.replies = ResponseParser()
+        self.sock = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
+        self.sock.settimeout(ANSWER_TIMEOUT_S)
+        self.responses = ResponseParser()
 
     def send(self, request: SentRequest, path: str, key: int) -> None:
-        method = "POST" if request.kind == "file" else "GET"
+        """Send a request, with its id and the key of its shard.
+
+        Raises:
+            OSError: the connection has ended.
+        """
+        method = "POST" if request.kind == RequestKind.FILE else "GET"
         body = f"body of {request.id}".encode() if method == "POST" else b""
-        rows = (
+        lines = (
             f"{method} {path} HTTP/1.1",
             f"Host: {HOST}",
             f"X-Try-Id: {request.id}",
@@ -44,72 +62,99 @@
             f"X-Shard-Key: {key}",
             f"Content-Length: {len(body)}",
         )
-        self.sock.sendall("\r\n".join([*rows, "", ""]).encode() + body)
+        self.sock.sendall("\r\n".join([*lines, "", ""]).encode() + body)
 
     def receive(self, request: SentRequest) -> Response | None:
-        """The next answer, None where the connection ends before it.  Raises Mixed."""
-        while not self.replies.complete:
+        """Read the next answer, which must be the one to this request.
+
+        Returns:
+            The answer, or None if the connection ends, or its time is over, before it.
+
+        Raises:
+            MisdeliveredAnswer: it is another request's, or none.
+        """
+        while not self.responses.complete:
             try:
-                data = self.sock.recv(READ_SIZE)
+                data = self.sock.recv(READ_BYTES)
             except OSError:
                 return None
             if not data:
                 return None
             try:
-                self.replies.feed(data)
+                self.responses.feed(data)
             except HTTPParseError:
-                raise Mixed(f"no answer: {data[:60]!r}") from None
-        message = self.replies.complete.pop(0)
-        if not message.answers(request.id):
-            raise Mixed(f"to {request.id} came {message.status} for another")
-        return message
+                raise MisdeliveredAnswer(f"no answer: {data[:60]!r}") from None
+        response = self.responses.complete.pop(0)
+        if not response.answers(request.id):
+            raise MisdeliveredAnswer(f"to {request.id} came {response.status} for another")
+        return response
 
     def close(self, reset: bool = False) -> None:
+        """Close the connection, by a TCP reset if `reset`."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
 
 class Client:
-    """One client, with a chance of its own.  `machines()`: proxies to choose from; `ending()`: to stop."""
+    """One client; `ask_once_each`, `keep` and `leave_early` are the ways in which it may go on.
+
+    Attributes:
+        chance: random draws of its own, from its name.
+        machines: gives the proxies to choose from.
+        ending: whether it is to stop.
+    """
 
     def __init__(
         self,
         name: str,
         machines: Callable[[], list[Machine]],
-        ledger: Ledger,
+        history: History,
         verdict: Verdict,
         ending: Callable[[], bool],
-    ):
-        self.chance, self.machines, self.ledger = random.Random(name), machines, ledger
-        self.verdict, self.ending = verdict, ending
-
-    def next_request(self, machine: Machine, kept: bool = False, kinds=KINDS) -> SentRequest:
-        id = f"{self.chance.getrandbits(64):016x}"
-        request = SentRequest(id, machine, self.chance.choice(kinds), time.monotonic_ns(), kept)
-        self.ledger.sent[id] = request
+    ) -> None:
+        self.chance = random.Random(name)
+        self.machines = machines
+        self.history = history
+        self.verdict = verdict
+        self.ending = ending
+
+    def next_request(
+        self, machine: Machine, persistent: bool = False, kinds: Sequence[RequestKind] = KINDS
+    ) -> SentRequest:
+        """Make a request and note it in the history, before it is sent."""
+        request_id = f"{self.chance.getrandbits(64):016x}"
+        kind = self.chance.choice(kinds)
+        request = SentRequest(request_id, machine, kind, time.monotonic_ns(), persistent)
+        self.history.sent[request_id] = request
         return request
 
     def send(self, connection: ClientConnection, request: SentRequest) -> None:
-        request.sent_at = time.monotonic_ns()
-        path = f"/{request.kind}/{self.chance.randrange(100)}"
-        connection.send(request, path, self.chance.randrange(65536))
+        """Send a request.
+
+        Raises:
+            OSError: the connection has ended.
+        """
+        request.sent_at_ns = time.monotonic_ns()
+        path = f"/{request.kind}/{self.chance.randrange(PATHS)}"
+        connection.send(request, path, self.chance.randrange(KEYS))
 
     def ask(self, connection: ClientConnection, request: SentRequest) -> Response | None:
-        """One request and its answer; None where the connection ended."""
+        """Send one request and read its answer; None where the connection ended."""
+        response = None
         try:
             self.send(connection, request)
-            message = connection.receive(request)
+            response = connection.receive(request)
         except OSError:
-            message = None
-        except Mixed as mixed:
-            self.verdict.fail("mixed", str(mixed))
-            message = None
-        request.ended_at = time.monotonic_ns()
-        request.status = message.status if message else None
-        return message
+            pass  # the checker judges whether the request may be lost
+        except MisdeliveredAnswer as misdelivered:
+            self.verdict.fail(Invariant.MIXED, str(misdelivered))
+        request.ended_at_ns = time.monotonic_ns()
+        request.status = response.status if response else None
+        return response
 
     def connect(self) -> tuple[Machine, ClientConnection] | None:
+        """Connect to any proxy; None, after a pause, where that fails."""
         machine = self.chance.choice(self.machines())
         try:
             return machine, ClientConnection(machine)
@@ -118,59 +163,69 @@
             return None
 
     def ask_once_each(self) -> None:
-        """A connection for each request."""
+        """Open a connection for each request."""
         while not self.ending():
-            if (found := self.connect()) is not None:
-                machine, connection = found
-                self.ask(connection, self.next_request(machine))
-                connection.close()
-                gevent.sleep(PAUSE_S)
+            connected = self.connect()
+            if connected is None:
+                continue
+            machine, connection = connected
+            self.ask(connection, self.next_request(machine))
+            connection.close()
+            gevent.sleep(PAUSE_S)
 
     def keep(self) -> None:
         """Use one connection until it ends, whatever becomes of the process behind it."""
         while not self.ending():
-            if (found := self.connect()) is None:
+            connected = self.connect()
+            if connected is None:
                 continue
-            machine, connection = found
+            machine, connection = connected
             while not self.ending():
-                message = self.ask(connection, self.next_request(machine, kept=True))
-                if message is None or not message.keep_alive:
+                response = self.ask(connection, self.next_request(machine, persistent=True))
+                if response is None or not response.keep_alive:
                     break
                 gevent.sleep(self.chance.uniform(0, PAUSE_S))
             connection.close()
 
     def leave_early(self) -> None:
-        """Leave before the answer, at times with several requests under way on the connection."""
+        """Leave before the answer, at times with several requests in flight on the connection."""
         while not self.ending():
-            if (found := self.connect()) is None:
+            connected = self.connect()
+            if connected is None:
                 continue
-            machine, connection = found
-            several = self.chance.random() < 0.3
-            kinds = ("look", "fetch") if several else KINDS
-            number = self.chance.randint(2, 6) if several else 1
-            requests = [self.next_request(machine, kinds=kinds) for _ in range(number)]
-            try:
-                for request in requests:
-                    self.send(connection, request)
-                gevent.sleep(self.chance.uniform(0, 0.3))
-                self.read_what_came(connection, requests)
-            except OSError:
-                pass
-            now = time.monotonic_ns()
-            connection.close(reset=self.chance.random() < 0.3)
-            for request in requests:
-                if request.status is None:
-                    request.left_at = request.ended_at = now
+            machine, connection = connected
+            pipelined = self.chance.random() < PIPELINED_SHARE
+            kinds = PIPELINED_KINDS if pipelined else KINDS
+            count = self.chance.randint(2, 6) if pipelined else 1
+            requests = [self.next_request(machine, kinds=kinds) for _ in range(count)]
+            self.send_all_and_leave(connection, requests)
             gevent.sleep(PAUSE_S)
 
+    def send_all_and_leave(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
+        """Send requests, read what comes in a short while, and close; at times by a reset."""
+        try:
+            for request in requests:
+                self.send(connection, request)
+            gevent.sleep(self.chance.uniform(0, MAX_STAY_S))
+            self.read_what_came(connection, requests)
+        except OSError:
+            pass  # the proxy was the first to close
+        left_at_ns = time.monotonic_ns()
+        connection.close(reset=self.chance.random() < RESET_SHARE)
+        for request in requests:
+            if request.status is None:
+                request.left_at_ns = left_at_ns
+                request.ended_at_ns = left_at_ns
+
     def read_what_came(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
-        """Answers that are there already, in the order of their requests."""
+        """Read the answers that are there already, in the order of their requests."""
         connection.sock.settimeout(0.0)
         try:
             for request in requests:
-                message = connection.receive(request)
-                if message is None:
+                response = connection.receive(request)
+                if response is None:
                     return
-                request.status, request.ended_at = message.status, time.monotonic_ns()
-        except Mixed as mixed:
-            self.verdict.fail("mixed", str(mixed))
+                request.status = response.status
+                request.ended_at_ns = time.monotonic_ns()
+        except MisdeliveredAnswer as misdelivered:
+            self.verdict.fail(Invariant.MIXED, str(misdelivered))
--- a/flintreach/soak/run.py
+++ b/flintreach/soak/run.py
@@ -1,36 +1,44 @@
-"""One seed of the soak: a camp, its clients, its troubles, and the verdict."""
+"""One seed of the soak: a cluster, its clients, its faults, and the verdict."""
 
 import os
 import random
-import re
 import signal
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 
 import gevent
-import msgspec
-from geventhttpclient import HTTPClient
-from geventhttpclient.response import HTTPParseError
 
-from flintreach.demo.cluster import ZONES, DemoCluster, Machine
-from flintreach.demo.configuration import CONFIGURATION
-from flintreach.proxy.metrics import PREFIX
+from flintreach.demo.cluster import PROXY_ROLE, ZONES, DemoCluster, Machine
+from flintreach.demo.configuration import CONFIGURATION, PLAIN_SERVICE, SHARDED_SERVICE
+from flintreach.soak.checker import LAST_CALL_S, Checker, Invariant, Verdict
 from flintreach.soak.clients import Client
-from flintreach.soak.faults import Troubles
-from flintreach.soak.ledger import LAST_CALL_S, VIOLATIONS, Ledger, Verdict
-from flintreach.standins.endpoint import Endpoint
-from flintreach.standins.faulty import VARIABLE
-
-DESKS, STORES = 6, 2
-ENDPOINT_ADDRESSES = 150  # of one camp
-EDITION_S = 6.0  # for an acknowledged configuration to be in force, on a machine that other work shares
-STEADY_S = 8.0  # at the end, without troubles, before the last looks
+from flintreach.soak.faults import Fault, FaultInjector
+from flintreach.soak.final_checks import FinalChecks, serves
+from flintreach.soak.history import History
+from flintreach.standins.endpoint import Endpoint, EndpointState
+from flintreach.standins.faulty import PARTITIONS_VARIABLE
+
+FAULTY_MODULE = "flintreach.standins.faulty"  # what machines run in place of `flintreach`
+PLAIN_ENDPOINTS = 6
+SHARDED_ENDPOINTS = 2
+ENDPOINT_ADDRESSES = 150  # of one cluster
+ENDPOINT_CAPACITY = 8  # requests at once
+ANSWER_LOSS = 0.2  # chance of an answer, while answers are lost
+ACKNOWLEDGEMENT_LOSS = 0.5  # chance of an acknowledgement, likewise
+ANNOUNCED_DEPARTURES = 0.7  # share of endpoints that announce their end ahead of it
+DEPARTURE_TRIES = 8
+DEPARTURE_RETRY_S = 0.3
+DEPARTURE_SLACK_S = 1.5  # for which a departed endpoint serves on after `LAST_CALL_S`, to see late requests
+SUPERVISE_PAUSE_S = 0.1
+START_S = 60.0  # for the system to serve, and a second more for each proxy
+JOIN_S = 60.0  # for clients and faults to end
+STEADY_S = 8.0  # at the end, without faults, before the final checks
+SERVED_PATH = "/fetch/1"
 
 
 class Mix(Enum):
-    """Which troubles overlap."""
+    """Which faults overlap."""
 
     PLANNED = "planned"  # nothing but planned work: no answer may be lost
     UNPLANNED = "unplanned"
@@ -39,7 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """The size of a soak.  `seconds`: how long its troubles go on; `at_once`: how many of them overlap."""
+    """The size of a soak.
+
+    Attributes:
+        seconds: how long its faults go on.
+        mix: which faults overlap.
+        controllers: how many at the start, likewise `proxies`.
+        clients: a third of each kind.
+        at_once: how many faults overlap.
+    """
 
     seconds: float
     mix: Mix = Mix.BOTH
@@ -50,187 +66,171 @@
 
 
 class Soak:
-    """`base`: three numbers of a loopback network, `port`: the first of six ports."""
-
-    def __init__(self, seed: int, plan: SoakPlan, base: str, port: int):
-        self.plan, self.verdict, self.ledger = plan, Verdict(seed), Ledger()
+    """One soak, from its start to its verdict."""
+
+    def __init__(self, seed: int, plan: SoakPlan, base: str, port: int) -> None:
+        """Make the cluster's folders; nothing runs yet.
+
+        Args:
+            seed: of all random draws.
+            plan: its size.
+            base: three numbers of a loopback network.
+            port: the first of six.
+        """
+        self.plan = plan
+        self.verdict = Verdict(seed)
+        self.history = History()
         self.chance = random.Random(seed)
         self.cluster = DemoCluster(base, port, plan.controllers, plan.proxies)
-        cuts = os.path.join(self.cluster.folder, "cuts")
-        self.cluster.module, self.cluster.environ = "flintreach.standins.faulty", {VARIABLE: cuts}
+        partitions_path = os.path.join(self.cluster.folder, "cuts")
+        self.cluster.module = FAULTY_MODULE
+        self.cluster.environ = {PARTITIONS_VARIABLE: partitions_path}
         for machine in self.cluster.machines:
-            machine.module, machine.environ = self.cluster.module, self.cluster.environ
-        self.troubles = Troubles(self.cluster, self.chance, self.ledger, self.verdict, cuts)
-        self.numbers = iter(range(DESKS + STORES, ENDPOINT_ADDRESSES))
+            machine.module = self.cluster.module
+            machine.environ = self.cluster.environ
+        self.faults = FaultInjector(self.cluster, self.chance, self.history, self.verdict, partitions_path)
+        self.endpoint_numbers = iter(range(PLAIN_ENDPOINTS + SHARDED_ENDPOINTS, ENDPOINT_ADDRESSES))
         self.ending = False
 
+    # Endpoints.
+
     def add(self, service: str, number: int) -> Endpoint:
+        """Start an endpoint at the address with this number; it loses answers when the faults say so."""
         zones = [*ZONES]
         endpoint = self.cluster.add(
-            service, number, zones[number % len(zones)], sharded=service == "store", berths=8
+            service,
+            number,
+            zones[number % len(zones)],
+            sharded=service == SHARDED_SERVICE,
+            capacity=ENDPOINT_CAPACITY,
         )
-        endpoint.lose_answer = lambda: self.troubles.losing and self.chance.random() < 0.2
-        endpoint.lose_ack = lambda: self.troubles.losing and self.chance.random() < 0.5
-        return endpoint
-
-    def client(self, number: int) -> Client:
-        return Client(
-            f"{self.verdict.seed} {number}",
-            lambda: self.cluster.of("proxy"),
-            self.ledger,
-            self.verdict,
-            lambda: self.ending,
+        endpoint.lose_answer = lambda: self.faults.losing and self.chance.random() < ANSWER_LOSS
+        endpoint.lose_acknowledgement = lambda: (
+            self.faults.losing and self.chance.random() < ACKNOWLEDGEMENT_LOSS
         )
+        return endpoint
 
-    def kinds_of_trouble(self) -> list[Callable[[], None]]:
-        it, mix = self.troubles, self.plan.mix
-        planned = [
-            it.terminate,
-            it.terminate,
-            it.terminate_all,
-            it.hang_up,
-            it.configure,
-            it.configure,
-            it.exchange_proxy,
-            it.exchange_refuge,
-            it.slow,
-        ]
-        unplanned = [it.kill, it.pause, it.cut, it.cut, it.lose, it.slow]
-        return (planned if mix != Mix.UNPLANNED else []) + (unplanned if mix != Mix.PLANNED else [])
-
-    def make_trouble(self, chance: random.Random) -> None:
-        kinds = self.kinds_of_trouble()
-        while not self.ending:
-            what = chance.choice(kinds)
-            self.troubles.begin(what.__name__)
-            what()
-            gevent.sleep(chance.uniform(0.0, 0.5))
-
-    def supervise(self) -> None:
-        while not self.ending:
-            self.troubles.supervise()
-            gevent.sleep(0.1)
-
-    def departures(self) -> None:
+    def replace_endpoints(self) -> None:
         """One endpoint after the other leaves, most announce it first, and another takes its place."""
-        leaving = []
+        departures = []
         while not self.ending:
             gevent.sleep(self.chance.uniform(0.4, 1.2))
-            there = [e for e in self.cluster.endpoints if e.state == "ready"]
-            number = next(self.numbers, None)
-            if number is None or not there:
+            ready = [endpoint for endpoint in self.cluster.endpoints if endpoint.state == EndpointState.READY]
+            number = next(self.endpoint_numbers, None)
+            if number is None or not ready:
                 break
-            endpoint = self.chance.choice(there)
-            self.add(endpoint.line, number)
-            leaving.append(gevent.spawn(self.leave, endpoint, self.chance.random() < 0.7))
-        gevent.joinall(leaving)
-
-    def leave(self, endpoint: Endpoint, announces: bool) -> None:
-        said = endpoint.leave if announces else endpoint.announce_end
-        for _ in range(8):
-            if said():
+            leaving = self.chance.choice(ready)
+            self.add(leaving.service, number)
+            announces = self.chance.random() < ANNOUNCED_DEPARTURES
+            departures.append(gevent.spawn(self.depart, leaving, announces))
+        gevent.joinall(departures)
+
+    def depart(self, endpoint: Endpoint, announces: bool) -> None:
+        """Let an endpoint leave, and serve on for longer than requests may still come.
+
+        Args:
+            endpoint: a ready one.
+            announces: whether it announces a planned end first, or only signs off.
+        """
+        say_departure = endpoint.leave if announces else endpoint.announce_end
+        for _ in range(DEPARTURE_TRIES):
+            if say_departure():
                 break
-            gevent.sleep(0.3)
-        gevent.sleep(LAST_CALL_S + 1.5)
+            gevent.sleep(DEPARTURE_RETRY_S)
+        gevent.sleep(LAST_CALL_S + DEPARTURE_SLACK_S)
         endpoint.sign_off()
 
-    # The last looks.
+    # Clients and faults.
 
-    def get(self, machine: Machine, post: str, path: str) -> bytes | None:
-        """What a machine answers with 200, or None."""
-        host, port = machine.posts[post].split(":")
-        client = HTTPClient(host, int(port), connection_timeout=1.0, network_timeout=2.0)
-        try:
-            answer = client.get(path)
-            data = bytes(answer.read())
-            return data if answer.status_code == 200 else None
-        except (OSError, HTTPParseError):
-            return None
-        finally:
-            client.close()
+    def proxies(self) -> list[Machine]:
+        """The proxies that belong to the cluster now."""
+        return self.cluster.of(PROXY_ROLE)
 
-    def read_counters(self) -> None:
-        for machine in self.cluster.machines:
-            if machine.process.poll() is not None:
-                self.verdict.fail("ended", f"{machine.name}: status {machine.process.returncode}")
-        for machine in self.cluster.of("proxy"):
-            text = (self.get(machine, "ready", "/metrics") or b"").decode()
-            for name in VIOLATIONS:
-                found = re.search(rf"^{PREFIX}{name.replace(' ', '_')}_total (\d+)$", text, re.MULTILINE)
-                if found and int(found[1]):
-                    self.verdict.fail("counted", f"{machine.name}: {name} {found[1]}")
-
-    def read_configuration(self) -> None:
-        """The newest acknowledged configuration is read back, and in force at each proxy."""
-        held = next(
-            (
-                data
-                for m in self.cluster.of("refuge")
-                if (data := self.get(m, "control", "/v1/timetable/get"))
-            ),
-            None,
-        )
-        if held is None:
-            self.verdict.fail("acknowledged", "no refuge tells the configuration")
-            return
-        table = msgspec.json.decode(held)
-        number = int(table["edition"], 16)
-        if number < self.troubles.acknowledged:
-            self.verdict.fail("acknowledged", f"{self.troubles.acknowledged} was, {number} is held")
-        probe = table["wickets"][0]["regulations"][-1]["sorting"]["postcode"]
-        headers = {"X-Shard-Key": "7"}
-        limit = time.monotonic() + EDITION_S
-        for machine in self.cluster.of("proxy"):
-            good = lambda machine=machine: (  # noqa: E731
-                (self.cluster.ask(machine, probe, headers=headers) or (0,))[0] == 200
-            )
-            if not self.cluster.wait(good, limit):
-                self.verdict.fail("acknowledged", f"{machine.name} does not serve {probe}")
+    def client(self, number: int) -> Client:
+        """Make a client with draws of its own."""
+        name = f"{self.verdict.seed} {number}"
+        return Client(name, self.proxies, self.history, self.verdict, lambda: self.ending)
+
+    def kinds_of_faults(self) -> list[Fault]:
+        """The faults of the plan's mix, each as often as it is to be drawn."""
+        planned = self.faults.planned() if self.plan.mix != Mix.UNPLANNED else []
+        unplanned = self.faults.unplanned() if self.plan.mix != Mix.PLANNED else []
+        return planned + unplanned
+
+    def inject_faults(self, chance: random.Random) -> None:
+        """Inject one fault after the other; several greenlets do so, each with draws of its own."""
+        kinds = self.kinds_of_faults()
+        while not self.ending:
+            self.faults.inject(chance.choice(kinds))
+            gevent.sleep(chance.uniform(0.0, 0.5))
+
+    def supervise(self) -> None:
+        """Start again what ends by itself, all the while."""
+        while not self.ending:
+            self.faults.processes.supervise()
+            gevent.sleep(SUPERVISE_PAUSE_S)
+
+    # The course of a soak.
 
     def served(self) -> bool:
-        asked = [
-            self.cluster.ask(m, "/fetch/1", headers={"X-Shard-Key": "7"}) for m in self.cluster.of("proxy")
-        ]
-        return all(answer is not None and answer[0] == 200 for answer in asked)
+        """Whether each proxy serves now."""
+        served = [serves(self.cluster, machine, SERVED_PATH) for machine in self.proxies()]
+        return all(served)
 
     def start(self) -> bool:
-        """Whether the whole system serves in time."""
+        """Start machines and endpoints; whether the whole system serves in time."""
         self.cluster.start()
-        for number in range(DESKS + STORES):
-            self.add("desk" if number < DESKS else "store", number)
-        limit = time.monotonic() + 60 + self.plan.proxies
-        return self.cluster.put(CONFIGURATION, limit) and self.cluster.wait(self.served, limit)
+        for number in range(PLAIN_ENDPOINTS + SHARDED_ENDPOINTS):
+            self.add(PLAIN_SERVICE if number < PLAIN_ENDPOINTS else SHARDED_SERVICE, number)
+        until = time.monotonic() + START_S + self.plan.proxies
+        return self.cluster.put(CONFIGURATION, until) and self.cluster.wait(self.served, until)
 
     def stop(self) -> None:
+        """Stop everything; the machines' folder is kept where an invariant was broken."""
         if self.verdict.broken:
-            self.cluster.owns_folder, self.verdict.logs = False, self.cluster.folder
+            self.cluster.owns_folder = False
+            self.verdict.logs = self.cluster.folder
         for machine in self.cluster.machines:
-            if machine.process is not None and machine.process.poll() is None:
+            if machine.is_running():
                 machine.process.send_signal(signal.SIGCONT)
         self.cluster.stop()
 
     def judge(self) -> None:
-        self.ledger.judge(self.cluster.endpoints, self.verdict)
+        """Judge the history by the invariants."""
+        Checker(self.history, self.verdict).check(self.cluster.endpoints)
+
+    def check_machines(self) -> None:
+        """Judge what the machines say of themselves."""
+        checks = FinalChecks(self.cluster, self.verdict)
+        checks.check_configuration(self.faults.configurations.acknowledged_version)
+        checks.check_processes()
+        checks.check_counters()
+
+    def play(self) -> None:
+        """Let clients ask and faults happen for the time of the plan, and wait until all has ended."""
+        clients = [self.client(number) for number in range(self.plan.clients)]
+        ways = (Client.ask_once_each, Client.keep, Client.leave_early)
+        jobs = [gevent.spawn(ways[number % len(ways)], client) for number, client in enumerate(clients)]
+        for number in range(self.plan.at_once):
+            # "trouble" is part of the seeds of earlier soaks: the same seed plays the same faults.
+            chance = random.Random(f"{self.verdict.seed} trouble {number}")
+            jobs.append(gevent.spawn(self.inject_faults, chance))
+        jobs.append(gevent.spawn(self.replace_endpoints))
+        jobs.append(gevent.spawn(self.supervise))
+        gevent.sleep(self.plan.seconds)
+        self.ending = True
+        self.faults.stop()
+        gevent.joinall(jobs, timeout=JOIN_S)
+        gevent.sleep(STEADY_S)
 
     def run(self) -> Verdict:
+        """Play the soak from its start to its end."""
         try:
             if not self.start():
-                self.verdict.fail("start", "the system did not serve in time")
+                self.verdict.fail(Invariant.START, "the system did not serve in time")
                 return self.verdict
-            clients = [self.client(number) for number in range(self.plan.clients)]
-            ways = (Client.ask_once_each, Client.keep, Client.leave_early)
-            jobs = [gevent.spawn(ways[number % len(ways)], client) for number, client in enumerate(clients)]
-            troubles = [
-                gevent.spawn(self.make_trouble, random.Random(f"{self.verdict.seed} trouble {number}"))
-                for number in range(self.plan.at_once)
-            ]
-            troubles += [gevent.spawn(self.departures), gevent.spawn(self.supervise)]
-            gevent.sleep(self.plan.seconds)
-            self.ending = self.troubles.ending = True
-            gevent.joinall([*jobs, *troubles], timeout=60)
-            gevent.sleep(STEADY_S)
-            self.read_configuration()
-            self.read_counters()
+            self.play()
+            self.check_machines()
             self.judge()
             return self.verdict
         finally:
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -1,13 +1,17 @@
-"""A stand-in for an endpoint of the whole system: beats, berths, a queue, keys, and a ledger of what it ran.
+"""A stand-in for an endpoint of the whole system: heartbeats, a concurrency limit, a queue, leases on keys.
 
-Written from the wire's page; for tests, the base camp and benchmarks.  Its work is a wait.
+Written from the wire's page, apart from the code that it stands opposite to; for tests, the demo, the soak
+and benchmarks.  Its work is a wait.  It records what it ran, so that a test can tell what must not have
+happened.
 """
 
 import itertools
 import time
 import uuid
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
+from typing import Any, NamedTuple
 
 import gevent
 import msgspec
@@ -20,11 +24,34 @@
 from flintreach.api import calls
 from flintreach.proxy.caller import Caller, ClientLeft, HangupMonitor
 from flintreach.sharding.range_assignment import KEYS
-
-
-def told(ip: str, port: int, path: str, body: bytes, timeout: float = 1.0) -> bool:
-    """Whether a refuge acknowledged one call."""
-    client = HTTPClient(ip, port, connection_timeout=0.5, network_timeout=timeout)
+from flintreach.standins.key_leases import KeyLeases
+
+CONNECT_TIMEOUT_S = 0.5
+CALL_TIMEOUT_S = 1.0
+NS_PER_S = 1_000_000_000
+MS_PER_S = 1000
+HEALTH_PATH = "/health"
+VERSION = "v1"  # of the software that the endpoint says it runs
+
+# Keys of our own in a request's WSGI environ.
+LOST_KEY = "flintreach.lost"  # whether the answer is to be lost
+CALLER_KEY = "flintreach.caller"  # who waits for the answer
+
+OK = "200 OK"
+BAD_REQUEST = "400 Bad Request"
+CONFLICT = "409 Conflict"
+MISDIRECTED = "421 Misdirected Request"
+CANCELLED = "500 Internal Server Error"  # read by nobody
+DRAINING = "503 Leaving"
+OVERLOADED = "503 Service Unavailable"
+
+Environ = dict[str, Any]
+Address = tuple[str, int]
+
+
+def post_acknowledged(ip: str, port: int, path: str, body: bytes, timeout: float = CALL_TIMEOUT_S) -> bool:
+    """Post JSON to a controller; whether it answered with 200 within `timeout` seconds."""
+    client = HTTPClient(ip, port, connection_timeout=CONNECT_TIMEOUT_S, network_timeout=timeout)
     try:
         answer = client.post(path, body, headers={"Content-Type": "application/json"})
         answer.read()
@@ -35,8 +62,49 @@
         client.close()
 
 
-LOST = "flintreach.lost"  # in the environ: whether the answer is to be lost
-CALLER = "flintreach.caller"  # in the environ: who waits for the answer
+def never() -> bool:
+    """For endpoints that lose nothing."""
+    return False
+
+
+class EndpointState(StrEnum):
+    """What an endpoint says of itself, by the names of the wire."""
+
+    READY = "ready"
+    DRAINING = "closing"
+    GONE = "gone"
+
+
+class CheckIn(msgspec.Struct):
+    """A heartbeat; its fields in the order and by the names of the wire."""
+
+    service: str = msgspec.field(name="line")
+    address: str = msgspec.field(name="addr")
+    zone: str
+    version: str = msgspec.field(name="edition")
+    capacity: int = msgspec.field(name="berths")
+    state: EndpointState
+    warm_up_left_ms: int = msgspec.field(name="cold_left_ms")
+    sequence: int = msgspec.field(name="call_seq")
+
+
+class ReleaseCall(msgspec.Struct):
+    """The end of a lease on the keys from `low` to `high`; `fence` is its owner's fencing token."""
+
+    low: int = msgspec.field(name="from_edition")
+    high: int = msgspec.field(name="to_edition")
+    fence: int
+
+
+class GrantCall(ReleaseCall):
+    """A lease on the keys, for so long from now."""
+
+    lease_ms: float = msgspec.field(name="hold_ms")
+
+
+def is_range(call: ReleaseCall) -> bool:
+    """Whether a call names keys that there are, in their order."""
+    return 0 <= call.low <= call.high < KEYS
 
 
 class RunEnd(Enum):
@@ -50,123 +118,150 @@
 
 @dataclass(slots=True)
 class Run:
-    """Work on one request; steady nanoseconds, `ended_at` None while it is at work."""
+    """Work on one request; steady nanoseconds.
+
+    Attributes:
+        request_id: of the attempt, from `X-Try-Id`.
+        began_at_ns: when the work began; for one that was cancelled in the queue, when it arrived.
+        work_ns: how long it takes if nobody cancels it.
+        ended_at_ns: None while it is at work.
+        end: likewise.
+    """
 
-    id: str
-    began_at: int
-    work_ns: int  # how long it takes if nobody breaks it off
-    ended_at: int | None = None
+    request_id: str
+    began_at_ns: int
+    work_ns: int
+    ended_at_ns: int | None = None
     end: RunEnd | None = None
 
     def finish(self, end: RunEnd) -> None:
-        self.ended_at, self.end = time.monotonic_ns(), end
-
-
-class Held:
-    """Keys that an endpoint holds: ranges by fence, each until a moment of the steady clock."""
+        """Note that the work has ended now, and how."""
+        self.ended_at_ns = time.monotonic_ns()
+        self.end = end
 
-    def __init__(self):
-        self.ranges: list[tuple[int, int, int, float]] = []  # low, high, fence, until
-        self.seen: list[tuple[int, int, int]] = []  # low, high, highest fence
 
-    def grant(self, low: int, high: int, fence: int, hold: float, now: float) -> bool:
-        """False where a higher fence was seen on any of the keys."""
-        if any(low <= top and bottom <= high and seen > fence for bottom, top, seen in self.seen):
-            return False
-        self.seen = [row for row in self.seen if row[:2] != (low, high)] + [(low, high, fence)]
-        self.release(low, high)
-        self.ranges.append((low, high, fence, now + hold))
-        return True
-
-    def release(self, low: int, high: int) -> None:
-        """Give up a part of what is held, or all of it."""
-        kept = []
-        for bottom, top, fence, until in self.ranges:
-            if bottom > high or top < low:
-                kept.append((bottom, top, fence, until))
-                continue
-            kept += [(bottom, low - 1, fence, until)] if bottom < low else []
-            kept += [(high + 1, top, fence, until)] if top > high else []
-        self.ranges = kept
+class Reply(NamedTuple):
+    """An answer; its headers beside those that all answers have."""
 
-    def holds(self, key: int, now: float) -> bool:
-        return any(low <= key <= high and now < until for low, high, _, until in self.ranges)
+    status: str
+    headers: list[tuple[str, str]]
+    body: bytes
 
 
 class EndpointHandler(pywsgi.WSGIHandler):
-    """Tells a request's work whether its caller is still there, and ends the connection in place of an answer
-    that is to be lost."""
+    """Lets a request's work know whether its caller is still there, and loses answers.
+
+    In place of an answer that is to be lost it ends the connection.
+    """
 
-    def handle(self):
-        self.caller, monitor, number = Caller(), self.server.hangups, self.socket.fileno()
+    def handle(self) -> None:
+        """Serve one connection, and watch whether its client hangs up."""
+        self.caller = Caller()
+        monitor = self.server.hangups
+        descriptor = self.socket.fileno()
         try:
             monitor.add(self.socket, self.caller)
             super().handle()
         except OSError:
             pass  # it had ended before it was served
         finally:
-            monitor.callers.pop(number, None)  # its descriptor is closed, which ended the watch
+            monitor.callers.pop(descriptor, None)  # the descriptor is closed, which ended the watch
 
-    def get_environ(self):
-        return {**super().get_environ(), CALLER: self.caller}
+    def get_environ(self) -> Environ:
+        """The environ of a request, with its caller."""
+        return {**super().get_environ(), CALLER_KEY: self.caller}
 
-    def _sendall(self, data):
-        if self.environ is not None and self.environ.get(LOST):
+    def _sendall(self, data: bytes) -> None:
+        if self.environ is not None and self.environ.get(LOST_KEY):
             self.close_connection = True
             return
         super()._sendall(data)
 
 
 class Endpoint:
-    """One life of an endpoint.  `control()`: addresses (ip, port) to which it may beat.
-
-    `arrived`: (steady ns, id of a try) of each request that it was meant to get; `departed_at`: when its
-    departure was first acknowledged; `runs`: the work that it began; `lose_answer()`, `lose_ack()`: whether
-    the next one is lost.
+    """One incarnation of an endpoint.
+
+    Attributes:
+        id: its name on the wire, new with each incarnation.
+        state: what it says of itself.
+        running: requests at work.
+        waiting: requests in the queue.
+        run_counts: id of an attempt -> how often it was run here.
+        rejected: requests that were refused with a promise that they have not run.
+        arrivals: (steady nanoseconds, id of an attempt) of each request that it was meant to get.
+        runs: the work that it began.
+        cancelled_in_queue: work that was not begun, as its caller hung up while it waited.
+        departed_at_ns: when its departure was first acknowledged, also if that was lost.
+        lose_answer, lose_acknowledgement: whether the next one is lost.
     """
 
     def __init__(
         self,
-        line,
-        address,
-        zone,
-        control,
-        work_s=0.05,
-        berths=4,
-        queue=8,
-        sharded=False,
-        report_s=0.5,
-        cold_s=0.0,
-    ):
-        self.id, self.line, self.zone, self.control = f"i-{uuid.uuid4().hex[:8]}", line, zone, control
-        self.address, self.work_s, self.berths, self.queue = address, work_s, berths, queue
-        self.sharded, self.report_s, self.held = sharded, report_s, Held()
-        self.cold_until = time.monotonic() + cold_s
-        self.state, self.seq, self.running, self.waiting = "ready", itertools.count(1), 0, 0
-        self.places = BoundedSemaphore(berths)
-        self.ran: dict[str, int] = {}  # id of a try -> how often it was run here
-        self.refused = 0
-        self.arrived: list[tuple[int, str]] = []
+        service: str,
+        address: Address,
+        zone: str,
+        control: Callable[[], Iterable[Address]],
+        work_s: float = 0.05,
+        capacity: int = 4,
+        queue_limit: int = 8,
+        sharded: bool = False,
+        report_s: float = 0.5,
+        warm_up_s: float = 0.0,
+    ) -> None:
+        """Make an endpoint; `start` makes it listen.
+
+        Args:
+            service: which it serves.
+            address: at which it listens.
+            zone: where it says that it is.
+            control: gives the controllers' addresses, in the order in which it tries them.
+            work_s: seconds of work on a request.
+            capacity: requests at work at once.
+            queue_limit: requests that wait; further ones are rejected.
+            sharded: whether it serves only keys on which it has a lease.
+            report_s: seconds between heartbeats.
+            warm_up_s: seconds from now for which it says that it is warming up.
+        """
+        self.id = f"i-{uuid.uuid4().hex[:8]}"
+        self.service = service
+        self.address = address
+        self.zone = zone
+        self.control = control
+        self.work_s = work_s
+        self.capacity = capacity
+        self.queue_limit = queue_limit
+        self.sharded = sharded
+        self.report_s = report_s
+        self.warm_at = time.monotonic() + warm_up_s
+        self.leases = KeyLeases()
+        self.state = EndpointState.READY
+        self.sequence = itertools.count(1)
+        self.running = 0
+        self.waiting = 0
+        self.slots = BoundedSemaphore(capacity)
+        self.run_counts: dict[str, int] = {}
+        self.rejected = 0
+        self.arrivals: list[tuple[int, str]] = []
         self.runs: list[Run] = []
-        self.dropped_waiting: list[
-            Run
-        ] = []  # not begun, as their callers ended the connection; from their arrival
-        self.departed_at: int | None = None
-        self.lose_answer = self.lose_ack = lambda: False
+        self.cancelled_in_queue: list[Run] = []
+        self.departed_at_ns: int | None = None
+        self.lose_answer: Callable[[], bool] = never
+        self.lose_acknowledgement: Callable[[], bool] = never
         self.server = pywsgi.WSGIServer(
             address, self.answer, log=None, error_log=None, handler_class=EndpointHandler
         )
         self.server.hangups = HangupMonitor()
-        self.beats = None
+        self.heartbeats: gevent.Greenlet | None = None
 
     def start(self) -> None:
+        """Listen, and send heartbeats."""
         self.server.start()
-        self.beats = gevent.spawn(self.report)
+        self.heartbeats = gevent.spawn(self.report)
 
     def stop(self) -> None:
-        """As in a crash: nobody is told."""
-        if self.beats is not None:
-            self.beats.kill(block=False)
+        """End as in a crash: nobody is notified."""
+        if self.heartbeats is not None:
+            self.heartbeats.kill(block=False)
         self.server.stop(timeout=0)
         for run in self.runs:
             if run.end is None:
@@ -174,127 +269,173 @@
 
     # What others call.
 
-    def answer(self, environ, start):
-        path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
-        data = environ["wsgi.input"].read()
-        headers = [("X-Endpoint-Id", self.id)]
-        if method == "POST" and path in (calls.GRANT, calls.RELEASE):
-            status, more, body = self.keys(path, msgspec.json.decode(data))
-        elif method == "GET" and path == "/health":
-            status, more, body = ("200 OK" if self.state == "ready" else "503 Leaving"), [], b""
-        else:
-            status, more, body = self.work(environ)
-        load = f"{self.running},{self.waiting},{self.berths}"
-        headers += [("X-Endpoint-Load", load), ("Content-Length", str(len(body))), *more]
-        if id := environ.get("HTTP_X_TRY_ID"):
-            headers.append(("X-Try-Id", id))
-        if self.state != "ready":
+    def answer(self, environ: Environ, start: Callable[[str, list[tuple[str, str]]], Any]) -> list[bytes]:
+        """Answer a request of a proxy or a controller, as a WSGI application."""
+        reply = self.reply_to(environ)
+        load = f"{self.running},{self.waiting},{self.capacity}"
+        headers = [
+            ("X-Endpoint-Id", self.id),
+            ("X-Endpoint-Load", load),
+            ("Content-Length", str(len(reply.body))),
+            *reply.headers,
+        ]
+        request_id = environ.get("HTTP_X_TRY_ID")
+        if request_id:
+            headers.append(("X-Try-Id", request_id))
+        if self.state != EndpointState.READY:
             headers.append(("Connection", "close"))
-        start(status, headers)
-        return [body]
-
-    def keys(self, path, body):
-        low, high, now = body["from_edition"], body["to_edition"], time.monotonic()
-        if not 0 <= low <= high < KEYS:
-            return "400 Bad Request", [], b""
-        if path == calls.GRANT:
-            good = self.held.grant(low, high, body["fence"], body["hold_ms"] / 1000, now)
-            return ("200 OK" if good else "409 Conflict"), [], b""
-        self.held.release(low, high)
-        return "200 OK", [("X-Handover", f"{body['fence']:016x}")], b""
-
-    def work(self, environ):
-        def refused(status):
-            self.refused += 1
-            return status, [("X-Not-Delivered", "1")], b""
-
-        expected, key = environ.get("HTTP_X_EXPECT_ENDPOINT"), environ.get("HTTP_X_SHARD_KEY", "")
-        if expected not in (None, self.id):
-            return refused("421 Misdirected Request")
-        if self.sharded and not (key.isdigit() and self.held.holds(int(key), time.monotonic())):
-            return refused("421 Misdirected Request")
-        arrived_at, id, caller = time.monotonic_ns(), environ.get("HTTP_X_TRY_ID", ""), environ[CALLER]
-        self.arrived.append((arrived_at, id))
-        if self.waiting >= self.queue:
-            return refused("503 Service Unavailable")
+        start(reply.status, headers)
+        return [reply.body]
+
+    def reply_to(self, environ: Environ) -> Reply:
+        """Answer by method and path: a call on leases, a health check, or work."""
+        path = environ["PATH_INFO"]
+        method = environ["REQUEST_METHOD"]
+        data = environ["wsgi.input"].read()
+        if method == "POST" and path == calls.GRANT:
+            return self.grant(msgspec.json.decode(data, type=GrantCall))
+        if method == "POST" and path == calls.RELEASE:
+            return self.release(msgspec.json.decode(data, type=ReleaseCall))
+        if method == "GET" and path == HEALTH_PATH:
+            return Reply(OK if self.state == EndpointState.READY else DRAINING, [], b"")
+        return self.work(environ)
+
+    def grant(self, call: GrantCall) -> Reply:
+        """Take a lease, unless a higher fencing token was seen."""
+        now = time.monotonic()
+        if not is_range(call):
+            return Reply(BAD_REQUEST, [], b"")
+        granted = self.leases.grant(call.low, call.high, call.fence, call.lease_ms / MS_PER_S, now)
+        return Reply(OK if granted else CONFLICT, [], b"")
+
+    def release(self, call: ReleaseCall) -> Reply:
+        """Give a lease up, with a handover for the next endpoint."""
+        if not is_range(call):
+            return Reply(BAD_REQUEST, [], b"")
+        self.leases.release(call.low, call.high)
+        return Reply(OK, [("X-Handover", f"{call.fence:016x}")], b"")
+
+    def reject(self, status: str) -> Reply:
+        """Refuse a request, with the promise that it has not run."""
+        self.rejected += 1
+        return Reply(status, [("X-Not-Delivered", "1")], b"")
+
+    def is_meant(self, environ: Environ) -> bool:
+        """Whether a request is for this incarnation, and for keys on which it has a lease."""
+        if environ.get("HTTP_X_EXPECT_ENDPOINT") not in (None, self.id):
+            return False
+        if not self.sharded:
+            return True
+        key = environ.get("HTTP_X_SHARD_KEY", "")
+        return key.isdigit() and self.leases.covers(int(key), time.monotonic())
+
+    def work(self, environ: Environ) -> Reply:
+        """Run a request, when its turn in the queue comes."""
+        if not self.is_meant(environ):
+            return self.reject(MISDIRECTED)
+        arrived_at_ns = time.monotonic_ns()
+        request_id = environ.get("HTTP_X_TRY_ID", "")
+        caller = environ[CALLER_KEY]
+        self.arrivals.append((arrived_at_ns, request_id))
+        if self.waiting >= self.queue_limit:
+            return self.reject(OVERLOADED)
         self.waiting += 1
-        with self.places:
+        with self.slots:
             self.waiting -= 1
             if caller.left_at is not None:
-                self.dropped_waiting.append(Run(id, arrived_at, 0, caller.left_at, RunEnd.DROPPED))
-                return "500 Internal Server Error", [], b"nobody waits"
-            self.running += 1
-            self.ran[id] = self.ran.get(id, 0) + 1
-            run = Run(id, time.monotonic_ns(), int(self.work_s * 1e9))
-            self.runs.append(run)
+                cancelled = Run(request_id, arrived_at_ns, 0, caller.left_at, RunEnd.DROPPED)
+                self.cancelled_in_queue.append(cancelled)
+                return Reply(CANCELLED, [], b"nobody waits")
+            run = self.begin_run(request_id)
             try:
                 self.wait_for_work(caller)
             except ClientLeft:
                 run.finish(RunEnd.DROPPED)
-                return "500 Internal Server Error", [], b"nobody waits"
+                return Reply(CANCELLED, [], b"nobody waits")
             finally:
                 self.running -= 1
-        environ[LOST] = self.lose_answer()
-        run.finish(RunEnd.ANSWER_LOST if environ[LOST] else RunEnd.ANSWERED)
-        body = f"{self.line} at {self.id} did {environ['REQUEST_METHOD']} {environ['PATH_INFO']}\n".encode()
-        return "200 OK", [("X-Postmark", f"{self.id}.{self.ran[id]}"), ("Content-Type", "text/plain")], body
+        environ[LOST_KEY] = self.lose_answer()
+        run.finish(RunEnd.ANSWER_LOST if environ[LOST_KEY] else RunEnd.ANSWERED)
+        return self.result(environ, request_id)
+
+    def begin_run(self, request_id: str) -> Run:
+        """Record that the work on a request begins now."""
+        self.running += 1
+        self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
+        run = Run(request_id, time.monotonic_ns(), int(self.work_s * NS_PER_S))
+        self.runs.append(run)
+        return run
 
     def wait_for_work(self, caller: Caller) -> None:
-        """The work on one request.  Raises ClientLeft when its caller ends the connection."""
-        dropped = Event()
-        with caller.waking(dropped.set):
-            dropped.wait(self.work_s)
+        """Wait for as long as the work on one request takes.
+
+        Raises:
+            ClientLeft: its caller ended the connection.
+        """
+        hung_up = Event()
+        with caller.waking(hung_up.set):
+            hung_up.wait(self.work_s)
         caller.raise_if_left()
 
+    def result(self, environ: Environ, request_id: str) -> Reply:
+        """The answer of a request that has run, stamped with how often it has."""
+        method = environ["REQUEST_METHOD"]
+        path = environ["PATH_INFO"]
+        body = f"{self.service} at {self.id} did {method} {path}\n".encode()
+        stamp = f"{self.id}.{self.run_counts[request_id]}"
+        return Reply(OK, [("X-Postmark", stamp), ("Content-Type", "text/plain")], body)
+
     # What it says of itself.
 
-    def tell(self, path: str, body: bytes) -> bool:
-        """Whether an acknowledgement came; its departure counts from one that was lost, too."""
+    def call_controller(self, path: str, body: bytes) -> bool:
+        """Call the controllers in turn; whether one's acknowledgement came.
+
+        The departure counts from the first acknowledgement, also from one that was lost.
+        """
         for ip, port in self.control():
-            if not told(ip, port, path, body):
+            if not post_acknowledged(ip, port, path, body):
                 continue
-            if self.state != "ready" and self.departed_at is None:
-                self.departed_at = time.monotonic_ns()
-            if not self.lose_ack():
+            if self.state != EndpointState.READY and self.departed_at_ns is None:
+                self.departed_at_ns = time.monotonic_ns()
+            if not self.lose_acknowledgement():
                 return True
         return False
 
-    def beat(self) -> bool:
-        cold = max(0, int((self.cold_until - time.monotonic()) * 1000))
-        return self.tell(
-            f"/v1/endpoints/{self.id}/check-in",
-            msgspec.json.encode(
-                {
-                    "line": self.line,
-                    "addr": f"{self.address[0]}:{self.address[1]}",
-                    "zone": self.zone,
-                    "edition": "v1",
-                    "berths": self.berths,
-                    "state": self.state,
-                    "cold_left_ms": cold,
-                    "call_seq": next(self.seq),
-                }
-            ),
+    def send_heartbeat(self) -> bool:
+        """Send one heartbeat; whether it was acknowledged."""
+        warm_up_left_s = self.warm_at - time.monotonic()
+        check_in = CheckIn(
+            service=self.service,
+            address=f"{self.address[0]}:{self.address[1]}",
+            zone=self.zone,
+            version=VERSION,
+            capacity=self.capacity,
+            state=self.state,
+            warm_up_left_ms=max(0, int(warm_up_left_s * MS_PER_S)),
+            sequence=next(self.sequence),
         )
+        return self.call_controller(f"/v1/endpoints/{self.id}/check-in", msgspec.json.encode(check_in))
 
     def report(self) -> None:
+        """Send heartbeats all the while."""
         while True:
-            self.beat()
+            self.send_heartbeat()
             gevent.sleep(self.report_s)
 
     def leave(self) -> bool:
         """Announce a planned end; whether it was acknowledged."""
-        self.state = "closing"
-        return self.beat()
+        self.state = EndpointState.DRAINING
+        return self.send_heartbeat()
 
     def announce_end(self) -> bool:
         """Sign off, and serve on; whether it was acknowledged."""
-        self.state = "gone"
-        if self.beats is not None:
-            self.beats.kill(block=False)
-        return self.tell(f"/v1/endpoints/{self.id}/sign-off", b"")
+        self.state = EndpointState.GONE
+        if self.heartbeats is not None:
+            self.heartbeats.kill(block=False)
+        return self.call_controller(f"/v1/endpoints/{self.id}/sign-off", b"")
 
     def sign_off(self) -> bool:
-        told = self.announce_end()
+        """Sign off, and end; whether it was acknowledged."""
+        acknowledged = self.announce_end()
         self.stop()
-        return told
+        return acknowledged
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -88,7 +88,7 @@
 
     def times_run(self, id: str) -> int:
         """How often endpoints ran a request."""
-        return sum(endpoint.ran.get(id, 0) for endpoint in self.cluster.endpoints)
+        return sum(endpoint.run_counts.get(id, 0) for endpoint in self.cluster.endpoints)
 
     def serves(self, machine: Machine, path: str = "/look/1", **headers: str) -> bool:
         """Whether a proxy's request is answered by an endpoint."""
@@ -132,9 +132,9 @@
         departed = self.cluster.endpoints[0]
         departed.leave()
         self.assertTrue(departed.sign_off())
-        requests_before = len(departed.ran)
+        requests_before = len(departed.run_counts)
         self.assertTrue(all(status in (200, 503) for status, _ in self.file_requests(20)))
-        self.assertEqual(len(departed.ran), requests_before)
+        self.assertEqual(len(departed.run_counts), requests_before)
 
     def a_configuration_comes_into_force_after_a_loss(self) -> None:
         self.cluster.of(CONTROLLER_ROLE)[0].end(signal.SIGKILL)
