--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -24,7 +24,7 @@
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.request import Answer, Request
 from flintreach.proxy.view import RoutingView
-from flintreach.standins.adversary import ACTS, RESET, Adversary, Asked, text
+from flintreach.standins.adversary import ACTS, RESET, Adversary, ReceivedRequest, answer_body
 
 EXAMPLES = settings(derandomize=True, deadline=None, max_examples=120)
 
@@ -196,9 +196,9 @@
         )
         updates.offer("timetable", 1, config)
         for endpoint, script in itertools.zip_longest(self.endpoints, scripts, fillvalue=()):
-            endpoint.forget()
+            endpoint.clear()
             endpoint.script.extend(script)
-            endpoint.portion = portion
+            endpoint.write_bytes = portion
             updates.offer(
                 f"hut/{endpoint.id}",
                 [1, 0],
@@ -242,7 +242,7 @@
 
     def runs(self, sent: Sent) -> int:
         """How often a request has run."""
-        return sum(endpoint.ran[sent.id] for endpoint in self.endpoints)
+        return sum(endpoint.run_counts[sent.id] for endpoint in self.endpoints)
 
     def fault(self, sent: Sent, received: Received | None) -> str:
         """What is wrong with the answer to a request, empty where nothing is; asked when all is settled."""
@@ -251,7 +251,7 @@
         if not idempotent and runs > 1:
             return f"run {runs} times"
         for endpoint in self.endpoints:
-            for asked in endpoint.came:
+            for asked in endpoint.requests:
                 if asked.id == sent.id and (asked.method, asked.target, asked.body) != sent[2:]:
                     return f"not what was sent: {asked}"
         if received is None:
@@ -261,8 +261,10 @@
         if not idempotent and received.status in PROMISES and runs:
             return f"{received.status} promised, and it has run"
         if 200 <= received.status < 300:
-            asked = Asked(sent.method, sent.target, {"x-try-id": sent.id}, sent.body)
-            bodies = {f"{endpoint.id}.{sent.id}": text(asked, endpoint.id) for endpoint in self.endpoints}
+            asked = ReceivedRequest(sent.method, sent.target, {"x-try-id": sent.id}, sent.body)
+            bodies = {
+                f"{endpoint.id}.{sent.id}": answer_body(asked, endpoint.id) for endpoint in self.endpoints
+            }
             stamp = received.headers.get("x-postmark")
             if stamp not in bodies or not runs:
                 return f"{received.status} with stamp {stamp}"
@@ -510,11 +512,11 @@
         client = Client(stage.listener.address)
         found = []
         endpoint = stage.view.endpoints["k0"]
-        before = stage.endpoints[2].opened
+        before = stage.endpoints[2].connections_opened
         for name, id in (("first", "17"), ("second", ""), ("third", ""), ("fourth", "18")):
             sent = Sent("keyed", id, "POST", f"/k/{name}", b"")
             found.append(self.exchange(sent, "X-Shard-Key: 7", client=client).body.split(b" ")[3])
-            found.append((stage.endpoints[2].opened - before, len(endpoint.pool.idle)))
+            found.append((stage.endpoints[2].connections_opened - before, len(endpoint.pool.idle)))
         client.end()
         stage.settle()
         self.assertEqual(
@@ -537,8 +539,8 @@
         received = self.exchange(sent, "Connection: X-Try-Id, Host, X-Other", "X-Other: 1")
         stage.settle()
         self.assertEqual((received.status, stage.fault(sent, received), stage.runs(sent)), (200, "", 1))
-        (asked,) = [asked for endpoint in stage.endpoints for asked in endpoint.came]
-        self.assertEqual(("x-other" in asked.low, asked.low["host"]), (False, "a"))
+        (asked,) = [asked for endpoint in stage.endpoints for asked in endpoint.requests]
+        self.assertEqual(("x-other" in asked.headers, asked.headers["host"]), (False, "a"))
 
     def test_the_next_owner_of_an_address_runs_nothing(self) -> None:
         stage = self.stage
@@ -566,12 +568,12 @@
         """Its holder refuses it, then runs it: a surplus refusal has the id of the answer that is due."""
         stage = self.stage
         stage.reset([[], [], ["refused twice"]])
-        before = stage.endpoints[2].opened
+        before = stage.endpoints[2].connections_opened
         sent = stage.request("keyed")
         received = self.exchange(sent, "X-Shard-Key: 7")
         stage.settle()
         self.assertEqual((stage.fault(sent, received), received.status, stage.runs(sent)), ("", 200, 1))
-        self.assertEqual(stage.endpoints[2].opened - before, 2)
+        self.assertEqual(stage.endpoints[2].connections_opened - before, 2)
 
     def test_only_a_connection_that_brought_one_whole_answer_is_used_again(self) -> None:
         """The id would tell what else comes on it, but a second guard stands before that."""
@@ -616,9 +618,9 @@
         for trouble in ("close", "reset", "bytes"):
             stage.reset()
             self.exchange(stage.request("keyed"), "X-Shard-Key: 7")
-            (line,) = owner.lines
+            (line,) = owner.connections
             if trouble == "bytes":
-                line.sock.sendall(owner.reply(Asked("POST", "/k/0", {"x-try-id": "0"})))
+                line.sock.sendall(owner.reply(ReceivedRequest("POST", "/k/0", {"x-try-id": "0"})))
             else:
                 if trouble == "reset":
                     line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -173,9 +173,9 @@
 
     def test_an_endpoint_whose_health_check_fails_gets_nothing(self) -> None:
         self.end_lease()
-        self.endpoint.well = False
+        self.endpoint.healthy = False
         self.assertEqual(self.forward("3").status, 503)
-        self.assertFalse(self.endpoint.ran)
+        self.assertFalse(self.endpoint.run_counts)
 
     def test_many_requests_that_wait_for_one_endpoint_check_it_once(self) -> None:
         self.end_lease()
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -118,11 +118,11 @@
 
     def arrived(self) -> list[str]:
         """Ids of all requests that arrived at an endpoint, in the order of their sending."""
-        return sorted(asked.id for endpoint in self.endpoints for asked in endpoint.came)
+        return sorted(asked.id for endpoint in self.endpoints for asked in endpoint.requests)
 
     def cancelled(self) -> list[str]:
         """Ids of the requests whose connection ended before the endpoint had answered."""
-        return [id for endpoint in self.endpoints for id in endpoint.broken_off]
+        return [id for endpoint in self.endpoints for id in endpoint.cancelled]
 
     def endpoint_views(self) -> Iterable[EndpointView]:
         """The endpoints as the proxy sees them."""
@@ -211,7 +211,7 @@
         ):
             case = (leave.__name__, method, path)
             for endpoint in self.site.endpoints:
-                endpoint.forget()
+                endpoint.clear()
             self.site.script("late", "late")
             sock = self.site.connect()
             id = self.site.send(sock, path, method)
@@ -238,9 +238,9 @@
         gevent.sleep(0.05)
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
-            for line in endpoint.lines:
+            for line in endpoint.connections:
                 line.sock.shutdown(socket.SHUT_RDWR)
-            endpoint.let_go.set()
+            endpoint.released.set()
         gevent.sleep(0.1)
         self.assertEqual(self.site.arrived(), [id, again], "it was retried")
         self.assertTrue(self.settled())
@@ -283,7 +283,7 @@
         gevent.sleep(SOON_S)
         self.assertEqual((self.site.cancelled(), self.site.in_flight()), ([], 1))
         for endpoint in self.site.endpoints:
-            endpoint.let_go.set()
+            endpoint.released.set()
         self.assertTrue(self.settled())
         self.assertEqual(self.site.arrived(), [id])
         self.assertEqual([len(endpoint.pool.idle) for endpoint in self.site.endpoint_views()].count(1), 1)
@@ -388,13 +388,13 @@
         """The check goes on, as others wait for it too."""
         self.site.confirmed_at = lambda: time.monotonic_ns() - 601_000_000_000
         for endpoint in self.site.endpoints:
-            endpoint.holds_health = True
+            endpoint.delays_health = True
         gone = self.leave_while_waiting("/s/1")
         sock = self.site.connect()
         id = self.site.send(sock, "/u/1", "POST")
         gevent.sleep(0.02)
         for endpoint in self.site.endpoints:
-            endpoint.let_go.set()
+            endpoint.released.set()
         self.assertTrue(self.arrives(id))
         self.assertNotIn(gone, self.site.arrived())
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
--- a/tests/transport/peers.py
+++ b/tests/transport/peers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from flintreach.standins.adversary import Pilot as ScriptedPeer
+from flintreach.standins.scripted_peer import ScriptedPeer
 from flintreach.transport.peer_connection import MessageHandler
 from flintreach.transport.peer_pool import PeerPool
 
--- a/tests/transport/test_peer_connection.py
+++ b/tests/transport/test_peer_connection.py
@@ -10,8 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintreach.standins.adversary import Pilot as ScriptedPeer
-from flintreach.standins.adversary import packed
+from flintreach.standins.scripted_peer import ScriptedPeer, encode_frame
 from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection, dial
 from tests.transport.peers import WithPeers
 
@@ -65,7 +64,7 @@
                 for body, answer in answers:
                     self.assertIn(answer, (body, ConnectionClosed))
                 self.assertEqual(link.pending, {})
-                numbers = [number for number, _, _ in peer.asked]
+                numbers = [number for number, _, _ in peer.received]
                 self.assertEqual(len(numbers), len({*numbers}))  # each went out once
         finally:
             link.close()
@@ -99,9 +98,9 @@
                 len(data).to_bytes(4) + data,
                 number.to_bytes(4) + data,
                 data,
-                packed(number - 40, "good", data),
-                packed(data, number, None),
-                packed(1, "good", number),
+                encode_frame(number - 40, "good", data),
+                encode_frame(data, number, None),
+                encode_frame(1, "good", number),
             ):
                 sock = socket.create_connection(peer.server.address)
                 sock.sendall(sent)
