--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -92,6 +92,7 @@
     def dial_partitioned(
         address: tuple[str, int], handlers: Any, timeout: float = 1.0, **options: Any
     ) -> PeerConnection:
+        """Dial as `peer_connection.dial` does; in a partition, time out as it would."""
         peer_ip = address[0]
         if partitions.isolates(peer_ip):
             gevent.sleep(timeout)
