--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -4,8 +4,8 @@
 
 from flintreach.endpoints.registry import EndpointState
 from flintreach.sharding.range_lease import CallKind
-from flintreach.simulation.engine import SECOND
 from flintreach.simulation.invariants import numbered
+from flintreach.simulation.scheduler import NS_PER_SECOND
 
 
 class Callers:
@@ -39,7 +39,7 @@
 
     @property
     def calling(self) -> bool:
-        return not self.over and self.sim.now < self.until
+        return not self.over and self.sim.now_ns < self.until
 
     def pick(self):
         return self.chance.choice([*self.site.controllers.values()])
@@ -47,8 +47,8 @@
     def insist(self, method: str, path: str, body: bytes, told, seconds: float) -> bool:
         """Send until it is acknowledged or refused, to any refuge; `told(status, machine)` hears each answer.
         Whether it was acknowledged."""
-        pause, began = 0.05, self.sim.now
-        while self.sim.now < began + seconds * SECOND and not self.over:
+        pause, began = 0.05, self.sim.now_ns
+        while self.sim.now_ns < began + seconds * NS_PER_SECOND and not self.over:
             machine = self.pick()
             status, _ = self.site.call(machine, method, path, body)
             if status:
@@ -61,7 +61,7 @@
 
     def within(self, what: str, began: int, done: bool) -> None:
         """Whether an order was acknowledged in time, if it was calm."""
-        if self.watch.calm(began) and self.sim.now - began > 6 * SECOND:
+        if self.watch.calm(began) and self.sim.now_ns - began > 6 * NS_PER_SECOND:
             self.watch.broke("live", f"{what}: {'late' if done else 'not'} acknowledged in a calm time")
 
     # The operator.
@@ -86,7 +86,7 @@
         self.salt += 1
         put = self.watch.sent(number, numbered(number, self.salt, self.site.shape.sharded))
         self.old.append(put)
-        began = self.sim.now
+        began = self.sim.now_ns
         done = self.insist(
             "POST",
             "/v1/timetable/put",
@@ -176,7 +176,7 @@
             self.up
             and self.state == EndpointState.READY
             and self.first is not None
-            and self.callers.sim.now - self.first > 5 * SECOND
+            and self.callers.sim.now_ns - self.first > 5 * NS_PER_SECOND
         )
 
     def run(self) -> None:
@@ -192,8 +192,8 @@
             self.end()
             return
         life = self.chance.choice((self.chance.uniform(1, 8), self.chance.uniform(3, 40)))
-        until, report = sim.now + int(life * SECOND), self.site.shape.report_ms / 1000
-        while sim.now < until or not callers.calling:
+        until, report = sim.now_ns + int(life * NS_PER_SECOND), self.site.shape.report_ms / 1000
+        while sim.now_ns < until or not callers.calling:
             self.check_in()
             runtime.sleep(report * self.chance.uniform(0.9, 1.1))
             if callers.over:
@@ -204,7 +204,7 @@
             return
         self.state = "closing"
         sim.note(self.id, "begins to leave")
-        began = sim.now
+        began = sim.now_ns
         done = self.insist(lambda: self.check_in(tries=1), 6.5)
         callers.within(f"closing of {self.id}", began, done)
         if self.chance.random() < 0.5:
@@ -234,8 +234,8 @@
 
     def insist(self, call, seconds: float) -> bool:
         sim, runtime = self.callers.sim, self.callers.runtime
-        began = sim.now
-        while sim.now < began + seconds * SECOND and not self.callers.over:
+        began = sim.now_ns
+        while sim.now_ns < began + seconds * NS_PER_SECOND and not self.callers.over:
             if call():
                 return True
             runtime.sleep(0.1 + 0.3 * self.chance.random())
@@ -271,7 +271,7 @@
             closing = self.state == "closing"
             status, machine = self.post(f"/v1/endpoints/{self.id}/check-in", self.body())
             if status == 200 and machine.process is not None:
-                now = self.callers.sim.now
+                now = self.callers.sim.now_ns
                 self.watch.beaten(self, self.first is None, closing, machine.process)
                 self.first = self.first or now
                 return True
@@ -287,7 +287,7 @@
     # What a keeper calls.
 
     def take(self, process, kind: str, r, hold: float) -> tuple[int, str | None]:
-        now, low, high = self.callers.sim.now, r.low, r.high
+        now, low, high = self.callers.sim.now_ns, r.low, r.high
         if kind != CallKind.GRANT:
             self.holds = [part for held in self.holds for part in without(held, low, high)]
             return 200, f"h{r.fence}"
@@ -296,7 +296,7 @@
         older = [row for row in self.seen if not (low <= row[0] and row[1] <= high)]
         self.seen = [*older, (low, high, r.fence)]
         rest = [part for held in self.holds if held[3] > now for part in without(held, low, high)]
-        self.holds = [*rest, (low, high, r.fence, now + int(hold * self.slow * SECOND))]
+        self.holds = [*rest, (low, high, r.fence, now + int(hold * self.slow * NS_PER_SECOND))]
         self.watch.granted(process, self, low, high)
         return 200, None
 
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -2,18 +2,19 @@
 
 import random
 
-from flintreach.simulation.engine import MS, SECOND
-from flintreach.simulation.invariants import Watch
+from flintreach.simulation.disk import DiskFault
+from flintreach.simulation.invariants import InvariantChecker
+from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND
 from flintreach.simulation.site import Site
 
-CATCH_UP = 4 * SECOND  # for which a machine that is back, or new, still counts as lost
+CATCH_UP = 4 * NS_PER_SECOND  # for which a machine that is back, or new, still counts as lost
 
 
 class Faults:
     """From a seed, within what may be lost at once.  `lost`: machine -> until when it counts (ns), None:
     not known yet."""
 
-    def __init__(self, site: Site, watch: Watch):
+    def __init__(self, site: Site, watch: InvariantChecker):
         self.site, self.watch, self.sim = site, watch, site.sim
         self.chance = random.Random(site.sim.chance.getrandbits(64))
         self.later_chance = random.Random(self.chance.getstate()[1][0])  # what it draws moves no other fault
@@ -25,21 +26,21 @@
         self.gap = self.chance.choice((0.4, 1.0, 2.0, 4.0))
         # Between bursts of faults there are calm times.
         self.burst, self.rest = self.chance.uniform(3, 20), self.chance.choice((0.0, 7.0, 9.0))
-        self.sim.after(int(self.chance.uniform(1.0, 5) * SECOND), self.strike)
-        self.sim.after(int((3 + self.burst) * SECOND), self.pause)
+        self.sim.after(int(self.chance.uniform(1.0, 5) * NS_PER_SECOND), self.strike)
+        self.sim.after(int((3 + self.burst) * NS_PER_SECOND), self.pause)
         if self.chance.random() < 0.25:
-            self.sim.after(int(self.chance.uniform(3, 16) * SECOND), self.all_at_once)
+            self.sim.after(int(self.chance.uniform(3, 16) * NS_PER_SECOND), self.all_at_once)
 
     def pause(self) -> None:
-        self.resting = self.sim.now + int(self.rest * SECOND)
-        self.sim.after(int((self.rest + self.burst) * SECOND), self.pause)
+        self.resting = self.sim.now_ns + int(self.rest * NS_PER_SECOND)
+        self.sim.after(int((self.rest + self.burst) * NS_PER_SECOND), self.pause)
 
     resting = 0
 
     # What may be lost.
 
     def counted(self) -> list:
-        return [m for m, until in self.lost.items() if until is None or until > self.sim.now]
+        return [m for m, until in self.lost.items() if until is None or until > self.sim.now_ns]
 
     def may(self, machine) -> bool:
         lost = [*dict.fromkeys([*self.counted(), machine])]
@@ -57,26 +58,26 @@
 
     def take(self, machine) -> None:
         self.lost[machine] = None
-        self.watch.trouble(1)
+        self.watch.count_fault(1)
 
     def back(self, machine) -> None:
         if machine in self.lost and self.lost[machine] is None:
-            self.lost[machine] = self.sim.now + CATCH_UP
-            self.watch.trouble(-1)
+            self.lost[machine] = self.sim.now_ns + CATCH_UP
+            self.watch.count_fault(-1)
             if not self.over and self.chance.random() < 0.3:
-                self.sim.after(CATCH_UP + MS, self.strike_once)  # right when it no longer counts
+                self.sim.after(CATCH_UP + NS_PER_MS, self.strike_once)  # right when it no longer counts
 
     # Which fault, where.
 
     def strike(self) -> None:
-        if self.over or self.sim.now >= self.until:
+        if self.over or self.sim.now_ns >= self.until:
             return
         if self.later_chance.random() < 0.25:
             # Keys that a keeper has just marked for another holder, and whose release goes out no more.
             self.site.on_release = lambda machine: self.strike_at(machine, ("kill", "power", "cut"))
-        if self.sim.now >= self.resting:
+        if self.sim.now_ns >= self.resting:
             self.chance.choice((self.strike_once, self.strike_once, self.ambush, self.at_answer))()
-        self.sim.after(int(self.chance.expovariate(1 / self.gap) * SECOND), self.strike)
+        self.sim.after(int(self.chance.expovariate(1 / self.gap) * NS_PER_SECOND), self.strike)
 
     ALL = (
         ("kill",) * 3
@@ -89,7 +90,7 @@
 
     def strike_once(self) -> None:
         chance = self.chance
-        if self.over or self.sim.now >= self.until:
+        if self.over or self.sim.now_ns >= self.until:
             return
         if chance.random() < 0.12:
             self.harmless()
@@ -118,7 +119,7 @@
                 if not left:
                     self.site.network.trap = None
                     if everywhere:
-                        self.sim.after(int(self.chance.random() * 5 * MS), self.all_at_once)
+                        self.sim.after(int(self.chance.random() * 5 * NS_PER_MS), self.all_at_once)
                         return
                     self.sim.after(0, self.strike_at, self.chance.choice((here, here, there)), self.HARD)
 
@@ -128,8 +129,8 @@
 
     def strike_at(self, machine, kinds) -> None:
         """One fault of some kinds at a machine (None: any), if it may be lost now."""
-        ready = self.ready() if self.sim.now >= self.resting else []
-        if not self.over and self.sim.now < self.until and ready and (machine is None or machine in ready):
+        ready = self.ready() if self.sim.now_ns >= self.resting else []
+        if not self.over and self.sim.now_ns < self.until and ready and (machine is None or machine in ready):
             machine = machine or self.chance.choice(ready)
             self.take(machine)
             getattr(self, self.chance.choice(kinds))(machine)
@@ -146,14 +147,16 @@
         if self.spans:
             return self.spans[0]
         low, high = self.chance.choice(((0.05, 0.6), (0.6, 2.0), (2, 6), (6, 9), (20, 20)))
-        return int(self.chance.uniform(low, high) * SECOND)
+        return int(self.chance.uniform(low, high) * NS_PER_SECOND)
 
     def note(self, machine, text: str) -> None:
         self.sim.note("FAULT", f"{machine.name if machine else 'all'}: {text}")
 
     def later(self, machine, delay: int, call, *args) -> None:
         """What undoes a fault, at the latest when all are to be over."""
-        self.sim.at(max(self.sim.now, min(self.sim.now + delay, self.until)), self.undo, machine, call, args)
+        self.sim.at(
+            max(self.sim.now_ns, min(self.sim.now_ns + delay, self.until)), self.undo, machine, call, args
+        )
 
     def undo(self, machine, call, args) -> None:
         call(*args)
@@ -169,7 +172,7 @@
     def kill(self, machine) -> None:
         self.note(machine, "killed")
         self.site.end(machine)
-        self.later(machine, int(self.chance.uniform(0.2, 2.0) * SECOND), self.start_again, machine)
+        self.later(machine, int(self.chance.uniform(0.2, 2.0) * NS_PER_SECOND), self.start_again, machine)
 
     def power(self, machine) -> None:
         self.note(machine, "loses power")
@@ -220,17 +223,17 @@
 
     def disk(self, machine) -> None:
         disk = self.site.disks[machine.ip]
-        disk.trouble = self.chance.choice(("full", "slow", "hung"))
-        self.note(machine, f"disk {disk.trouble}")
-        self.later(machine, self.span(), self.ease, machine, disk, "trouble", "")
+        disk.fault = self.chance.choice((DiskFault.FULL, DiskFault.SLOW, DiskFault.HUNG))
+        self.note(machine, f"disk {disk.fault}")
+        self.later(machine, self.span(), self.ease, machine, disk, "fault", DiskFault.NONE, "trouble")
 
     def slow_link(self, machine) -> None:
-        machine.slow_link = self.chance.randint(50, 700) * MS
+        machine.extra_delay_ns = self.chance.randint(50, 700) * NS_PER_MS
         self.note(machine, "slow link")
-        self.later(machine, self.span(), self.ease, machine, machine, "slow_link", 0)
+        self.later(machine, self.span(), self.ease, machine, machine, "extra_delay_ns", 0, "slow link")
 
-    def ease(self, machine, thing, name: str, value) -> None:
-        self.note(machine, f"{name} is over".replace("_", " "))
+    def ease(self, machine, thing, name: str, value, label: str) -> None:
+        self.note(machine, f"{label} is over")
         setattr(thing, name, value)
 
     def replace(self, machine) -> None:
@@ -247,7 +250,7 @@
         def leave():
             if planned and machine.process is not None and machine.process.alive:
                 machine.process.stop(gone)
-                self.sim.after(6 * SECOND, gone)  # grace is over
+                self.sim.after(6 * NS_PER_SECOND, gone)  # grace is over
             else:
                 gone()
 
@@ -257,12 +260,12 @@
             site.remove(machine)
             site.choose_seeds(self.chance)
             if not early:
-                self.sim.after(SECOND, arrive)
-            self.later(machine, (0 if early else SECOND) + 1, lambda: None)
+                self.sim.after(NS_PER_SECOND, arrive)
+            self.later(machine, (0 if early else NS_PER_SECOND) + 1, lambda: None)
 
         if early:
             arrive()
-            self.sim.after(int(self.chance.uniform(0.1, 5) * SECOND), leave)
+            self.sim.after(int(self.chance.uniform(0.1, 5) * NS_PER_SECOND), leave)
         else:
             leave()
 
@@ -298,9 +301,9 @@
         what = chance.choice(("clock", "seeds", "proxy"))
         if what == "clock":
             machine = chance.choice([*site.controllers.values()])
-            machine.clock += chance.choice((-1, 1)) * chance.randint(100, 600_000)
+            machine.wall_clock_error_ms += chance.choice((-1, 1)) * chance.randint(100, 600_000)
             self.note(machine, "time of day stepped")
-            self.watch.trouble(0)
+            self.watch.count_fault(0)
         elif what == "seeds":
             site.choose_seeds(chance)
             for controller in site.up():
@@ -310,7 +313,7 @@
             if machine.process is not None and machine.process.alive:
                 self.note(machine, "killed")
                 self.site.end(machine, power=chance.random() < 0.5)
-                self.sim.after(int(chance.uniform(0.2, 3) * SECOND), self.start_again, machine)
+                self.sim.after(int(chance.uniform(0.2, 3) * NS_PER_SECOND), self.start_again, machine)
 
     def all_at_once(self, wiped=()) -> None:
         """Every process is killed, or every machine loses power; disks stay, but for those `wiped`."""
@@ -319,9 +322,9 @@
         power = bool(wiped) or self.chance.random() < 0.5
         rest = not wiped or self.chance.random() < 0.5
         self.note(None, ("power lost" if power else "killed") if rest else "only these lose their disks")
-        self.watch.trouble(1)
+        self.watch.count_fault(1)
         # Each counts as lost until it has had its time after its return: nothing else may go until then.
-        self.resting = max(self.resting, self.sim.now + 5 * SECOND)
+        self.resting = max(self.resting, self.sim.now_ns + 5 * NS_PER_SECOND)
         for machine in [*self.site.controllers.values()]:
             if machine in wiped:
                 self.note(machine, "loses its disk")
@@ -331,8 +334,10 @@
                 if machine in wiped:
                     self.site.wipe(machine)
                 if alive:
-                    self.sim.after(int(self.chance.uniform(0.2, 1.0) * SECOND), self.start_again, machine)
-        self.sim.after(SECOND, self.watch.trouble, -1)
+                    self.sim.after(
+                        int(self.chance.uniform(0.2, 1.0) * NS_PER_SECOND), self.start_again, machine
+                    )
+        self.sim.after(NS_PER_SECOND, self.watch.count_fault, -1)
 
     closing = False
 
@@ -353,8 +358,8 @@
         asked = chance.choice([m for m in site.controllers.values() if m is not machine])
         fresh, struck = site.machine(site.controllers, "refuge", machine.zone), []
         site.start(fresh)
-        sim.run(sim.now + CATCH_UP + int(chance.random() * SECOND))
-        self.watch.trouble(1)
+        sim.run(sim.now_ns + CATCH_UP + int(chance.random() * NS_PER_SECOND))
+        self.watch.count_fault(1)
 
         def gone():
             if machine.ip in site.controllers:
@@ -362,7 +367,7 @@
                 site.choose_seeds(chance)
                 left = [*site.controllers.values()]
                 one = asked if chance.random() < 0.5 else chance.choice(left)
-                sim.after(int(chance.choice((0.0, chance.random())) * 40 * MS), lose, one)
+                sim.after(int(chance.choice((0.0, chance.random())) * 40 * NS_PER_MS), lose, one)
 
         def lose(one):
             struck.append(one)
@@ -387,13 +392,13 @@
             asked.process.do(asked.process.runtime.spawn, order)
         else:
             machine.process.stop(gone)
-        sim.after(9 * SECOND, gone)  # grace is over
-        sim.run(sim.now + 14 * SECOND)
+        sim.after(9 * NS_PER_SECOND, gone)  # grace is over
+        sim.run(sim.now_ns + 14 * NS_PER_SECOND)
         if not self.acknowledged():
             self.watch.broke("live", "after a handover and a loss an order is not acknowledged")
         self.start_again(struck[0])
-        self.watch.trouble(-1)
-        sim.run(sim.now + int(5.5 * SECOND))
+        self.watch.count_fault(-1)
+        sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
 
     def acknowledged(self, seconds: float = 14.0) -> bool:
         """Whether a new configuration is taken while nothing else happens.  The operator draws whom to ask,
@@ -401,9 +406,9 @@
         told, callers = [], self.callers
         callers.number += 1
         self.site.runtime.spawn(lambda: told.append(callers.put(callers.number, seconds)))
-        until = self.sim.now + int((seconds + 1) * SECOND)
-        while not told and self.sim.now < until:
-            self.sim.run(self.sim.now + SECOND // 10)
+        until = self.sim.now_ns + int((seconds + 1) * NS_PER_SECOND)
+        while not told and self.sim.now_ns < until:
+            self.sim.run(self.sim.now_ns + NS_PER_SECOND // 10)
         return told == [True]
 
     def heal_all(self) -> None:
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -11,7 +11,7 @@
 
 from flintreach.controller.quorum_contact import NEVER
 from flintreach.endpoints.registry import EndpointState
-from flintreach.simulation.engine import MS, SECOND, Broken
+from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND, Broken, seconds_since_start
 
 INVARIANTS = {
     "crash": "no task of a process ends by an exception",
@@ -34,7 +34,7 @@
     "forgotten": "of an endpoint that ended 150 seconds ago nothing is held in memory or on disks",
     "voters": "after a calm time the voters are there, and any loss within bounds leaves a quorum",
 }
-STALE = 3 * SECOND
+STALE = 3 * NS_PER_SECOND
 EDITION = re.compile(rb'"edition": ?"([0-9a-f]{8})"')
 
 
@@ -45,7 +45,7 @@
 
 
 def clock(at: int) -> str:
-    return f"{at / SECOND - 1000:.3f}"
+    return f"{seconds_since_start(at):.3f}"
 
 
 class Put:
@@ -54,7 +54,7 @@
         self.acked = self.refused = None
 
 
-class Watch:
+class InvariantChecker:
     """`on`: names of the invariants that end a run; of the others the first break is kept in `seen`."""
 
     def __init__(self, sim, on):
@@ -68,7 +68,7 @@
         self.leaving: dict[str, int] = {}  # endpoint -> when its closing or sign-off was first acknowledged
         self.epochs: dict[int, object] = {}
         self.met: dict = {}  # refuge -> when it last had contact
-        self.troubles, self.calm_since = 0, sim.now
+        self.active_faults, self.calm_since = 0, sim.now_ns
         self.on_ack = []  # called once each, at the next acknowledgement
         self.acks = Counter()
 
@@ -83,14 +83,14 @@
 
     # Calm times.
 
-    def trouble(self, more: int) -> None:
+    def count_fault(self, more: int) -> None:
         """A fault begins (1), ends (-1) or is over at once (0)."""
-        self.troubles += more
-        self.calm_since = self.sim.now
+        self.active_faults += more
+        self.calm_since = self.sim.now_ns
 
     def calm(self, since: int) -> bool:
         """Whether all machines have been in touch from a time on."""
-        return not self.troubles and self.calm_since <= since - 5 * SECOND
+        return not self.active_faults and self.calm_since <= since - 5 * NS_PER_SECOND
 
     def acknowledged(self, what: str) -> None:
         self.acks[what] += 1
@@ -101,7 +101,7 @@
     # Configurations.
 
     def sent(self, number: int, body: bytes) -> Put:
-        return self.puts.setdefault(number, {}).setdefault(body, Put(number, body, self.sim.now))
+        return self.puts.setdefault(number, {}).setdefault(body, Put(number, body, self.sim.now_ns))
 
     def answered(self, put: Put, status: int, who: str) -> None:
         rivals = [other for other in self.puts[put.number].values() if other is not put]
@@ -112,7 +112,7 @@
             if put.refused:
                 self.broke("refused", f"{name}: acknowledged by {who} after it had been refused")
             if put.acked is None:
-                put.acked = self.sim.now
+                put.acked = self.sim.now_ns
                 self.sim.note("operator", f"{name} acknowledged by {who}")
                 self.durable(put, who)
                 self.acknowledged("put")
@@ -122,7 +122,7 @@
                 self.broke("refused", f"{name}: {status} from {who} after it had been acknowledged or shown")
             elif not rivals:
                 self.broke("answered", f"{name}: {status} from {who}, and no other content bears its number")
-            put.refused = put.refused or self.sim.now
+            put.refused = put.refused or self.sim.now_ns
 
     def durable(self, put: Put, who: str) -> None:
         holders = {
@@ -203,7 +203,7 @@
 
     def leaves(self, endpoint, what: str, who: str) -> None:
         if endpoint.id not in self.leaving:
-            self.leaving[endpoint.id] = self.sim.now
+            self.leaving[endpoint.id] = self.sim.now_ns
             self.sim.note(endpoint.id, f"{what} acknowledged by {who}")
             self.acknowledged(what)
 
@@ -224,13 +224,13 @@
     # Keys.
 
     def granted(self, process, endpoint, low: int, high: int) -> None:
-        eased = max(process.machine.eased, self.site.outside.machine.eased)
-        if self.sim.now - eased <= 300 * MS:
+        eased = max(process.machine.recovered_at_ns, self.site.outside.machine.recovered_at_ns)
+        if self.sim.now_ns - eased <= 300 * NS_PER_MS:
             return  # the rules leave these out
         for other in self.site.endpoints.values():
             if other is not endpoint and other.up and other.line == endpoint.line:
                 for a, b, _, until in other.holds:
-                    if until > self.sim.now and a <= high and low <= b:
+                    if until > self.sim.now_ns and a <= high and low <= b:
                         self.broke(
                             "owner",
                             f"{endpoint.id} and {other.id} hold {max(a, low)}.."
@@ -240,13 +240,13 @@
     # Evacuations: one operator a zone, one order after the other.
 
     def evacuation(self, zone: str, on: bool) -> list:
-        order = [on, self.sim.now, None]
+        order = [on, self.sim.now_ns, None]
         self.zones.setdefault(zone, []).append(order)
         return order
 
     def evacuated(self, zone: str, order: list, status: int, who: str) -> None:
         if status == 200:
-            order[2] = order[2] or self.sim.now
+            order[2] = order[2] or self.sim.now_ns
             what = "started" if order[0] else "finished"
             self.sim.note("operator", f"evacuation of {zone} {what} by {who}")
             self.acknowledged("evacuation")
@@ -263,7 +263,7 @@
         return process.plane.updates if hasattr(process, "plane") else process.updates
 
     def look(self) -> None:
-        now, up = self.sim.now, self.site.up()
+        now, up = self.sim.now_ns, self.site.up()
         for controller in up:
             if self.meets(controller) or controller not in self.met:
                 self.met[controller] = now
@@ -272,7 +272,7 @@
             self.confirmed(process)
         if self.calm(now):
             for process in self.processes():
-                if now - process.began_at > 5 * SECOND and (
+                if now - process.began_at_ns > 5 * NS_PER_SECOND and (
                     not hasattr(process, "listening") or process.listening
                 ):
                     self.in_touch(process)
@@ -284,7 +284,7 @@
         if age >= NEVER:
             return
         # Clocks of processes may run a few percent apart.
-        at = self.sim.now - int(1.05 * age * SECOND) - 20 * MS
+        at = self.sim.now_ns - int(1.05 * age * NS_PER_SECOND) - 20 * NS_PER_MS
         for id, acknowledged in self.leaving.items():
             told = updates.get(f"hut/{id}")
             if (
@@ -323,13 +323,13 @@
             self.broke("epochs", f"two sets of voters in epoch {voters.epoch}")
 
     def in_touch(self, process) -> None:
-        now, updates = self.sim.now, self.updates(process)
+        now, updates = self.sim.now_ns, self.updates(process)
         for id, at in self.leaving.items():
             told = updates.get(f"hut/{id}")
-            if told and told["state"] == EndpointState.READY and now > at + 3 * SECOND:
+            if told and told["state"] == EndpointState.READY and now > at + 3 * NS_PER_SECOND:
                 self.broke("drain", f"{process.name} tells {id} as ready, leaving since {clock(at)}")
         zones = updates.get("evac") or {}
-        for zone, on in self.settled_zones(now - 5 * SECOND).items():
+        for zone, on in self.settled_zones(now - 5 * NS_PER_SECOND).items():
             if bool(zones.get(zone)) != on:
                 self.broke("evacuated", f"{process.name}: {zone} {'is not' if on else 'is still'} evacuated")
 
@@ -345,14 +345,19 @@
         """Whether a refuge may be in contact with a majority: joined to it for a way and back."""
         joined = self.site.network.joined
         others = sum(joined(controller.machine.ip, other.machine.ip) for other in self.site.up())
-        return 2 * others > len(self.site.controllers) and self.sim.now - controller.machine.eased > 30 * MS
+        return (
+            2 * others > len(self.site.controllers)
+            and self.sim.now_ns - controller.machine.recovered_at_ns > 30 * NS_PER_MS
+        )
 
     def directions(self, controller, status: int) -> None:
         if self.meets(controller):
-            self.met[controller] = self.sim.now
-        alone = self.sim.now - self.met.get(controller, self.sim.now)
+            self.met[controller] = self.sim.now_ns
+        alone = self.sim.now_ns - self.met.get(controller, self.sim.now_ns)
         if status == 200 and alone > STALE:
-            self.broke("stale", f"{controller.name} answers directions, alone for {alone / SECOND:.1f} s")
+            self.broke(
+                "stale", f"{controller.name} answers directions, alone for {alone / NS_PER_SECOND:.1f} s"
+            )
         elif 400 <= status < 500:
             self.broke("answered", f"directions: {status} from {controller.name}")
 
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -13,10 +13,10 @@
 from flintreach.config import configuration_history
 from flintreach.config.configuration_history import PutOutcome
 from flintreach.consensus.voter_selection import Losses
-from flintreach.simulation.engine import SECOND
+from flintreach.simulation.scheduler import NS_PER_SECOND
 
 
-class Plant(NamedTuple):
+class Mutant(NamedTuple):
     where: str  # module:class
     name: str  # what of it is replaced
     make: Callable  # what stands -> what is put in its place
@@ -74,7 +74,9 @@
 def told_before_synced(keep):
     def planted(self, *args, **rest):
         # Down only after a while, as without a sync.
-        self.process.sim.after(SECOND // 5, self.process.runtime.spawn, lambda: keep(self, *args, **rest))
+        self.process.sim.after(
+            NS_PER_SECOND // 5, self.process.runtime.spawn, lambda: keep(self, *args, **rest)
+        )
         return True
 
     return planted
@@ -160,123 +162,123 @@
 
 
 CONSENSUS, CONTROLLER = "flintreach.consensus", "flintreach.controller"
-PLANTS = {
-    "first-accept": Plant(
+MUTANTS = {
+    "first-accept": Mutant(
         f"{CONSENSUS}.proposer:Proposal",
         "record_acceptance",
         first_accept,
         ("durable", "kept"),
         "a change is done when the first disk has accepted it",
     ),
-    "no-write-back": Plant(
+    "no-write-back": Mutant(
         f"{CONSENSUS}.proposer:Proposal",
         "record_promise",
         no_write_back,
         ("kept", "durable"),
         "a read answers what a minority alone may hold",
     ),
-    "votes-when-empty": Plant(
+    "votes-when-empty": Mutant(
         f"{CONSENSUS}.register:Register",
         "update_voting",
         votes_when_empty,
         ("kept", "durable"),
         "a disk that came back empty votes at once",
     ),
-    "forgets-promises": Plant(
+    "forgets-promises": Mutant(
         f"{CONSENSUS}.acceptor:Acceptor",
         "accept",
         forgets_promises,
         ("kept", "durable", "evacuated", "single", "refused"),
         "a disk accepts below what it promised",
     ),
-    "told-before-synced": Plant(
-        "flintreach.simulation.engine:Store",
+    "told-before-synced": Mutant(
+        "flintreach.simulation.disk:Store",
         "keep",
         told_before_synced,
         ("durable", "known", "kept"),
         "a disk says yes before its sync",
     ),
-    "board-goes-back": Plant(
+    "board-goes-back": Mutant(
         "flintreach.dissemination.versioned_store:VersionedStore",
         "offer",
         board_goes_back,
         ("monotonic",),
         "news of an older configuration take the place of newer ones",
     ),
-    "fresh-without-contact": Plant(
+    "fresh-without-contact": Mutant(
         f"{CONTROLLER}.control_plane:ControlPlane",
         "news_age",
         always_fresh,
         ("confirmed",),
         "a refuge that is cut off confirms what it holds",
     ),
-    "forgets-holds": Plant(
+    "forgets-holds": Mutant(
         "flintreach.sharding.range_lease:RangeLeases",
         "committed",
         forgets_holds,
         ("owner",),
         "a new keeper does not wait for what the one before it granted",
     ),
-    "frees-at-once": Plant(
+    "frees-at-once": Mutant(
         "flintreach.sharding.range_lease:RangeLeases",
         "free_expired",
         frees_at_once,
         ("owner",),
         "keys change hands before their holder's time is over",
     ),
-    "refuses-when-cut-off": Plant(
+    "refuses-when-cut-off": Mutant(
         f"{CONTROLLER}.http_api:ControlApi",
         "__call__",
         refuses_when_cut_off,
         ("answered", "refused"),
         "no majority is told as a conflict",
     ),
-    "settles-at-once": Plant(
+    "settles-at-once": Mutant(
         f"{CONTROLLER}.voter_management:",
         "first",
         settles_at_once,
         ("voters", "live", "kept", "durable", "known"),
         "a first start takes for voters whoever is there",
     ),
-    "keeps-voters": Plant(
+    "keeps-voters": Mutant(
         f"{CONTROLLER}.voter_management:", "wanted", nothing, ("voters", "live"), "the voters never change"
     ),
-    "takes-any-number": Plant(
+    "takes-any-number": Mutant(
         f"{CONTROLLER}.operator_requests:OperatorRequests",
         "put",
         takes_any_number,
         ("single", "refused"),
         "a second content under one number is acknowledged",
     ),
-    "acknowledges-from-memory": Plant(
+    "acknowledges-from-memory": Mutant(
         f"{CONTROLLER}.endpoint_service:EndpointService",
         "replicate",
         true,
         ("known",),
         "a closing is acknowledged without a quorum",
     ),
-    "ends-rivals": Plant(
+    "ends-rivals": Mutant(
         "flintreach.endpoints.registry:EndpointRegistry",
         "record_heartbeat",
         ends_rivals,
         ("ended", "agree"),
         "a late first check-in of an older life ends its successor",
     ),
-    "answers-cut-off": Plant(
+    "answers-cut-off": Mutant(
         f"{CONTROLLER}.http_api:ControlApi",
         "refusal",
         nothing,
         ("stale", "evacuated", "kept"),
         "a refuge that slept or is cut off answers",
     ),
-    "done-when-decided": Plant(
+    "done-when-decided": Mutant(
         "flintreach.consensus.reconfiguration:Reconfiguration",
         "announce",
         true,
         ("live",),
         "an exchange of voters is done when only its proposer knows",
     ),
-    "never-forgets": Plant(
+    "never-forgets": Mutant(
         "flintreach.dissemination.versioned_store:VersionedStore",
         "expire",
         never_forgets,
@@ -286,7 +288,7 @@
 }
 
 
-def target(plant: Plant):
+def target(plant: Mutant):
     module, _, name = plant.where.partition(":")
     found = importlib.import_module(module)
     return getattr(found, name) if name else found
@@ -294,7 +296,7 @@
 
 def applies(name: str) -> bool:
     """Whether the text has what the plant undoes."""
-    plant = PLANTS[name]
+    plant = MUTANTS[name]
     if name == "takes-any-number":
         return hasattr(configuration_history, "PutOutcome")
     if name == "ends-rivals":
@@ -308,7 +310,7 @@
     if not name:
         yield
         return
-    plant = PLANTS[name]
+    plant = MUTANTS[name]
     place = target(plant)
     with mock.patch.object(place, plant.name, plant.make(getattr(place, plant.name))):
         yield
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -25,19 +25,10 @@
 from flintreach.endpoints.registry import EndpointRegistry
 from flintreach.membership.member_list import Member
 from flintreach.sharding.range_lease import CallKind
-from flintreach.simulation.engine import (
-    MS,
-    PORT,
-    SECOND,
-    Disk,
-    Machine,
-    Network,
-    Process,
-    Sightings,
-    Simulation,
-    Store,
-    Waiter,
-)
+from flintreach.simulation.disk import Disk, Store
+from flintreach.simulation.network import PEER_PORT, Machine, Network, SimulatedFailureDetector
+from flintreach.simulation.process import Process, Waiter
+from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND, Simulation
 from flintreach.transport.peer_pool import PeerPool
 
 REFUGE_POST, PROXY_POST = 0, 1
@@ -86,7 +77,7 @@
 
     def __init__(self, site: "Site", machine: Machine, first_run: bool):
         super().__init__(site.sim, machine, machine.name, site.crashed)
-        self.site, self.listening, self.since = site, False, site.sim.now
+        self.site, self.listening, self.since = site, False, site.sim.now_ns
         self.node = site.node(machine, ROLE_CONTROLLER, first_run)
         self.peer_pool = PeerPool(self.node.peer_address(REFUGE_POST), self.runtime)
         me = self.node.sender
@@ -102,7 +93,7 @@
             False,
             machine.wall_ms(),
         )
-        self.failure_detector = Sightings(self, member, self.seeds)
+        self.failure_detector = SimulatedFailureDetector(self, member, self.seeds)
         self.plane = ControlPlane(
             self.node, self.peer_pool, self.store, self.failure_detector.member_list, self.seeds, self.begin
         )
@@ -138,8 +129,8 @@
 
         self.do(self.runtime.spawn, leave)
 
-    def end(self, told: bool) -> None:
-        super().end(told)
+    def end(self, notify_peers: bool) -> None:
+        super().end(notify_peers)
         self.listening = False
         self.store.end()
 
@@ -163,7 +154,9 @@
             True,
             machine.wall_ms(),
         )
-        self.failure_detector = Sightings(self, member, lambda: [(ip, PORT) for ip in self.node.seeds()])
+        self.failure_detector = SimulatedFailureDetector(
+            self, member, lambda: [(ip, PEER_PORT) for ip in self.node.seeds()]
+        )
         self.updates = VersionedStore(self.runtime.now)
         self.relay = Relay(self.peer_pool, self.updates, self.parents)
         self.handlers = self.peer_pool.handlers
@@ -199,7 +192,7 @@
 
 
 class Site:
-    """`watch` is told of what happens: see `trial.Watch`."""
+    """`watch` is told of what happens: see `trial.InvariantChecker`."""
 
     def __init__(self, sim: Simulation, shape: Shape, watch):
         self.sim, self.shape, self.watch = sim, shape, watch
@@ -250,7 +243,7 @@
                 },
                 "network": {
                     "posts": {"front": f"{machine.ip}:8161", "control": f"{machine.ip}:8166"},
-                    "spare_ports": [PORT, PORT + 9],
+                    "spare_ports": [PEER_PORT, PEER_PORT + 9],
                     "seed_nodes": self.seeds,
                     "zones": self.shape.places,
                 },
@@ -273,7 +266,7 @@
 
     def end(self, machine: Machine, power: bool = False) -> None:
         if machine.process is not None and machine.process.alive:
-            machine.process.end(told=not power)
+            machine.process.end(notify_peers=not power)
         if power:
             machine.powered = False
 
@@ -283,11 +276,11 @@
 
     def bury(self, machine: Machine) -> None:
         """A disk that is lost may have been part of a quorum whose word is still on its way."""
-        self.ghosts.append((self.sim.now, machine.process_address, self.disks[machine.ip]))
+        self.ghosts.append((self.sim.now_ns, machine.process_address, self.disks[machine.ip]))
 
     def copies(self) -> list[tuple[tuple[str, int], Disk]]:
         """Disks by the address of their process, with those that were lost in the last two seconds."""
-        self.ghosts = [ghost for ghost in self.ghosts if self.sim.now - ghost[0] < 2 * SECOND]
+        self.ghosts = [ghost for ghost in self.ghosts if self.sim.now_ns - ghost[0] < 2 * NS_PER_SECOND]
         return [
             *((m.process_address, self.disks[m.ip]) for m in self.controllers.values()),
             *((address, disk) for _, address, disk in self.ghosts),
@@ -375,7 +368,7 @@
             if process is None or not process.alive or not process.listening:
                 sim.after(network.delay(machine, here), waiter.wake, (0, b""))
                 return
-            sim.mark(path.encode())
+            sim.record_message(path.encode())
             process.do(process.runtime.spawn, served, process)
 
         def served(process):
@@ -387,7 +380,7 @@
                 "QUERY_STRING": query,
                 "wsgi.input": Input(io.BytesIO(body), len(body)),
                 "CONTENT_LENGTH": str(len(body)),
-                "flintreach.gone": lambda: bool(left and sim.now >= left[0]),
+                "flintreach.gone": lambda: bool(left and sim.now_ns >= left[0]),
             }
             told = b"".join(process.control(environ, lambda line, headers: status.append(int(line[:3]))))
             if status == [200]:
@@ -396,9 +389,9 @@
             if not lost:
                 sim.after(network.delay(machine, here), waiter.wake, (status[0], told))
 
-        sim.after(network.delay(here, machine) + int(late * SECOND), arrives)
+        sim.after(network.delay(here, machine) + int(late * NS_PER_SECOND), arrives)
         told = waiter.wait(timeout) or (0, b"")
-        left.append(sim.now + network.delay(here, machine))  # when its end is seen there
+        left.append(sim.now_ns + network.delay(here, machine))  # when its end is seen there
         return told
 
     # Calls of a keeper to an endpoint.
@@ -421,7 +414,7 @@
             hold = keeper.state.lease_s if kind == CallKind.GRANT else 0.0
             late = sim.chance.random() < 0.05
             sim.after(
-                network.delay(here, outside) + (int(sim.chance.random() * 900 * MS) if late else 0),
+                network.delay(here, outside) + (int(sim.chance.random() * 900 * NS_PER_MS) if late else 0),
                 arrives,
                 hold,
             )
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -12,16 +12,16 @@
 from flintreach.common import log
 from flintreach.controller import key_ranges
 from flintreach.simulation.callers import Callers
-from flintreach.simulation.engine import MS, SECOND, Broken, Simulation
 from flintreach.simulation.faults import Faults
-from flintreach.simulation.invariants import INVARIANTS, Watch
+from flintreach.simulation.invariants import INVARIANTS, InvariantChecker
 from flintreach.simulation.mutants import planted
+from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND, Broken, Simulation, seconds_since_start
 from flintreach.simulation.site import LeaseOwner, Shape, Site
 
 
-def course(sim: Simulation, site: Site, watch: Watch) -> None:
+def course(sim: Simulation, site: Site, watch: InvariantChecker) -> None:
     """A first start, faults, calm, at times a closing fault, calm, and what must hold then."""
-    chance, began = random.Random(sim.chance.getrandbits(64)), sim.now
+    chance, began = random.Random(sim.chance.getrandbits(64)), sim.now_ns
     faults, callers = Faults(site, watch), Callers(site, watch)
     faults.callers, shape = callers, site.shape
     sim.note(
@@ -34,20 +34,20 @@
         late = chance.uniform(0.5, 4.0) if machine is slow else 0.0
         if machine is slow:
             faults.take(machine)
-            sim.after(int(late * SECOND), faults.back, machine)
-        sim.after(int((chance.uniform(0, 0.3) + late) * SECOND), site.start, machine, True)
-    end = began + int(chance.uniform(14, 30) * SECOND)
+            sim.after(int(late * NS_PER_SECOND), faults.back, machine)
+        sim.after(int((chance.uniform(0, 0.3) + late) * NS_PER_SECOND), site.start, machine, True)
+    end = began + int(chance.uniform(14, 30) * NS_PER_SECOND)
     faults.start(end)
     callers.start(end)
 
     def look():
         watch.look()
-        sim.after(250 * MS, look)
+        sim.after(250 * NS_PER_MS, look)
 
-    sim.after(250 * MS, look)
-    sim.run(end + 2 * SECOND)
+    sim.after(250 * NS_PER_MS, look)
+    sim.run(end + 2 * NS_PER_SECOND)
     faults.heal_all()
-    sim.run(sim.now + int(4.5 * SECOND))
+    sim.run(sim.now_ns + int(4.5 * NS_PER_SECOND))
     if shape.machines and faults.later_chance.random() < 0.4:
         faults.hand_over()
     if chance.random() < 0.6:
@@ -58,51 +58,53 @@
         elif when < 0.7:
             site.on_answer.append(lambda machine: faults.close())
         else:
-            sim.after(int(chance.random() * 30 * MS), faults.close)
+            sim.after(int(chance.random() * 30 * NS_PER_MS), faults.close)
         callers.number += 1
         site.runtime.spawn(callers.put, callers.number, chance.choice((0.1, 3.0)))
-        sim.run(sim.now + 3 * SECOND)
+        sim.run(sim.now_ns + 3 * NS_PER_SECOND)
         faults.close()
-        sim.run(sim.now + 6 * SECOND)
-    sim.run(sim.now + int(5.5 * SECOND))
+        sim.run(sim.now_ns + 6 * NS_PER_SECOND)
+    sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
     callers.number += 1
     last = []
     site.runtime.spawn(lambda: last.append(callers.put(callers.number, 7.0)))
     zone = chance.choice([*shape.places])
     site.runtime.spawn(lambda: last.append(callers.evacuate(zone, chance.random() < 0.5, 7.0)))
-    sim.run(sim.now + 2 * SECOND)
+    sim.run(sim.now_ns + 2 * NS_PER_SECOND)
     if len(last) < 2:
-        sim.run(sim.now + 6 * SECOND)
+        sim.run(sim.now_ns + 6 * NS_PER_SECOND)
     if last != [True, True]:
         watch.broke("live", "after a calm time an order is not acknowledged within receipt_ms")
     # Each refuge answers what stands.
     floor = max(watch.floor, watch.shown)
     for machine in [*site.controllers.values()]:
         site.runtime.spawn(answers, site, watch, machine, floor)
-    sim.run(sim.now + int(5.5 * SECOND))
+    sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
     callers.over = True
     watch.at_end()
     if sim.broken:
         raise sim.broken
 
 
-def churn(sim: Simulation, site: Site, watch: Watch, seconds: float = 60, rest: float = 160) -> None:
+def endpoint_turnover(
+    sim: Simulation, site: Site, watch: InvariantChecker, seconds: float = 60, rest: float = 160
+) -> None:
     """Endpoints come and go in calm, then none is new; what is left of those that are gone."""
     callers = Callers(site, watch)
     for machine in [*site.controllers.values(), *site.proxies.values()]:
         site.start(machine, True)
-    callers.start(sim.now + int(seconds * SECOND), quiet=True)
-    sim.run(sim.now + int((seconds + rest) * SECOND))
+    callers.start(sim.now_ns + int(seconds * NS_PER_SECOND), quiet=True)
+    sim.run(sim.now_ns + int((seconds + rest) * NS_PER_SECOND))
     watch.forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
     callers.over = True
-    sim.run(sim.now + 2 * SECOND)
+    sim.run(sim.now_ns + 2 * NS_PER_SECOND)
 
 
-def answers(site: Site, watch: Watch, machine, floor: int) -> None:
-    until = site.sim.now + 4 * SECOND
+def answers(site: Site, watch: InvariantChecker, machine, floor: int) -> None:
+    until = site.sim.now_ns + 4 * NS_PER_SECOND
     while True:
         status, body = site.call(machine, "GET", "/v1/timetable/get")
-        if status == 200 or site.sim.now > until:
+        if status == 200 or site.sim.now_ns > until:
             break
         site.runtime.sleep(0.2)  # those who ask at once stand in each other's way
     if status:
@@ -127,7 +129,7 @@
     def report(self) -> str:
         """A short trace, and how to see it again."""
         lines = [f"seed {self.seed}: {self.broken or ', '.join(self.seen) or 'holds'}"]
-        lines += [f"  {at / SECOND - 1000:8.3f} {who:>10}  {what}" for at, who, what in self.trace]
+        lines += [f"  {seconds_since_start(at):8.3f} {who:>10}  {what}" for at, who, what in self.trace]
         lines += [f"  {name} ({INVARIANTS[name]}) at {at}: {text}" for name, (at, text) in self.seen.items()]
         return "\n".join([*lines, f"  again: flintreach simulate --trace {self.seed}{self.nodes}"])
 
@@ -168,7 +170,7 @@
     sim = Simulation(seed, kept)
     with played(sim), planted(plant), uncollected():
         outcome = Outcome(seed, f" --nodes {controllers}" if controllers else "")
-        watch = Watch(sim, on)
+        watch = InvariantChecker(sim, on)
         site = watch.site = Site(sim, Shape(sim.chance, controllers), watch)
         try:
             course(sim, site, watch)
--- a/flintreach/transport/runtime.py
+++ b/flintreach/transport/runtime.py
@@ -1,7 +1,7 @@
 """What control-plane code takes from the process that it runs in: clock, waits, tasks, connections, chance.
 
 The same code runs in a program, over gevent (`Runtime`), and in a simulation with a clock and connections of
-its own (`simulation/engine.py`).  Nothing under `consensus`, `dissemination` or `controller`, except
+its own (`simulation/process.py`).  Nothing under `consensus`, `dissemination` or `controller`, except
 `controller/program.py`, reads the time, sleeps or dials by any other way than `RuntimeInterface`.
 """
 
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -27,8 +27,8 @@
 from flintreach.proxy.request import REASONS, Request, endpoint_head, error_answer, forwarded_answer
 from flintreach.proxy.response import Response
 from flintreach.sharding.range_assignment import Range
-from flintreach.simulation.engine import SECOND, Simulation
-from flintreach.simulation.invariants import Watch
+from flintreach.simulation.invariants import InvariantChecker
+from flintreach.simulation.scheduler import NS_PER_SECOND, Simulation
 from flintreach.simulation.site import Shape, Site
 from flintreach.simulation.trial import played
 
@@ -239,11 +239,11 @@
     """Answers of a control process, in the order of the calls."""
     sim, found = Simulation(3), {}
     with played(sim):
-        watch = Watch(sim, ())
+        watch = InvariantChecker(sim, ())
         site = watch.site = Site(sim, Shape(sim.chance, 3), watch)
         for machine in [*site.controllers.values(), *site.proxies.values()]:
             site.start(machine, True)
-        sim.run(sim.now + 5 * SECOND)
+        sim.run(sim.now_ns + 5 * NS_PER_SECOND)
         process = next(iter(site.controllers.values())).process
         program, configuration = Program(process), msgspec.json.encode(CONFIGURATION)
         beat = json.dumps(BEAT).encode()
@@ -300,7 +300,7 @@
             )
 
         process.do(process.runtime.spawn, run)
-        sim.run(sim.now + 8 * SECOND)
+        sim.run(sim.now_ns + 8 * NS_PER_SECOND)
         for machine in [*site.network.machines.values()]:
             site.end(machine, power=True)
     return found
--- a/tests/simulation/test_trial.py
+++ b/tests/simulation/test_trial.py
@@ -7,20 +7,14 @@
 import unittest
 from pathlib import Path
 
-from flintreach.simulation.engine import (
-    SECOND,
-    ConnectionClosed,
-    Machine,
-    Network,
-    PeerConnection,
-    Process,
-    Simulation,
-    Store,
-)
-from flintreach.simulation.engine import Disk as Plate
-from flintreach.simulation.invariants import INVARIANTS, Put, Watch, edition, numbered
-from flintreach.simulation.mutants import PLANTS, applies
-from flintreach.simulation.trial import churn, many, play
+from flintreach.simulation.disk import Disk, DiskFault, Store
+from flintreach.simulation.invariants import INVARIANTS, InvariantChecker, Put, edition, numbered
+from flintreach.simulation.mutants import MUTANTS, applies
+from flintreach.simulation.network import Machine, Network, PeerConnection
+from flintreach.simulation.process import Process
+from flintreach.simulation.scheduler import NS_PER_SECOND, Simulation
+from flintreach.simulation.trial import endpoint_turnover, many, play
+from flintreach.transport.peer_connection import ConnectionClosed
 
 # The others do not hold in this text yet (see docs/design/simulation.md); the command has all of them on.
 OPEN = ()
@@ -53,7 +47,7 @@
         self.assertGreater(acks, 10 * SEEDS, "hardly any order got through: nothing was tried")
 
     def test_of_endpoints_that_are_gone_nothing_is_left(self):
-        outcome = play(1, on=("forgotten",), course=churn)
+        outcome = play(1, on=("forgotten",), course=endpoint_turnover)
         self.assertEqual(bool(outcome.broken), "forgotten" in OPEN, outcome.report())
 
     def test_a_seed_plays_the_same_events_whatever_the_hash_seed(self):
@@ -75,19 +69,19 @@
     def test_a_fault_that_is_put_into_the_text_is_found(self):
         """Those that take more seeds are listed in docs/design/simulation.md, and played by the command."""
         found = {}
-        for name, plant in PLANTS.items():
+        for name, plant in MUTANTS.items():
             on = set(plant.finds) & set(ON)
             if name in RARE:
                 continue
             self.assertTrue(on and applies(name), name)
             if plant.finds == ("forgotten",):
-                outcome = play(1, on=on, course=churn, plant=name)
+                outcome = play(1, on=on, course=endpoint_turnover, plant=name)
                 outcome = outcome if outcome.broken else None
             else:
                 outcome = next((o for o in many(range(MOST), on=on, plant=name) if o.broken), None)
             self.assertIsNotNone(outcome, f"{name}: {plant.why}")
             found[name] = outcome.seed
-        self.assertEqual(len(found), len(PLANTS) - len(RARE), found)
+        self.assertEqual(len(found), len(MUTANTS) - len(RARE), found)
 
 
 class World:
@@ -106,7 +100,7 @@
         self.a, self.b = (machine.process for machine in self.machines)
 
     def run(self, seconds):
-        self.sim.run(self.sim.now + int(seconds * SECOND))
+        self.sim.run(self.sim.now_ns + int(seconds * NS_PER_SECOND))
 
     def linked(self) -> PeerConnection:
         found = []
@@ -159,7 +153,7 @@
             world.run(5)
             self.assertEqual((came, link.closed), ([], False))
             if end:
-                world.b.end(told=True)
+                world.b.end(notify_peers=True)
             else:
                 world.b.thaw()
             world.run(1)
@@ -170,8 +164,8 @@
         kept, lost = 0, 0
         for seed in range(40):
             world, told = World(seed), []
-            plate = Plate(world.sim)
-            store = Store(world.a, plate, "a", True)
+            disk = Disk(world.sim)
+            store = Store(world.a, disk, "a", True)
 
             def write(store=store, told=told):
                 for n in range(50):
@@ -180,19 +174,19 @@
 
             world.a.runtime.spawn(write)
             world.run(0.03)
-            world.a.end(told=False)
+            world.a.end(notify_peers=False)
             store.end()
             world.run(1)
-            there = {name for name in plate.facts if name[0] == "f" and name != "format"}
+            there = {name for name in disk.facts if name[0] == "f" and name != "format"}
             self.assertLessEqual(set(told), there)
             self.assertLessEqual(len(there), len(told) + 1)
             kept, lost = kept + (len(there) > len(told)), lost + (len(there) == len(told))
-            plate.trouble = "full"
-            again = Store(world.b, plate, "a", False)
+            disk.fault = DiskFault.FULL
+            again = Store(world.b, disk, "a", False)
             world.b.runtime.spawn(lambda again=again, told=told: told.append(again.keep({}, {"g": "x"})))
             world.run(1)
             self.assertIs(told[-1], False)
-            self.assertNotIn("g", plate.facts)
+            self.assertNotIn("g", disk.facts)
         self.assertTrue(kept and lost, "what was under way is there or not, by lot")
 
     def test_a_lock_goes_to_who_waits_longest_and_is_reentrant(self):
@@ -219,7 +213,7 @@
 
     def setUp(self):
         self.sim = Simulation(1)
-        self.watch = Watch(self.sim, ())
+        self.watch = InvariantChecker(self.sim, ())
         self.watch.durable = lambda put, who: None
 
     def put(self, number, salt) -> Put:
