--- a/flintreach/cli/trials.py
+++ b/flintreach/cli/trials.py
@@ -41,7 +41,7 @@
 
     controllers = nodes or None
     if trace > NO_TRACE:
-        outcome = trial.play(trace, controllers, kept=SIMULATION_TRACE_EVENTS, plant=plant)
+        outcome = trial.play(trace, controllers, kept=SIMULATION_TRACE_EVENTS, mutant=plant)
         typer.echo(f"{outcome.report()}\n  digest {outcome.digest}, {outcome.events} events")
         raise typer.Exit(bool(outcome.broken))
     played = range(first, first + seeds)
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -1,316 +1,399 @@
-"""Faults that are put into the played text on purpose, to see that the trials find them.
+"""Mutants: faults put into the code under simulation on purpose, to see that the trials find them.
 
-Each names the invariants by which it may be found.  Those that undo a later text's care apply only where the
-text has it (`applies`).
+Each replaces one function or method and names the invariants by which it may be found.  Those that undo the
+care of a later release apply only where the code has it (`applies`).
 """
 
 import contextlib
 import importlib
-from collections.abc import Callable
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Iterator
+from typing import Any, NamedTuple
 from unittest import mock
 
+from flintreach.common.keys import CONFIGURATION_KEY
 from flintreach.config import configuration_history
 from flintreach.config.configuration_history import PutOutcome
+from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Decision, Verdict
+from flintreach.consensus.proposer import ProposalState
 from flintreach.consensus.voter_selection import Losses
+from flintreach.endpoints.registry import DrainRank
+from flintreach.sharding.range_assignment import Allocation, RangeState
 from flintreach.simulation.scheduler import NS_PER_SECOND
 
+LATE_SYNC_NS = NS_PER_SECOND // 5
+
+Function = Callable[..., Any]
+
 
 class Mutant(NamedTuple):
-    where: str  # module:class
-    name: str  # what of it is replaced
-    make: Callable  # what stands -> what is put in its place
-    finds: tuple[str, ...]
-    why: str
+    """One fault that can be put into the code."""
+
+    where: str  # "module:class", or "module:" for a function of the module
+    name: str  # of the function or method that is replaced
+    make: Callable[[Function], Function]  # gives the replacement of the original
+    found_by: tuple[str, ...]  # invariants, one of which must break
+    why: str  # what is wrong with it
+
+
+# Consensus.
 
 
-def first_accept(accepted):
-    def planted(self, *args):
-        accepted(self, *args)
-        if self.state == "accept" and self.acceptances:
-            self.state = "done"
+def done_at_first_acceptance(record_acceptance: Function) -> Function:
+    """A proposal is done when one acceptor has accepted it."""
 
-    return planted
+    def mutant(self: Any, *args: Any) -> None:
+        record_acceptance(self, *args)
+        if self.state == ProposalState.ACCEPT and self.acceptances:
+            self.state = ProposalState.DONE
 
+    return mutant
 
-def no_write_back(promised):
-    def planted(self, *args):
-        promised(self, *args)
-        if self.state == "accept" and getattr(self.step, "__qualname__", "").startswith("Register.read"):
-            self.state = "done"
 
-    return planted
+def read_without_write_back(record_promise: Function) -> Function:
+    """A read is done with its promises: it does not have its value accepted by a quorum."""
 
+    def mutant(self: Any, *args: Any) -> None:
+        record_promise(self, *args)
+        is_read = getattr(self.step, "__qualname__", "").startswith("Register.read")
+        if self.state == ProposalState.ACCEPT and is_read:
+            self.state = ProposalState.DONE
 
-def votes_when_empty(settle):
-    def planted(self):
-        settle(self)
+    return mutant
+
+
+def vote_when_empty(update_voting: Function) -> Function:
+    """A disk of the voters' group votes, though it has not learned what it lost."""
+
+    def mutant(self: Any) -> None:
+        update_voting(self)
         if self.acceptor:
             self.acceptor.voting = self.peer_pool.address in self.group
 
-    return planted
+    return mutant
 
 
-def any_life(accept):
-    def planted(self, key, ballot, value, life, *args):
-        return accept(self, key, ballot, value, self.incarnation, *args)
+def forget_promises(accept: Function) -> Function:
+    """An acceptor that refuses forgets its promise and accepts after all."""
 
-    return planted
+    def mutant(
+        self: Any, key: str, ballot: Ballot, value: bytes | None, incarnation: str, *args: Any
+    ) -> Decision:
+        decision = accept(self, key, ballot, value, incarnation, *args)
+        if decision.verdict != Verdict.REFUSED:
+            return decision
+        promised = self.slots[key].promised
+        self.slots[key].promised = NO_BALLOT
+        decision = accept(self, key, ballot, value, incarnation, *args)
+        self.slots[key].promised = promised
+        return decision
 
+    return mutant
 
-def forgets_promises(accept):
-    def planted(self, key, ballot, value, life, *args):
-        word, slot = accept(self, key, ballot, value, life, *args)
-        if word == "refused":
-            held = self.slots[key].promised
-            self.slots[key].promised = (0, "")
-            word, slot = accept(self, key, ballot, value, life, *args)
-            self.slots[key].promised = held
-        return word, slot
 
-    return planted
+def answer_before_sync(keep: Function) -> Function:
+    """A write is acknowledged at once, and goes down only after a while, as without a sync."""
 
-
-def told_before_synced(keep):
-    def planted(self, *args, **rest):
-        # Down only after a while, as without a sync.
-        self.process.sim.after(
-            NS_PER_SECOND // 5, self.process.runtime.spawn, lambda: keep(self, *args, **rest)
-        )
+    def mutant(self: Any, *args: Any, **named: Any) -> bool:
+        runtime = self.process.runtime
+        self.process.sim.after(LATE_SYNC_NS, runtime.spawn, lambda: keep(self, *args, **named))
         return True
 
-    return planted
+    return mutant
+
 
+def choose_voters_at_once(first: Function) -> Function:
+    """The first voters are chosen as if nothing were ever lost."""
 
-def board_goes_back(offer):
-    def planted(self, key, version, value, *age):
-        if key == "timetable" and key in self.entries and version < self.entries[key][0]:
+    def mutant(disks: Iterable[Any], losses: Losses, calm_s: float) -> Any:
+        return first(disks, Losses(), calm_s)
+
+    return mutant
+
+
+# Dissemination.
+
+
+def take_older_configuration(offer: Function) -> Function:
+    """A versioned store takes a configuration of a lower version in place of its own."""
+
+    def mutant(self: Any, key: str, version: Any, value: Any, *age: float) -> bool:
+        if key == CONFIGURATION_KEY and key in self.entries and version < self.entries[key][0]:
             del self.entries[key]
         return offer(self, key, version, value, *age)
 
-    return planted
+    return mutant
+
+
+def confirm_without_contact(news_age: Function) -> Function:
+    """A controller calls its updates fresh once it serves, in contact with a quorum or not."""
+
+    def mutant(self: Any) -> float:
+        return min(news_age(self), 0.0) if self.serving else news_age(self)
 
+    return mutant
 
-def forgets_holds(stands):
-    def planted(self, held, began, now):
-        new = stands(self, held, began, now)
-        if new:
-            self.sent, self.quiet_until = {}, now
-        return new
 
-    return planted
+def never_expire(expire: Function) -> Function:
+    """Tombstones are never dropped."""
 
+    def mutant(self: Any, *args: Any) -> None:
+        return None
 
-def frees_at_once(free):
-    def planted(self, held, now, ended):
-        for r in held.ranges:
-            if r.state == "leaving":
-                r.state, r.holder, r.handover, r.address = "free", "", "", ""
+    return mutant
 
-    return planted
 
+# Leases of key ranges.
 
-def refuses_when_cut_off(call):
-    def planted(self, environ, start):
-        def told(line, headers):
-            late = line.startswith("503") and "put" in environ["PATH_INFO"]
-            start("409 Conflict" if late else line, headers)
 
-        return call(self, environ, told)
+def forget_leases(committed: Function) -> Function:
+    """A new owner takes it that nothing was granted before it."""
 
-    return planted
+    def mutant(self: Any, stored: Allocation, began: float, now: float) -> bool:
+        took_over = committed(self, stored, began, now)
+        if took_over:
+            self.sent = {}
+            self.quiet_until = now
+        return took_over
 
+    return mutant
 
-def takes_any_number(put):
-    def planted(self, number, body, *still):
-        word = put(self, number, body, *still)
-        return PutOutcome.REPEATED if word == PutOutcome.CONFLICTING else word
 
-    return planted
+def free_at_once(free_expired: Function) -> Function:
+    """A range that leaves its holder is free before the lease is over."""
 
+    def mutant(self: Any, stored: Allocation, now: float, ended: Callable[[str], bool]) -> None:
+        for key_range in stored.ranges:
+            if key_range.state == RangeState.LEAVING:
+                key_range.free("")
 
-def true(_):
-    return lambda *args, **rest: True
+    return mutant
 
 
-def nothing(_):
-    return lambda *args, **rest: None
+# Requests of operators and endpoints.
 
 
-def ends_rivals(hear):
-    def planted(self, id, beat, now, *age):
-        told = hear(self, id, beat, now, *age)
-        for other in told:
+def answer_conflict_without_quorum(call: Function) -> Function:
+    """A put that found no quorum is answered as a conflict, which ends the operator's attempts."""
+
+    def mutant(self: Any, environ: dict[str, Any], start_response: Function) -> list[bytes]:
+        def start(status_line: str, headers: list[tuple[str, str]]) -> None:
+            unavailable = status_line.startswith("503") and "put" in environ["PATH_INFO"]
+            start_response("409 Conflict" if unavailable else status_line, headers)
+
+        return call(self, environ, start)
+
+    return mutant
+
+
+def acknowledge_conflicts(put: Function) -> Function:
+    """Another content under a number that is taken is acknowledged as a repetition."""
+
+    def mutant(self: Any, number: int, body: bytes, *may_proceed: Any) -> Any:
+        outcome = put(self, number, body, *may_proceed)
+        return PutOutcome.REPEATED if outcome == PutOutcome.CONFLICTING else outcome
+
+    return mutant
+
+
+def end_rivals(record_heartbeat: Function) -> Function:
+    """A heartbeat ends all other endpoints at its address, the later ones too."""
+
+    def mutant(self: Any, id: str, heartbeat: Any, now_ns: int, *age_ns: int) -> list[str]:
+        changed = record_heartbeat(self, id, heartbeat, now_ns, *age_ns)
+        for other in changed:
             if other != id:
-                self.records[other].rank = 2
-        return told
+                self.records[other].rank = DrainRank.ENDED
+        return changed
+
+    return mutant
+
 
-    return planted
+# Of several.
 
 
-def never_forgets(expire):
-    return lambda self, *args: None
+def always_true(original: Function) -> Function:
+    """The answer is yes, and nothing is done for it."""
+
+    def mutant(*args: Any, **named: Any) -> bool:
+        return True
 
+    return mutant
 
-def always_fresh(news_age):
-    """A refuge tells its news as fresh once it serves, in contact with a quorum or not."""
-    return lambda self: min(news_age(self), 0.0) if self.serving else news_age(self)
 
+def always_none(original: Function) -> Function:
+    """The answer is none, and nothing is done for it."""
 
-def settles_at_once(first):
-    return lambda disks, losses, calm_s: first(disks, Losses(), calm_s)
+    def mutant(*args: Any, **named: Any) -> None:
+        return None
 
+    return mutant
 
-CONSENSUS, CONTROLLER = "flintreach.consensus", "flintreach.controller"
-MUTANTS = {
+
+CONSENSUS = "flintreach.consensus"
+CONTROLLER = "flintreach.controller"
+MUTANTS: dict[str, Mutant] = {
     "first-accept": Mutant(
         f"{CONSENSUS}.proposer:Proposal",
         "record_acceptance",
-        first_accept,
+        done_at_first_acceptance,
         ("durable", "kept"),
         "a change is done when the first disk has accepted it",
     ),
     "no-write-back": Mutant(
         f"{CONSENSUS}.proposer:Proposal",
         "record_promise",
-        no_write_back,
+        read_without_write_back,
         ("kept", "durable"),
         "a read answers what a minority alone may hold",
     ),
     "votes-when-empty": Mutant(
         f"{CONSENSUS}.register:Register",
         "update_voting",
-        votes_when_empty,
+        vote_when_empty,
         ("kept", "durable"),
         "a disk that came back empty votes at once",
     ),
     "forgets-promises": Mutant(
         f"{CONSENSUS}.acceptor:Acceptor",
         "accept",
-        forgets_promises,
+        forget_promises,
         ("kept", "durable", "evacuated", "single", "refused"),
         "a disk accepts below what it promised",
     ),
     "told-before-synced": Mutant(
         "flintreach.simulation.disk:Store",
         "keep",
-        told_before_synced,
+        answer_before_sync,
         ("durable", "known", "kept"),
         "a disk says yes before its sync",
     ),
     "board-goes-back": Mutant(
         "flintreach.dissemination.versioned_store:VersionedStore",
         "offer",
-        board_goes_back,
+        take_older_configuration,
         ("monotonic",),
-        "news of an older configuration take the place of newer ones",
+        "an update of an older configuration takes the place of a newer one",
     ),
     "fresh-without-contact": Mutant(
         f"{CONTROLLER}.control_plane:ControlPlane",
         "news_age",
-        always_fresh,
+        confirm_without_contact,
         ("confirmed",),
-        "a refuge that is cut off confirms what it holds",
+        "a controller without a quorum confirms its updates as fresh",
     ),
     "forgets-holds": Mutant(
         "flintreach.sharding.range_lease:RangeLeases",
         "committed",
-        forgets_holds,
+        forget_leases,
         ("owner",),
-        "a new keeper does not wait for what the one before it granted",
+        "a new lease owner does not wait for the end of what the one before it granted",
     ),
     "frees-at-once": Mutant(
         "flintreach.sharding.range_lease:RangeLeases",
         "free_expired",
-        frees_at_once,
+        free_at_once,
         ("owner",),
-        "keys change hands before their holder's time is over",
+        "keys change hands before the lease of their holder is over",
     ),
     "refuses-when-cut-off": Mutant(
         f"{CONTROLLER}.http_api:ControlApi",
         "__call__",
-        refuses_when_cut_off,
+        answer_conflict_without_quorum,
         ("answered", "refused"),
-        "no majority is told as a conflict",
+        "a request without a majority is answered as a conflict",
     ),
     "settles-at-once": Mutant(
         f"{CONTROLLER}.voter_management:",
         "first",
-        settles_at_once,
+        choose_voters_at_once,
         ("voters", "live", "kept", "durable", "known"),
-        "a first start takes for voters whoever is there",
+        "a first start takes whoever is there for the voters",
     ),
     "keeps-voters": Mutant(
-        f"{CONTROLLER}.voter_management:", "wanted", nothing, ("voters", "live"), "the voters never change"
+        f"{CONTROLLER}.voter_management:",
+        "wanted",
+        always_none,
+        ("voters", "live"),
+        "the voters never change",
     ),
     "takes-any-number": Mutant(
         f"{CONTROLLER}.operator_requests:OperatorRequests",
         "put",
-        takes_any_number,
+        acknowledge_conflicts,
         ("single", "refused"),
         "a second content under one number is acknowledged",
     ),
     "acknowledges-from-memory": Mutant(
         f"{CONTROLLER}.endpoint_service:EndpointService",
         "replicate",
-        true,
+        always_true,
         ("known",),
         "a closing is acknowledged without a quorum",
     ),
     "ends-rivals": Mutant(
         "flintreach.endpoints.registry:EndpointRegistry",
         "record_heartbeat",
-        ends_rivals,
+        end_rivals,
         ("ended", "agree"),
-        "a late first check-in of an older life ends its successor",
+        "a late first check-in of an earlier incarnation ends its successor",
     ),
     "answers-cut-off": Mutant(
         f"{CONTROLLER}.http_api:ControlApi",
         "refusal",
-        nothing,
+        always_none,
         ("stale", "evacuated", "kept"),
-        "a refuge that slept or is cut off answers",
+        "a controller that was suspended or is partitioned answers",
     ),
     "done-when-decided": Mutant(
         "flintreach.consensus.reconfiguration:Reconfiguration",
         "announce",
-        true,
+        always_true,
         ("live",),
-        "an exchange of voters is done when only its proposer knows",
+        "a change of voters is done when only its proposer knows of it",
     ),
     "never-forgets": Mutant(
         "flintreach.dissemination.versioned_store:VersionedStore",
         "expire",
-        never_forgets,
+        never_expire,
         ("forgotten",),
-        "tombstones stand for ever",
+        "tombstones are never dropped",
     ),
 }
 
 
-def target(plant: Mutant):
-    module, _, name = plant.where.partition(":")
-    found = importlib.import_module(module)
-    return getattr(found, name) if name else found
+def owner_of(mutant: Mutant) -> Any:
+    """The class or module whose function a mutant replaces."""
+    module_name, _, class_name = mutant.where.partition(":")
+    module = importlib.import_module(module_name)
+    return getattr(module, class_name) if class_name else module
 
 
 def applies(name: str) -> bool:
-    """Whether the text has what the plant undoes."""
-    plant = MUTANTS[name]
+    """Whether the code has what a mutant undoes.
+
+    Raises:
+        KeyError: no mutant has this name.
+    """
+    mutant = MUTANTS[name]
     if name == "takes-any-number":
         return hasattr(configuration_history, "PutOutcome")
     if name == "ends-rivals":
         return hasattr(importlib.import_module("flintreach.endpoints.registry"), "DrainRank")
-    return hasattr(target(plant), plant.name)
+    return hasattr(owner_of(mutant), mutant.name)
 
 
 @contextlib.contextmanager
-def planted(name: str):
-    """Play with a fault in the text; none where `name` is empty.  Raises KeyError."""
+def planted(name: str) -> Iterator[None]:
+    """Run the code with a mutant in it; as it is where `name` is empty.
+
+    Raises:
+        KeyError: no mutant has this name.
+    """
     if not name:
         yield
         return
-    plant = MUTANTS[name]
-    place = target(plant)
-    with mock.patch.object(place, plant.name, plant.make(getattr(place, plant.name))):
+    mutant = MUTANTS[name]
+    owner = owner_of(mutant)
+    replacement = mutant.make(getattr(owner, mutant.name))
+    with mock.patch.object(owner, mutant.name, replacement):
         yield
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -5,8 +5,10 @@
 import multiprocessing
 import random
 from collections import Counter
+from collections.abc import Callable, Iterable, Iterator
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
+from typing import Any
 from unittest import mock
 
 from flintreach.common import log
@@ -15,140 +17,271 @@
 from flintreach.simulation.faults import Faults
 from flintreach.simulation.invariants import INVARIANTS, InvariantChecker
 from flintreach.simulation.mutants import planted
-from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND, Broken, Simulation, seconds_since_start
+from flintreach.simulation.network import Machine
+from flintreach.simulation.scheduler import (
+    DEFAULT_TRACE_EVENTS,
+    NS_PER_MS,
+    NS_PER_SECOND,
+    Broken,
+    Simulation,
+    seconds_since_start,
+)
 from flintreach.simulation.site import LeaseOwner, Shape, Site
 
+CHECK_INTERVAL_NS = 250 * NS_PER_MS
+CALM_S = 5.5  # after which a site without faults must answer every request
+ORDER_TIMEOUT_S = 7.0  # for the last requests of a trial
+RETRY_S = 0.2
+FINAL_GET_TIMEOUT_NS = 4 * NS_PER_SECOND
+SEEDS_PER_CHUNK = 4  # handed to a worker process at once
+ALL_INVARIANTS = tuple(INVARIANTS)
 
-def course(sim: Simulation, site: Site, watch: InvariantChecker) -> None:
-    """A first start, faults, calm, at times a closing fault, calm, and what must hold then."""
-    chance, began = random.Random(sim.chance.getrandbits(64)), sim.now_ns
-    faults, callers = Faults(site, watch), Callers(site, watch)
-    faults.callers, shape = callers, site.shape
-    sim.note(
-        "site",
-        f"{shape.controllers} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
-        f"or {shape.zones} zones; report {shape.report_ms} ms",
-    )
-    slow = chance.choice([*site.controllers.values()]) if chance.random() < 0.2 else None
-    for machine in [*site.controllers.values(), *site.proxies.values()]:
-        late = chance.uniform(0.5, 4.0) if machine is slow else 0.0
-        if machine is slow:
-            faults.take(machine)
-            sim.after(int(late * NS_PER_SECOND), faults.back, machine)
-        sim.after(int((chance.uniform(0, 0.3) + late) * NS_PER_SECOND), site.start, machine, True)
-    end = began + int(chance.uniform(14, 30) * NS_PER_SECOND)
-    faults.start(end)
-    callers.start(end)
-
-    def look():
-        watch.look()
-        sim.after(250 * NS_PER_MS, look)
-
-    sim.after(250 * NS_PER_MS, look)
-    sim.run(end + 2 * NS_PER_SECOND)
-    faults.heal_all()
-    sim.run(sim.now_ns + int(4.5 * NS_PER_SECOND))
-    if shape.machines and faults.later_chance.random() < 0.4:
-        faults.hand_over()
-    if chance.random() < 0.6:
-        # Right after an acknowledgement, or soon after a change was sent.
-        when = chance.random()
-        if when < 0.3:
-            watch.on_ack.append(faults.close)
-        elif when < 0.7:
-            site.on_answer.append(lambda machine: faults.close())
+Course = Callable[[Simulation, Site, InvariantChecker], None]
+
+
+class Trial:
+    """The course of one trial, step by step.
+
+    The order of the draws from `chance`, of the timers and of the tasks is part of what a seed plays: it
+    may not change.
+
+    Attributes:
+        chance: draws of the course alone.
+        end_ns: virtual time at which the faults and the first calls end.
+    """
+
+    def __init__(self, sim: Simulation, site: Site, checker: InvariantChecker) -> None:
+        """Prepare the faults and callers of a site whose processes have not started."""
+        self.sim = sim
+        self.site = site
+        self.checker = checker
+        self.chance = random.Random(sim.chance.getrandbits(64))
+        self.began_ns = sim.now_ns
+        self.faults = Faults(site, checker)
+        self.callers = Callers(site, checker)
+        self.faults.callers = self.callers
+        self.end_ns = 0
+
+    def run(self) -> None:
+        """Play all steps.
+
+        Raises:
+            Broken: an invariant that ends the run does not hold.
+        """
+        self.note_shape()
+        self.first_start()
+        self.disturb()
+        self.heal()
+        if self.site.shape.machines and self.faults.later_chance.random() < 0.4:
+            self.faults.hand_over()
+        if self.chance.random() < 0.6:
+            self.closing_fault()
+        self.advance(CALM_S)
+        self.last_orders()
+        self.last_gets()
+        self.callers.over = True
+        self.checker.at_end()
+        if self.sim.broken:
+            raise self.sim.broken
+
+    def advance(self, seconds: float) -> None:
+        """Play some seconds."""
+        self.sim.run(self.sim.now_ns + int(seconds * NS_PER_SECOND))
+
+    def note_shape(self) -> None:
+        """Begin the trace with how large the site is."""
+        shape = self.site.shape
+        self.sim.note(
+            "site",
+            f"{shape.controllers} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
+            f"or {shape.zones} zones; report {shape.report_ms} ms",
+        )
+
+    def first_start(self) -> None:
+        """Start all machines, in one of five trials a controller later than the others."""
+        chance = self.chance
+        sim = self.sim
+        site = self.site
+        late_machine = chance.choice([*site.controllers.values()]) if chance.random() < 0.2 else None
+        for machine in [*site.controllers.values(), *site.proxies.values()]:
+            late_s = 0.0
+            if machine is late_machine:
+                late_s = chance.uniform(0.5, 4.0)
+                self.faults.take(machine)
+                sim.after(int(late_s * NS_PER_SECOND), self.faults.back, machine)
+            start_s = chance.uniform(0, 0.3) + late_s
+            sim.after(int(start_s * NS_PER_SECOND), site.start, machine, True)
+
+    def disturb(self) -> None:
+        """Play faults and calls for 14 to 30 seconds, and check the invariants now and then."""
+        sim = self.sim
+        self.end_ns = self.began_ns + int(self.chance.uniform(14, 30) * NS_PER_SECOND)
+        self.faults.start(self.end_ns)
+        self.callers.start(self.end_ns)
+        sim.after(CHECK_INTERVAL_NS, self.check)
+        sim.run(self.end_ns + 2 * NS_PER_SECOND)
+
+    def check(self) -> None:
+        """Check the invariants, and again after an interval."""
+        self.checker.look()
+        self.sim.after(CHECK_INTERVAL_NS, self.check)
+
+    def heal(self) -> None:
+        """End all faults, and give the site time to recover."""
+        self.faults.heal_all()
+        self.advance(4.5)
+
+    def closing_fault(self) -> None:
+        """Strike all machines at once, at a moment when an order has just been, or is being, decided."""
+        chance = self.chance
+        faults = self.faults
+        moment = chance.random()
+        if moment < 0.3:
+            self.checker.on_ack.append(faults.close)
+        elif moment < 0.7:
+            self.site.on_answer.append(lambda machine: faults.close())
         else:
-            sim.after(int(chance.random() * 30 * NS_PER_MS), faults.close)
+            self.sim.after(int(chance.random() * 30 * NS_PER_MS), faults.close)
+        self.callers.number += 1
+        self.site.runtime.spawn(self.callers.put, self.callers.number, chance.choice((0.1, 3.0)))
+        self.advance(3)
+        faults.close()  # where the moment has not come
+        self.advance(6)
+
+    def last_orders(self) -> None:
+        """In calm, a new configuration and an evacuation must be acknowledged in time."""
+        callers = self.callers
         callers.number += 1
-        site.runtime.spawn(callers.put, callers.number, chance.choice((0.1, 3.0)))
-        sim.run(sim.now_ns + 3 * NS_PER_SECOND)
-        faults.close()
-        sim.run(sim.now_ns + 6 * NS_PER_SECOND)
-    sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
-    callers.number += 1
-    last = []
-    site.runtime.spawn(lambda: last.append(callers.put(callers.number, 7.0)))
-    zone = chance.choice([*shape.places])
-    site.runtime.spawn(lambda: last.append(callers.evacuate(zone, chance.random() < 0.5, 7.0)))
-    sim.run(sim.now_ns + 2 * NS_PER_SECOND)
-    if len(last) < 2:
-        sim.run(sim.now_ns + 6 * NS_PER_SECOND)
-    if last != [True, True]:
-        watch.broke("live", "after a calm time an order is not acknowledged within receipt_ms")
-    # Each refuge answers what stands.
-    floor = max(watch.floor, watch.shown)
-    for machine in [*site.controllers.values()]:
-        site.runtime.spawn(answers, site, watch, machine, floor)
-    sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
-    callers.over = True
-    watch.at_end()
-    if sim.broken:
-        raise sim.broken
+        acknowledged: list[bool] = []
+
+        def put() -> None:
+            acknowledged.append(callers.put(callers.number, ORDER_TIMEOUT_S))
+
+        def evacuate() -> None:
+            acknowledged.append(callers.evacuate(zone, self.chance.random() < 0.5, ORDER_TIMEOUT_S))
+
+        self.site.runtime.spawn(put)
+        zone = self.chance.choice([*self.site.shape.places])
+        self.site.runtime.spawn(evacuate)
+        self.advance(2)
+        if len(acknowledged) < 2:
+            self.advance(6)
+        if acknowledged != [True, True]:
+            self.checker.broke("live", "after a calm time an order is not acknowledged within receipt_ms")
+
+    def last_gets(self) -> None:
+        """Each controller answers the configuration that stands."""
+        lowest = max(self.checker.floor, self.checker.shown)
+        for machine in [*self.site.controllers.values()]:
+            self.site.runtime.spawn(check_answer, self.site, self.checker, machine, lowest)
+        self.advance(CALM_S)
+
+
+def course(sim: Simulation, site: Site, checker: InvariantChecker) -> None:
+    """A first start, faults, calm, at times a closing fault, calm, and what must hold then."""
+    Trial(sim, site, checker).run()
 
 
 def endpoint_turnover(
-    sim: Simulation, site: Site, watch: InvariantChecker, seconds: float = 60, rest: float = 160
+    sim: Simulation, site: Site, checker: InvariantChecker, busy_s: float = 60, quiet_s: float = 160
 ) -> None:
-    """Endpoints come and go in calm, then none is new; what is left of those that are gone."""
-    callers = Callers(site, watch)
+    """Endpoints come and go without faults, then none is new; nothing may be left of those that are gone.
+
+    Args:
+        sim: the scheduler.
+        site: whose processes have not started.
+        checker: of the site.
+        busy_s: seconds in which endpoints come.
+        quiet_s: seconds after that, in which their records and tombstones must expire.
+    """
+    callers = Callers(site, checker)
     for machine in [*site.controllers.values(), *site.proxies.values()]:
         site.start(machine, True)
-    callers.start(sim.now_ns + int(seconds * NS_PER_SECOND), quiet=True)
-    sim.run(sim.now_ns + int((seconds + rest) * NS_PER_SECOND))
-    watch.forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
+    callers.start(sim.now_ns + int(busy_s * NS_PER_SECOND), quiet=True)
+    sim.run(sim.now_ns + int((busy_s + quiet_s) * NS_PER_SECOND))
+    checker.forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
     callers.over = True
     sim.run(sim.now_ns + 2 * NS_PER_SECOND)
 
 
-def answers(site: Site, watch: InvariantChecker, machine, floor: int) -> None:
-    until = site.sim.now_ns + 4 * NS_PER_SECOND
+def check_answer(site: Site, checker: InvariantChecker, machine: Machine, lowest: int) -> None:
+    """A controller must answer a get after a calm time, with the configuration that stands.
+
+    Args:
+        site: of the controller.
+        checker: of the site.
+        machine: of the controller.
+        lowest: the lowest version that may be answered.
+    """
+    until_ns = site.sim.now_ns + FINAL_GET_TIMEOUT_NS
     while True:
         status, body = site.call(machine, "GET", "/v1/timetable/get")
-        if status == 200 or site.sim.now_ns > until:
+        if status == 200 or site.sim.now_ns > until_ns:
             break
-        site.runtime.sleep(0.2)  # those who ask at once stand in each other's way
+        site.runtime.sleep(RETRY_S)  # reads at the same time refuse each other's ballots
     if status:
-        watch.got(floor, status, body, machine.name)
+        checker.got(lowest, status, body, machine.name)
     if status != 200:
-        watch.broke("live", f"{machine.name} answers a get with {status} after a calm time")
+        checker.broke("live", f"{machine.name} answers a get with {status} after a calm time")
 
 
 @dataclass
 class Outcome:
+    """What came of one trial.
+
+    Attributes:
+        seed: that it was played from.
+        nodes: the command's option that it was played with.
+        digest: checksum of all events.
+        frames: checksum of the messages between processes alone.
+        events: how many calls the scheduler ran.
+        broken: the invariant that ended the run; empty where it ended by itself.
+        counts: invariant -> how often it broke.
+        seen: invariant -> (seconds since the beginning, text) of its first break.
+        trace: the last events, as `Simulation.notes`.
+        acks: kind of request -> how many were acknowledged.
+    """
+
     seed: int
-    nodes: str = ""  # the option that it was played with
+    nodes: str = ""
     digest: str = ""
-    frames: str = ""  # of the messages between processes alone
+    frames: str = ""
     events: int = 0
-    broken: str = ""  # the invariant that ended the run
-    counts: dict = field(default_factory=dict)
-    seen: dict = field(default_factory=dict)  # invariant -> (seconds, text) of its first break
-    trace: list = field(default_factory=list)
-    acks: dict = field(default_factory=dict)
+    broken: str = ""
+    counts: dict[str, int] = field(default_factory=dict)
+    seen: dict[str, tuple[float, str]] = field(default_factory=dict)
+    trace: list[tuple[int, str, str]] = field(default_factory=list)
+    acks: dict[str, int] = field(default_factory=dict)
 
     def report(self) -> str:
         """A short trace, and how to see it again."""
         lines = [f"seed {self.seed}: {self.broken or ', '.join(self.seen) or 'holds'}"]
-        lines += [f"  {seconds_since_start(at):8.3f} {who:>10}  {what}" for at, who, what in self.trace]
-        lines += [f"  {name} ({INVARIANTS[name]}) at {at}: {text}" for name, (at, text) in self.seen.items()]
-        return "\n".join([*lines, f"  again: flintreach simulate --trace {self.seed}{self.nodes}"])
+        for at_ns, who, what in self.trace:
+            lines.append(f"  {seconds_since_start(at_ns):8.3f} {who:>10}  {what}")
+        for name, (at_s, text) in self.seen.items():
+            lines.append(f"  {name} ({INVARIANTS[name]}) at {at_s}: {text}")
+        lines.append(f"  again: flintreach simulate --trace {self.seed}{self.nodes}")
+        return "\n".join(lines)
 
 
 @contextlib.contextmanager
-def played(sim: Simulation):
-    """The shipped text says its lines to the trace, and its keepers call simulated endpoints."""
+def played(sim: Simulation) -> Iterator[None]:
+    """Have the code's log messages go to the trace, and its lease owners call simulated endpoints."""
 
-    def told(what: str, fields: dict) -> None:
+    def note(what: str, fields: dict[str, Any]) -> None:
         sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
 
-    with mock.patch.object(log, "teller", told), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
+    with mock.patch.object(log, "teller", note), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
         yield
 
 
 @contextlib.contextmanager
-def uncollected():
-    """Tasks of ended processes close their links when they are collected: when that is must not depend on
-    what this process did before."""
+def uncollected() -> Iterator[None]:
+    """Keep the garbage collector off.
+
+    Tasks of ended processes close their connections when they are collected: when that is must not depend on
+    what this process did before.
+    """
     gc.collect()
     gc.disable()
     try:
@@ -160,62 +293,110 @@
 def play(
     seed: int,
     controllers: int | None = None,
-    on=tuple(INVARIANTS),
-    kept: int = 40,
-    plant: str = "",
-    course=course,
+    on: Iterable[str] = ALL_INVARIANTS,
+    kept: int = DEFAULT_TRACE_EVENTS,
+    mutant: str = "",
+    course: Course = course,
 ) -> Outcome:
-    """One trial.  `refuges`: how many, None: drawn; `on`: invariants that end it; `kept`: events kept;
-    `plant`: a fault that is put into the text (see `simulated_plants`)."""
+    """Play one trial.
+
+    Args:
+        seed: from which everything follows.
+        controllers: how many; None: drawn from the seed.
+        on: invariants whose break ends the trial.
+        kept: how many events the trace keeps.
+        mutant: a fault that is put into the code; see `mutants`.
+        course: what is played.
+
+    Raises:
+        KeyError: there is no such mutant.
+    """
     sim = Simulation(seed, kept)
-    with played(sim), planted(plant), uncollected():
+    with played(sim), planted(mutant), uncollected():
         outcome = Outcome(seed, f" --nodes {controllers}" if controllers else "")
-        watch = InvariantChecker(sim, on)
-        site = watch.site = Site(sim, Shape(sim.chance, controllers), watch)
+        checker = InvariantChecker(sim, on)
+        site = Site(sim, Shape(sim.chance, controllers), checker)
+        checker.site = site
         try:
-            course(sim, site, watch)
+            course(sim, site, checker)
         except Broken as error:
             outcome.broken = error.args[0]
         # Nothing of it may run on when it is collected.
         sim.broken = sim.broken or Broken("over")
         for machine in [*site.network.machines.values()]:
             site.end(machine, power=True)
-    outcome.digest, outcome.frames, outcome.events = f"{sim.digest:08x}", f"{sim.frames:08x}", sim.events
-    outcome.counts, outcome.seen, outcome.trace = dict(watch.counts), watch.seen, [*sim.notes]
-    outcome.acks = dict(watch.acks)
+    outcome.digest = f"{sim.digest:08x}"
+    outcome.frames = f"{sim.frames:08x}"
+    outcome.events = sim.events
+    outcome.counts = dict(checker.counts)
+    outcome.seen = checker.seen
+    outcome.trace = [*sim.notes]
+    outcome.acks = dict(checker.acks)
     return outcome
 
 
-def one(args) -> Outcome:
-    return play(*args)
+def play_arguments(arguments: tuple) -> Outcome:
+    """Play one trial in a worker process; `arguments` are those of `play`, in their order."""
+    return play(*arguments)
 
 
 def many(
-    seeds, controllers: int | None = None, on=tuple(INVARIANTS), workers: int | None = None, plant: str = ""
-):
-    """Outcomes in the order of the seeds, played by `workers` processes, one a processor if not told.
+    seeds: Iterable[int],
+    controllers: int | None = None,
+    on: Iterable[str] = ALL_INVARIANTS,
+    workers: int | None = None,
+    mutant: str = "",
+) -> Iterator[Outcome]:
+    """Play trials on some processes, and give their outcomes in the order of the seeds.
+
+    The processes are started anew, so that nothing of this one (its hash seed, its greenlets) has a part in
+    them.
 
-    They are started anew, so that nothing of this one (its hash seed, its greenlets) has a part in them.
+    Args:
+        seeds: one a trial.
+        controllers: as for `play`.
+        on: as for `play`.
+        workers: how many processes; None: one a processor.
+        mutant: as for `play`.
     """
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(workers, mp_context=context)
+    arguments = [(seed, controllers, on, DEFAULT_TRACE_EVENTS, mutant) for seed in seeds]
     try:
-        yield from pool.map(one, [(seed, controllers, on, 40, plant) for seed in seeds], chunksize=4)
+        yield from pool.map(play_arguments, arguments, chunksize=SEEDS_PER_CHUNK)
     finally:
-        pool.shutdown(cancel_futures=True)  # who has seen enough waits for no more
-
-
-def show(seeds, controllers: int | None, workers: int, say, plant: str = "") -> int:
-    """Play seeds and say which break; 0 if none does."""
-    broken, number, told = Counter(), 0, set()
-    for outcome in many(seeds, controllers, workers=workers, plant=plant):
-        number += 1
-        if outcome.broken:
-            broken[outcome.broken] += 1
-            if outcome.broken not in told:
-                told.add(outcome.broken)
-                say(outcome.report())
+        pool.shutdown(cancel_futures=True)  # a caller who has seen enough waits for no more
+
+
+def show(
+    seeds: Iterable[int],
+    controllers: int | None,
+    workers: int,
+    say: Callable[[str], Any],
+    mutant: str = "",
+) -> int:
+    """Play trials and print which break: a report of the first of each invariant, then how many.
+
+    Args:
+        seeds: as for `many`.
+        controllers: as for `many`.
+        workers: as for `many`.
+        say: takes a text to print.
+        mutant: as for `many`.
+
+    Returns:
+        Status of the command: 1 if an invariant broke, else 0.
+    """
+    broken: Counter[str] = Counter()
+    played_count = 0
+    for outcome in many(seeds, controllers, workers=workers, mutant=mutant):
+        played_count += 1
+        if not outcome.broken:
+            continue
+        if outcome.broken not in broken:
+            say(outcome.report())
+        broken[outcome.broken] += 1
     for name, count in broken.most_common():
-        say(f"{name}: {count} of {number} seeds")
-    say(f"{number - sum(broken.values())} of {number} seeds hold")
+        say(f"{name}: {count} of {played_count} seeds")
+    say(f"{played_count - sum(broken.values())} of {played_count} seeds hold")
     return 1 if broken else 0
--- a/tests/simulation/test_trial.py
+++ b/tests/simulation/test_trial.py
@@ -19,7 +19,7 @@
 # The others do not hold in this text yet (see docs/design/simulation.md); the command has all of them on.
 OPEN = ()
 ON = tuple(name for name in INVARIANTS if name not in OPEN)
-SEEDS, MOST = 500, 100  # played; in which a plant must be found
+SEEDS, MOST = 500, 100  # played; in which a mutant must be found
 # Seed -> checksum of all events, checksum of the messages between processes alone, number of events.  Where
 # only the words of a note change, the first is taken anew and the other two stay.
 RECORDED = json.loads((Path(__file__).parents[1] / "data" / "simulation.json").read_text())
@@ -65,21 +65,21 @@
         self.assertEqual(play(seeds[0], on=()).digest, found[0][0])
 
 
-class Plants(unittest.TestCase):
+class Mutants(unittest.TestCase):
     def test_a_fault_that_is_put_into_the_text_is_found(self):
         """Those that take more seeds are listed in docs/design/simulation.md, and played by the command."""
         found = {}
-        for name, plant in MUTANTS.items():
-            on = set(plant.finds) & set(ON)
+        for name, mutant in MUTANTS.items():
+            on = set(mutant.found_by) & set(ON)
             if name in RARE:
                 continue
             self.assertTrue(on and applies(name), name)
-            if plant.finds == ("forgotten",):
-                outcome = play(1, on=on, course=endpoint_turnover, plant=name)
+            if mutant.found_by == ("forgotten",):
+                outcome = play(1, on=on, course=endpoint_turnover, mutant=name)
                 outcome = outcome if outcome.broken else None
             else:
-                outcome = next((o for o in many(range(MOST), on=on, plant=name) if o.broken), None)
-            self.assertIsNotNone(outcome, f"{name}: {plant.why}")
+                outcome = next((o for o in many(range(MOST), on=on, mutant=name) if o.broken), None)
+            self.assertIsNotNone(outcome, f"{name}: {mutant.why}")
             found[name] = outcome.seed
         self.assertEqual(len(found), len(MUTANTS) - len(RARE), found)
 
