--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -4,7 +4,7 @@
 
 from flintreach.endpoints.registry import EndpointState
 from flintreach.sharding.range_lease import CallKind
-from flintreach.simulation.invariants import numbered
+from flintreach.simulation.invariants import configuration
 from flintreach.simulation.scheduler import NS_PER_SECOND
 
 
@@ -75,7 +75,7 @@
                 put = self.chance.choice(self.old)  # an old order arrives again
                 status, _ = self.site.call(machine := self.pick(), "POST", "/v1/timetable/put", put.body)
                 if status:
-                    self.watch.answered(put, status, machine.name)
+                    self.watch.check_put_answer(put, status, machine.name)
                 continue
             # Two operators take one number now and then.
             if not self.number or self.chance.random() < 0.65:
@@ -84,17 +84,17 @@
 
     def put(self, number: int, seconds: float) -> bool:
         self.salt += 1
-        put = self.watch.sent(number, numbered(number, self.salt, self.site.shape.sharded))
+        put = self.watch.record_put(number, configuration(number, self.salt, self.site.shape.sharded))
         self.old.append(put)
         began = self.sim.now_ns
         done = self.insist(
             "POST",
             "/v1/timetable/put",
             put.body,
-            lambda status, who: self.watch.answered(put, status, who),
+            lambda status, who: self.watch.check_put_answer(put, status, who),
             seconds,
         )
-        if not put.refused:
+        if not put.refused_ns:
             self.within(f"configuration {number}", began, done)
         return done
 
@@ -103,28 +103,28 @@
             self.runtime.sleep(self.chance.uniform(0.5, 5))
             if not self.calling:
                 return
-            zone = self.chance.choice([*self.site.shape.places])
+            zone = self.chance.choice([*self.site.shape.region_of_zone])
             for on in (True, False):
                 self.evacuate(zone, on, 6.5)
                 self.runtime.sleep(self.chance.uniform(0, 4))
 
     def evacuate(self, zone: str, on: bool, seconds: float) -> bool:
-        order = self.watch.evacuation(zone, on)
+        order = self.watch.record_evacuation(zone, on)
         done = self.insist(
             "POST",
             f"/v1/evacuate/{zone}/{'start' if on else 'finish'}",
             b"",
-            lambda status, who: self.watch.evacuated(zone, order, status, who),
+            lambda status, who: self.watch.check_evacuation_answer(zone, order, status, who),
             seconds,
         )
-        self.within(f"evacuation of {zone}", order[1], done)
+        self.within(f"evacuation of {zone}", order.began_ns, done)
         return done
 
     def get(self) -> int:
-        floor = max(self.watch.floor, self.watch.shown)
+        floor = max(self.watch.highest_acknowledged, self.watch.highest_shown)
         status, body = self.site.call(machine := self.pick(), "GET", "/v1/timetable/get")
         if status:
-            self.watch.got(floor, status, body, machine.name)
+            self.watch.check_get(floor, status, body, machine.name)
         return status
 
     def reader(self) -> None:
@@ -138,7 +138,7 @@
             machine = self.pick()
             status, _ = self.site.call(machine, "GET", "/v1/directions?name=a.example&region=r0&zone=z0")
             if status and machine.process is not None:
-                self.watch.directions(machine.process, status)
+                self.watch.check_directions(machine.process, status)
 
     # Endpoints.
 
@@ -164,7 +164,7 @@
         self.id, self.addr = id, addr
         chance = self.chance = callers.chance
         self.line = "keyed" if self.site.shape.sharded and chance.random() < 0.7 else "plain"
-        self.zone = chance.choice([*self.site.shape.places])
+        self.zone = chance.choice([*self.site.shape.region_of_zone])
         self.slow, self.seq, self.up, self.state = 1 + 0.02 * chance.random(), 0, True, EndpointState.READY
         self.first, self.denied = None, 0  # when it was first acknowledged; how often in a row told as gone
         self.holds, self.seen, self.sent = [], [], []
@@ -272,7 +272,7 @@
             status, machine = self.post(f"/v1/endpoints/{self.id}/check-in", self.body())
             if status == 200 and machine.process is not None:
                 now = self.callers.sim.now_ns
-                self.watch.beaten(self, self.first is None, closing, machine.process)
+                self.watch.check_heartbeat(self, self.first is None, closing, machine.process)
                 self.first = self.first or now
                 return True
         return False
@@ -280,8 +280,8 @@
     def sign_off(self) -> bool:
         status, machine = self.post(f"/v1/endpoints/{self.id}/sign-off", b"")
         if status == 200:
-            self.watch.leaves(self, "sign-off", machine.name)
-            self.watch.on_disks(self, True, "sign-off", machine.name)
+            self.watch.record_leaving(self, "sign-off", machine.name)
+            self.watch.check_endpoint_on_disks(self, True, "sign-off", machine.name)
         return status == 200
 
     # What a keeper calls.
@@ -297,7 +297,7 @@
         self.seen = [*older, (low, high, r.fence)]
         rest = [part for held in self.holds if held[3] > now for part in without(held, low, high)]
         self.holds = [*rest, (low, high, r.fence, now + int(hold * self.slow * NS_PER_SECOND))]
-        self.watch.granted(process, self, low, high)
+        self.watch.check_grant(process, self, low, high)
         return 200, None
 
 
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -45,13 +45,13 @@
     def may(self, machine) -> bool:
         lost = [*dict.fromkeys([*self.counted(), machine])]
         shape = self.site.shape
-        return len(lost) <= shape.machines or len({m.zone for m in lost}) <= shape.zones
+        return len(lost) <= shape.lost_machines or len({m.zone for m in lost}) <= shape.lost_zones
 
     def may_zone(self, zone: str) -> bool:
         """Whether a whole zone may go now, and all of it is there."""
         there = [m for m in self.site.controllers.values() if m.zone == zone]
         return (
-            self.site.shape.zones > 0
+            self.site.shape.lost_zones > 0
             and not self.counted()
             and all(m.process is not None and m.process.alive for m in there)
         )
@@ -95,7 +95,7 @@
         if chance.random() < 0.12:
             self.harmless()
             return
-        zone = chance.choice([*self.site.shape.places])
+        zone = chance.choice([*self.site.shape.region_of_zone])
         if chance.random() < 0.15 and self.may_zone(zone):
             self.zone(zone)
             return
@@ -240,7 +240,7 @@
         """Removed for good; an empty successor at another address."""
         site, planned = self.site, self.chance.random() < 0.5
         self.note(machine, "is replaced" + (", as planned" if planned else " after it is lost"))
-        fresh = site.machine(site.controllers, "refuge", machine.zone)
+        fresh = site.add_controller(machine.zone)
         early = planned and self.chance.random() < 0.5
 
         def arrive():
@@ -306,8 +306,8 @@
             self.watch.count_fault(0)
         elif what == "seeds":
             site.choose_seeds(chance)
-            for controller in site.up():
-                controller.reread()
+            for controller in site.running_controllers():
+                controller.reload_settings()
         else:
             machine = chance.choice([*site.proxies.values()])
             if machine.process is not None and machine.process.alive:
@@ -347,7 +347,7 @@
             return
         self.closing, wiped = True, []
         if self.chance.random() < 0.5:
-            wiped = self.chance.sample([*self.site.controllers.values()], self.site.shape.machines)
+            wiped = self.chance.sample([*self.site.controllers.values()], self.site.shape.lost_machines)
         self.all_at_once(wiped)
 
     def hand_over(self) -> None:
@@ -356,7 +356,7 @@
         site, sim, chance = self.site, self.sim, self.later_chance
         machine = chance.choice([*site.controllers.values()])
         asked = chance.choice([m for m in site.controllers.values() if m is not machine])
-        fresh, struck = site.machine(site.controllers, "refuge", machine.zone), []
+        fresh, struck = site.add_controller(machine.zone), []
         site.start(fresh)
         sim.run(sim.now_ns + CATCH_UP + int(chance.random() * NS_PER_SECOND))
         self.watch.count_fault(1)
--- a/flintreach/simulation/process.py
+++ b/flintreach/simulation/process.py
@@ -66,6 +66,11 @@
         self.on_crash = on_crash
         self.runtime = Runtime(self)
 
+    @property
+    def is_running(self) -> bool:
+        """Whether it has neither ended nor is frozen."""
+        return self.alive and not self.frozen
+
     def do(self, call: Callable[..., Any], *args: Any) -> None:
         """Run a call in this process, now or after a thaw; never after its end."""
         if not self.alive:
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -72,7 +72,7 @@
         self.first_start()
         self.disturb()
         self.heal()
-        if self.site.shape.machines and self.faults.later_chance.random() < 0.4:
+        if self.site.shape.lost_machines and self.faults.later_chance.random() < 0.4:
             self.faults.hand_over()
         if self.chance.random() < 0.6:
             self.closing_fault()
@@ -80,7 +80,7 @@
         self.last_orders()
         self.last_gets()
         self.callers.over = True
-        self.checker.at_end()
+        self.checker.check_at_end()
         if self.sim.broken:
             raise self.sim.broken
 
@@ -93,8 +93,8 @@
         shape = self.site.shape
         self.sim.note(
             "site",
-            f"{shape.controllers} refuges, {len(shape.places)} zones, loses {shape.machines} machines "
-            f"or {shape.zones} zones; report {shape.report_ms} ms",
+            f"{shape.controllers} refuges, {len(shape.region_of_zone)} zones, "
+            f"loses {shape.lost_machines} machines or {shape.lost_zones} zones; report {shape.report_ms} ms",
         )
 
     def first_start(self) -> None:
@@ -161,7 +161,7 @@
             acknowledged.append(callers.evacuate(zone, self.chance.random() < 0.5, ORDER_TIMEOUT_S))
 
         self.site.runtime.spawn(put)
-        zone = self.chance.choice([*self.site.shape.places])
+        zone = self.chance.choice([*self.site.shape.region_of_zone])
         self.site.runtime.spawn(evacuate)
         self.advance(2)
         if len(acknowledged) < 2:
@@ -171,7 +171,7 @@
 
     def last_gets(self) -> None:
         """Each controller answers the configuration that stands."""
-        lowest = max(self.checker.floor, self.checker.shown)
+        lowest = max(self.checker.highest_acknowledged, self.checker.highest_shown)
         for machine in [*self.site.controllers.values()]:
             self.site.runtime.spawn(check_answer, self.site, self.checker, machine, lowest)
         self.advance(CALM_S)
@@ -199,7 +199,7 @@
         site.start(machine, True)
     callers.start(sim.now_ns + int(busy_s * NS_PER_SECOND), quiet=True)
     sim.run(sim.now_ns + int((busy_s + quiet_s) * NS_PER_SECOND))
-    checker.forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
+    checker.check_forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
     callers.over = True
     sim.run(sim.now_ns + 2 * NS_PER_SECOND)
 
@@ -220,7 +220,7 @@
             break
         site.runtime.sleep(RETRY_S)  # reads at the same time refuse each other's ballots
     if status:
-        checker.got(lowest, status, body, machine.name)
+        checker.check_get(lowest, status, body, machine.name)
     if status != 200:
         checker.broke("live", f"{machine.name} answers a get with {status} after a calm time")
 
--- a/tests/simulation/test_trial.py
+++ b/tests/simulation/test_trial.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from flintreach.simulation.disk import Disk, DiskFault, Store
-from flintreach.simulation.invariants import INVARIANTS, InvariantChecker, Put, edition, numbered
+from flintreach.simulation.invariants import INVARIANTS, InvariantChecker, Put, configuration, version_of
 from flintreach.simulation.mutants import MUTANTS, applies
 from flintreach.simulation.network import Machine, Network, PeerConnection
 from flintreach.simulation.process import Process
@@ -214,42 +214,42 @@
     def setUp(self):
         self.sim = Simulation(1)
         self.watch = InvariantChecker(self.sim, ())
-        self.watch.durable = lambda put, who: None
+        self.watch.check_durable = lambda put, who: None
 
     def put(self, number, salt) -> Put:
-        return self.watch.sent(number, numbered(number, salt, False))
+        return self.watch.record_put(number, configuration(number, salt, False))
 
     def test_a_second_content_under_one_number(self):
         first, second = self.put(7, 1), self.put(7, 2)
-        self.watch.answered(first, 200, "a")
-        self.watch.answered(first, 200, "b")
-        self.watch.answered(second, 409, "a")
+        self.watch.check_put_answer(first, 200, "a")
+        self.watch.check_put_answer(first, 200, "b")
+        self.watch.check_put_answer(second, 409, "a")
         self.assertEqual(self.watch.seen, {})
-        self.watch.answered(second, 200, "b")
+        self.watch.check_put_answer(second, 200, "b")
         self.assertEqual(set(self.watch.seen), {"single", "refused"})
 
     def test_what_was_acknowledged_is_not_refused_and_nothing_is_refused_for_no_reason(self):
-        self.watch.answered(self.put(7, 1), 200, "a")
-        self.watch.answered(self.put(7, 1), 409, "b")
+        self.watch.check_put_answer(self.put(7, 1), 200, "a")
+        self.watch.check_put_answer(self.put(7, 1), 409, "b")
         self.assertEqual(set(self.watch.seen), {"refused"})
-        self.watch.answered(self.put(8, 1), 400, "b")
+        self.watch.check_put_answer(self.put(8, 1), 400, "b")
         self.assertEqual(set(self.watch.seen), {"refused", "answered"})
 
     def test_a_get_shows_what_was_acknowledged_or_later(self):
         old, new = self.put(7, 1), self.put(9, 2)
-        self.watch.answered(old, 200, "a")
-        self.watch.got(7, 200, new.body, "a")
-        self.assertEqual((self.watch.seen, self.watch.shown, edition(new.body)), ({}, 9, 9))
-        self.watch.got(9, 200, old.body, "b")
+        self.watch.check_put_answer(old, 200, "a")
+        self.watch.check_get(7, 200, new.body, "a")
+        self.assertEqual((self.watch.seen, self.watch.highest_shown, version_of(new.body)), ({}, 9, 9))
+        self.watch.check_get(9, 200, old.body, "b")
         self.assertEqual(set(self.watch.seen), {"kept"})
 
     def test_what_was_refused_is_never_in_force(self):
         put = self.put(7, 1)
         self.put(7, 2)
-        self.watch.answered(put, 409, "a")
-        self.watch.parcel(None, "hut/x", [1, 0], {})
+        self.watch.check_put_answer(put, 409, "a")
+        self.watch.record_update(None, "hut/x", [1, 0], {})
         self.assertEqual(self.watch.seen, {})
-        self.watch.got(-1, 200, put.body, "b")
+        self.watch.check_get(-1, 200, put.body, "b")
         self.assertEqual(set(self.watch.seen), {"refused"})
 
 
