--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -1,96 +1,204 @@
-"""Faults of a simulated site, from a seed, kept within what its settings allow to be lost at once."""
+"""Faults of a simulated site, from a seed, kept within what its settings allow to be lost at once.
+
+The order in which they draw is part of what a seed plays.
+"""
 
 import random
+from collections.abc import Callable, Iterable, Sequence
+from enum import StrEnum
+from typing import Any
 
+from flintreach.simulation.callers import Callers
 from flintreach.simulation.disk import DiskFault
 from flintreach.simulation.invariants import InvariantChecker
+from flintreach.simulation.network import AddressPair, Machine
+from flintreach.simulation.process import Process
 from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND
 from flintreach.simulation.site import Site
 
-CATCH_UP = 4 * NS_PER_SECOND  # for which a machine that is back, or new, still counts as lost
+CATCH_UP_NS = 4 * NS_PER_SECOND  # for which a machine that is back, or new, still counts as lost
+GRACE_NS = 6 * NS_PER_SECOND  # from SIGTERM to the end of the machine
+HANDOVER_GRACE_NS = 9 * NS_PER_SECOND
+RECOVERY_NS = 5 * NS_PER_SECOND  # for which nothing else is struck after all machines were
+ACCEPT_MESSAGE = b"\xa6accept"  # kind of a message, as msgpack writes it
+ACCEPT_MESSAGE_HEAD = 12  # bytes of a message in which its kind begins
+SPANS_S = ((0.05, 0.6), (0.6, 2.0), (2, 6), (6, 9), (20, 20))  # from and to, of a fault
 
 
-class Faults:
-    """From a seed, within what may be lost at once.  `lost`: machine -> until when it counts (ns), None:
-    not known yet."""
+class Fault(StrEnum):
+    """What can happen to one machine; the words stand in traces."""
+
+    KILL = "kill"
+    POWER = "power"
+    WIPE = "wipe"
+    FREEZE = "freeze"
+    CUT = "cut"
+    CUT_PAIR = "cut_pair"
+    DISK = "disk"
+    SLOW_LINK = "slow_link"
+    REPLACE = "replace"
+
+
+class ZoneFault(StrEnum):
+    """What can happen to a zone as a whole; the words stand in traces."""
+
+    POWER = "power"
+    FREEZE = "freeze"
+    CUT = "zone_cut"
+
+
+# Drawn from, so the more often the likelier.
+ALL_FAULTS = (
+    (Fault.KILL,) * 3
+    + (Fault.POWER,) * 3
+    + (Fault.WIPE,) * 2
+    + (Fault.FREEZE,) * 3
+    + (Fault.CUT,) * 4
+    + (Fault.CUT_PAIR, Fault.CUT_PAIR, Fault.DISK, Fault.DISK, Fault.SLOW_LINK)
+    + (Fault.REPLACE, Fault.REPLACE)
+)
+HARD_FAULTS = (Fault.KILL, Fault.POWER, Fault.WIPE, Fault.FREEZE, Fault.CUT, Fault.CUT)
+RELEASE_FAULTS = (Fault.KILL, Fault.POWER, Fault.CUT)
 
-    def __init__(self, site: Site, watch: InvariantChecker):
-        self.site, self.watch, self.sim = site, watch, site.sim
+
+def do_nothing() -> None:
+    """End a fault that undoes itself."""
+
+
+class Faults:
+    """Strikes a site from a seed, within what may be lost at once.
+
+    Attributes:
+        chance: draws of the faults.
+        later_chance: for faults that came with later releases; what it draws moves no other fault.
+        lost: machine -> until when it counts as lost, in nanoseconds; None: not known yet.
+        over: whether no fault begins any more.
+        resting_until_ns: before which no fault begins.
+        zone_spans_ns: how long the faults of a zone's machines last, which go and come together.
+        closing: whether the closing fault has struck.
+        callers: who calls the site; set before `hand_over`.
+    """
+
+    def __init__(self, site: Site, checker: InvariantChecker) -> None:
+        """Prepare; `start` begins to strike."""
+        self.site = site
+        self.checker = checker
+        self.sim = site.sim
         self.chance = random.Random(site.sim.chance.getrandbits(64))
-        self.later_chance = random.Random(self.chance.getstate()[1][0])  # what it draws moves no other fault
-        self.lost: dict = {}
+        self.later_chance = random.Random(self.chance.getstate()[1][0])
+        self.lost: dict[Machine, int | None] = {}
         self.over = False
-
-    def start(self, until: int) -> None:
-        self.until = until
-        self.gap = self.chance.choice((0.4, 1.0, 2.0, 4.0))
-        # Between bursts of faults there are calm times.
-        self.burst, self.rest = self.chance.uniform(3, 20), self.chance.choice((0.0, 7.0, 9.0))
-        self.sim.after(int(self.chance.uniform(1.0, 5) * NS_PER_SECOND), self.strike)
-        self.sim.after(int((3 + self.burst) * NS_PER_SECOND), self.pause)
+        self.resting_until_ns = 0
+        self.zone_spans_ns: list[int] = []
+        self.closing = False
+        self.callers: Callers | None = None
+        self.until_ns = 0
+        self.gap_s = 0.0
+        self.burst_s = 0.0
+        self.rest_s = 0.0
+        # What each fault does; a method a name.
+        self.actions: dict[str, Callable[[Machine], None]] = {
+            Fault.KILL: self.kill,
+            Fault.POWER: self.power,
+            Fault.WIPE: self.wipe,
+            Fault.FREEZE: self.freeze,
+            Fault.CUT: self.cut,
+            Fault.CUT_PAIR: self.cut_pair,
+            Fault.DISK: self.disk,
+            Fault.SLOW_LINK: self.slow_link,
+            Fault.REPLACE: self.replace,
+        }
+
+    def start(self, until_ns: int) -> None:
+        """Strike until a virtual time, in bursts with calm times between."""
+        self.until_ns = until_ns
+        self.gap_s = self.chance.choice((0.4, 1.0, 2.0, 4.0))
+        self.burst_s = self.chance.uniform(3, 20)
+        self.rest_s = self.chance.choice((0.0, 7.0, 9.0))
+        self.after_s(self.chance.uniform(1.0, 5), self.strike)
+        self.after_s(3 + self.burst_s, self.pause)
         if self.chance.random() < 0.25:
-            self.sim.after(int(self.chance.uniform(3, 16) * NS_PER_SECOND), self.all_at_once)
+            self.after_s(self.chance.uniform(3, 16), self.all_at_once)
+
+    def after_s(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
+        """Run a call when some seconds have passed."""
+        self.sim.after(int(seconds * NS_PER_SECOND), call, *args)
 
     def pause(self) -> None:
-        self.resting = self.sim.now_ns + int(self.rest * NS_PER_SECOND)
-        self.sim.after(int((self.rest + self.burst) * NS_PER_SECOND), self.pause)
+        """Begin a calm time, and have the next come after another burst."""
+        self.resting_until_ns = self.sim.now_ns + int(self.rest_s * NS_PER_SECOND)
+        self.after_s(self.rest_s + self.burst_s, self.pause)
 
-    resting = 0
+    @property
+    def is_done(self) -> bool:
+        """Whether no fault begins any more."""
+        return self.over or self.sim.now_ns >= self.until_ns
 
     # What may be lost.
 
-    def counted(self) -> list:
-        return [m for m, until in self.lost.items() if until is None or until > self.sim.now_ns]
+    def counted(self) -> list[Machine]:
+        """Machines that count as lost now."""
+        now_ns = self.sim.now_ns
+        return [machine for machine, until_ns in self.lost.items() if until_ns is None or until_ns > now_ns]
 
-    def may(self, machine) -> bool:
+    def may(self, machine: Machine) -> bool:
+        """Whether a machine may be lost beside those that are."""
         lost = [*dict.fromkeys([*self.counted(), machine])]
+        lost_zones = {lost_machine.zone for lost_machine in lost}
         shape = self.site.shape
-        return len(lost) <= shape.lost_machines or len({m.zone for m in lost}) <= shape.lost_zones
+        return len(lost) <= shape.lost_machines or len(lost_zones) <= shape.lost_zones
 
     def may_zone(self, zone: str) -> bool:
         """Whether a whole zone may go now, and all of it is there."""
-        there = [m for m in self.site.controllers.values() if m.zone == zone]
-        return (
-            self.site.shape.lost_zones > 0
-            and not self.counted()
-            and all(m.process is not None and m.process.alive for m in there)
-        )
-
-    def take(self, machine) -> None:
+        if not self.site.shape.lost_zones or self.counted():
+            return False
+        machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
+        return all(is_up(machine) for machine in machines)
+
+    def take(self, machine: Machine) -> None:
+        """A fault of a machine begins."""
         self.lost[machine] = None
-        self.watch.count_fault(1)
+        self.checker.count_fault(1)
 
-    def back(self, machine) -> None:
-        if machine in self.lost and self.lost[machine] is None:
-            self.lost[machine] = self.sim.now_ns + CATCH_UP
-            self.watch.count_fault(-1)
-            if not self.over and self.chance.random() < 0.3:
-                self.sim.after(CATCH_UP + NS_PER_MS, self.strike_once)  # right when it no longer counts
+    def back(self, machine: Machine) -> None:
+        """A fault of a machine is over; it counts as lost until it has caught up."""
+        if machine not in self.lost or self.lost[machine] is not None:
+            return
+        self.lost[machine] = self.sim.now_ns + CATCH_UP_NS
+        self.checker.count_fault(-1)
+        if not self.over and self.chance.random() < 0.3:
+            self.sim.after(CATCH_UP_NS + NS_PER_MS, self.strike_once)  # right when it no longer counts
+
+    def candidates(self) -> list[Machine]:
+        """Machines of controllers that are up and may be lost now."""
+        lost = self.counted()
+        machines = self.site.controllers.values()
+        return [
+            machine for machine in machines if machine not in lost and self.may(machine) and is_up(machine)
+        ]
 
     # Which fault, where.
 
     def strike(self) -> None:
-        if self.over or self.sim.now_ns >= self.until:
+        """Strike in one way or another, and again after a while."""
+        if self.is_done:
             return
         if self.later_chance.random() < 0.25:
-            # Keys that a keeper has just marked for another holder, and whose release goes out no more.
-            self.site.on_release = lambda machine: self.strike_at(machine, ("kill", "power", "cut"))
-        if self.sim.now_ns >= self.resting:
-            self.chance.choice((self.strike_once, self.strike_once, self.ambush, self.at_answer))()
-        self.sim.after(int(self.chance.expovariate(1 / self.gap) * NS_PER_SECOND), self.strike)
-
-    ALL = (
-        ("kill",) * 3
-        + ("power",) * 3
-        + ("wipe",) * 2
-        + ("freeze",) * 3
-        + ("cut",) * 4
-        + ("cut_pair", "cut_pair", "disk", "disk", "slow_link", "replace", "replace")
-    )
+            # Keys that a lease owner has just marked for another holder, and whose release goes out no more.
+            self.site.on_release = self.strike_at_release
+        if self.sim.now_ns >= self.resting_until_ns:
+            ways = (self.strike_once, self.strike_once, self.ambush, self.strike_at_answer)
+            self.chance.choice(ways)()
+        self.after_s(self.chance.expovariate(1 / self.gap_s), self.strike)
+
+    def strike_at_release(self, machine: Machine) -> None:
+        """Strike a lease owner that is about to ask for keys back."""
+        self.strike_at(machine, RELEASE_FAULTS)
 
     def strike_once(self) -> None:
+        """Strike a machine, at times a whole zone, at times in a way that costs no machine."""
         chance = self.chance
-        if self.over or self.sim.now_ns >= self.until:
+        if self.is_done:
             return
         if chance.random() < 0.12:
             self.harmless()
@@ -99,320 +207,391 @@
         if chance.random() < 0.15 and self.may_zone(zone):
             self.zone(zone)
             return
-        self.strike_at(None, self.ALL)
-
-    spans: list = []  # of a zone's machines, that go and come together
+        self.strike_at(None, ALL_FAULTS)
 
-    def at_answer(self) -> None:
+    def strike_at_answer(self) -> None:
         """Strike right when an acknowledgement is on its way: who sends it, or another."""
-        where = self.chance.random() < 0.5
-        self.site.on_answer.append(lambda machine: self.strike_at(machine if where else None, self.HARD))
+        strikes_sender = self.chance.random() < 0.5
+
+        def strike(sender: Machine) -> None:
+            self.strike_at(sender if strikes_sender else None, HARD_FAULTS)
+
+        self.site.on_answer.append(strike)
 
     def ambush(self) -> None:
-        """Strike in the middle of a change: who has just told a disk to accept, or that disk's machine."""
-        left, everywhere = self.chance.randint(1, 6), self.chance.random() < 0.3
+        """Strike in the middle of a change: who has just asked a disk to accept, or that disk's machine."""
+        left = self.chance.randint(1, 6)
+        strikes_all = self.chance.random() < 0.3
 
-        def trap(here, there, data: bytes) -> None:
+        def trap(sender: Machine, receiver: Machine, data: bytes) -> None:
             nonlocal left
-            if here is not there and b"\xa6accept" in data[:12]:
-                left -= 1
-                if not left:
-                    self.site.network.trap = None
-                    if everywhere:
-                        self.sim.after(int(self.chance.random() * 5 * NS_PER_MS), self.all_at_once)
-                        return
-                    self.sim.after(0, self.strike_at, self.chance.choice((here, here, there)), self.HARD)
+            if sender is receiver or ACCEPT_MESSAGE not in data[:ACCEPT_MESSAGE_HEAD]:
+                return
+            left -= 1
+            if left:
+                return
+            self.site.network.trap = None
+            if strikes_all:
+                self.sim.after(int(self.chance.random() * 5 * NS_PER_MS), self.all_at_once)
+                return
+            struck = self.chance.choice((sender, sender, receiver))
+            self.sim.after(0, self.strike_at, struck, HARD_FAULTS)
 
         self.site.network.trap = trap
 
-    HARD = "kill", "power", "wipe", "freeze", "cut", "cut"
+    def strike_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
+        """Strike a machine with one fault of some kinds, if it may be lost now; None: any machine."""
+        candidates = self.candidates() if self.sim.now_ns >= self.resting_until_ns else []
+        if self.is_done or not candidates:
+            return
+        if machine is not None and machine not in candidates:
+            return
+        if machine is None:
+            machine = self.chance.choice(candidates)
+        self.take(machine)
+        self.actions[self.chance.choice(kinds)](machine)
 
-    def strike_at(self, machine, kinds) -> None:
-        """One fault of some kinds at a machine (None: any), if it may be lost now."""
-        ready = self.ready() if self.sim.now_ns >= self.resting else []
-        if not self.over and self.sim.now_ns < self.until and ready and (machine is None or machine in ready):
-            machine = machine or self.chance.choice(ready)
-            self.take(machine)
-            getattr(self, self.chance.choice(kinds))(machine)
-
-    def ready(self) -> list:
-        lost = self.counted()
-        return [
-            m
-            for m in self.site.controllers.values()
-            if m not in lost and self.may(m) and m.process is not None and m.process.alive
-        ]
+    # How a fault ends.
 
     def span(self) -> int:
-        if self.spans:
-            return self.spans[0]
-        low, high = self.chance.choice(((0.05, 0.6), (0.6, 2.0), (2, 6), (6, 9), (20, 20)))
-        return int(self.chance.uniform(low, high) * NS_PER_SECOND)
-
-    def note(self, machine, text: str) -> None:
+        """Draw how long a fault lasts, in nanoseconds; for the machines of a zone the same."""
+        if self.zone_spans_ns:
+            return self.zone_spans_ns[0]
+        low_s, high_s = self.chance.choice(SPANS_S)
+        return int(self.chance.uniform(low_s, high_s) * NS_PER_SECOND)
+
+    def note(self, machine: Machine | None, text: str) -> None:
+        """Record a fault; None: of all machines."""
         self.sim.note("FAULT", f"{machine.name if machine else 'all'}: {text}")
 
-    def later(self, machine, delay: int, call, *args) -> None:
-        """What undoes a fault, at the latest when all are to be over."""
-        self.sim.at(
-            max(self.sim.now_ns, min(self.sim.now_ns + delay, self.until)), self.undo, machine, call, args
-        )
+    def later(self, machine: Machine, delay_ns: int, call: Callable[..., Any], *args: Any) -> None:
+        """Undo a fault after a while, at the latest when all are to be over."""
+        now_ns = self.sim.now_ns
+        undo_ns = max(now_ns, min(now_ns + delay_ns, self.until_ns))
+        self.sim.at(undo_ns, self.undo, machine, call, args)
 
-    def undo(self, machine, call, args) -> None:
+    def undo(self, machine: Machine, call: Callable[..., Any], args: tuple) -> None:
+        """Undo a fault now."""
         call(*args)
         self.back(machine)
 
-    def start_again(self, machine) -> None:
-        there = (
-            machine.ip in self.site.controllers or machine.ip in self.site.proxies
-        )  # not removed meanwhile
-        if there and (machine.process is None or not machine.process.alive):
+    def start_again(self, machine: Machine) -> None:
+        """Start the process of a machine, if none runs and it was not removed meanwhile."""
+        is_present = machine.ip in self.site.controllers or machine.ip in self.site.proxies
+        if is_present and not is_up(machine):
             self.site.start(machine)
 
-    def kill(self, machine) -> None:
+    # Faults of one machine.
+
+    def kill(self, machine: Machine) -> None:
+        """Its process is killed."""
         self.note(machine, "killed")
         self.site.end(machine)
-        self.later(machine, int(self.chance.uniform(0.2, 2.0) * NS_PER_SECOND), self.start_again, machine)
+        delay_ns = int(self.chance.uniform(0.2, 2.0) * NS_PER_SECOND)
+        self.later(machine, delay_ns, self.start_again, machine)
 
-    def power(self, machine) -> None:
+    def power(self, machine: Machine) -> None:
+        """It loses power."""
         self.note(machine, "loses power")
         self.site.end(machine, power=True)
         self.later(machine, self.span(), self.start_again, machine)
 
-    def wipe(self, machine) -> None:
+    def wipe(self, machine: Machine) -> None:
+        """It loses power and its disk."""
         self.note(machine, "loses its disk")
         self.site.end(machine, power=True)
         self.site.wipe(machine)
         self.later(machine, self.span(), self.start_again, machine)
 
-    def freeze(self, machine) -> None:
+    def freeze(self, machine: Machine) -> None:
+        """Its process is stopped for a while."""
         self.note(machine, "frozen")
         process = machine.process
         process.freeze()
         self.later(machine, self.span(), self.thaw, process)
 
-    def thaw(self, process) -> None:
+    def thaw(self, process: Process) -> None:
+        """A stopped process goes on, if it has not ended meanwhile."""
         if process.alive and process.frozen:
             self.note(process.machine, "thawed")
             process.thaw()
 
-    def cut(self, machine) -> None:
-        others = [ip for ip in self.site.network.machines if ip != machine.ip]
+    def cut(self, machine: Machine) -> None:
+        """It is partitioned from all others, both ways or one way, at times also from callers."""
+        other_ips = [ip for ip in self.site.network.machines if ip != machine.ip]
         if self.chance.random() < 0.7:  # callers still reach it
-            others.remove(self.site.outside.machine.ip)
-        out, into = [(machine.ip, ip) for ip in others], [(ip, machine.ip) for ip in others]
+            other_ips.remove(self.site.outside.machine.ip)
+        outward = [(machine.ip, ip) for ip in other_ips]
+        inward = [(ip, machine.ip) for ip in other_ips]
         way = self.chance.choice(("both ways", "both ways", "outward", "inward"))
-        self.sever(machine, {"outward": out, "inward": into}.get(way, out + into), f"cut off, {way}")
-
-    def cut_pair(self, machine) -> None:
-        others = [m for m in self.site.controllers.values() if m is not machine]
-        if others:
-            other = self.chance.choice(others)
-            pairs = [(machine.ip, other.ip), (other.ip, machine.ip)]
-            way = self.chance.randint(1, 2)
-            self.sever(machine, pairs[:way], f"cut from {other.name}, {('one way', 'both ways')[way - 1]}")
+        pairs = {"outward": outward, "inward": inward}.get(way, outward + inward)
+        self.sever(machine, pairs, f"cut off, {way}")
 
-    def sever(self, machine, pairs: list, what: str) -> None:
+    def cut_pair(self, machine: Machine) -> None:
+        """It is partitioned from one other controller, both ways or one way."""
+        others = [other for other in self.site.controllers.values() if other is not machine]
+        if not others:
+            return
+        other = self.chance.choice(others)
+        pairs = [(machine.ip, other.ip), (other.ip, machine.ip)]
+        direction_count = self.chance.randint(1, 2)
+        way = "one way" if direction_count == 1 else "both ways"
+        self.sever(machine, pairs[:direction_count], f"cut from {other.name}, {way}")
+
+    def sever(self, machine: Machine, pairs: list[AddressPair], what: str) -> None:
+        """Cut some directions for a while."""
         self.note(machine, what)
         self.site.network.cut(pairs)
         self.later(machine, self.span(), self.heal, machine, pairs)
 
-    def heal(self, machine, pairs: list) -> None:
+    def heal(self, machine: Machine, pairs: list[AddressPair]) -> None:
+        """Heal some directions."""
         self.note(machine, "healed")
         self.site.network.heal(pairs)
 
-    def disk(self, machine) -> None:
+    def disk(self, machine: Machine) -> None:
+        """Its disk is full, slow or hangs for a while."""
         disk = self.site.disks[machine.ip]
         disk.fault = self.chance.choice((DiskFault.FULL, DiskFault.SLOW, DiskFault.HUNG))
         self.note(machine, f"disk {disk.fault}")
-        self.later(machine, self.span(), self.ease, machine, disk, "fault", DiskFault.NONE, "trouble")
 
-    def slow_link(self, machine) -> None:
+        def ease() -> None:
+            self.note(machine, "trouble is over")
+            disk.fault = DiskFault.NONE
+
+        self.later(machine, self.span(), ease)
+
+    def slow_link(self, machine: Machine) -> None:
+        """All its messages take longer for a while."""
         machine.extra_delay_ns = self.chance.randint(50, 700) * NS_PER_MS
         self.note(machine, "slow link")
-        self.later(machine, self.span(), self.ease, machine, machine, "extra_delay_ns", 0, "slow link")
 
-    def ease(self, machine, thing, name: str, value, label: str) -> None:
-        self.note(machine, f"{label} is over")
-        setattr(thing, name, value)
+        def ease() -> None:
+            self.note(machine, "slow link is over")
+            machine.extra_delay_ns = 0
+
+        self.later(machine, self.span(), ease)
 
-    def replace(self, machine) -> None:
-        """Removed for good; an empty successor at another address."""
-        site, planned = self.site, self.chance.random() < 0.5
-        self.note(machine, "is replaced" + (", as planned" if planned else " after it is lost"))
-        fresh = site.add_controller(machine.zone)
-        early = planned and self.chance.random() < 0.5
+    def replace(self, machine: Machine) -> None:
+        """It is removed for good; an empty successor comes at another address."""
+        site = self.site
+        is_planned = self.chance.random() < 0.5
+        self.note(machine, "is replaced" + (", as planned" if is_planned else " after it is lost"))
+        successor = site.add_controller(machine.zone)
+        comes_first = is_planned and self.chance.random() < 0.5
 
-        def arrive():
+        def arrive() -> None:
             site.choose_seeds(self.chance)
-            site.start(fresh)
+            site.start(successor)
 
-        def leave():
-            if planned and machine.process is not None and machine.process.alive:
-                machine.process.stop(gone)
-                self.sim.after(6 * NS_PER_SECOND, gone)  # grace is over
+        def leave() -> None:
+            if is_planned and is_up(machine):
+                machine.process.stop(remove)
+                self.sim.after(GRACE_NS, remove)
             else:
-                gone()
+                remove()
 
-        def gone():
+        def remove() -> None:
             if machine.ip not in site.controllers:
                 return
             site.remove(machine)
             site.choose_seeds(self.chance)
-            if not early:
+            if not comes_first:
                 self.sim.after(NS_PER_SECOND, arrive)
-            self.later(machine, (0 if early else NS_PER_SECOND) + 1, lambda: None)
+            self.later(machine, (0 if comes_first else NS_PER_SECOND) + 1, do_nothing)
 
-        if early:
+        if comes_first:
             arrive()
-            self.sim.after(int(self.chance.uniform(0.1, 5) * NS_PER_SECOND), leave)
+            self.after_s(self.chance.uniform(0.1, 5), leave)
         else:
             leave()
 
+    # Faults of more than one machine, or of none.
+
     def zone(self, zone: str) -> None:
         """A zone goes as a whole, for one time."""
-        there, span = [m for m in self.site.controllers.values() if m.zone == zone], self.span()
-        kind = self.chance.choice(("power", "freeze", "zone_cut"))
+        machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
+        span_ns = self.span()
+        kind = self.chance.choice((ZoneFault.POWER, ZoneFault.FREEZE, ZoneFault.CUT))
         self.note(None, f"{zone} goes: {kind}")
-        self.spans = [span] * len(there)
-        inside = {m.ip for m in self.site.network.machines.values() if m.zone == zone}
-        pairs = [
-            (a, b)
-            for a in sorted(inside)
-            for b in self.site.network.machines
-            if b not in inside and b != self.site.outside.machine.ip
-        ]
-        for machine in there:
+        self.zone_spans_ns = [span_ns] * len(machines)
+        for machine in machines:
             self.take(machine)
-            if kind == "zone_cut":
-                continue
-            getattr(self, kind)(machine)
-        self.spans = []
-        if kind == "zone_cut":
-            pairs += [(b, a) for a, b in pairs]
+            if kind != ZoneFault.CUT:
+                self.actions[kind](machine)
+        self.zone_spans_ns = []
+        if kind == ZoneFault.CUT:
+            pairs = self.zone_border(zone)
             self.site.network.cut(pairs)
-            self.later(there[0], span, self.heal, there[0], pairs)
-            for machine in there[1:]:
-                self.later(machine, span, lambda: None)
+            self.later(machines[0], span_ns, self.heal, machines[0], pairs)
+            for machine in machines[1:]:
+                self.later(machine, span_ns, do_nothing)
+
+    def zone_border(self, zone: str) -> list[AddressPair]:
+        """Directions between a zone and all other machines, but for the callers."""
+        machines = self.site.network.machines
+        inside = {machine.ip for machine in machines.values() if machine.zone == zone}
+        caller_ip = self.site.outside.machine.ip
+        outside = [ip for ip in machines if ip not in inside and ip != caller_ip]
+        outward = [(inner, outer) for inner in sorted(inside) for outer in outside]
+        return [*outward, *((outer, inner) for inner, outer in outward)]
 
     def harmless(self) -> None:
-        """What costs no machine: steps of the time of day, exchanged seeds, proxies that go."""
-        chance, site = self.chance, self.site
+        """What costs no controller: steps of the time of day, exchanged seeds, proxies that go."""
+        chance = self.chance
+        site = self.site
         what = chance.choice(("clock", "seeds", "proxy"))
         if what == "clock":
             machine = chance.choice([*site.controllers.values()])
             machine.wall_clock_error_ms += chance.choice((-1, 1)) * chance.randint(100, 600_000)
             self.note(machine, "time of day stepped")
-            self.watch.count_fault(0)
+            self.checker.count_fault(0)
         elif what == "seeds":
             site.choose_seeds(chance)
             for controller in site.running_controllers():
                 controller.reload_settings()
         else:
             machine = chance.choice([*site.proxies.values()])
-            if machine.process is not None and machine.process.alive:
+            if is_up(machine):
                 self.note(machine, "killed")
                 self.site.end(machine, power=chance.random() < 0.5)
-                self.sim.after(int(chance.uniform(0.2, 3) * NS_PER_SECOND), self.start_again, machine)
+                self.after_s(chance.uniform(0.2, 3), self.start_again, machine)
 
-    def all_at_once(self, wiped=()) -> None:
+    def all_at_once(self, wiped: Iterable[Machine] = ()) -> None:
         """Every process is killed, or every machine loses power; disks stay, but for those `wiped`."""
         if self.over and not wiped and not self.closing:
             return
         power = bool(wiped) or self.chance.random() < 0.5
-        rest = not wiped or self.chance.random() < 0.5
-        self.note(None, ("power lost" if power else "killed") if rest else "only these lose their disks")
-        self.watch.count_fault(1)
+        strikes_all = not wiped or self.chance.random() < 0.5
+        what = "only these lose their disks"
+        if strikes_all:
+            what = "power lost" if power else "killed"
+        self.note(None, what)
+        self.checker.count_fault(1)
         # Each counts as lost until it has had its time after its return: nothing else may go until then.
-        self.resting = max(self.resting, self.sim.now_ns + 5 * NS_PER_SECOND)
+        self.resting_until_ns = max(self.resting_until_ns, self.sim.now_ns + RECOVERY_NS)
         for machine in [*self.site.controllers.values()]:
-            if machine in wiped:
-                self.note(machine, "loses its disk")
-            if machine in wiped or rest:
-                alive = machine.process is not None and machine.process.alive
-                self.site.end(machine, power=power)
-                if machine in wiped:
-                    self.site.wipe(machine)
-                if alive:
-                    self.sim.after(
-                        int(self.chance.uniform(0.2, 1.0) * NS_PER_SECOND), self.start_again, machine
-                    )
-        self.sim.after(NS_PER_SECOND, self.watch.count_fault, -1)
-
-    closing = False
+            if machine in wiped or strikes_all:
+                self.strike_with_all(machine, power, machine in wiped)
+        self.sim.after(NS_PER_SECOND, self.checker.count_fault, -1)
+
+    def strike_with_all(self, machine: Machine, power: bool, wiped: bool) -> None:
+        """End one machine's process as a part of `all_at_once`; it starts again soon."""
+        if wiped:
+            self.note(machine, "loses its disk")
+        was_up = is_up(machine)
+        self.site.end(machine, power=power)
+        if wiped:
+            self.site.wipe(machine)
+        if was_up:
+            self.after_s(self.chance.uniform(0.2, 1.0), self.start_again, machine)
 
     def close(self) -> None:
-        """The closing fault."""
+        """Strike with the closing fault, once."""
         if self.closing:
             return
-        self.closing, wiped = True, []
+        self.closing = True
+        wiped: list[Machine] = []
         if self.chance.random() < 0.5:
             wiped = self.chance.sample([*self.site.controllers.values()], self.site.shape.lost_machines)
         self.all_at_once(wiped)
 
     def hand_over(self) -> None:
-        """In calm, one is exchanged for one that has had its time, as planned or by an operator's order;
-        right when that is done it is gone, and another is lost with its disk."""
-        site, sim, chance = self.site, self.sim, self.later_chance
+        """In calm, exchange a machine for one that has caught up, as planned or by an operator's order.
+
+        Right when that is done the machine is gone, and another is lost with its disk.
+        """
+        site = self.site
+        sim = self.sim
+        chance = self.later_chance
         machine = chance.choice([*site.controllers.values()])
-        asked = chance.choice([m for m in site.controllers.values() if m is not machine])
-        fresh, struck = site.add_controller(machine.zone), []
-        site.start(fresh)
-        sim.run(sim.now_ns + CATCH_UP + int(chance.random() * NS_PER_SECOND))
-        self.watch.count_fault(1)
-
-        def gone():
-            if machine.ip in site.controllers:
-                site.remove(machine)
-                site.choose_seeds(chance)
-                left = [*site.controllers.values()]
-                one = asked if chance.random() < 0.5 else chance.choice(left)
-                sim.after(int(chance.choice((0.0, chance.random())) * 40 * NS_PER_MS), lose, one)
-
-        def lose(one):
-            struck.append(one)
-            self.note(one, "loses its disk right after a handover")
-            site.end(one, power=True)
-            site.wipe(one)
-
-        def order():
-            voting, wanted = (
-                asked.process.plane.repair.voting,
-                [machine.process_address, fresh.process_address],
-            )
-            said = voting.on_replace(None, [[*place] for place in wanted])
-            self.note(asked, f"ordered to exchange {machine.name}: {said or 'done'}")
-            if said:
-                machine.process.stop(gone)
-            else:
-                sim.after(0, gone)
+        asked = chance.choice([other for other in site.controllers.values() if other is not machine])
+        successor = site.add_controller(machine.zone)
+        struck: list[Machine] = []
+        site.start(successor)
+        sim.run(sim.now_ns + CATCH_UP_NS + int(chance.random() * NS_PER_SECOND))
+        self.checker.count_fault(1)
+
+        def remove() -> None:
+            if machine.ip not in site.controllers:
+                return
+            site.remove(machine)
+            site.choose_seeds(chance)
+            left = [*site.controllers.values()]
+            next_lost = asked if chance.random() < 0.5 else chance.choice(left)
+            delay_ns = int(chance.choice((0.0, chance.random())) * 40 * NS_PER_MS)
+            sim.after(delay_ns, self.lose_after_handover, next_lost, struck)
 
         self.note(machine, "hands over")
         if chance.random() < 0.6:
-            asked.process.do(asked.process.runtime.spawn, order)
+            order_args = (machine, successor, asked, remove)
+            asked.process.do(asked.process.runtime.spawn, self.order_replacement, *order_args)
         else:
-            machine.process.stop(gone)
-        sim.after(9 * NS_PER_SECOND, gone)  # grace is over
+            machine.process.stop(remove)
+        sim.after(HANDOVER_GRACE_NS, remove)
         sim.run(sim.now_ns + 14 * NS_PER_SECOND)
         if not self.acknowledged():
-            self.watch.broke("live", "after a handover and a loss an order is not acknowledged")
+            self.checker.broke("live", "after a handover and a loss an order is not acknowledged")
         self.start_again(struck[0])
-        self.watch.count_fault(-1)
+        self.checker.count_fault(-1)
         sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
 
+    def lose_after_handover(self, machine: Machine, struck: list[Machine]) -> None:
+        """A machine loses power and its disk; it is added to `struck`."""
+        struck.append(machine)
+        self.note(machine, "loses its disk right after a handover")
+        self.site.end(machine, power=True)
+        self.site.wipe(machine)
+
+    def order_replacement(
+        self, machine: Machine, successor: Machine, asked: Machine, remove: Callable[[], None]
+    ) -> None:
+        """Order a controller to exchange a voter; where it refuses, the voter's machine leaves by itself.
+
+        Args:
+            machine: of the voter.
+            successor: the machine that takes its place.
+            asked: the machine of the controller that is asked.
+            remove: takes the voter's machine away.
+        """
+        voting = asked.process.plane.repair.voting
+        addresses = [[*machine.process_address], [*successor.process_address]]
+        refusal = voting.on_replace(None, addresses)
+        self.note(asked, f"ordered to exchange {machine.name}: {refusal or 'done'}")
+        if refusal:
+            machine.process.stop(remove)
+        else:
+            self.sim.after(0, remove)
+
     def acknowledged(self, seconds: float = 14.0) -> bool:
-        """Whether a new configuration is taken while nothing else happens.  The operator draws whom to ask,
-        and may draw the lost one some times in a row (seed 66 did for 7 s)."""
-        told, callers = [], self.callers
+        """Whether a new configuration is acknowledged while nothing else happens.
+
+        The operator draws whom to ask, and may draw the lost machine some times in a row (seed 66 did for
+        7 s).
+
+        Args:
+            seconds: to try for.
+        """
+        results: list[bool] = []
+        callers = self.callers
         callers.number += 1
-        self.site.runtime.spawn(lambda: told.append(callers.put(callers.number, seconds)))
-        until = self.sim.now_ns + int((seconds + 1) * NS_PER_SECOND)
-        while not told and self.sim.now_ns < until:
+
+        def put() -> None:
+            results.append(callers.put(callers.number, seconds))
+
+        self.site.runtime.spawn(put)
+        until_ns = self.sim.now_ns + int((seconds + 1) * NS_PER_SECOND)
+        while not results and self.sim.now_ns < until_ns:
             self.sim.run(self.sim.now_ns + NS_PER_SECOND // 10)
-        return told == [True]
+        return results == [True]
 
     def heal_all(self) -> None:
-        """Whatever an undoing left."""
+        """Begin no fault any more, and start what has not come back by itself."""
         self.over = True
         for machine in [*self.site.controllers.values(), *self.site.proxies.values()]:
             self.start_again(machine)
+
+
+def is_up(machine: Machine) -> bool:
+    """Whether the process of a machine has not ended; it may be frozen."""
+    return machine.process is not None and machine.process.alive
