--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -77,11 +77,6 @@
     """This process may no longer act for the keys; an OSError, as the connection pool passes such on."""
 
 
-def decode_allocation(value: bytes | None) -> Allocation:
-    """The allocation that a value of the register tells; a first one, with all keys free, for None."""
-    return Allocation.decode(value)
-
-
 class LeaseOwner:
     """This process's part in the keys of one service: owner, or ready to take over.
 
@@ -148,7 +143,7 @@
         """The allocation as this process's disk has it."""
         acceptor = self.register.acceptor
         slot = acceptor.slots.get(self.key) if acceptor else None
-        return decode_allocation(slot.value if slot else None)
+        return Allocation.decode(slot.value if slot else None)
 
     def _change_allocation(self, started_at: float) -> Allocation | None:
         """Change the allocation in the register; None where that is not known to stand, or not ours to do."""
@@ -160,14 +155,14 @@
         def step(old_value: bytes | None) -> bytes | None:
             # The register may call this several times before one value stands: the last call counts.
             nonlocal changed
-            allocation = decode_allocation(old_value)
+            allocation = Allocation.decode(old_value)
             changed = self.state.step(allocation, started_at, eligible, self.ended, load, busy_ids)
             return allocation.encode() if changed else None
 
         done, value = self.register.change(self.key, step, CHANGE_S)
         if not done or not changed:
             return None
-        return decode_allocation(value)
+        return Allocation.decode(value)
 
     def _publish(self, allocation: Allocation) -> None:
         rows = [
