--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -88,7 +88,7 @@
         self.repair = Repair(self)
         self.peer_exchange = PeerExchange(self)
         self.load_placement = LoadPlacement(self)
-        self.relay = Relay(peer_pool, self.updates, None, self.load_placement.hear_tally, self.news_age)
+        self.relay = Relay(peer_pool, self.updates, None, self.load_placement.hear_tally, self.update_age)
         self.updates.watchers.append(self.on_update)
 
     def start(self) -> None:
@@ -104,13 +104,13 @@
         ):
             self.runtime.spawn(loop)
 
-    def begin(self) -> bool:
+    def start_serving(self) -> bool:
         """Let callers in, once what stands in the register is known here.
 
         Returns:
             Whether what a quorum knows of endpoints is known here too; before that nobody may call.
         """
-        if not self.endpoints.begin():
+        if not self.endpoints.recover():
             return False
         self.serving = True
         self.on_begin()
@@ -142,19 +142,19 @@
 
     # How current this controller is.
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         """Return the seconds since a time up to which all that was acknowledged is known here."""
         return self.quorum_contact.age(self.register.voters, self.runtime.now())
 
-    def news_age(self) -> float:
+    def update_age(self) -> float:
         """Return the age of the updates that this controller passes on, in seconds.
 
-        As `contact_age`; NEVER before its start is over, and while it catches up after a long time out of
-        contact.
+        As `quorum_contact_age`; NEVER before its start is over, and while it catches up after a long time out
+        of contact.
         """
         if not self.serving or self.endpoints.behind:
             return NEVER
-        return self.contact_age()
+        return self.quorum_contact_age()
 
     def watch_clock(self) -> None:
         """Check the clock often enough to notice each suspension of this process."""
@@ -169,7 +169,7 @@
         if key == CONFIGURATION_KEY:
             self.routes = Routes(msgspec.json.decode(value, type=Configuration))
 
-    def away(self) -> set[str]:
+    def evacuated_zones(self) -> set[str]:
         """Return the zones that are evacuated."""
         zones = self.updates.get(EVACUATION_KEY) or {}
         return {zone for zone, is_evacuated in zones.items() if is_evacuated}
--- a/flintreach/controller/directory.py
+++ b/flintreach/controller/directory.py
@@ -55,7 +55,7 @@
         self.client_regions: dict[str, str | None] = {}
         self.client_regions_at = 0.0
 
-    def valid_s(self, now: float) -> float:
+    def record_answer(self, now: float) -> float:
         """Count an answer, and tell for how many seconds it holds.
 
         So short that clients soon leave a proxy without power; longer where so many ask that answering would
@@ -73,7 +73,7 @@
         self.answer_count += 1
         return min(self.ttl_s, self.plane.node.bounds.ttl_max_s)
 
-    def proxies(self, host: str, region: str, zone: str) -> list[str]:
+    def proxy_addresses(self, host: str, region: str, zone: str) -> list[str]:
         """Addresses of the proxies that a client of a host is to use.
 
         Args:
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -71,11 +71,11 @@
         """Addresses of the other controllers that are known to be alive, or vote."""
         ...
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         """Seconds since a time up to which all that was acknowledged is known here."""
         ...
 
-    def news_age(self) -> float:
+    def update_age(self) -> float:
         """The same for published updates; a day while this process starts or catches up."""
         ...
 
@@ -238,7 +238,7 @@
 
     # Calls of endpoints.
 
-    def heartbeat(self, endpoint_id: str, heartbeat: Heartbeat) -> bool:
+    def record_heartbeat(self, endpoint_id: str, heartbeat: Heartbeat) -> bool:
         """Take an endpoint's heartbeat.
 
         Args:
@@ -250,7 +250,7 @@
             this controller is out of contact with a majority: the others would take for silent an endpoint
             that calls here alone.
         """
-        if self.plane.news_age() > OUT_OF_CONTACT_S:
+        if self.plane.update_age() > OUT_OF_CONTACT_S:
             return False
         changed_ids = self.registry.record_heartbeat(endpoint_id, heartbeat, self.runtime.now_ns())
         local_write = self.runtime.spawn(self.publish, changed_ids)
@@ -258,14 +258,14 @@
         body = [endpoint_id, msgspec.to_builtins(heartbeat)]
         if record.rank == DrainRank.ENDED:
             # Late: acknowledged once a quorum has the sign-off, so that nothing can bring the endpoint back.
-            return self.leave(endpoint_id)
+            return self.sign_off(endpoint_id)
         if record.durable_rank >= heartbeat.rank:
             self.forward(HEARTBEAT_KIND, body, self.plane.peers())
             return True
         self.forward(HEARTBEAT_KIND, body, self._non_voting_peers())
         return self.replicate(endpoint_id, heartbeat.rank, HEARTBEAT_KIND, body, local_write)
 
-    def leave(self, endpoint_id: str) -> bool:
+    def sign_off(self, endpoint_id: str) -> bool:
         """Take an endpoint's sign-off, also of one that was never heard of.
 
         Returns:
@@ -338,7 +338,7 @@
         page_ids = ids_left[:MAX_PORTION_ROWS]
         rows = [self.registry.records[endpoint_id].row(now_ns) for endpoint_id in page_ids]
         next_id = page_ids[-1] if len(page_ids) == MAX_PORTION_ROWS else ""
-        in_contact = self.plane.news_age() <= OUT_OF_CONTACT_S
+        in_contact = self.plane.update_age() <= OUT_OF_CONTACT_S
         return [rows, next_id, in_contact]
 
     # What other controllers know.
@@ -372,7 +372,7 @@
             if not after_id:
                 return RegistryCopy(rows, in_contact)
 
-    def collect(self, timeout_s: float = COLLECT_S) -> bool:
+    def sync_from_quorum(self, timeout_s: float = COLLECT_S) -> bool:
         """Take in what a quorum of the voters knows of endpoints, and store it on this disk.
 
         Called at a start, and whenever this disk comes to vote: a fact that was acknowledged before must be
@@ -439,9 +439,9 @@
             return True
         return any(published[name] != value for name, value in record.facts().items())
 
-    def begin(self) -> bool:
+    def recover(self) -> bool:
         """Learn what a quorum knows, before endpoints may call; whether that is done."""
-        if not self.collect():
+        if not self.sync_from_quorum():
             return False
         self.registry.restart_silence(self.runtime.now_ns())
         return True
@@ -477,7 +477,7 @@
             self.runtime.sleep(CHECK_INTERVAL_S)
             elapsed_s = self.runtime.now() - checked_at
             checked_at = self.runtime.now()
-            self.check_silence(max(elapsed_s - CHECK_INTERVAL_S, self.plane.contact_age()))
+            self.check_silence(max(elapsed_s - CHECK_INTERVAL_S, self.plane.quorum_contact_age()))
             self.plane.forget_left()
 
     def check_silence(self, contact_age_s: float) -> None:
@@ -493,7 +493,7 @@
             self.behind |= self.plane.serving and contact_age_s > SNAPSHOT_AFTER_S
         elif self.behind:
             # Others may have forgotten tombstones never seen here: it starts anew, from their registries.
-            if self.collect():
+            if self.sync_from_quorum():
                 self.behind = False
         elif self.out_of_contact:
             self.out_of_contact = False
@@ -511,7 +511,7 @@
             # An endpoint may have come back during the write.
             self.on_disk -= empty_rows.keys() - self.registry.records.keys()
 
-    def ended(self, endpoint_id: str) -> bool:
+    def has_signed_off(self, endpoint_id: str) -> bool:
         """Whether an endpoint has signed off, as long as that is remembered."""
         record = self.registry.records.get(endpoint_id)
         return record is not None and record.rank == DrainRank.ENDED
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -26,7 +26,8 @@
 MAX_BODY_BYTES = 64 << 10  # of any other call
 RETRY_AFTER_S = "0.2"  # another controller may answer at once
 LISTEN_BACKLOG = 256
-ENVIRON_CALLER_GONE = "flintreach.gone"  # WSGI environ: a function that tells whether the caller went away
+# WSGI environ: a function that tells whether the caller went away.
+ENVIRON_CALLER_DISCONNECTED = "flintreach.gone"
 # The phrase of RFC 9110, section 15.5.14; Python 3.11 has that of the RFC before it.
 REASON_PHRASES = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large"}
 
@@ -49,7 +50,7 @@
     SUSPENDED = "slept"  # this process was suspended, and the call may be old
     NO_QUORUM_CONTACT = "out of touch"
     TOO_LATE = "late"  # read so long ago that the caller has gone to another
-    CALLER_GONE = "caller gone"
+    CALLER_DISCONNECTED = "caller gone"
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +102,7 @@
     operator_requests: OperatorRequests
     load_placement: LoadPlacement
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         """Return the seconds since a time up to which all that was acknowledged is known here."""
 
     def count_refusal(self, reason: str) -> None:
@@ -198,7 +199,9 @@
         except BodyIncomplete as error:
             return Answer.fault(HTTPStatus.BAD_REQUEST, f"body: {error}")
         read_at = self.plane.runtime.now()
-        call = Call(name, segments, environ["QUERY_STRING"], body, read_at, environ[ENVIRON_CALLER_GONE])
+        call = Call(
+            name, segments, environ["QUERY_STRING"], body, read_at, environ[ENVIRON_CALLER_DISCONNECTED]
+        )
         # Before anything is done, and again after the last wait: this process may be suspended in between.
         refusal_before = self.refusal(call)
         if refusal_before is not None:
@@ -230,14 +233,14 @@
         max_contact_age_s, max_call_age_s = calls.BOUNDS[call.name]
         if max_call_age_s is not None and not self.plane.suspend_detector.is_current(now):
             return Refusal.SUSPENDED
-        if max_contact_age_s is not None and self.plane.contact_age() > max_contact_age_s:
+        if max_contact_age_s is not None and self.plane.quorum_contact_age() > max_contact_age_s:
             return Refusal.NO_QUORUM_CONTACT
         if max_call_age_s is None:
             return None
         if now - call.read_at > max_call_age_s:
             return Refusal.TOO_LATE
         if call.caller_gone():
-            return Refusal.CALLER_GONE
+            return Refusal.CALLER_DISCONNECTED
         return None
 
     def _may_proceed(self, call: Call) -> Callable[[], bool]:
@@ -248,11 +251,11 @@
     def record_heartbeat(self, call: Call) -> Answer:
         """Take an endpoint's heartbeat."""
         heartbeat = msgspec.json.decode(call.body, type=Heartbeat)
-        return OK if self.plane.endpoints.heartbeat(call.segments[0], heartbeat) else NO_MAJORITY
+        return OK if self.plane.endpoints.record_heartbeat(call.segments[0], heartbeat) else NO_MAJORITY
 
     def record_leave(self, call: Call) -> Answer:
         """Take an endpoint's sign-off."""
-        return OK if self.plane.endpoints.leave(call.segments[0]) else NO_MAJORITY
+        return OK if self.plane.endpoints.sign_off(call.segments[0]) else NO_MAJORITY
 
     def put_configuration(self, call: Call) -> Answer:
         """Put a configuration under its number."""
@@ -303,7 +306,7 @@
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environ, with that question."""
         environ = super().get_environ()
-        environ[ENVIRON_CALLER_GONE] = self.caller_gone
+        environ[ENVIRON_CALLER_DISCONNECTED] = self.caller_gone
         return environ
 
     def caller_gone(self) -> bool:
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -36,7 +36,7 @@
 class EndedEndpoints(Protocol):
     """What `KeyRanges` uses of `endpoint_service.EndpointService`."""
 
-    def ended(self, endpoint_id: str) -> bool:
+    def has_signed_off(self, endpoint_id: str) -> bool:
         """Whether an endpoint has surely ended."""
         ...
 
@@ -59,7 +59,7 @@
         """What is known of endpoints."""
         ...
 
-    def away(self) -> set[str]:
+    def evacuated_zones(self) -> set[str]:
         """Zones that are evacuated."""
         ...
 
@@ -155,7 +155,7 @@
             self.plane.register,
             node.bounds.max_lease_ms,
             partial(self.eligible, service),
-            self.plane.endpoints.ended,
+            self.plane.endpoints.has_signed_off,
             partial(self.updates.offer, f"{KEY_RANGES_PREFIX}{service}"),
             partial(self.key_load.load_of, service),
         )
@@ -197,7 +197,7 @@
 
     def candidates(self, service: str) -> KeyCandidates:
         """Endpoints that may hold keys of a service: those that are ready, in zones that are in use."""
-        evacuated = self.plane.away()
+        evacuated = self.plane.evacuated_zones()
         now_ns = self.runtime.now_ns()
         region_by_zone = self.plane.node.network.zones
         endpoints = [
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -70,7 +70,7 @@
         """Addresses of the other controllers that are known to be alive, or vote."""
         ...
 
-    def away(self) -> set[str]:
+    def evacuated_zones(self) -> set[str]:
         """Zones that are evacuated."""
         ...
 
@@ -121,12 +121,12 @@
     # The directory.
 
     def directions(self, host: str, region: str, zone: str) -> list[str]:
-        """Addresses of the proxies that a client is to use: see `Directory.proxies`."""
-        return self.directory.proxies(host, region, zone)
+        """Addresses of the proxies that a client is to use: see `Directory.proxy_addresses`."""
+        return self.directory.proxy_addresses(host, region, zone)
 
     def valid(self, now: float) -> float:
-        """Seconds for which such an answer holds: see `Directory.valid_s`."""
-        return self.directory.valid_s(now)
+        """Seconds for which such an answer holds: see `Directory.record_answer`."""
+        return self.directory.record_answer(now)
 
     # Placement.
 
@@ -192,7 +192,7 @@
             load: endpoint -> [sum of the loads that it told, over its concurrency limit; their number].
         """
         now_ns = self.runtime.now_ns()
-        evacuated = self.plane.away()
+        evacuated = self.plane.evacuated_zones()
         region_by_zone = self.plane.node.network.zones
         candidates = []
         for record in self.plane.registry.records.values():
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -41,7 +41,7 @@
     def peers(self) -> list[Address]:
         """Return the addresses of the other controllers."""
 
-    def news_age(self) -> float:
+    def update_age(self) -> float:
         """Return the age of the updates that this controller passes on, in seconds."""
 
 
@@ -82,7 +82,7 @@
                 self.runtime.sleep(FRESHNESS_POLL_S)
         except (OSError, ConnectionClosed, TypeError, ValueError):
             # TypeError and ValueError: answers of the peer that make no sense.
-            is_in_contact = self.plane.news_age() < OUT_OF_CONTACT_S
+            is_in_contact = self.plane.update_age() < OUT_OF_CONTACT_S
             self.runtime.sleep(PEER_CHECK_S if is_in_contact else SOON_REDIAL_S)
         finally:
             subscription.close()
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -26,7 +26,8 @@
 SHOW_MESSAGE = "show"  # kind of the shell's question
 CONTROL_CALLS = frozenset(CallName) - {CallName.RESOLVE}
 DIRECTORY_CALLS = frozenset({CallName.RESOLVE})
-SERVED = (("control", CONTROL_CALLS), ("directory", DIRECTORY_CALLS))  # listener in the settings, its calls
+# Listener in the settings, its calls.
+LISTENER_CALLS = (("control", CONTROL_CALLS), ("directory", DIRECTORY_CALLS))
 EXIT_UNUSABLE = 2  # settings or a disk that the process can't start with
 
 
@@ -74,7 +75,7 @@
     def begin(self) -> None:
         """Tell the others that this controller is ready, and answer callers."""
         self.failure_detector.change(ready=True)
-        for listener, names in SERVED:
+        for listener, names in LISTENER_CALLS:
             if listener in self.node.network.posts:
                 server = listen(parse_address(self.node.network.posts[listener]), self.plane, names)
                 server.start()
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -39,7 +39,7 @@
     operator_requests: OperatorRequests
     serving: bool
 
-    def begin(self) -> bool:
+    def start_serving(self) -> bool:
         """Let callers in; whether that is done."""
 
 
@@ -96,7 +96,7 @@
             timeout_s = START_COMPARE_TIMEOUT_S if is_starting else COMPARE_TIMEOUT_S
             is_compared = self.voting.reconfiguration.enter() and self.compare(is_starting, timeout_s)
             if is_compared and is_starting:
-                is_starting = not self.plane.begin()
+                is_starting = not self.plane.start_serving()
             if is_starting:
                 self.runtime.sleep(START_RETRY_S)
             else:
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -57,10 +57,10 @@
     def registry(self) -> EndpointRegistry:
         """Return the registry of endpoints."""
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         """Return the seconds since a time up to which all that was acknowledged is known here."""
 
-    def away(self) -> set[str]:
+    def evacuated_zones(self) -> set[str]:
         """Return the zones that are evacuated."""
 
 
@@ -144,9 +144,9 @@
             "sleeps": plane.suspend_detector.suspensions,
             "disks": len(plane.group),
             "votes": plane.register.votes(),
-            "contact_s": round(plane.contact_age(), 1),
+            "contact_s": round(plane.quorum_contact_age(), 1),
             "contacts_s": " ".join(f"{ip} {now - asked_at:.1f}" for (ip, _), asked_at in contacts),
-            "evacuated": " ".join(sorted(plane.away())),
+            "evacuated": " ".join(sorted(plane.evacuated_zones())),
         }
     ]
 
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -47,7 +47,7 @@
 class EndpointCollection(Protocol):
     """What `VoterManager` uses of `endpoint_service.EndpointService`."""
 
-    def collect(self) -> bool:
+    def sync_from_quorum(self) -> bool:
         """Whether what a quorum knows of endpoints is on this disk."""
         ...
 
@@ -108,7 +108,7 @@
 
     def _collect_endpoints(self) -> bool:
         """Whether what a quorum knows of endpoints is on this disk: needed before it may vote."""
-        return self.plane.endpoints.collect()
+        return self.plane.endpoints.sync_from_quorum()
 
     @property
     def losses(self) -> Losses:
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -124,11 +124,11 @@
     return mutant
 
 
-def confirm_without_contact(news_age: Function) -> Function:
+def confirm_without_contact(update_age: Function) -> Function:
     """A controller calls its updates fresh once it serves, in contact with a quorum or not."""
 
     def mutant(self: Any) -> float:
-        return min(news_age(self), 0.0) if self.serving else news_age(self)
+        return min(update_age(self), 0.0) if self.serving else update_age(self)
 
     return mutant
 
@@ -276,7 +276,7 @@
     ),
     "fresh-without-contact": Mutant(
         f"{CONTROLLER}.control_plane:ControlPlane",
-        "news_age",
+        "update_age",
         confirm_without_contact,
         ("confirmed",),
         "a controller without a quorum confirms its updates as fresh",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -21,7 +21,7 @@
 from flintreach.controller.control_plane import ControlPlane
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.http_api import ControlApi
-from flintreach.controller.program import SERVED
+from flintreach.controller.program import LISTENER_CALLS
 from flintreach.dissemination.relay import Relay
 from flintreach.dissemination.relay_tree import parents
 from flintreach.dissemination.versioned_store import VersionedStore
@@ -162,7 +162,7 @@
             self.node, self.peer_pool, self.store, self.failure_detector.member_list, self.seeds, self.begin
         )
         self.handlers = self.peer_pool.handlers
-        self.control = ControlApi(self.plane, {name for _, names in SERVED for name in names})
+        self.control = ControlApi(self.plane, {name for _, names in LISTENER_CALLS for name in names})
         site.watch_updates(self, self.plane.updates)
         self.failure_detector.start()
         self.plane.start()
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -170,7 +170,7 @@
             first_run=True,
             node=SimpleNamespace(rules=SimpleNamespace(losses=losses)),
             seeds=lambda: [address_of(n) for n in "abc"],
-            endpoints=SimpleNamespace(collect=lambda: True),
+            endpoints=SimpleNamespace(sync_from_quorum=lambda: True),
         )
 
     def started(self, coming):
--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -14,7 +14,7 @@
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.register import Register
-from flintreach.controller.http_api import ENVIRON_CALLER_GONE, CallName, ControlApi
+from flintreach.controller.http_api import ENVIRON_CALLER_DISCONNECTED, CallName, ControlApi
 from flintreach.controller.operator_requests import OperatorRequests
 from flintreach.controller.peer_exchange import PeerExchange
 from flintreach.controller.quorum_contact import QuorumContact, SuspendDetector
@@ -91,7 +91,7 @@
         "REQUEST_METHOD": method,
         "PATH_INFO": path,
         "QUERY_STRING": "",
-        ENVIRON_CALLER_GONE: caller_gone,
+        ENVIRON_CALLER_DISCONNECTED: caller_gone,
         "wsgi.input": pywsgi.Input(counting_input, length, chunked_input=chunked),
     }
     if length is not None:
@@ -135,7 +135,7 @@
             self.suspend_detector.is_current(self.time)
         self.time = until
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         return self.quorum_contact.age(THREE_VOTERS, self.time)
 
     def count_refusal(self, reason: str) -> None:
@@ -233,7 +233,7 @@
 
     # The plane.
 
-    def contact_age(self) -> float:
+    def quorum_contact_age(self) -> float:
         return 0.0  # where a test is about contact it asks `quorum_contact` itself
 
     def count_refusal(self, reason: str) -> None:
--- a/tests/controller/test_directory.py
+++ b/tests/controller/test_directory.py
@@ -18,7 +18,7 @@
             for _ in range(12):  # each client comes back when its answer is over
                 for _ in range(int(clients / directory.ttl_s)):
                     now += directory.ttl_s / clients
-                    valid_s = directory.valid_s(now)
+                    valid_s = directory.record_answer(now)
             self.assertTrue(least_s <= valid_s <= most_s, (clients, valid_s))
 
 
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -248,10 +248,10 @@
     def peers(self) -> list[Address]:
         return [address for address in self.fleet.controllers if address != self.address]
 
-    def news_age(self) -> float:
+    def update_age(self) -> float:
         return self.contact_age_s
 
-    contact_age = news_age
+    quorum_contact_age = update_age
 
     def ask(self, address: Address, kind: str, body: Any, timeout: float) -> Any:
         other = self.fleet.controllers[address]
@@ -289,7 +289,7 @@
         self, endpoint_id: str, seq: int, state: str = READY, addr: str = "10.0.0.9:80"
     ) -> bool:
         """An endpoint's heartbeat comes in here; whether it is acknowledged."""
-        return self.endpoints.heartbeat(endpoint_id, Heartbeat("desk", addr, "north", 2, state, seq))
+        return self.endpoints.record_heartbeat(endpoint_id, Heartbeat("desk", addr, "north", 2, state, seq))
 
     def known_state(self, endpoint_id: str) -> tuple[str | None, str | None]:
         """What this controller knows of an endpoint, and what it publishes."""
@@ -345,18 +345,18 @@
         self.assertTrue(fleet[0].send_heartbeat("e", 2, CLOSING))
         self.assertTrue(fleet[0].send_heartbeat("e", 1))  # a late call of the same incarnation
         self.assertEqual([controller.store.writes for controller in fleet], writes)
-        self.assertFalse(fleet[0].endpoints.leave("e"))
+        self.assertFalse(fleet[0].endpoints.sign_off("e"))
 
     def test_a_sign_off_of_an_unknown_endpoint_is_stored_by_a_quorum(self) -> None:
         fleet = Fleet()
         fleet.partition(0)
-        self.assertFalse(fleet[0].endpoints.leave("e"))
-        self.assertFalse(fleet[0].endpoints.leave("e"))
+        self.assertFalse(fleet[0].endpoints.sign_off("e"))
+        self.assertFalse(fleet[0].endpoints.sign_off("e"))
         fleet.cut_ways.clear()
-        self.assertTrue(fleet[0].endpoints.leave("e"))
+        self.assertTrue(fleet[0].endpoints.sign_off("e"))
         self.assertTrue(on_quorum_of_disks(fleet, "e", ENDS))
         for number in range(3):
-            fleet.restart(number).endpoints.begin()
+            fleet.restart(number).endpoints.recover()
         self.assertTrue(fleet[1].send_heartbeat("e", 9))  # a late call of one that has ended is acknowledged
         self.assertEqual(fleet[1].registry.records["e"].state, GONE)
 
@@ -364,7 +364,7 @@
         fleet = Fleet(size=6, voters=3)
         fleet.cut_ways = {(fleet[0].address, fleet[number].address) for number in (1, 2)}
         self.assertFalse(fleet[0].send_heartbeat("e", 1))  # three spares answered
-        self.assertFalse(fleet[3].endpoints.leave("f") and not on_quorum_of_disks(fleet, "f", ENDS))
+        self.assertFalse(fleet[3].endpoints.sign_off("f") and not on_quorum_of_disks(fleet, "f", ENDS))
         fleet.cut_ways.clear()
         fleet[1].register.acceptor.voting = fleet[2].register.acceptor.voting = False
         self.assertFalse(fleet[0].send_heartbeat("e", 1))
@@ -421,9 +421,9 @@
         fleet = Fleet(5)
         self.assertTrue(fleet[0].send_heartbeat("e", 1, CLOSING))
         fleet.partition(4, 3)
-        self.assertFalse(fleet.restart(4).endpoints.begin())
+        self.assertFalse(fleet.restart(4).endpoints.recover())
         fleet.cut_ways = {way for way in fleet.cut_ways if fleet[2].address not in way}  # a third is reached
-        self.assertTrue(fleet[4].endpoints.begin())
+        self.assertTrue(fleet[4].endpoints.recover())
         self.assertEqual(fleet[4].known_state("e"), (CLOSING, CLOSING))
         self.assertEqual(fleet[4].store.rank("e"), CLOSES)
 
@@ -438,7 +438,7 @@
                 fleet.restart(number)
             fleet.partition(3 - first - second)
             for number in (first, second):
-                self.assertTrue(fleet[number].endpoints.begin())
+                self.assertTrue(fleet[number].endpoints.recover())
                 self.assertEqual(fleet[number].known_state("e"), (CLOSING, CLOSING))
 
     def test_an_empty_disk_counts_once_it_has_what_a_quorum_of_the_others_had(self) -> None:
@@ -451,13 +451,13 @@
         fleet.restart(1)
         fleet[1].register.acceptor.voting = True  # as after `relearn`
         fleet.partition(0)
-        self.assertFalse(fleet[1].endpoints.begin())
+        self.assertFalse(fleet[1].endpoints.recover())
         fleet.restart(2)
-        self.assertFalse(fleet[2].endpoints.begin(), "an empty disk was counted")
+        self.assertFalse(fleet[2].endpoints.recover(), "an empty disk was counted")
         fleet.cut_ways.clear()
-        self.assertTrue(fleet[1].endpoints.begin())
+        self.assertTrue(fleet[1].endpoints.recover())
         fleet.partition(0)
-        self.assertTrue(fleet[2].endpoints.begin())
+        self.assertTrue(fleet[2].endpoints.recover())
         self.assertEqual(fleet[2].known_state("e"), (CLOSING, CLOSING))
         self.assertEqual(fleet.restart(1).endpoints.complete, True)
 
@@ -467,7 +467,7 @@
             heartbeat = Heartbeat("desk", f"10.1.1.1:{number}", "north", 2, READY, 1)
             fleet[0].registry.record_heartbeat(f"i-{number}", heartbeat, fleet.now_ns())
         fresh = fleet.restart(2)
-        self.assertTrue(fresh.endpoints.begin())
+        self.assertTrue(fresh.endpoints.recover())
         self.assertEqual(len(fresh.registry.records), 1300)
         self.assertEqual(len(fresh.store.endpoint_rows), 1300)
         size = max(len(PACK(fleet[0].endpoints.on_registry_page(None, [1, after]))) for after in ("", "i-5"))
@@ -480,7 +480,7 @@
             fleet[number].registry.forget("old")  # long over, and forgotten
         fleet[0].send_heartbeat("new", 1, addr="10.0.0.8:80")
         fresh = fleet.restart(2)
-        self.assertTrue(fresh.endpoints.begin())
+        self.assertTrue(fresh.endpoints.recover())
         self.assertEqual(
             (fresh.known_state("old"), fresh.known_state("new")), ((SILENT, SILENT), (READY, READY))
         )
@@ -492,7 +492,7 @@
         fleet[0].send_heartbeat("e", 1)
         fleet.partition(2)
         fleet[2].contact_age_s = SNAPSHOT_AFTER_S + 1
-        fleet[0].endpoints.leave("e")
+        fleet[0].endpoints.sign_off("e")
         fleet[2].endpoints.check_silence(fleet[2].contact_age_s)
         self.assertTrue(fleet[2].endpoints.behind)
         fleet.cut_ways.clear()
@@ -517,7 +517,9 @@
         fleet.spread_updates()
         self.assertEqual({controller.known_state("new") for controller in fleet}, {(READY, READY)})
         self.assertEqual({controller.known_state("old") for controller in fleet}, {(GONE, GONE)})
-        self.assertFalse(any(controller.endpoints.ended(id) for controller in fleet for id in ("old", "new")))
+        self.assertFalse(
+            any(controller.endpoints.has_signed_off(id) for controller in fleet for id in ("old", "new"))
+        )
 
     def test_two_endpoints_restored_with_one_address_are_told_apart_by_the_next_heartbeat(self) -> None:
         rows = [
@@ -635,9 +637,9 @@
                     draw.choice([*fleet]).send_heartbeat(id, seq, "closing", addr)
                 else:
                     del live[id]
-                    draw.choice([*fleet]).endpoints.leave(id)
+                    draw.choice([*fleet]).endpoints.sign_off(id)
             if fleet.time_s % 16 == 0:
-                draw.choice([*fleet]).endpoints.leave(f"nobody-{fleet.time_s}")
+                draw.choice([*fleet]).endpoints.sign_off(f"nobody-{fleet.time_s}")
             number = int(fleet.time_s - 1000) // 4
             if fleet.time_s % 4 == 0 and number <= 500:
                 value = PACK([number, {f"r{number + n} desk": sorted(live)[:3] for n in range(5)}])
@@ -812,7 +814,7 @@
             self.heartbeat_step(kind, number, at, draw)
         elif kind == "leave" and controller.serving:
             self.signed_off.add(self.id(number))
-            if controller.endpoints.leave(self.id(number)):
+            if controller.endpoints.sign_off(self.id(number)):
                 self.acknowledged_rank[number] = ENDS
         elif kind == "turn":
             fleet.time_s += draw / 20
@@ -823,7 +825,7 @@
             update = self.updates[draw % len(self.updates)]  # old, twice, out of order
             controller.learn(UNPACK(PACK(update)))
         elif kind == "again":
-            controller.endpoints.collect()
+            controller.endpoints.sync_from_quorum()
         elif kind == "restart":
             self.restart(at)
         elif kind == "wipe" and all(other.endpoints.complete for other in fleet):
@@ -852,7 +854,7 @@
         self.start(self.fleet[at])
 
     def start(self, controller: ControllerProcess) -> None:
-        controller.serving = controller.endpoints.begin()
+        controller.serving = controller.endpoints.recover()
         controller.contact_age_s = 0.0 if controller.serving else 86400.0
         if not controller.serving:
             return
@@ -983,7 +985,7 @@
         self.complete = True
 
     return {
-        "none": (EndpointService, "ended", EndpointService.ended),
+        "none": (EndpointService, "has_signed_off", EndpointService.has_signed_off),
         "a repeat is acknowledged at once": (EndpointService, "replicate", acknowledge_repeats),
         "a message is answered before the disk took it": (
             EndpointService,
@@ -995,7 +997,7 @@
         "of two records the later number stands": (EndpointRegistry, "merge", take_newest),
         "an address given anew ends its first owner": (EndpointRegistry, "record_heartbeat", end_rivals),
         "an empty disk is counted": (EndpointService, "__init__", count_empty_disk),
-        "a start waits for nobody": (EndpointService, "collect", lambda self: True),
+        "a start waits for nobody": (EndpointService, "sync_from_quorum", lambda self: True),
         "one answer is a quorum": (Voters, "met", lambda self, heard: len({*heard}) > 0),
         "updates that are not agreed with are passed on": (
             EndpointService,
--- a/tests/controller/test_http_api.py
+++ b/tests/controller/test_http_api.py
@@ -148,7 +148,9 @@
                 evacuate=handles("evacuate", RequestOutcome.ACCEPTED),
                 get=handles("get", lambda: (True, self.configuration)),
             ),
-            endpoints=SimpleNamespace(heartbeat=handles("beat", True), leave=handles("leave", True)),
+            endpoints=SimpleNamespace(
+                record_heartbeat=handles("beat", True), sign_off=handles("leave", True)
+            ),
             load_placement=SimpleNamespace(
                 directions=handles("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5
             ),
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -257,9 +257,9 @@
             status, answer, _, _ = call_api(
                 cluster.nodes[0].api, "POST", EVACUATION_PATH + "start", caller_gone=caller_gone
             )
-            self.assertEqual((status, answer), (503, {"fault": Refusal.CALLER_GONE}))
+            self.assertEqual((status, answer), (503, {"fault": Refusal.CALLER_DISCONNECTED}))
             self.assertEqual({*cluster.evacuated("north")}, {False})
-        self.assertEqual(cluster.nodes[0].refusals, [Refusal.CALLER_GONE] * 2)
+        self.assertEqual(cluster.nodes[0].refusals, [Refusal.CALLER_DISCONNECTED] * 2)
 
     def test_a_request_given_up_after_accepts_went_out_has_no_clear_answer(self) -> None:
         """Its first attempt was sent to acceptors and lost: that nothing changed may not be said."""
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -151,7 +151,7 @@
     def follow(self, node: Node, connection: FakeConnection) -> None:
         """Let a node follow its first peer over a connection until that ends."""
         node.dial = lambda address, handlers, timeout: connection
-        node.news_age = lambda: 9.0
+        node.update_age = lambda: 9.0
         node.peer_exchange.follow(PEER)
 
     def test_a_connection_on_which_nothing_comes_any_more_is_left(self) -> None:
--- a/tests/controller/test_views.py
+++ b/tests/controller/test_views.py
@@ -34,7 +34,7 @@
             plane.count_refusal(reason)
         clock[0] += 2.0
         status = plane.show("status")[0]
-        self.assertEqual((status["contact_s"], plane.news_age()), (5.0, 5.0))
+        self.assertEqual((status["contact_s"], plane.update_age()), (5.0, 5.0))
         self.assertEqual(status["contacts_s"], "10.0.0.0 3.0 10.0.0.1 5.0 10.0.0.2 12.0")
         self.assertEqual(status["refused"], "2 out of touch (2.0 s ago), 1 slept (2.0 s ago)")
 
