--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -28,7 +28,7 @@
     EndpointRow,
     EndpointState,
     Heartbeat,
-    HeartbeatPhase,
+    Liveness,
 )
 from flintreach.transport.peer_connection import PeerConnection
 from flintreach.transport.peer_pool import PeerPool
@@ -415,7 +415,7 @@
         for endpoint_id in sorted(self.registry.records.keys() - known_ids):
             record = self.registry.records[endpoint_id]
             if record.state == EndpointState.READY:
-                self.registry.set_phase(record, HeartbeatPhase.MISSING, now_ns)
+                self.registry.set_liveness(record, Liveness.SUSPECTED, now_ns)
 
     def _store_collected(self) -> bool:
         """Whether this disk, if there is one, has all that is known, and that it is complete."""
@@ -437,13 +437,13 @@
         published = self.updates.get(f"{ENDPOINT_KEY_PREFIX}{record.id}")
         if published is None:
             return True
-        return any(published[name] != value for name, value in record.facts().items())
+        return any(published[name] != value for name, value in record.published_fields().items())
 
     def recover(self) -> bool:
         """Learn what a quorum knows, before endpoints may call; whether that is done."""
         if not self.sync_from_quorum():
             return False
-        self.registry.restart_silence(self.runtime.now_ns())
+        self.registry.restart_failure_timeouts(self.runtime.now_ns())
         return True
 
     def merge_update(self, endpoint_id: str, version: list[int], value: dict, age_s: float = 0.0) -> None:
@@ -464,7 +464,7 @@
         record = self.registry.records.get(endpoint_id)
         if record is None:
             return
-        facts = record.facts()
+        facts = record.published_fields()
         if facts != {name: value[name] for name in facts}:
             self.publish([endpoint_id])
 
@@ -497,7 +497,7 @@
                 self.behind = False
         elif self.out_of_contact:
             self.out_of_contact = False
-            self.registry.restart_silence(now_ns)
+            self.registry.restart_failure_timeouts(now_ns)
         else:
             self.publish(self.registry.tick(now_ns))
         self._remove_forgotten_rows()
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -186,7 +186,7 @@
         )
         bias = self.region_biases.setdefault(service, RegionBias())
         region = self.key_region(service).region
-        factors = bias.weigh(region, candidates.capacity_by_region, work)
+        factors = bias.weight_factors(region, candidates.capacity_by_region, work)
         eligible = {}
         for record in candidates.endpoints:
             weight = 0.0
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -127,7 +127,7 @@
         Nothing is done where another process owns the keys and is at work.
         """
         started_at = self.runtime.now()
-        if not self.state.due(self._local_allocation(), started_at):
+        if not self.state.should_update(self._local_allocation(), started_at):
             return
         allocation = self._change_allocation(started_at)
         if allocation is None:
@@ -136,7 +136,7 @@
         if self.state.committed(allocation, started_at, self.runtime.now()):
             say("lease_acquired", service=self.service, epoch=allocation.epoch)
         self._publish(allocation)
-        for kind, key_range in self.state.calls(self.runtime.now()):
+        for kind, key_range in self.state.due_calls(self.runtime.now()):
             self.runtime.spawn(self.call, kind, key_range)
 
     def _local_allocation(self) -> Allocation:
@@ -156,7 +156,9 @@
             # The register may call this several times before one value stands: the last call counts.
             nonlocal changed
             allocation = Allocation.decode(old_value)
-            changed = self.state.step(allocation, started_at, eligible, self.ended, load, busy_ids)
+            changed = self.state.update_allocation(
+                allocation, started_at, eligible, self.ended, load, busy_ids
+            )
             return allocation.encode() if changed else None
 
         done, value = self.register.change(self.key, step, CHANGE_S)
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -93,7 +93,9 @@
             "state": record.state,
             "berths": record.capacity,
             "cold_ms": max(0, record.warming_up_until_ns - now_ns) // NS_PER_MS,
-            "heard_ms": None if record.heard_at_ns is None else (now_ns - record.heard_at_ns) // NS_PER_MS,
+            "heard_ms": None
+            if record.last_heartbeat_ns is None
+            else (now_ns - record.last_heartbeat_ns) // NS_PER_MS,
         }
         for record in records
     ]
--- a/flintreach/endpoints/registry.py
+++ b/flintreach/endpoints/registry.py
@@ -1,10 +1,10 @@
 """What one controller knows of every endpoint by its heartbeats; a state machine without input or output.
 
-What is known of one incarnation of an endpoint has a version, `[rank, sequence, phase]`, compared as a list.
-The rank is how far the endpoint says that it has gone in its graceful shutdown.  It never falls, however
-late or by whatever way a message arrives.  The sequence is the endpoint's own count of its calls.  The phase
-is the controllers' verdict on its silence, which its next heartbeat takes back.  Records of one id are merged
-field by field, so that controllers that heard the same messages in any order know the same.
+What is known of one incarnation of an endpoint has a version, `[rank, sequence, liveness]`, compared as a
+list.  The rank is how far the endpoint says that it has gone in its graceful shutdown.  It never falls,
+however late or by whatever way a message arrives.  The sequence is the endpoint's own count of its calls.
+The liveness is the controllers' verdict on its silence, which its next heartbeat takes back.  Records of one
+id are merged field by field, so that controllers that heard the same messages in any order know the same.
 
 `controller.endpoint_service` has the input and output: calls, peers, disk.  All times are nanoseconds of the
 steady clock of this process, unless a name says otherwise.
@@ -33,7 +33,7 @@
     """State of an endpoint, as it is sent, stored and shown to operators."""
 
     READY = "ready"
-    CLOSING = "closing"  # draining
+    DRAINING = "closing"  # draining
     SILENT = "silent"
     GONE = "gone"
 
@@ -46,12 +46,12 @@
     ENDED = 2
 
 
-class HeartbeatPhase(IntEnum):
+class Liveness(IntEnum):
     """The controllers' verdict on an endpoint's silence."""
 
-    HEARD = 0
-    MISSING = 1
-    LOST = 2
+    ALIVE = 0
+    SUSPECTED = 1
+    DEAD = 2
 
 
 class Heartbeat(msgspec.Struct):
@@ -80,7 +80,7 @@
     @property
     def rank(self) -> DrainRank:
         """The rank that this heartbeat tells."""
-        return DrainRank.DRAINING if self.state == EndpointState.CLOSING else DrainRank.SERVING
+        return DrainRank.DRAINING if self.state == EndpointState.DRAINING else DrainRank.SERVING
 
 
 class EndpointRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -103,7 +103,7 @@
     software_version: str
     state: str
     sequence: int
-    phase: int
+    liveness: int
     warming_up_left_ns: int
     rank: int | None = None
     gone_for_ns: int = 0
@@ -113,7 +113,7 @@
         """The rank, or what the state tells of it in a row of an earlier release."""
         if self.rank is not None:
             return self.rank
-        if self.state == EndpointState.CLOSING:
+        if self.state == EndpointState.DRAINING:
             return DrainRank.DRAINING
         if self.state == EndpointState.GONE:
             return DrainRank.ENDED
@@ -127,8 +127,8 @@
     Attributes:
         rank: a `DrainRank`; a plain number where it comes from a peer or a disk.
         sequence: the highest that was heard.
-        phase: a `HeartbeatPhase`; a plain number where it comes from a peer or a disk.
-        heard_at_ns: when its last heartbeat came; None where only its end is known.
+        liveness: a `Liveness`; a plain number where it comes from a peer or a disk.
+        last_heartbeat_ns: when its last heartbeat came; None where only its end is known.
         warming_up_until_ns: end of its slow start, 0 when it is warm.
         gone_at_ns: when it was first known to be gone.
         stored_rank: the highest rank that this process's disk holds for sure; `NOT_STORED`: none.
@@ -144,8 +144,8 @@
     software_version: str = ""
     rank: int = DrainRank.SERVING
     sequence: int = 0
-    phase: int = HeartbeatPhase.HEARD
-    heard_at_ns: int | None = None
+    liveness: int = Liveness.ALIVE
+    last_heartbeat_ns: int | None = None
     warming_up_until_ns: int = 0
     gone_at_ns: int | None = None
     stored_rank: int = NOT_STORED
@@ -153,25 +153,25 @@
 
     @property
     def state(self) -> EndpointState:
-        """The state that rank and phase make together."""
-        if self.rank == DrainRank.ENDED or self.phase == HeartbeatPhase.LOST:
+        """The state that rank and liveness make together."""
+        if self.rank == DrainRank.ENDED or self.liveness == Liveness.DEAD:
             return EndpointState.GONE
         if self.rank == DrainRank.DRAINING:
-            return EndpointState.CLOSING
-        if self.phase == HeartbeatPhase.MISSING:
+            return EndpointState.DRAINING
+        if self.liveness == Liveness.SUSPECTED:
             return EndpointState.SILENT
         return EndpointState.READY
 
     @property
     def version(self) -> list[int]:
-        """`[rank, sequence, phase]`: a list of numbers, as versions from the wire are compared with it."""
-        return [int(self.rank), self.sequence, int(self.phase)]
+        """`[rank, sequence, liveness]`: a list of numbers, as versions from the wire are compared with it."""
+        return [int(self.rank), self.sequence, int(self.liveness)]
 
     def update_value(self, now_ns: int) -> dict[str, Any]:
         """What other processes are sent of it: its facts, and what is left of its slow start, in ms."""
-        return self.facts() | {"cold": max(0, self.warming_up_until_ns - now_ns) // NS_PER_MS}
+        return self.published_fields() | {"cold": max(0, self.warming_up_until_ns - now_ns) // NS_PER_MS}
 
-    def facts(self) -> dict[str, Any]:
+    def published_fields(self) -> dict[str, Any]:
         """What is an update for others when it changes, under the names that the wire has."""
         return {
             "line": self.service,
@@ -193,7 +193,7 @@
             software_version=self.software_version,
             state=self.state.value,
             sequence=self.sequence,
-            phase=int(self.phase),
+            liveness=int(self.liveness),
             warming_up_left_ns=max(0, self.warming_up_until_ns - now_ns),
             rank=int(self.rank),
             # Of one that isn't gone this is the clock itself: no reader uses it, but earlier releases wrote
@@ -214,9 +214,9 @@
             software_version=row.software_version,
             rank=row.known_rank,
             sequence=row.sequence,
-            # Earlier releases had one phase more, for endpoints that had ended.
-            phase=min(row.phase, HeartbeatPhase.LOST),
-            heard_at_ns=now_ns,
+            # Earlier releases had one liveness more, for endpoints that had ended.
+            liveness=min(row.liveness, Liveness.DEAD),
+            last_heartbeat_ns=now_ns,
             warming_up_until_ns=now_ns + warming_up_left_ns if warming_up_left_ns else 0,
             gone_at_ns=now_ns - row.gone_for_ns,
         )
@@ -234,7 +234,7 @@
             now_ns: steady clock of this process.
             age_ns: how long ago the endpoint was first known to be gone.
         """
-        rank, sequence, phase = version
+        rank, sequence, liveness = version
         warming_up_left_ms = value["cold"]
         return cls(
             id=id,
@@ -245,15 +245,17 @@
             software_version=value["edition"],
             rank=rank,
             sequence=sequence,
-            phase=phase,
-            heard_at_ns=now_ns,
+            liveness=liveness,
+            last_heartbeat_ns=now_ns,
             warming_up_until_ns=now_ns + warming_up_left_ms * NS_PER_MS if warming_up_left_ms else 0,
             gone_at_ns=now_ns - age_ns,
         )
 
     def note_heard(self, at_ns: int) -> None:
         """Move the time of the last heartbeat on, never back."""
-        self.heard_at_ns = at_ns if self.heard_at_ns is None else max(self.heard_at_ns, at_ns)
+        self.last_heartbeat_ns = (
+            at_ns if self.last_heartbeat_ns is None else max(self.last_heartbeat_ns, at_ns)
+        )
 
 
 class EndpointRegistry:
@@ -264,7 +266,7 @@
 
     Attributes:
         records: endpoint id -> its record.
-        claims: address -> ids of the records there that are not gone.
+        ids_by_address: address -> ids of the records there that are not gone.
     """
 
     def __init__(self, report_ms: float) -> None:
@@ -275,7 +277,7 @@
         """
         self.report_ns = int(report_ms * NS_PER_MS)
         self.records: dict[str, EndpointRecord] = {}
-        self.claims: dict[str, set[str]] = {}
+        self.ids_by_address: dict[str, set[str]] = {}
 
     def record_heartbeat(self, id: str, heartbeat: Heartbeat, now_ns: int, age_ns: int = 0) -> list[str]:
         """Take in a heartbeat that came `age_ns` ago, to this controller or to another.
@@ -287,7 +289,7 @@
         if known is not None and (known.rank == DrainRank.ENDED or heartbeat.sequence <= known.sequence):
             return self.record_late_heartbeat(known, heartbeat)
         record = known or self.records.setdefault(id, EndpointRecord(id))
-        facts_before = None if known is None else known.facts()
+        facts_before = None if known is None else known.published_fields()
         warming_up_before_ns = record.warming_up_until_ns
         self.unclaim(record)
         self.apply_heartbeat(record, heartbeat, now_ns - age_ns)
@@ -297,7 +299,7 @@
         slow_start_grew = (
             record.warming_up_until_ns > max(warming_up_before_ns, now_ns) + SLOW_START_TOLERANCE_NS
         )
-        if record.facts() != facts_before or slow_start_grew:
+        if record.published_fields() != facts_before or slow_start_grew:
             return [id, *rivals]
         return rivals
 
@@ -321,7 +323,7 @@
         record.software_version = heartbeat.software_version
         record.rank = max(record.rank, heartbeat.rank)
         record.sequence = heartbeat.sequence
-        record.phase = HeartbeatPhase.HEARD
+        record.liveness = Liveness.ALIVE
         record.note_heard(arrived_at_ns)
         record.warming_up_until_ns = 0
         if heartbeat.warming_up_left_ms > 0:
@@ -331,30 +333,30 @@
         """Count those as lost that claim the address of an endpoint which was just heard; their ids.
 
         Two that are alive can't have one address: it belongs to the one that was heard last, until the other
-        is heard again.  Only the phase says so, not the rank, as this may be a late call of an older
+        is heard again.  Only the liveness says so, not the rank, as this may be a late call of an older
         incarnation.
         """
-        rivals = sorted(self.claims.get(address, ()))
+        rivals = sorted(self.ids_by_address.get(address, ()))
         for rival in rivals:
-            self.set_phase(self.records[rival], HeartbeatPhase.LOST, now_ns)
+            self.set_liveness(self.records[rival], Liveness.DEAD, now_ns)
         return rivals
 
     def claim(self, record: EndpointRecord) -> None:
         """Note that a record has its address, unless it is gone."""
         if record.state != EndpointState.GONE:
-            self.claims.setdefault(record.address, set()).add(record.id)
+            self.ids_by_address.setdefault(record.address, set()).add(record.id)
 
     def unclaim(self, record: EndpointRecord) -> None:
         """Note that a record no longer has its address; called before the address or the state changes."""
-        ids = self.claims.get(record.address, set())
+        ids = self.ids_by_address.get(record.address, set())
         ids.discard(record.id)
         if not ids:
-            self.claims.pop(record.address, None)
+            self.ids_by_address.pop(record.address, None)
 
-    def set_phase(self, record: EndpointRecord, phase: HeartbeatPhase, now_ns: int) -> None:
+    def set_liveness(self, record: EndpointRecord, liveness: Liveness, now_ns: int) -> None:
         """Give a verdict on a record's silence."""
-        record.phase = phase
-        if phase == HeartbeatPhase.LOST:
+        record.liveness = liveness
+        if liveness == Liveness.DEAD:
             self.unclaim(record)
             record.gone_at_ns = now_ns
 
@@ -382,7 +384,7 @@
             return
         self.unclaim(known)
         was_gone = known.state == EndpointState.GONE
-        if (incoming.sequence, incoming.phase) > (known.sequence, known.phase):
+        if (incoming.sequence, incoming.liveness) > (known.sequence, known.liveness):
             self.apply_later_record(known, incoming)
         if incoming.rank > known.rank:
             known.rank = incoming.rank
@@ -399,19 +401,19 @@
         self.claim(incoming)
 
     def apply_later_record(self, known: EndpointRecord, incoming: EndpointRecord) -> None:
-        """Set the fields that go with sequence and phase by a record that has later ones."""
+        """Set the fields that go with sequence and liveness by a record that has later ones."""
         known.service = incoming.service
         known.address = incoming.address
         known.zone = incoming.zone
         known.capacity = incoming.capacity
         known.software_version = incoming.software_version
         known.warming_up_until_ns = incoming.warming_up_until_ns
-        if incoming.sequence > known.sequence and incoming.heard_at_ns is not None:
-            known.note_heard(incoming.heard_at_ns)
+        if incoming.sequence > known.sequence and incoming.last_heartbeat_ns is not None:
+            known.note_heard(incoming.last_heartbeat_ns)
         known.sequence = incoming.sequence
-        known.phase = incoming.phase
+        known.liveness = incoming.liveness
 
-    def restart_silence(self, now_ns: int) -> None:
+    def restart_failure_timeouts(self, now_ns: int) -> None:
         """Count every endpoint's silence from now on: this process could not hear for a while."""
         for record in self.records.values():
             record.note_heard(now_ns)
@@ -424,18 +426,18 @@
         """Give verdicts on those that have fallen silent, and forget those that are long gone.
 
         Returns:
-            Ids of the records whose phase changed.
+            Ids of the records whose liveness changed.
         """
         changed = []
         for record in [*self.records.values()]:
-            silence_ns = 0 if record.heard_at_ns is None else now_ns - record.heard_at_ns
+            silence_ns = 0 if record.last_heartbeat_ns is None else now_ns - record.last_heartbeat_ns
             if record.state == EndpointState.GONE:
                 if now_ns - record.gone_at_ns >= HORIZON_NS:
                     self.forget(record.id)
             elif silence_ns > LOST_AFTER_REPORTS * self.report_ns:
-                self.set_phase(record, HeartbeatPhase.LOST, now_ns)
+                self.set_liveness(record, Liveness.DEAD, now_ns)
                 changed.append(record.id)
             elif silence_ns > MISSING_AFTER_REPORTS * self.report_ns and record.state == EndpointState.READY:
-                self.set_phase(record, HeartbeatPhase.MISSING, now_ns)
+                self.set_liveness(record, Liveness.SUSPECTED, now_ns)
                 changed.append(record.id)
         return changed
--- a/flintreach/sharding/range_assignment.py
+++ b/flintreach/sharding/range_assignment.py
@@ -33,7 +33,7 @@
     """State of a range, as it is stored and sent."""
 
     HELD = "held"
-    LEAVING = "leaving"
+    REVOKING = "leaving"
     FREE = "free"
 
 
@@ -290,7 +290,7 @@
         if key_range.state == RangeState.HELD and key_range.holder in holders
     ]
     for key_range in marked:
-        key_range.state = RangeState.LEAVING
+        key_range.state = RangeState.REVOKING
     return marked
 
 
@@ -364,5 +364,5 @@
     elif tail_keys < head_keys and heaviest.size - tail_keys >= MIN_RANGE_KEYS:
         split(allocation.ranges, index, heaviest.size - tail_keys)
         leaving = allocation.ranges[index + 1]
-    leaving.state = RangeState.LEAVING
+    leaving.state = RangeState.REVOKING
     return True
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -1,15 +1,15 @@
 """Leases on the key ranges of one sharded service, as a state machine without input or output.
 
 There are two kinds of terms.  The lease owner is the process that stands in the register's allocation: it may
-grant ranges to endpoints for `SEND_BOUND_S` after the beginning of its last change there.  An endpoint holds
+grant ranges to endpoints for `OWNER_LEASE_S` after the beginning of its last change there.  An endpoint holds
 a range for the lease that the last grant gave it.  Three bounds keep two endpoints from one key:
 
 - Send bound: an owner that was suspended looks at its clock right before a grant is sent, and finds that it
   may not send: another may have become the owner, and given the keys away.
-- Takeover time: another process becomes the owner only after it saw the register unchanged for `TAKEOVER_S`,
-  which is longer than the send bound; else two owners would grant at a time.
-- Network bound: what the old owner sent may arrive for `NETWORK_BOUND_S` more; until then the new one moves
-  no range.  Else an endpoint could get an old grant of keys that have just become free.
+- Takeover time: another process becomes the owner only after it saw the register unchanged for
+  `TAKEOVER_TIMEOUT_S`, which is longer than the send bound; else two owners would grant at a time.
+- Network bound: what the old owner sent may arrive for `MAX_MESSAGE_DELAY_S` more; until then the new one
+  moves no range.  Else an endpoint could get an old grant of keys that have just become free.
 
 All times are seconds of the steady clock of this process.
 
@@ -22,9 +22,9 @@
 from flintreach.sharding import range_assignment
 from flintreach.sharding.range_assignment import Allocation, LoadDistribution, Range, RangeState
 
-SEND_BOUND_S = 1.0
-NETWORK_BOUND_S = 1.0
-TAKEOVER_S = 1.8
+OWNER_LEASE_S = 1.0
+MAX_MESSAGE_DELAY_S = 1.0
+TAKEOVER_TIMEOUT_S = 1.8
 MAX_LEASE_S = 5.0  # longer than it takes another owner to renew what a dead one granted
 LEASE_PART_OF_BOUND = 0.9  # of the longest lease that the settings permit
 CLOCK_DRIFT_FACTOR = 1.03  # an endpoint's clock may run slow by so much
@@ -59,13 +59,13 @@
         epoch: of this process as the owner; -1: it has not been.
         seen: (epoch, renewals) that the register last showed, to tell whether another owner is at work.
         seen_at: when they were first seen.
-        sent: fencing token -> when a grant may last have been sent, by this process or an owner before it.
-            The parts of a range that was split share the token.
+        last_grant_sent: fencing token -> when a grant may last have been sent, by this process or an owner
+            before it.  The parts of a range that was split share the token.
         in_flight: fencing tokens of ranges with a call under way.
-        acked: range -> when its last grant was acknowledged.
-        released: range -> the handover that its holder gave with the release.
-        failed: endpoint -> (calls in a row without an answer, when the last of them ended).
-        quiet_until: end of the network bound after a takeover; until then no range changes hands.
+        last_grant_acked: range -> when its last grant was acknowledged.
+        handovers: range -> the handover that its holder gave with the release.
+        failed_calls: endpoint -> (calls in a row without an answer, when the last of them ended).
+        moves_blocked_until: end of the network bound after a takeover; until then no range changes hands.
     """
 
     def __init__(self, name: str, max_lease_s: float) -> None:
@@ -82,25 +82,25 @@
         self.epoch = -1
         self.seen: tuple[int, int] | None = None
         self.seen_at = 0.0
-        self.sent: dict[int, float] = {}
+        self.last_grant_sent: dict[int, float] = {}
         self.in_flight: set[int] = set()
-        self.acked: dict[RangeIdentity, float] = {}
-        self.released: dict[RangeIdentity, str] = {}
-        self.failed: dict[str, tuple[int, float]] = {}
-        self.quiet_until = 0.0
+        self.last_grant_acked: dict[RangeIdentity, float] = {}
+        self.handovers: dict[RangeIdentity, str] = {}
+        self.failed_calls: dict[str, tuple[int, float]] = {}
+        self.moves_blocked_until = 0.0
 
-    def due(self, stored: Allocation, now: float) -> bool:
+    def should_update(self, stored: Allocation, now: float) -> bool:
         """Whether this process is to change the register: as the owner, or as the next one."""
         version = stored.epoch, stored.renewals
         if version != self.seen:
             self.seen = version
             self.seen_at = now
-        if stored.owner not in ("", self.name) and now - self.seen_at < TAKEOVER_S:
+        if stored.owner not in ("", self.name) and now - self.seen_at < TAKEOVER_TIMEOUT_S:
             self.send_until = 0.0
             return False
         return True
 
-    def step(
+    def update_allocation(
         self,
         stored: Allocation,
         began: float,
@@ -133,7 +133,7 @@
         # The leases of its owners may differ, by their settings or releases: the longest is waited for.
         stored.lease_s = max(stored.lease_s, self.lease_s)
         stored.renewals += 1
-        if is_owner and began >= self.quiet_until:
+        if is_owner and began >= self.moves_blocked_until:
             self.move_ranges(stored, began, eligible, ended, load, busy)
         return True
 
@@ -146,7 +146,7 @@
         load: LoadDistribution,
         busy: set[str],
     ) -> None:
-        """Free, take away, give and balance ranges; arguments as of `step`."""
+        """Free, take away, give and balance ranges; arguments as of `update_allocation`."""
         self.free_expired(stored, now, ended)
         lost_holders = {
             key_range.holder
@@ -177,7 +177,7 @@
             self.start_epoch(stored, now)
         self.drop_stale_notes(stored, now)
         self.allocation = stored
-        self.send_until = began + SEND_BOUND_S
+        self.send_until = began + OWNER_LEASE_S
         return took_over
 
     def start_epoch(self, stored: Allocation, now: float) -> None:
@@ -187,26 +187,32 @@
         counts as granted until then.
         """
         self.epoch = stored.epoch
-        self.quiet_until = now + (SEND_BOUND_S + NETWORK_BOUND_S if stored.epoch > 1 else 0)
-        self.sent = {key_range.fence: now + SEND_BOUND_S for key_range in stored.ranges if key_range.holder}
-        self.acked = {}
-        self.failed = {}
-        self.released = {}
+        self.moves_blocked_until = now + (OWNER_LEASE_S + MAX_MESSAGE_DELAY_S if stored.epoch > 1 else 0)
+        self.last_grant_sent = {
+            key_range.fence: now + OWNER_LEASE_S for key_range in stored.ranges if key_range.holder
+        }
+        self.last_grant_acked = {}
+        self.failed_calls = {}
+        self.handovers = {}
 
     def drop_stale_notes(self, stored: Allocation, now: float) -> None:
         """Forget notes on ranges and fencing tokens that no longer stand: no token is ever given again."""
-        leaving = {key_range.identity for key_range in stored.ranges if key_range.state == RangeState.LEAVING}
+        leaving = {
+            key_range.identity for key_range in stored.ranges if key_range.state == RangeState.REVOKING
+        }
         identities = {key_range.identity for key_range in stored.ranges}
         fences = {key_range.fence for key_range in stored.ranges}
         holders = {key_range.holder for key_range in stored.ranges}
-        self.released = {
-            identity: handover for identity, handover in self.released.items() if identity in leaving
+        self.handovers = {
+            identity: handover for identity, handover in self.handovers.items() if identity in leaving
+        }
+        self.last_grant_acked = {
+            identity: at for identity, at in self.last_grant_acked.items() if identity in identities
         }
-        self.acked = {identity: at for identity, at in self.acked.items() if identity in identities}
-        self.sent = {fence: at for fence, at in self.sent.items() if fence in fences}
-        self.failed = {
+        self.last_grant_sent = {fence: at for fence, at in self.last_grant_sent.items() if fence in fences}
+        self.failed_calls = {
             id: (count, at)
-            for id, (count, at) in self.failed.items()
+            for id, (count, at) in self.failed_calls.items()
             if id in holders or now - at < RETRY_AFTER_S
         }
 
@@ -216,24 +222,24 @@
 
     def is_failing(self, id: str, tries: int, now: float) -> bool:
         """Whether so many calls in a row to an endpoint had no answer, and it isn't yet time to try again."""
-        count, at = self.failed.get(id, (0, 0.0))
+        count, at = self.failed_calls.get(id, (0, 0.0))
         return count >= tries and now - at < RETRY_AFTER_S
 
     def free_expired(self, stored: Allocation, now: float, ended: Callable[[str], bool]) -> None:
         """Free the leaving ranges that nobody can believe to hold any more."""
         for key_range in stored.ranges:
-            if key_range.state != RangeState.LEAVING:
+            if key_range.state != RangeState.REVOKING:
                 continue
-            handover = self.released.get(key_range.identity)
+            handover = self.handovers.get(key_range.identity)
             # Without a note nothing was sent: what earlier epochs may have sent has one from `start_epoch`.
-            sent_at = self.sent.get(key_range.fence, -stored.lease_s * 2)
+            sent_at = self.last_grant_sent.get(key_range.fence, -stored.lease_s * 2)
             lease_over = (
-                now > sent_at + NETWORK_BOUND_S + stored.lease_s * CLOCK_DRIFT_FACTOR + EXPIRY_MARGIN_S
+                now > sent_at + MAX_MESSAGE_DELAY_S + stored.lease_s * CLOCK_DRIFT_FACTOR + EXPIRY_MARGIN_S
             )
             if handover is not None or lease_over or ended(key_range.holder):
                 key_range.free(handover or "")
 
-    def calls(self, now: float) -> list[tuple[CallKind, Range]]:
+    def due_calls(self, now: float) -> list[tuple[CallKind, Range]]:
         """The calls that are to be made now; each is in flight until `answered` hears of it."""
         calls = []
         for key_range in self.allocation.ranges:
@@ -248,10 +254,10 @@
     def next_call(self, key_range: Range, now: float) -> CallKind | None:
         """What the holder of a range is to be asked now; None: nothing."""
         if key_range.state == RangeState.HELD:
-            acked_at = self.acked.get(key_range.identity, -RENEW_INTERVAL_S)
+            acked_at = self.last_grant_acked.get(key_range.identity, -RENEW_INTERVAL_S)
             if now - acked_at >= RENEW_INTERVAL_S:
                 return CallKind.GRANT
-        elif key_range.state == RangeState.LEAVING and now >= self.quiet_until:
+        elif key_range.state == RangeState.REVOKING and now >= self.moves_blocked_until:
             if not self.is_failing(key_range.holder, MAX_TRIES, now):
                 return CallKind.RELEASE
         return None
@@ -265,7 +271,7 @@
         if kind == CallKind.GRANT:
             if now >= self.send_until:
                 return False
-            self.sent[key_range.fence] = now
+            self.last_grant_sent[key_range.fence] = now
         return True
 
     def answered(
@@ -287,12 +293,12 @@
         if status is NOT_SENT:
             return False
         succeeded = status == STATUS_OK
-        failures = 0 if succeeded else self.failed.get(key_range.holder, (0, 0.0))[0] + 1
-        self.failed[key_range.holder] = failures, now
+        failures = 0 if succeeded else self.failed_calls.get(key_range.holder, (0, 0.0))[0] + 1
+        self.failed_calls[key_range.holder] = failures, now
         if not succeeded:
             return False
         if kind == CallKind.GRANT:
-            self.acked[key_range.identity] = now
+            self.last_grant_acked[key_range.identity] = now
             return False
-        self.released[key_range.identity] = handover
+        self.handovers[key_range.identity] = handover
         return True
--- a/flintreach/sharding/region_affinity.py
+++ b/flintreach/sharding/region_affinity.py
@@ -106,7 +106,7 @@
     share: float | None = None
     in_use: float = 0.0
 
-    def weigh(
+    def weight_factors(
         self, region: str | None, capacities: dict[str, float], in_use: float | None
     ) -> dict[str, float]:
         """Factors for the weights of each region's endpoints, at each turn of the lease owner.
--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -346,7 +346,7 @@
         """Drain, wait, sign off, end; at times without the sign-off where the draining was not heard."""
         callers = self.callers
         runtime = callers.runtime
-        self.state = EndpointState.CLOSING
+        self.state = EndpointState.DRAINING
         self.note("begins to leave")
         began_ns = callers.sim.now_ns
         acknowledged = self.insist(lambda: self.check_in(tries=1), ORDER_TIMEOUT_S)
@@ -431,7 +431,7 @@
         """Send a heartbeat, some times at most; whether one was acknowledged."""
         for _ in range(tries):
             self.sequence += 1
-            closing = self.state == EndpointState.CLOSING
+            closing = self.state == EndpointState.DRAINING
             status, machine = self.post(self.heartbeat_path(), self.body())
             if status == HTTPStatus.OK and machine.process is not None:
                 now_ns = self.callers.sim.now_ns
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -61,7 +61,7 @@
 ROUND_TRIP_NS = 30 * NS_PER_MS  # of a controller that has just recovered
 CLOCK_DRIFT_FACTOR = 1.05  # clocks of processes may run a few percent apart
 CONFIRMATION_MARGIN_NS = 20 * NS_PER_MS
-LEFT_STATES = (EndpointState.CLOSING, EndpointState.GONE)
+LEFT_STATES = (EndpointState.DRAINING, EndpointState.GONE)
 VERSION = re.compile(rb'"edition": ?"([0-9a-f]{8})"')
 NO_CONFIGURATION = -1
 
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -151,8 +151,8 @@
     def mutant(self: Any, stored: Allocation, began: float, now: float) -> bool:
         took_over = committed(self, stored, began, now)
         if took_over:
-            self.sent = {}
-            self.quiet_until = now
+            self.last_grant_sent = {}
+            self.moves_blocked_until = now
         return took_over
 
     return mutant
@@ -163,7 +163,7 @@
 
     def mutant(self: Any, stored: Allocation, now: float, ended: Callable[[str], bool]) -> None:
         for key_range in stored.ranges:
-            if key_range.state == RangeState.LEAVING:
+            if key_range.state == RangeState.REVOKING:
                 key_range.free("")
 
     return mutant
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -40,7 +40,7 @@
 
 PACK, UNPACK = msgspec.msgpack.encode, msgspec.msgpack.decode
 READY = EndpointState.READY
-CLOSING = EndpointState.CLOSING
+CLOSING = EndpointState.DRAINING
 SILENT = EndpointState.SILENT
 GONE = EndpointState.GONE
 SERVES = DrainRank.SERVING
@@ -508,7 +508,7 @@
         fleet.restart(0)
         for controller in fleet:
             controller.registry.records.pop("old", None)
-            controller.registry.claims.clear()
+            controller.registry.ids_by_address.clear()
         fleet[0].send_heartbeat("new", 4)
         fleet[0].send_heartbeat("old", 1)  # late, and new here
         fleet.spread_updates()
@@ -656,7 +656,7 @@
                 [
                     len(controller.updates.entries),
                     len(controller.registry.records),
-                    len(controller.registry.claims),
+                    len(controller.registry.ids_by_address),
                     len(controller.store.endpoint_rows),
                     len(controller.endpoints.on_disk),
                     len(controller.updates.tombstoned_at),
@@ -694,7 +694,11 @@
             proxy.expire()
         for controller in fleet:
             self.assertEqual(
-                (controller.registry.records, controller.registry.claims, controller.store.endpoint_rows),
+                (
+                    controller.registry.records,
+                    controller.registry.ids_by_address,
+                    controller.store.endpoint_rows,
+                ),
                 ({}, {}, {}),
             )
             self.assertEqual(len(controller.updates.entries), 6)  # the map and its five tables
@@ -711,17 +715,25 @@
             if turn % 5 == 0:
                 able.pop(next(iter(able)))
                 able[f"e{turn + 9}"] = (1.0, f"10.0.1.{turn}:80")
-            keeping.due(held, now)
-            if keeping.step(held, now, able, lambda id: id not in able, LoadDistribution(), set()):
+            keeping.should_update(held, now)
+            if keeping.update_allocation(
+                held, now, able, lambda id: id not in able, LoadDistribution(), set()
+            ):
                 keeping.committed(held, now, now)
-            for kind, r in keeping.calls(now):
+            for kind, r in keeping.due_calls(now):
                 status = 200 if turn % 3 else 0
                 if keeping.may_send(kind, r, now):
                     keeping.answered(kind, r, status, "", now)
         fences = {r.fence for r in held.ranges}
-        self.assertLessEqual(keeping.sent.keys(), fences)
+        self.assertLessEqual(keeping.last_grant_sent.keys(), fences)
         self.assertGreater(held.fence, 80)
-        for notes in (keeping.sent, keeping.acked, keeping.failed, keeping.released, keeping.in_flight):
+        for notes in (
+            keeping.last_grant_sent,
+            keeping.last_grant_acked,
+            keeping.failed_calls,
+            keeping.handovers,
+            keeping.in_flight,
+        ):
             self.assertLess(len(notes), 25)
 
     def test_connections_to_controllers_that_left_are_closed_and_forgotten(self) -> None:
@@ -968,7 +980,7 @@
 
     def take_newest(self, found, now):
         known = self.records.get(found.id)
-        newer = known is not None and (found.sequence, found.phase) > (known.sequence, known.phase)
+        newer = known is not None and (found.sequence, found.liveness) > (known.sequence, known.liveness)
         join(self, found, now)
         if newer:
             known.rank = found.rank
--- a/tests/controller/test_suspended_process.py
+++ b/tests/controller/test_suspended_process.py
@@ -9,7 +9,7 @@
 from flintreach.controller.lease_owner import NOT_SENT, LeaseOwner, answered
 from flintreach.membership.member_list import ALIVE, DEAD, LEFT, SUSPECTED, Member, MemberList
 from flintreach.sharding.range_assignment import KEYS, Allocation, LoadDistribution, Range, RangeState
-from flintreach.sharding.range_lease import SEND_BOUND_S, CallKind, RangeLeases
+from flintreach.sharding.range_lease import OWNER_LEASE_S, CallKind, RangeLeases
 
 GRANTED_RANGE = Range(0, 9, "e", 3, RangeState.HELD)
 
@@ -23,7 +23,7 @@
     """A lease owner whose change stood at 10.0, and the allocation that it wrote."""
     leases = RangeLeases("k0", 10.0)
     allocation = Allocation.from_row(None)
-    leases.step(allocation, 10.0, {}, never_ended, LoadDistribution(), set())
+    leases.update_allocation(allocation, 10.0, {}, never_ended, LoadDistribution(), set())
     leases.committed(allocation, 10.0, 10.0)
     return leases, allocation
 
@@ -31,9 +31,9 @@
 class SuspendedLeaseOwner(unittest.TestCase):
     def test_a_grant_leaves_only_within_the_lease_whenever_the_process_was_suspended(self) -> None:
         leases, _ = leases_since_10()
-        for late_s in (0.0, SEND_BOUND_S - 0.01, SEND_BOUND_S, SEND_BOUND_S + 5):
+        for late_s in (0.0, OWNER_LEASE_S - 0.01, OWNER_LEASE_S, OWNER_LEASE_S + 5):
             self.assertEqual(
-                leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < SEND_BOUND_S, late_s
+                leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < OWNER_LEASE_S, late_s
             )
         leases.not_committed()
         self.assertFalse(leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0))
@@ -74,22 +74,22 @@
     def test_the_answer_to_a_release_that_lay_in_a_buffer_gives_nothing_away(self) -> None:
         """Another has taken over meanwhile: the first may not change the allocation by what it reads late."""
         leases, allocation = leases_since_10()
-        allocation.ranges = [Range(0, KEYS - 1, "e0", 3, RangeState.LEAVING, address="e0:80")]
+        allocation.ranges = [Range(0, KEYS - 1, "e0", 3, RangeState.REVOKING, address="e0:80")]
         leases.committed(allocation, 10.0, 10.0)
-        self.assertEqual([kind for kind, _ in leases.calls(10.0)], ["release"])
+        self.assertEqual([kind for kind, _ in leases.due_calls(10.0)], ["release"])
         later = Allocation.from_row(allocation.row())
         later.owner = "k1"
         later.epoch = allocation.epoch + 1
         later.renewals = allocation.renewals + 1
         leases.answered("release", allocation.ranges[0], 200, "handover", 16.0)
-        self.assertFalse(leases.due(later, 16.0))
+        self.assertFalse(leases.should_update(later, 16.0))
         self.assertFalse(leases.may_send(CallKind.GRANT, allocation.ranges[0], 16.0))
         # And once it takes over again, what it was told in the earlier epoch is forgotten.
-        self.assertTrue(leases.due(later, 18.0))
-        self.assertTrue(leases.step(later, 18.0, {}, never_ended, LoadDistribution(), set()))
-        self.assertEqual(later.ranges[0].state, RangeState.LEAVING)
+        self.assertTrue(leases.should_update(later, 18.0))
+        self.assertTrue(leases.update_allocation(later, 18.0, {}, never_ended, LoadDistribution(), set()))
+        self.assertEqual(later.ranges[0].state, RangeState.REVOKING)
         leases.committed(later, 18.0, 18.0)
-        self.assertEqual(leases.released, {})
+        self.assertEqual(leases.handovers, {})
 
 
 class TimeOfDayWentBack(unittest.TestCase):
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -39,8 +39,8 @@
             (("tick",), 5600, ["e"], EndpointState.SILENT),
             (("tick",), 5900, [], EndpointState.SILENT),
             (("heartbeat", 3, EndpointState.READY), 6000, ["e"], EndpointState.READY),
-            (("heartbeat", 4, "closing"), 7000, ["e"], EndpointState.CLOSING),
-            (("heartbeat", 5, EndpointState.READY), 7500, [], EndpointState.CLOSING),  # never back
+            (("heartbeat", 4, "closing"), 7000, ["e"], EndpointState.DRAINING),
+            (("heartbeat", 5, EndpointState.READY), 7500, [], EndpointState.DRAINING),  # never back
             (("deregister",), 8000, ["e"], EndpointState.GONE),
             (("heartbeat", 9, EndpointState.READY), 8100, [], EndpointState.GONE),
         ]
@@ -62,7 +62,7 @@
             registry = EndpointRegistry(REPORT_MS)
             changed = [registry.record_heartbeat("e", heartbeat(*call), 0) for call in order]
             self.assertEqual(changed, [["e"], ["e"] if order[0][0] == 5 else []])
-            self.assertEqual(registry.records["e"].state, EndpointState.CLOSING)
+            self.assertEqual(registry.records["e"].state, EndpointState.DRAINING)
             self.assertEqual(registry.records["e"].version, [DrainRank.DRAINING, 5, 0])
 
     def test_a_slow_start_that_runs_off_is_no_update_and_one_that_begins_is(self) -> None:
@@ -107,19 +107,21 @@
             if at_s in (120, 122):
                 self.assertEqual("deregistered" in registry.records, at_s == 120)
         self.assertEqual([*registry.records], ["crashed"])
-        self.assertEqual((registry.tick(140 * NS_PER_S), registry.records, registry.claims), ([], {}, {}))
+        self.assertEqual(
+            (registry.tick(140 * NS_PER_S), registry.records, registry.ids_by_address), ([], {}, {})
+        )
 
 
 class StoredRowsTest(unittest.TestCase):
     def test_a_restart_knows_what_was_known_before(self) -> None:
         registry = EndpointRegistry(REPORT_MS)
-        registry.record_heartbeat("e", heartbeat(4, EndpointState.CLOSING), 0)
+        registry.record_heartbeat("e", heartbeat(4, EndpointState.DRAINING), 0)
         restarted = EndpointRegistry(REPORT_MS)
         restarted.merge(EndpointRecord.from_row(registry.records["e"].row(0), 0), 0)
         # Rows of earlier releases, with ten fields.
         ready = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", "ready", 3, 0, 0]
         restarted.merge(EndpointRecord.from_row(msgspec.convert(ready, EndpointRow), 0), 0)
-        self.assertEqual(restarted.records["e"].state, EndpointState.CLOSING)
+        self.assertEqual(restarted.records["e"].state, EndpointState.DRAINING)
         ended = [*ready[:6], "gone", 1 << 62, 3, 0]
         restarted.merge(EndpointRecord.from_row(msgspec.convert(ended, EndpointRow), 0), 0)
         record = restarted.records["e"]
--- a/tests/sharding/test_range_assignment.py
+++ b/tests/sharding/test_range_assignment.py
@@ -20,7 +20,7 @@
 def free_leaving_ranges(allocation: Allocation) -> None:
     """As if all holders had released their leaving ranges."""
     for key_range in allocation.ranges:
-        if key_range.state == RangeState.LEAVING:
+        if key_range.state == RangeState.REVOKING:
             key_range.state = RangeState.FREE
             key_range.holder = ""
 
@@ -61,7 +61,7 @@
             lost_holders = {r.holder for r in allocation.ranges if r.holder not in weights}
             range_assignment.evict(allocation, lost_holders)
             for key_range in allocation.ranges:
-                if key_range.state == RangeState.LEAVING and draw.random() < 0.5:
+                if key_range.state == RangeState.REVOKING and draw.random() < 0.5:
                     key_range.state = RangeState.FREE
                     key_range.holder = ""
             load = LoadDistribution({draw.randrange(1024): 300.0 for _ in range(3)})
@@ -69,7 +69,7 @@
             range_assignment.rebalance(allocation, weights, load, {*weights})
             self.assert_all_keys_once(allocation)
             for low, high, _, state in before:
-                if state == RangeState.LEAVING:
+                if state == RangeState.REVOKING:
                     for key_range in allocation.ranges:
                         inside = key_range.low >= low and key_range.high <= high
                         if key_range.state == RangeState.HELD and inside:
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -24,7 +24,7 @@
     Range,
     RangeState,
 )
-from flintreach.sharding.range_lease import NETWORK_BOUND_S, CallKind, RangeLeases
+from flintreach.sharding.range_lease import MAX_MESSAGE_DELAY_S, CallKind, RangeLeases
 from flintreach.transport.runtime import Runtime
 
 SAMPLED_KEYS = [0, 1, 4000, 8191, 8192, 20000, 40000, 65535]
@@ -97,16 +97,18 @@
         """One turn of a lease owner."""
         leases = self.lease_owners[index]
         began = self.now
-        if not leases.due(Allocation.decode(self.stored), began):
+        if not leases.should_update(Allocation.decode(self.stored), began):
             return
         allocation = Allocation.decode(self.stored)
-        if not leases.step(allocation, began, self.eligible(), lambda id: False, EVEN_LOAD, set()):
+        if not leases.update_allocation(
+            allocation, began, self.eligible(), lambda id: False, EVEN_LOAD, set()
+        ):
             leases.not_committed()
             return
         self.stored = allocation.encode()
         # It may be suspended between its change and what follows it, and between a call and its sending.
         leases.committed(Allocation.decode(self.stored), began, self.now)
-        for kind, key_range in leases.calls(self.now):
+        for kind, key_range in leases.due_calls(self.now):
             delay = self.draw.choice([0.0, 0.0, 0.05, 0.4]) if not self.calm else 0.0
             self.wire.append((self.now + delay, "send", index, kind, key_range))
 
@@ -119,7 +121,7 @@
         if not leases.may_send(kind, key_range, self.now):
             leases.answered(kind, key_range, range_lease.NOT_SENT, "", self.now)
             return
-        delay = self.draw.choice([0.0, 0.0, 0.1, NETWORK_BOUND_S]) if not self.calm else 0.0
+        delay = self.draw.choice([0.0, 0.0, 0.1, MAX_MESSAGE_DELAY_S]) if not self.calm else 0.0
         self.wire.append((self.now + delay, "arrive", index, kind, key_range))
 
     def arrive(self, index: int, kind: CallKind, key_range: Range) -> None:
@@ -199,7 +201,7 @@
             self.assertIn("is held by", first_breach(range(120)) or "")
         with mock.patch.object(range_lease, "CLOCK_DRIFT_FACTOR", 0.5):
             self.assertIn("is held by", first_breach(range(120)) or "")
-        with mock.patch.object(range_lease, "NETWORK_BOUND_S", -2.0):
+        with mock.patch.object(range_lease, "MAX_MESSAGE_DELAY_S", -2.0):
             self.assertIn("is held by", first_breach(range(120)) or "")
 
     def test_a_dead_holders_keys_wait_for_its_last_grant_alone(self) -> None:
@@ -217,7 +219,7 @@
             if len(served) < len(SAMPLED_KEYS):
                 waits.append(service.now - died)
         lease_over_s = service.lease_owners[0].lease_s * range_lease.CLOCK_DRIFT_FACTOR
-        self.assertLess(max(waits), lease_over_s + NETWORK_BOUND_S + range_lease.EXPIRY_MARGIN_S + 1.5)
+        self.assertLess(max(waits), lease_over_s + MAX_MESSAGE_DELAY_S + range_lease.EXPIRY_MARGIN_S + 1.5)
 
     def test_a_change_that_was_not_committed_keeps_the_handover(self) -> None:
         service = SimulatedService(1, lease_owners=1, calm=True)
@@ -231,7 +233,9 @@
         leases.answered(CallKind.RELEASE, leaving, 200, "proof", service.now)
         for _ in range(2):  # the register was taken by another writer: the same step once more
             again = Allocation.decode(service.stored)
-            leases.step(again, service.now, service.eligible(), lambda id: False, LoadDistribution(), set())
+            leases.update_allocation(
+                again, service.now, service.eligible(), lambda id: False, LoadDistribution(), set()
+            )
             self.assertIn("proof", [key_range.handover for key_range in again.ranges])
 
     def test_a_lease_that_another_release_granted_is_waited_for(self) -> None:
@@ -240,7 +244,7 @@
         fields = msgspec.msgpack.decode(service.stored)
         longer = msgspec.convert([*fields[:5], 9.0], AllocationRow)
         allocation = Allocation.from_row(longer)
-        service.lease_owners[0].step(
+        service.lease_owners[0].update_allocation(
             allocation, service.now, service.eligible(), lambda id: False, LoadDistribution(), set()
         )
         self.assertEqual(allocation.lease_s, 9.0)
--- a/tests/sharding/test_region_affinity.py
+++ b/tests/sharding/test_region_affinity.py
@@ -49,14 +49,14 @@
     def test_no_more_keys_lie_in_a_region_than_its_endpoints_bear(self) -> None:
         capacities = {"n": 8.0, "s": 8.0}
         bias = RegionBias()
-        self.assertEqual(bias.weigh("n", capacities, None), {"n": 1.0, "s": 1.0})
+        self.assertEqual(bias.weight_factors("n", capacities, None), {"n": 1.0, "s": 1.0})
         for in_use, most, least in ((1.8, 1.0, 1.0), (4.8, 0.8, 0.7), (16.0, 0.56, 0.44), (1.0, 1.0, 1.0)):
             for _ in range(60):
-                factors = bias.weigh("n", capacities, in_use)
+                factors = bias.weight_factors("n", capacities, in_use)
             share = 8 * factors["n"] / (8 * factors["n"] + 8 * factors["s"])
             self.assertTrue(least <= share <= most, (in_use, share))
-        self.assertEqual(bias.weigh(None, capacities, 1.0), {"n": 1.0, "s": 1.0})
-        self.assertEqual(bias.weigh("n", {"s": 8.0}, 1.0), {"s": 1.0})
+        self.assertEqual(bias.weight_factors(None, capacities, 1.0), {"n": 1.0, "s": 1.0})
+        self.assertEqual(bias.weight_factors("n", {"s": 8.0}, 1.0), {"s": 1.0})
 
 
 if __name__ == "__main__":
