--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -88,7 +88,7 @@
         self.repair = Repair(self)
         self.peer_exchange = PeerExchange(self)
         self.load_placement = LoadPlacement(self)
-        self.relay = Relay(peer_pool, self.updates, None, self.load_placement.hear_tally, self.update_age)
+        self.relay = Relay(peer_pool, self.updates, None, self.load_placement.add_load, self.update_age)
         self.updates.watchers.append(self.on_update)
 
     def start(self) -> None:
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -291,12 +291,12 @@
         """Return the proxies to which a client of a host should connect."""
         parameters = dict(pair.partition("=")[::2] for pair in call.query.split("&"))
         directory = self.plane.load_placement
-        addresses = directory.directions(
+        addresses = directory.proxy_addresses(
             parameters.get("name", ""), parameters.get("region", ""), parameters.get("zone", "")
         )
         if not addresses:
             return Answer.fault(HTTPStatus.SERVICE_UNAVAILABLE, "nobody is ready")
-        valid_s = round(directory.valid(self.plane.runtime.now()), 2)
+        valid_s = round(directory.record_answer(self.plane.runtime.now()), 2)
         return Answer(HTTPStatus.OK, {"post_addrs": addresses, "valid_s": valid_s})
 
 
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -112,19 +112,19 @@
 
     def on_load(self, connection: PeerConnection | None, body: dict) -> None:
         """Another controller tells the sums that came up to it."""
-        self.hear_tally(body)
+        self.add_load(body)
 
-    def hear_tally(self, body: dict) -> None:
+    def add_load(self, body: dict) -> None:
         """Add sums of load that proxies, or another controller, told."""
         self.load_aggregate.add(body)
 
     # The directory.
 
-    def directions(self, host: str, region: str, zone: str) -> list[str]:
+    def proxy_addresses(self, host: str, region: str, zone: str) -> list[str]:
         """Addresses of the proxies that a client is to use: see `Directory.proxy_addresses`."""
         return self.directory.proxy_addresses(host, region, zone)
 
-    def valid(self, now: float) -> float:
+    def record_answer(self, now: float) -> float:
         """Seconds for which such an answer holds: see `Directory.record_answer`."""
         return self.directory.record_answer(now)
 
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -96,7 +96,7 @@
         self.plane.start()
         self.stopping.wait()
         # Voting is handed over before the others hear that this process has left.
-        self.plane.repair.voting.leave()
+        self.plane.repair.voter_manager.hand_over()
         self.failure_detector.change(state=LEFT)
         say("stopped")
         return 0
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -85,16 +85,16 @@
         self.register = plane.register
         self.published: dict[str, Ballot] = {}  # the ballot of each key's value that was last published
         self.lagging: dict[str, Ballot] = {}  # the oldest ballot of each lagging key in the last sweep
-        self.voting = VoterManager(plane)
+        self.voter_manager = VoterManager(plane)
 
     def sweep(self) -> None:
         """Find the voters, then compare them for ever; let callers in after the first comparison."""
-        self.voting.find()
-        self.runtime.spawn(self.voting.run)
+        self.voter_manager.discover()
+        self.runtime.spawn(self.voter_manager.run)
         is_starting = True
         while True:
             timeout_s = START_COMPARE_TIMEOUT_S if is_starting else COMPARE_TIMEOUT_S
-            is_compared = self.voting.reconfiguration.enter() and self.compare(is_starting, timeout_s)
+            is_compared = self.voter_manager.reconfiguration.enter() and self.compare(is_starting, timeout_s)
             if is_compared and is_starting:
                 is_starting = not self.plane.start_serving()
             if is_starting:
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -125,7 +125,7 @@
 
 def voter_rows(plane: ViewedPlane) -> list[Row]:
     """Return a row for each voter, and each disk that may become one."""
-    return plane.repair.voting.rows()
+    return plane.repair.voter_manager.rows()
 
 
 def status_rows(plane: ViewedPlane) -> list[Row]:
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -211,7 +211,7 @@
 
     # A first start.
 
-    def find(self) -> None:
+    def discover(self) -> None:
         """Learn which disks vote: from others, or at a first start by deciding it with them."""
         self._keep_seeds()
         store = self.register.store
@@ -267,12 +267,12 @@
             self.runtime.sleep(CHECK_INTERVAL_S)
             if not self.register.voters.epoch:
                 continue
-            self.check()
+            self.reconcile()
             voters = self.register.voters
             if voters.epoch != self.reported_epoch and not voters.joint:
                 self.report()
 
-    def check(self) -> None:
+    def reconcile(self) -> None:
         """One step: a disk that doesn't vote catches up, one that does changes the voters where it must."""
         register = self.register
         now = self.runtime.now()
@@ -329,7 +329,7 @@
         self.leaving[tuple(address)] = self.runtime.now() + seconds
         return True
 
-    def leave(self) -> None:
+    def hand_over(self) -> None:
         """Before this process ends, wait until a spare has taken over, or until the others suffice.
 
         At most for as long as the platform lets it.
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -554,7 +554,7 @@
             asked: the machine of the controller that is asked.
             remove: takes the voter's machine away.
         """
-        voting = asked.process.plane.repair.voting
+        voting = asked.process.plane.repair.voter_manager
         addresses = [[*machine.process_address], [*successor.process_address]]
         refusal = voting.on_replace(None, addresses)
         self.note(asked, f"ordered to exchange {machine.name}: {refusal or 'done'}")
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -187,7 +187,7 @@
         """Leave and end, as at SIGTERM; `ended` is called when it has ended by itself."""
 
         def leave() -> None:
-            self.plane.repair.voting.leave()
+            self.plane.repair.voter_manager.hand_over()
             self.failure_detector.change(state=MemberState.LEFT)
             self.sim.after(0, self.end, True)
             self.sim.after(0, ended)
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -178,7 +178,7 @@
         for register in net.registers.values():
             register.voters = Voters()
         voting = VoterManager(self.plane(net, "a", coming))
-        voting.find()
+        voting.discover()
         return net, voting
 
     def test_slow_starters_are_waited_for(self):
@@ -203,7 +203,7 @@
         self.assertTrue(net.reconfigurations["d"].catch_up())
         seen = []
         while net.runtime.now() < 8.0:
-            voting.check()
+            voting.reconcile()
             if not seen or seen[-1] != net.registers["a"].voters:
                 seen.append(net.registers["a"].voters)
             net.runtime.sleep(0.25)
@@ -238,7 +238,7 @@
             self.assertTrue(net.reconfigurations["d"].catch_up())
             if silent:
                 net.down.add(address_of("c"))
-            VoterManager(plane).check()
+            VoterManager(plane).reconcile()
             self.assertEqual(
                 net.registers["a"].voters, voters_of(3, "abd") if silent else voters_of(1, "abc")
             )
--- a/tests/controller/test_http_api.py
+++ b/tests/controller/test_http_api.py
@@ -152,7 +152,7 @@
                 record_heartbeat=handles("beat", True), sign_off=handles("leave", True)
             ),
             load_placement=SimpleNamespace(
-                directions=handles("resolve", ["10.1.0.1:80"]), valid=lambda now: 0.5
+                proxy_addresses=handles("resolve", ["10.1.0.1:80"]), record_answer=lambda now: 0.5
             ),
         )
         return plane, ControlApi(plane, ALL_CALLS)
