--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -14,7 +14,7 @@
 from flintreach.evidence import packet
 from flintreach.evidence.ledger import Ledger
 from flintreach.evidence.packet import Value
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
 from flintreach.standins import collectd
@@ -25,22 +25,27 @@
 
 def turns(measured: bool, servers: int, number: int) -> float:
     """Seconds for so many turns of the decisions with a line for each server, with the tap or without."""
-    ops = [face.Operation("look", 0, SECOND, 3 * SECOND)]
-    settings = face.Settings(
+    ops = [interface.Operation("look", 0, SECOND, 3 * SECOND)]
+    settings = interface.Settings(
         seed=7,
         operations=ops,
-        slices=[face.Slice(n) for n in range(servers * 8)],
+        slices=[interface.Slice(n) for n in range(servers * 8)],
         load_fields=("util",),
         channel_limit=1e6,
     )
-    rows = [face.Server(f"s{n}") for n in range(servers)]
+    rows = [interface.Server(f"s{n}") for n in range(servers)]
     pilot, taps = Pilot(settings), []
     service = SimpleNamespace(taps=taps, pilot=pilot)
     if measured:
         Measures(service)
     now = 100 * SECOND
-    pilot.handle(now, [face.Roster("full", [face.Entry(server, "ready", 1.0, 0) for server in rows])])
-    events = [face.Heard(0, server, 20, 0, SECOND // 10, SECOND, {"util": 0.4}) for server in rows]
+    pilot.handle(
+        now,
+        [interface.ServerList("full", [interface.ServerEntry(server, "ready", 1.0, 0) for server in rows])],
+    )
+    events = [
+        interface.ServerReport(0, server, 20, 0, SECOND // 10, SECOND, {"util": 0.4}) for server in rows
+    ]
     began = time.perf_counter()
     for _ in range(number):
         now += SECOND // 100
--- a/flintreach/adapter/host.py
+++ b/flintreach/adapter/host.py
@@ -3,8 +3,7 @@
 from collections.abc import Callable
 
 from flintreach.adapter import wire
-from flintreach.pilot import interface as face
-from flintreach.pilot import settings
+from flintreach.pilot import interface, settings
 from flintreach.pilot.registry import Registry
 
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
@@ -29,7 +28,7 @@
         self.name = name
         self.settings = settings.read(seed, config)
         self.registry = Registry(self.settings)
-        self.server, self.proxy, self.piece = (self.registry.server, self.registry.proxy, self.registry.piece)
+        self.server, self.proxy, self.piece = (self.registry.server, self.registry.proxy, self.registry.slice)
         self.events: list = []
         self.pilot = pilot(self.settings)
 
@@ -42,49 +41,55 @@
         entries = []
         for name, zone, kind, cell, state, weight, started in records:
             server = self.server(name)
-            server.zone, server.kind, server.cell = zone, kind, cell
-            entries.append(face.Entry(server, STATES[state], weight, started))
-        return face.Roster(ROSTERS[how], entries)
+            server.zone, server.machine_type, server.cell = zone, kind, cell
+            entries.append(interface.ServerEntry(server, STATES[state], weight, started))
+        return interface.ServerList(ROSTERS[how], entries)
 
     def wakeup(self, label):
-        return face.Woke(label)
+        return interface.TimerFired(label)
 
     def echo(self, name, status, latency, load):
-        return face.Probed(self.server(name), STATUSES[status], latency, self.load(load))
+        return interface.ProbeResult(self.server(name), STATUSES[status], latency, self.load(load))
 
     def neighbour_says(self, pilot, data):
-        return face.Told(pilot, data)
+        return interface.PilotMessage(pilot, data)
 
     def joined(self, number, zone, rate, fresh):
         proxy = self.proxy(number)
         proxy.zone, proxy.rate = zone, rate
-        return face.Joined(proxy, fresh)
+        return interface.ProxyJoined(proxy, fresh)
 
     def dropped_off(self, number):
-        return face.Left(self.proxy(number))
+        return interface.ProxyLeft(self.proxy(number))
 
     def heard(self, zone, name, tries, unanswered, latency, span, load):
-        return face.Heard(zone, self.server(name), tries, unanswered, latency, span, self.load(load))
+        return interface.ServerReport(
+            zone, self.server(name), tries, unanswered, latency, span, self.load(load)
+        )
 
     def traffic(self, proxy, place, tries, unanswered, span):
-        return face.Demand(None, self.proxy(proxy), self.settings.operations[place], tries, unanswered, span)
+        return interface.DemandReport(
+            None, self.proxy(proxy), self.settings.operations[place], tries, unanswered, span
+        )
 
     def activity(self, unanswered, span, place, number, tries):
-        return face.Demand(self.piece(number), None, self.settings.operations[place], tries, unanswered, span)
+        return interface.DemandReport(
+            self.piece(number), None, self.settings.operations[place], tries, unanswered, span
+        )
 
     def tenure(self, number, ours):
-        return face.Given(self.piece(number), ours)
+        return interface.SliceAssignment(self.piece(number), ours)
 
     def held(self, name, weight, number):
-        return face.Held(self.piece(number), self.server(name), weight)
+        return interface.SliceReplica(self.piece(number), self.server(name), weight)
 
     def took_effect(self, proxy, number, latency):
-        return face.Applied(self.proxy(proxy), number, latency)
+        return interface.OrdersApplied(self.proxy(proxy), number, latency)
 
     # The way out.
 
     def bits(self, operations) -> int:
-        return sum(1 << operation.place for operation in operations)
+        return sum(1 << operation.index for operation in operations)
 
     def table(self, piece) -> int:
         return EVERY_TABLE if piece is None else piece.number
@@ -92,36 +97,36 @@
     def line(self, order) -> str:
         name, names, real = self.name, self.registry.names, wire.real
         match order:
-            case face.SetLine():
+            case interface.SetWeight():
                 return f"SET_LINE {name} {real(order.weight)} {order.slice.number} {names[order.server]}"
-            case face.Wake():
+            case interface.SetTimer():
                 return f"WAKE_ME {name} {wire.seconds(order.at)} {order.label}"
-            case face.Log():
+            case interface.Log():
                 return f"NOTE_DOWN {name} {wire.text(order.text)}"
-            case face.Withdraw():
+            case interface.Withdraw():
                 return f"WITHDRAW {name} {names[order.server]} {order.out:d}"
-            case face.Admit():
+            case interface.SetAdmission():
                 return (
                     f"ADMIT {name} {self.table(order.slice)} {self.bits(order.operations)} "
                     f"{real(order.level)} {order.resend}"
                 )
-            case face.Mark():
+            case interface.Mark():
                 return f"NONCE {name} {order.number} {order.everyone:d}"
-            case face.Probe():
+            case interface.Probe():
                 return f"ASK_LOAD {name} {names[order.server]}"
-            case face.Tell():
+            case interface.SendToPilot():
                 to = "all" if order.pilot is None else order.pilot
                 return f"NOTIFY {name} {to} {wire.encoded(order.data)}"
-            case face.Bind():
+            case interface.BindProxy():
                 return (
                     f"ATTACH_TABLE {name} {order.slice.number} {self.bits(order.operations)} "
                     f"{order.proxy.number}"
                 )
-            case face.Clear():
+            case interface.ClearTable():
                 return f"WIPE {name} {order.slice.number}"
-            case face.Observe():
+            case interface.WatchServers():
                 return f"OBSERVE {name} {order.on:d}"
-            case face.FetchRoster():
+            case interface.FetchServerList():
                 return f"GET_LIST {name}"
         raise TypeError(f"not an order: {order!r}")
 
--- a/flintreach/cli/pilot_service.py
+++ b/flintreach/cli/pilot_service.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from flintreach.net.config import Config
     from flintreach.net.service import Service
-    from flintreach.pilot.operator_file import Operator
+    from flintreach.pilot.operator_file import OperatorConfig
 
 OPERATOR_VARIABLE = "FLINTREACH_OPERATOR"
 UNUSABLE = 2  # exit status: a file can't be used
@@ -45,7 +45,7 @@
         end_unusable(str(error))
 
 
-def read_operator_file(path: Path | None) -> "Operator | None":
+def read_operator_file(path: Path | None) -> "OperatorConfig | None":
     """The operator's own file; None where neither the path nor the environment names one.
 
     Raises:
@@ -57,11 +57,11 @@
 
     try:
         return operator_file.load(str(path) if path else None)
-    except operator_file.OperatorError as error:
+    except operator_file.OperatorConfigError as error:
         end_unusable(str(error))
 
 
-def check_cores(config: "Config", operator: "Operator") -> None:
+def check_cores(config: "Config", operator: "OperatorConfig") -> None:
     """Check that the cores that the operator asks for are within the platform's limits.
 
     Raises:
@@ -75,7 +75,7 @@
         end_unusable(f"{operator.path}: cores: {reason}")
 
 
-def client_side(operator: "Operator") -> Part:
+def client_side(operator: "OperatorConfig") -> Part:
     """What takes the pilot's connections: this process alone, or worker processes beside it."""
     from flintreach.net import run
 
@@ -90,7 +90,7 @@
     return front
 
 
-def parts_of(operator: "Operator") -> list[Part]:
+def parts_of(operator: "OperatorConfig") -> list[Part]:
     """The parts beside the service that the operator's file asks for."""
     parts: list[Part] = []
     evidence = operator.block("evidence")
--- a/flintreach/cores/block.py
+++ b/flintreach/cores/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot.operator_file import count, duration, share, switch
+from flintreach.pilot.operator_file import boolean, duration, integer, number
 
 DECIDES_MB, WORKER_MB = 32, 32  # resident at the least, of the deciding process and of each other
 DECIDES, EACH = 48, 6  # descriptors beside connections, of the deciding process and for each other
@@ -12,11 +12,11 @@
 class Block:
     """Times are whole nanoseconds."""
 
-    workers: int = count(0, 0, 64)  # processes that take connections; 0: the one process does all
-    search: bool = switch(True)  # the swap search in a process of its own
-    share: float = share(0.2, 0.01, 1.0)  # of the deciding core, for reading what all workers bring
+    workers: int = integer(0, 0, 64)  # processes that take connections; 0: the one process does all
+    search: bool = boolean(True)  # the swap search in a process of its own
+    share: float = number(0.2, 0.01, 1.0)  # of the deciding core, for reading what all workers bring
     wait: int = duration("200ms", "0ms", "1s")  # the longest that an ordinary sum waits for the deciding core
-    rows: int = count(2000, 100, 10_000)  # in one record of a worker
+    rows: int = integer(2000, 100, 10_000)  # in one record of a worker
     sign: int = duration("50ms", "10ms", "1s")  # between signs of life, both ways
     stale: int = duration("400ms", "50ms", "10s")  # without the deciding process's, none is given outside
     hang: int = duration("2s", "200ms", "60s")  # without one from a worker, it is replaced
--- a/flintreach/cores/fold.py
+++ b/flintreach/cores/fold.py
@@ -1,7 +1,7 @@
 """How a worker sums up what is reported, so that the deciding core reads less and loses nothing.  Pure.
 
 Lines about one server from one zone over as many seconds, or about one slice and operation, become one row
-while the decisions would judge each of them alike: `pilot.reports.kind` says so, not this module.  Counts
+while the decisions would judge each of them alike: `pilot.reports.classify` says so, not this module.  Counts
 and the sum of latencies are kept exactly; of two spans within the same second the longer stands; the newest
 load report of a server goes with its last row.  A row of another kind than the last of its object is urgent.
 """
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
 
@@ -39,7 +39,7 @@
     def __init__(self, kind: Callable[[object], tuple], most: int):
         self.kind, self.most, self.counter = kind, most, 0
         self.rows: dict[tuple, Row] = {}  # by what they are about, the first heard first
-        self.loads: dict[face.Server, dict] = {}  # the newest report of those that have rows
+        self.loads: dict[interface.Server, dict] = {}  # the newest report of those that have rows
         self.kinds: dict[object, tuple] = {}  # last heard of each object
         self.urgent: dict[tuple, None] = {}  # rows of a kind that was not the last one heard of their object
 
@@ -52,7 +52,7 @@
 
     def add(self, event) -> None:
         """The event is the fold's from now on."""
-        kind, heard = self.kind(event), type(event) is face.Heard
+        kind, heard = self.kind(event), type(event) is interface.ServerReport
         self.counter += 1
         turns = (event.span + SECOND // 2) // SECOND
         if heard:
@@ -92,7 +92,7 @@
 
     def event(self, row: Row):
         event = row.event
-        if isinstance(event, face.Heard):
+        if isinstance(event, interface.ServerReport):
             event.latency = row.latency // row.answered if row.answered else event.latency
             if event.server in self.loads:
                 event.load = self.loads[event.server]
@@ -100,7 +100,7 @@
             event.lines = row.lines
         return event
 
-    def forget(self, server: face.Server) -> None:
+    def forget(self, server: interface.Server) -> None:
         """A server that is on no list any more: what was heard of it must not stay for ever."""
         self.loads.pop(server, None)
         self.kinds.pop(server, None)
--- a/flintreach/cores/front.py
+++ b/flintreach/cores/front.py
@@ -19,7 +19,7 @@
 from flintreach.cores.care import Life, Owners
 from flintreach.cores.link import Link
 from flintreach.net.http import address
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
 ACCEPTED = 64  # connections in one turn of the loop
@@ -186,7 +186,7 @@
             server = self.front.servers.get(row.number)
             if server is not None:
                 service.event(
-                    face.Heard(
+                    interface.ServerReport(
                         row.zone, server, row.tries, row.unanswered, row.latency, row.span, row.load, row.kind
                     )
                 )
@@ -196,7 +196,7 @@
             if row.proxy >= 0:
                 proxy = proxies.get(row.proxy) or service.proxy(row.proxy)
             service.event(
-                face.Demand(
+                interface.DemandReport(
                     piece,
                     proxy,
                     operations[row.operation],
@@ -251,7 +251,7 @@
         if self.search:  # given up by the decisions
             self.search = None
         if not self.serves:
-            return self.service.event(face.Solved(search, None, search.counter))
+            return self.service.event(interface.SearchResult(search, None, search.counter))
         self.search, self.counter = search, self.counter + 1
         self.link.tell((self.counter, replaced(search)))
 
@@ -264,13 +264,13 @@
 
     def answer(self, best: tuple | None, counter: int) -> None:
         search, self.search = self.search, None
-        self.service.event(face.Solved(search, best, counter))
+        self.service.event(interface.SearchResult(search, best, counter))
 
 
 def replaced(search):
     """A copy that takes its steps where it is sent."""
     there = copy.copy(search)
-    there.elsewhere = False
+    there.offloaded = False
     return there
 
 
@@ -278,10 +278,10 @@
     def __init__(self, service, block: Block):
         self.service, self.block, self.owners = service, block, Owners()
         self.listener, self.counter, self.made, self.read = None, 0, 0, 0
-        self.servers, self.numbers, self.names = service.registry.named(), {}, {}
+        self.servers, self.numbers, self.names = service.registry.weak_server_table(), {}, {}
         self.hands = [Worker(self, number, block) for number in range(block.workers)]
         self.solver = Solver(self, 0, block) if block.search else None
-        service.settings.elsewhere = block.search
+        service.settings.offload_search = block.search
         limits, part = service.limits, max(1, block.workers)
         shared = replace(
             limits,
@@ -353,7 +353,7 @@
         """Servers that the registry holds, by numbers that are never used twice: one that was forgotten and
         is named again is another, and reports on the old one must not reach it."""
         held, before = dict(self.service.registry.servers), self.counter
-        self.made = self.service.registry.made
+        self.made = self.service.registry.servers_created
         gone = [
             name
             for name, number in self.numbers.items()
@@ -379,7 +379,7 @@
 
     def resume(self) -> None:
         """After a turn: who brought sums may bring the next, once these have been handled."""
-        if self.made != self.service.registry.made:
+        if self.made != self.service.registry.servers_created:
             self.name()
         for hand in self.hands:
             for took in hand.owed if hand.serves else ():
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -22,8 +22,7 @@
 from flintreach.net.clock import Clock
 from flintreach.net.limits import Limits
 from flintreach.net.reading import whole
-from flintreach.pilot import interface as face
-from flintreach.pilot import reports, settings
+from flintreach.pilot import interface, reports, settings
 from flintreach.pilot.registry import Registry
 
 DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG of prctl(2)
@@ -47,17 +46,17 @@
     def __init__(self, loop, link: Link, told: words.Start):
         self.loop, self.link, self.told = loop, link, told
         self.limits = Limits(**told.limits)
-        self.settings = settings.read(0, dict(settings.flat(told.told["settings"])))
+        self.settings = settings.read(0, dict(settings.flatten(told.told["settings"])))
         self.zones = {name: place for place, name in enumerate(told.told["settings"].get("areas", ()))}
         self.operations = {operation.name: operation for operation in self.settings.operations}
-        self.timeout = max((op.integration_timeout for op in self.settings.operations), default=0)
-        self.loads, self.registry = settings.LOADS, Registry(self.settings)
+        self.timeout = max((op.attempt_timeout for op in self.settings.operations), default=0)
+        self.loads, self.registry = settings.LOAD_FIELDS, Registry(self.settings)
         self.clock = Clock(loop, 0, self.limits)
         objective = min(self.settings.operations, key=lambda op: op.billed_value).objective
-        self.fold = Fold(lambda event: reports.kind(event, objective), self.limits.events)
+        self.fold = Fold(lambda event: reports.classify(event, objective), self.limits.events)
         self.pace, self.due, self.timer = Pace(told.ratio, told.wait), False, None
-        self.by_number: dict[int, face.Server] = {}
-        self.numbers: dict[face.Server, int] = {}
+        self.by_number: dict[int, interface.Server] = {}
+        self.numbers: dict[interface.Server, int] = {}
         self.counts: dict[str, tuple[int, str]] = {}
         self.gone: list[int] = []
         self.heard_at, self.told_ready = 0, False
@@ -77,7 +76,7 @@
     def full(self) -> bool:
         return self.fold.full
 
-    def proxy(self, number: int) -> face.Proxy:
+    def proxy(self, number: int) -> interface.Proxy:
         return self.registry.proxy(whole(number, self.settings.proxies))
 
     def count(self, what: str, figures: str = "") -> None:
@@ -135,12 +134,12 @@
         self.flush()
 
     def row(self, event, servers: list, slices: list) -> None:
-        if isinstance(event, face.Demand):
+        if isinstance(event, interface.DemandReport):
             slices.append(
                 words.Slice(
                     event.slice.number if event.slice else -1,
                     event.proxy.number if event.proxy else -1,
-                    event.operation.place,
+                    event.operation.index,
                     event.tries,
                     event.unanswered,
                     event.span,
--- a/flintreach/evidence/block.py
+++ b/flintreach/evidence/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot.operator_file import address, count, one_of, table, text
+from flintreach.pilot.operator_file import address, integer, one_of, string, string_map
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,11 +11,11 @@
 
     listen: str = address()  # for datagrams
     lines: str = address()  # for Graphite lines
-    keys: str = text("")  # collectd's file of users and passwords, read again when it changes
+    keys: str = string("")  # collectd's file of users and passwords, read again when it changes
     accept: str = one_of("signed", "signed", "any")  # of datagrams; lines need "any"
-    hosts: dict = table({})  # collectd's name of a host, to the list's of its server
-    packets: int = count(1000, 1, 1_000_000)  # a second from one address; what is more is dropped unread
-    interval: int = count(10, 1, 600)  # seconds between lines of one series: lines do not tell it
+    hosts: dict = string_map({})  # collectd's name of a host, to the list's of its server
+    packets: int = integer(1000, 1, 1_000_000)  # a second from one address; what is more is dropped unread
+    interval: int = integer(10, 1, 600)  # seconds between lines of one series: lines do not tell it
 
     def __post_init__(self) -> None:
         if not self.listen and not self.lines:
--- a/flintreach/evidence/intake.py
+++ b/flintreach/evidence/intake.py
@@ -11,7 +11,7 @@
 from flintreach.evidence.packet import Bad, Value
 from flintreach.net.buffer import Buffer, Overflow
 from flintreach.net.http import address
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
 SOURCES = 256  # addresses whose pace is kept
@@ -107,7 +107,7 @@
 
 
 class Intake:
-    """`service` gets one event a fresh figure: `Measured`, with its age."""
+    """`service` gets one event a fresh figure: `HostLoad`, with its age."""
 
     def __init__(self, service, block: Block):
         self.service, self.block, self.ledger = service, block, Ledger(block.hosts)
@@ -215,15 +215,15 @@
             return self.count("a server that no list names")
         self.state(told.host, self.ledger.compare(told.host, self.own.get(name)))
         if host.state == "fresh":
-            self.service.event(face.Measured(server, told.busy, told.age))
+            self.service.event(interface.HostLoad(server, told.busy, told.age))
 
     # What the service sees, and the passing of time.
 
     def tap(self, now: int, events: list, orders: list, took: int) -> None:
         for event in events:
-            if type(event) is face.Heard and "util" in event.load:
+            if type(event) is interface.ServerReport and "util" in event.load:
                 self.own[event.server.name] = event.load["util"]
-            elif type(event) is face.Roster:
+            elif type(event) is interface.ServerList:
                 for entry in event.entries:
                     host, before = self.by_server.get(entry.server.name), self.told.get(entry.server.name, 0)
                     if host and entry.started > before:
--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -6,7 +6,7 @@
 from flintreach.net.http import address
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, lines, whole
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 ALIVE = b'{"msg":"alive"}\n'
 
@@ -164,7 +164,7 @@
         if server is None:  # gone or never listed: a report must not bring it to the roster
             return self.service.count("report on an unknown endpoint")
         load = {name: told[name] for name in self.service.settings.load_fields if name in told}
-        self.service.event(face.Heard(zone, server, tries, unanswered, latency, span, load))
+        self.service.event(interface.ServerReport(zone, server, tries, unanswered, latency, span, load))
 
     def demand(self, message: dict) -> None:
         tries, unanswered, span = self.tries(message)
@@ -174,7 +174,7 @@
             piece = registry.slices[whole(message["range"])]
         else:
             proxy = self.service.proxy(message["id"])
-        self.service.event(face.Demand(piece, proxy, operation, tries, unanswered, span))
+        self.service.event(interface.DemandReport(piece, proxy, operation, tries, unanswered, span))
 
 
 KINDS = {
--- a/flintreach/net/config.py
+++ b/flintreach/net/config.py
@@ -9,8 +9,7 @@
 from flintreach.net.http import address
 from flintreach.net.limits import Limits
 from flintreach.net.reading import UNREADABLE
-from flintreach.pilot import interface as face
-from flintreach.pilot import settings
+from flintreach.pilot import interface, settings
 
 
 class ConfigError(ValueError):
@@ -31,7 +30,7 @@
     peers_all: str | None
     known: dict | None
     limits: Limits
-    settings: face.Settings
+    settings: interface.Settings
     zones: dict[str, int]
     kinds: dict[str, int]
 
@@ -61,7 +60,7 @@
             peers_all=told.get("peers_all") and checked(told["peers_all"]),
             known=told.get("known"),
             limits=Limits.of(told.get("limits") or {}),
-            settings=settings.read(seed, dict(settings.flat(nested))),
+            settings=settings.read(seed, dict(settings.flatten(nested))),
             zones={name: place for place, name in enumerate(nested.get("areas", ()))},
             kinds={name: place for place, name in enumerate(nested.get("machine_types", ()))},
         )
--- a/flintreach/net/pilots.py
+++ b/flintreach/net/pilots.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from flintreach.net.http import address
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 
 class Pilots(asyncio.DatagramProtocol):
@@ -21,7 +21,7 @@
     def datagram_received(self, data: bytes, source) -> None:
         if source[:2] not in self.peers or len(data) > self.service.limits.datagram:
             return self.service.count("datagram refused")
-        self.service.event(face.Told(self.peers.index(source[:2]), data))
+        self.service.event(interface.PilotMessage(self.peers.index(source[:2]), data))
 
     def tell(self, pilot: int | None, data: bytes) -> None:
         to = self.everyone if pilot is None else self.peers[pilot]
--- a/flintreach/net/relay.py
+++ b/flintreach/net/relay.py
@@ -10,7 +10,7 @@
 from flintreach.net.http import Connection
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, objects, whole
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 ERRORS = ("BUSY", "SYNTAX")
 # State of the calls, input, next state.  A pair that is not here changes nothing.
@@ -35,24 +35,24 @@
         """What an order is the last word on, and the order as the relay reads it."""
         names = self.service.registry.names
         match order:
-            case face.SetLine(piece, server, weight):
+            case interface.SetWeight(piece, server, weight):
                 return ("line", piece.number, names[server]), {
                     "op": "SET",
                     "table": piece.number,
                     "target": names[server],
                     "rps": weight,
                 }
-            case face.Clear(piece):
+            case interface.ClearTable(piece):
                 return ("table", piece.number), {"op": "DEL", "table": piece.number}
-            case face.Withdraw(server, out):
+            case interface.Withdraw(server, out):
                 return ("out", names[server]), {"op": "OUT" if out else "IN", "target": names[server]}
-            case face.Admit(piece, operations, level, resend):
+            case interface.SetAdmission(piece, operations, level, resend):
                 lanes = [operation.name for operation in operations]
                 told = {"op": "LIMIT", "gate": level, "again": resend}
                 told |= {"table": piece.number} if piece else {}
                 told |= {"for": lanes} if lanes else {}
                 return ("level", piece.number if piece else None, *lanes), told
-            case face.Mark(number, everyone):
+            case interface.Mark(number, everyone):
                 return ("mark",), {"op": "SYNC", "stamp": number, "flag": int(everyone)}
         raise TypeError(f"the relay carries no {type(order).__name__}")
 
@@ -255,7 +255,9 @@
 
     def ack(self, told: dict) -> None:
         proxy = self.service.proxy(told["id"])
-        self.service.event(face.Applied(proxy, int(figure(told["seq"])), int(figure(told.get("ms", 0)) * MS)))
+        self.service.event(
+            interface.OrdersApplied(proxy, int(figure(told["seq"])), int(figure(told.get("ms", 0)) * MS))
+        )
 
     def lease(self, told: dict) -> None:
         number = told["range"]
@@ -280,7 +282,7 @@
 
     def __init__(self, service):
         self.service, self.feed, self.new, self.failures = service, None, None, 0
-        self.joined: set[face.Proxy] = set()
+        self.joined: set[interface.Proxy] = set()
         self.tables: dict[int, dict[str, float]] = {}  # of our slices, as the store holds them
         self.stands: dict[int, dict[str, float]] = {}  # told by the connection that opens
 
@@ -325,18 +327,18 @@
         if calls.state == "doubt" and (whole or touched and touched <= self.stands.keys()):
             calls.settle(self.stands)
 
-    def hello(self, proxy: face.Proxy, fresh: bool) -> None:
+    def hello(self, proxy: interface.Proxy, fresh: bool) -> None:
         # While two connections tell the same, what is known already is no news.
         if not self.new or proxy not in self.joined or fresh:
             if proxy in self.joined:
-                self.service.event(face.Left(proxy))
+                self.service.event(interface.ProxyLeft(proxy))
             self.joined.add(proxy)
-            self.service.event(face.Joined(proxy, fresh))
+            self.service.event(interface.ProxyJoined(proxy, fresh))
 
-    def bye(self, proxy: face.Proxy) -> None:
+    def bye(self, proxy: interface.Proxy) -> None:
         if proxy in self.joined:
             self.joined.discard(proxy)
-            self.service.event(face.Left(proxy))
+            self.service.event(interface.ProxyLeft(proxy))
 
     def given(self, feed: Feed, number: int, table: dict[str, float]) -> None:
         if feed is self.new:
@@ -346,16 +348,16 @@
         if not known or self.tables[number] != table and number not in self.service.calls.touched():
             piece = self.service.registry.slices[number]
             self.service.calls.forget(number)
-            self.service.event(face.Given(piece, True))
+            self.service.event(interface.SliceAssignment(piece, True))
             for name, weight in table.items():
-                self.service.event(face.Held(piece, self.service.registry.server(name), weight))
+                self.service.event(interface.SliceReplica(piece, self.service.registry.server(name), weight))
         self.tables[number] = dict(table)
         self.settle(False)
 
     def withdrawn(self, number: int) -> None:
         self.service.calls.forget(number)
         if self.tables.pop(number, None) is not None:
-            self.service.event(face.Given(self.service.registry.slices[number], False))
+            self.service.event(interface.SliceAssignment(self.service.registry.slices[number], False))
 
     def ordered(self, orders: list[dict]) -> None:
         """What the relay took of them stands in the store from now on."""
--- a/flintreach/net/roster.py
+++ b/flintreach/net/roster.py
@@ -5,7 +5,7 @@
 from flintreach.net.http import Connection, address
 from flintreach.net.limits import MS
 from flintreach.net.reading import UNREADABLE, figure, whole
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 STATES = {"up": "ready", "draining": "draining", "removed": "gone"}
 PATH = "/discovery/hosts"
@@ -31,9 +31,9 @@
 class Roster:
     def __init__(self, service):
         self.service, self.index, self.known, self.spoilt = service, None, False, False
-        self.connection, self.failures, self.on = None, 0, not service.settings.asks_roster
+        self.connection, self.failures, self.on = None, 0, not service.settings.server_list_on_request
 
-    def read(self, answer: dict, how: str) -> face.Roster:
+    def read(self, answer: dict, how: str) -> interface.ServerList:
         listed, self.spoilt = [], False
         for row in answer["endpoints"]:
             try:
@@ -43,13 +43,13 @@
                 self.service.count("row of the list not understood", repr(error))
                 continue
             server = self.service.registry.server(name)
-            server.zone, server.kind, server.cell = zone, kind, cell
+            server.zone, server.machine_type, server.cell = zone, kind, cell
             self.service.servers.addresses[server] = place
-            listed.append(face.Entry(server, state, weight, started))
+            listed.append(interface.ServerEntry(server, state, weight, started))
         if self.spoilt and not listed:
             raise ValueError("no row is understood")
         # What a row says that can't be read is not gone: its server stays as it was.
-        return face.Roster("delta" if self.spoilt and how == "full" else how, listed)
+        return interface.ServerList("delta" if self.spoilt and how == "full" else how, listed)
 
     def start(self) -> None:
         if self.on and not self.connection:
@@ -122,6 +122,6 @@
         self.connection = None
         self.failures += 1
         self.service.mode("discovery", "lost", why)
-        if self.service.settings.asks_roster:
-            self.service.event(face.Roster("failed", []))
+        if self.service.settings.server_list_on_request:
+            self.service.event(interface.ServerList("failed", []))
         self.service.clock.retry(self.failures, self.start)
--- a/flintreach/net/servers.py
+++ b/flintreach/net/servers.py
@@ -4,7 +4,7 @@
 
 from flintreach.net.http import Connection
 from flintreach.net.reading import figure
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 STATUSES = {"unsent": "connect_failed", "broken": "reset", "silent": "timeout", "garbled": "error"}
 
@@ -30,7 +30,7 @@
     def __init__(self, service):
         self.service, self.addresses, self.open = service, WeakKeyDictionary(), set()
 
-    def probe(self, server: face.Server) -> None:
+    def probe(self, server: interface.Server) -> None:
         limits, clock = self.service.limits, self.service.clock
         if len(self.open) >= limits.probes or server not in self.addresses:
             self.service.count("question not sent")  # told as unanswered, it would condemn a healthy server
@@ -43,7 +43,7 @@
             said = {200: "ok", 503: "full"}.get(status, "error") if how == "answered" else STATUSES[how]
             text = body.decode("ascii", "replace") if said == "ok" else ""
             load = report(text, fields, self.service.loads, limits.load)
-            self.service.event(face.Probed(server, said, clock.now() - began, load))
+            self.service.event(interface.ProbeResult(server, said, clock.now() - began, load))
 
         connection = Connection(clock, limits, self.addresses[server], done)
         self.open.add(connection)
--- a/flintreach/net/service.py
+++ b/flintreach/net/service.py
@@ -13,14 +13,19 @@
 from flintreach.net.relay import Calls, News
 from flintreach.net.roster import Roster
 from flintreach.net.servers import Servers
-from flintreach.pilot import interface as face
-from flintreach.pilot import settings
+from flintreach.pilot import interface, settings
 from flintreach.pilot.logic import Pilot
 from flintreach.pilot.registry import Registry
 
 MOVED = {"discovery", "store", "known", "seed"}  # what a configuration read again may change, or need not
-SUMS = (face.Heard, face.Demand)
-RELAYED = (face.SetLine, face.Clear, face.Withdraw, face.Admit, face.Mark)
+SUMS = (interface.ServerReport, interface.DemandReport)
+RELAYED = (
+    interface.SetWeight,
+    interface.ClearTable,
+    interface.Withdraw,
+    interface.SetAdmission,
+    interface.Mark,
+)
 
 
 class Service:
@@ -28,8 +33,8 @@
         self.loop, self.log, self.limits = loop, log, config.limits
         self.settings, self.zones = config.settings, config.zones
         self.operations = {operation.name: operation for operation in config.settings.operations}
-        self.loads, self.config = settings.LOADS, config
-        self.timeout = max((op.integration_timeout for op in config.settings.operations), default=0)
+        self.loads, self.config = settings.LOAD_FIELDS, config
+        self.timeout = max((op.attempt_timeout for op in config.settings.operations), default=0)
         self.discovery, self.store = config.discovery, config.store
         self.registry, self.clock = Registry(config.settings), Clock(loop, config.seed, config.limits)
         self.pilot = Pilot(config.settings)
@@ -59,7 +64,7 @@
         most = self.limits.turn
         rest = [event for event in events if not isinstance(event, SUMS)]
         sums = [event for event in events if isinstance(event, SUMS)]
-        while most < len(rest) and isinstance(rest[most], face.Held):
+        while most < len(rest) and isinstance(rest[most], interface.SliceReplica):
             most += 1  # a slice without its lines would be taken for one with an empty table
         left = max(0, self.limits.turn - len(rest))
         return rest[:most] + sums[:left], rest[most:] + sums[left:]
@@ -67,7 +72,7 @@
     def full(self) -> bool:
         return len(self.gathered) >= self.limits.events
 
-    def proxy(self, number: int) -> face.Proxy:
+    def proxy(self, number: int) -> interface.Proxy:
         return self.registry.proxy(whole(number, self.settings.proxies))
 
     # The loop.
@@ -101,19 +106,19 @@
             self.calls.send(relayed)
         for order in orders:
             match order:
-                case face.Wake(at, label):
+                case interface.SetTimer(at, label):
                     self.wake(at, label)
-                case face.Log(text):
+                case interface.Log(text):
                     self.log.info(text)
-                case face.Probe(server) if self.settings.probes:
+                case interface.Probe(server) if self.settings.probes:
                     self.servers.probe(server)
-                case face.Tell(pilot, data) if self.settings.tells and self.pilots:
+                case interface.SendToPilot(pilot, data) if self.settings.tells and self.pilots:
                     self.pilots.tell(pilot, data)
-                case face.Observe(on):
+                case interface.WatchServers(on):
                     self.roster.observe(on)
-                case face.FetchRoster():
+                case interface.FetchServerList():
                     self.roster.fetch()
-                case face.Solve(search):
+                case interface.RunSearch(search):
                     self.clients.solve(search)
                 case _ if not isinstance(order, RELAYED):
                     self.log.error("an order that this protocol can't carry", order=type(order).__name__)
@@ -124,7 +129,7 @@
         if wait > 0:
             self.clock.after(wait, lambda: self.wake(at, label))
         else:
-            self.event(face.Woke(label))
+            self.event(interface.TimerFired(label))
 
     # Log.
 
@@ -179,7 +184,7 @@
             self.frozen = True
             if len(self.news.tables) >= self.limits.many:  # buckets of sums are made anew all the time
                 gc.set_threshold(5000, 20, 100)
-            self.clock.after(face.SECOND, gc.freeze)
+            self.clock.after(interface.SECOND, gc.freeze)
 
     def reload(self) -> None:
         """SIGHUP moves the addresses of discovery and the relay, and keeps all state.  A call in hand ends
--- a/flintreach/pilot/demand.py
+++ b/flintreach/pilot/demand.py
@@ -1,7 +1,6 @@
 """Demand of slices, from the proxies' sums to rates.  Pure."""
 
-from flintreach.pilot import interface as face
-from flintreach.pilot import reports
+from flintreach.pilot import interface, reports
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.records import RECENT_S, SMOOTHING_S
 from flintreach.pilot.state import REPORT_CYCLE_NS, FleetState
@@ -10,11 +9,11 @@
 MEASURE_COST_US = 13  # of one slice
 
 
-def on_demand(state: FleetState, event: face.Demand) -> None:
+def on_demand(state: FleetState, event: interface.DemandReport) -> None:
     """Take invocations that came for a slice; without slices, all count for the shared table."""
     table = state.tables.get(event.slice) or state.shared_table
     tries = event.tries
-    (storm,) = event.kind or reports.kind(event, 0)
+    (storm,) = event.kind or reports.classify(event, 0)
     if storm and table.rate:  # repeats are no demand that calls for replicas
         tries = min(tries, table.rate * event.span / SECOND * event.lines)
     table.arrivals.add(state.now_ns, event.span, tries, event.tries)
@@ -23,9 +22,9 @@
 
 def measure(state: FleetState) -> Costs:
     """Work out the rates of our slices, over the smoothing time or what is known of it, and of late."""
-    known = [table.rate for table in state.own_tables() if table.reported_ns]
+    known = [table.rate for table in state.owned_tables() if table.reported_ns]
     usual = sum(known) / max(1, len(known))  # for slices taken over whose sums have yet to come round
-    for table in state.own_tables():
+    for table in state.owned_tables():
         yield MEASURE_COST_US
         end_ns = max(table.reported_ns, state.now_ns - REPORT_CYCLE_NS)
         age_s = max(1, (end_ns - table.given_ns) / SECOND)
--- a/flintreach/pilot/dispatch.py
+++ b/flintreach/pilot/dispatch.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from operator import itemgetter
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.admission import admitted_level
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.records import Mode, ServerState, SliceTable, Unconfirmed, Weights
@@ -34,22 +34,22 @@
     def __init__(self, state: FleetState) -> None:
         """Begin with no proxy joined."""
         self._state = state
-        self.unconfirmed: dict[face.Proxy, deque[Unconfirmed]] = {}  # by proxy that has joined
-        self.level = 1.0  # of the cheapest operation, at every table
+        self.unconfirmed: dict[interface.Proxy, deque[Unconfirmed]] = {}  # by proxy that has joined
+        self.admission_level = 1.0  # of the cheapest operation, at every table
         self.sent_ns = 0
         self._mark = 0
 
-    def on_joined(self, event: face.Joined) -> None:
+    def on_joined(self, event: interface.ProxyJoined) -> None:
         """Keep account of a proxy; without slices, bind it to the shared table."""
         self.unconfirmed[event.proxy] = deque()
         if self._state.shared_table:
-            self._state.orders.append(face.Bind(self._state.shared_table.slice, event.proxy))
+            self._state.orders.append(interface.BindProxy(self._state.shared_table.slice, event.proxy))
 
-    def on_left(self, event: face.Left) -> None:
+    def on_left(self, event: interface.ProxyLeft) -> None:
         """Forget a proxy."""
         self.unconfirmed.pop(event.proxy, None)
 
-    def on_applied(self, event: face.Applied) -> None:
+    def on_applied(self, event: interface.OrdersApplied) -> None:
         """A proxy has applied all up to a mark; an answer to no mark confirms nothing."""
         waiting = self.unconfirmed.get(event.proxy, ())
         while any(message.number == event.number for message in waiting):
@@ -64,9 +64,9 @@
             return
         lines = self._shut_out([table for _, table in changed])
         level = admitted_level(state, [state.typical_server])
-        if level != self.level:  # one line a proxy, where each slice's would fill the channel
-            self.level = level
-            lines.append(face.Admit(None, (state.cheapest,), level, 1))
+        if level != self.admission_level:  # one line a proxy, where each slice's would fill the channel
+            self.admission_level = level
+            lines.append(interface.SetAdmission(None, (state.cheapest,), level, 1))
         cost = proxies * (state.settings.message_head + 1 + len(lines))
         waiting = self._waiting_lines()
         for urgency, table in sorted(changed, key=itemgetter(0), reverse=True):  # what can wait rides along
@@ -82,7 +82,7 @@
         if not lines:
             return
         self._mark = self._mark % MOST_MARKS + 1
-        state.orders += [*lines, face.Mark(self._mark)]
+        state.orders += [*lines, interface.Mark(self._mark)]
         for messages in self.unconfirmed.values():
             messages.append(Unconfirmed(self._mark, cost / proxies, state.now_ns))
         self.sent_ns = state.now_ns
@@ -99,7 +99,7 @@
         lowered = {server for server in state.servers.values() if admitted_level(state, [server]) < 1}
         changed = []
         for table in state.tables.values():
-            if not table.ours:
+            if not table.owned:
                 continue
             level = 1.0 if lowered.isdisjoint(table.wanted) else admitted_level(state, table.wanted)
             if table.wanted != table.ordered or table.admission_level != level:
@@ -129,7 +129,7 @@
         A zone's slices can fill the channel past the grace: one line a proxy shuts a server out before.
         """
         state = self._state
-        tables = state.own_tables() if state.shut_out else []
+        tables = state.owned_tables() if state.shut_out else []
         ordered = {server for table in tables for server in table.ordered}
         left: dict[ServerState, None] = {}
         for table in changed:
@@ -144,7 +144,7 @@
             if server not in named and not waits:
                 opened.append(server)
         state.shut_out = {server: None for server in [*state.shut_out, *shut] if server not in opened}
-        return [face.Withdraw(server.server, server in shut) for server in shut + opened]
+        return [interface.Withdraw(server.server, server in shut) for server in shut + opened]
 
     def _change(self, table: SliceTable, urgency: Urgency) -> tuple[Weights, float, list[object]]:
         """Give a table as it is after its change, its level, and the lines that make it so; removals lead."""
@@ -154,10 +154,10 @@
         kept = {server: table.ordered[server] for server in table.ordered if server in dead} | table.wanted
         removed = [server for server in table.ordered if server not in kept]
         changed = [server for server in table.wanted if table.ordered.get(server) != table.wanted[server]]
-        lines: list[object] = [face.SetLine(table.slice, server.server, 0) for server in removed]
-        lines += [face.SetLine(table.slice, server.server, table.wanted[server]) for server in changed]
+        lines: list[object] = [interface.SetWeight(table.slice, server.server, 0) for server in removed]
+        lines += [interface.SetWeight(table.slice, server.server, table.wanted[server]) for server in changed]
         # Levels wait where slices must move.
         level = table.admission_level if urgency else admitted_level(state, table.wanted)
         if level != table.admission_level:
-            lines.append(face.Admit(table.slice, (state.cheapest,), level, 1))
+            lines.append(interface.SetAdmission(table.slice, (state.cheapest,), level, 1))
         return kept, level, lines
--- a/flintreach/pilot/health.py
+++ b/flintreach/pilot/health.py
@@ -108,7 +108,7 @@
 
 def _prove_rate(state: FleetState, findings: Findings) -> None:
     """Learn from the answers, and the load at which they were given, what a server can answer."""
-    our_quota = sum(state.quotas().values()) * len(state.own_tables()) / len(state.tables)
+    our_quota = sum(state.quotas().values()) * len(state.owned_tables()) / len(state.tables)
     weight = sum(weight for _, weight in findings.loads)
     utilisation = sum(load for load, _ in findings.loads) / (weight or 1) or 1
     at_most = min(1, max(LEAST_UTILISATION, utilisation))
--- a/flintreach/pilot/interface.py
+++ b/flintreach/pilot/interface.py
@@ -9,14 +9,14 @@
 
 SECOND = 1_000_000_000  # in nanoseconds
 
-# Figures of load that the decisions read, by their names in `Heard.load`.
+# Figures of load that the decisions read, by their names in `ServerReport.load`.
 LOAD_QUEUE = "queue"  # invocations that wait
 LOAD_UTILISATION = "util"  # of 1
 ADMITS_BY_SHARE = "share"  # of `Settings.admits_by`: a level is the part of an operation that is let in
 
 
-class RosterKind(StrEnum):
-    """What a roster is, as `Roster.how` holds it."""
+class ServerListKind(StrEnum):
+    """What a roster is, as `ServerList.kind` holds it."""
 
     DELTA = "delta"  # what has changed
     FULL = "full"
@@ -25,7 +25,7 @@
 
 
 class EntryState(StrEnum):
-    """What a roster says of a server, as `Entry.state` holds it."""
+    """What a roster says of a server, as `ServerEntry.state` holds it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,7 +33,7 @@
 
 
 class ProbeStatus(StrEnum):
-    """How a probe ended, as `Probed.status` holds it."""
+    """How a probe ended, as `ProbeResult.status` holds it."""
 
     OK = "ok"
     ERROR = "error"
@@ -49,9 +49,9 @@
 
     name: str  # for log lines alone
     zone: int = 0  # failure domain, by its number
-    kind: int = 0  # its type, by its number
+    machine_type: int = 0  # its type, by its number
     cell: int = 0  # its group, by its number
-    lot: int = 0  # a hash of what it is called, so the same at every pilot
+    name_hash: int = 0  # a hash of what it is called, so the same at every pilot
 
 
 @dataclass(slots=True, eq=False)
@@ -75,9 +75,9 @@
     """A kind of invocation; billed value, objective and effect are the operator's."""
 
     name: str  # for log lines alone
-    place: int  # its position among the operations of the settings
+    index: int  # its position among the operations of the settings
     objective: int  # latency that it should keep
-    integration_timeout: int  # after it no answer to an attempt comes
+    attempt_timeout: int  # after it no answer to an attempt comes
     billed_value: float = 1.0
     effect: str = "idempotent"  # or "fingerprinted", "side-effecting"
     group: str = "all"  # fingerprinted: who drops repeats: "all", "zone" or "cell"
@@ -99,7 +99,7 @@
     operations: list[Operation] = field(default_factory=list)
     slices: list[Slice] = field(default_factory=list)
     exclusive: bool = False  # a slice has one replica at the most
-    asks_roster: bool = False  # the roster comes only when asked for
+    server_list_on_request: bool = False  # the roster comes only when asked for
     ask_within: int = 10 * SECOND
     weights: str = "none"  # what a listed weight holds: "none", "nominal", "rough" or "live"
     cold_share: float = 1.0  # a process starts at this part of its capacity, or more
@@ -124,14 +124,14 @@
     load_fields: tuple[str, ...] = ()  # "inflight", "queue", "util", "latency_ms", "qps", "eps"
     probes: bool = False
     tells: bool = False
-    elsewhere: bool = False  # searches are to be done beside the decisions: Solve, then Solved
+    offload_search: bool = False  # searches are to be done beside the decisions: RunSearch, then SearchResult
 
 
 # Events, in the order in which they came.
 
 
 @dataclass(slots=True)
-class Entry:
+class ServerEntry:
     """One server of a roster."""
 
     server: Server
@@ -141,15 +141,15 @@
 
 
 @dataclass(slots=True)
-class Roster:
+class ServerList:
     """A list of servers, or what has changed in it."""
 
-    how: str  # of RosterKind
-    entries: list[Entry]
+    kind: str  # of ServerListKind
+    entries: list[ServerEntry]
 
 
 @dataclass(slots=True)
-class Joined:
+class ProxyJoined:
     """A proxy has joined; nothing that was sent to it before is outstanding any more."""
 
     proxy: Proxy
@@ -157,22 +157,22 @@
 
 
 @dataclass(slots=True)
-class Left:
+class ProxyLeft:
     """A proxy has gone."""
 
     proxy: Proxy
 
 
 @dataclass(slots=True)
-class Given:
+class SliceAssignment:
     """A slice is now ours, or another pilot's."""
 
     slice: Slice
-    ours: bool
+    owned: bool
 
 
 @dataclass(slots=True)
-class Held:
+class SliceReplica:
     """A line of the store's table of a slice just given."""
 
     slice: Slice
@@ -181,7 +181,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class ServerReport:
     """What joined proxies of a zone met at a server, summed up over `span`."""
 
     zone: int
@@ -195,7 +195,7 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class HostLoad:
     """What a server's host says of itself, by others' means: the part of its processors that works."""
 
     server: Server
@@ -204,7 +204,7 @@
 
 
 @dataclass(slots=True)
-class Demand:
+class DemandReport:
     """Invocations that came for a slice within `span`; without slices, to a proxy."""
 
     slice: Slice | None
@@ -213,12 +213,12 @@
     tries: int
     unanswered: int
     span: int
-    kind: tuple[bool, ...] | None = None  # as in Heard
+    kind: tuple[bool, ...] | None = None  # as in ServerReport
     lines: int = 1  # that it sums up
 
 
 @dataclass(slots=True)
-class Applied:
+class OrdersApplied:
     """A proxy has applied all orders up to a mark."""
 
     proxy: Proxy
@@ -227,7 +227,7 @@
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeResult:
     """The answer to a `Probe`, or that there was none."""
 
     server: Server
@@ -237,7 +237,7 @@
 
 
 @dataclass(slots=True)
-class Solved:
+class SearchResult:
     """A search that was done elsewhere, to its end; `best` None: nobody did it, and the decisions must."""
 
     search: object
@@ -246,7 +246,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class PilotMessage:
     """A message from another pilot."""
 
     pilot: int
@@ -254,8 +254,8 @@
 
 
 @dataclass(slots=True)
-class Woke:
-    """The time of an earlier `Wake` has come."""
+class TimerFired:
+    """The time of an earlier `SetTimer` has come."""
 
     label: int
 
@@ -264,7 +264,7 @@
 
 
 @dataclass(slots=True)
-class SetLine:
+class SetWeight:
     """Give a server a weight in a slice's table."""
 
     slice: Slice
@@ -273,7 +273,7 @@
 
 
 @dataclass(slots=True)
-class Bind:
+class BindProxy:
     """Without slices: put a proxy on a table, for all operations or for some."""
 
     slice: Slice
@@ -282,7 +282,7 @@
 
 
 @dataclass(slots=True)
-class Clear:
+class ClearTable:
     """Empty a slice's table."""
 
     slice: Slice
@@ -297,7 +297,7 @@
 
 
 @dataclass(slots=True)
-class Admit:
+class SetAdmission:
     """Let in a part of some operations, and say how often a failed attempt may be repeated."""
 
     slice: Slice | None  # None: every table
@@ -308,14 +308,14 @@
 
 @dataclass(slots=True)
 class Mark:
-    """Ask each proxy for `Applied` once it has applied all orders so far."""
+    """Ask each proxy for `OrdersApplied` once it has applied all orders so far."""
 
     number: int
     everyone: bool = False
 
 
 @dataclass(slots=True)
-class Wake:
+class SetTimer:
     """Ask for a turn at a time, and not earlier."""
 
     at: int
@@ -323,26 +323,26 @@
 
 
 @dataclass(slots=True)
-class Observe:
+class WatchServers:
     """Ask for the roster and its changes from then on, or for no more of them."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
-class FetchRoster:
+class FetchServerList:
     """Ask for the whole roster once more."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its health and load; the answer comes as `Probed`."""
+    """Ask a server for its health and load; the answer comes as `ProbeResult`."""
 
     server: Server
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPilot:
     """Send a message to another pilot, or to all."""
 
     pilot: int | None  # None: all
@@ -350,7 +350,7 @@
 
 
 @dataclass(slots=True)
-class Solve:
+class RunSearch:
     """A search that may be done elsewhere: it can be copied, and `for _ in search.steps(): pass` does it."""
 
     search: object
--- a/flintreach/pilot/load.py
+++ b/flintreach/pilot/load.py
@@ -19,12 +19,12 @@
     """
     if server.mode != Mode.COLD:
         return share
-    return float(server.server.lot % state.settings.pilots == state.settings.number)
+    return float(server.server.name_hash % state.settings.pilots == state.settings.number)
 
 
 def loads(state: FleetState, quotas: dict[ServerState, float]) -> tuple[Demands, Gaps]:
     """Our slices' demands and the servers' gaps, in hundredths of a mean server; others' as reported."""
-    tables = state.own_tables()
+    tables = state.owned_tables()
     share = len(tables) / max(1, len(state.tables))
     scale = sum(quotas.values()) * share / max(sum(table.rate for table in tables), LEAST_TOTAL)
     gaps = {
@@ -45,7 +45,7 @@
 def weigh_foreign_load(state: FleetState) -> None:
     """Learn what loads servers beyond our slices; each pilot mends its share, lest all mend it twice."""
     quotas = state.quotas()
-    share = len(state.own_tables()) / len(state.tables)
+    share = len(state.owned_tables()) / len(state.tables)
     gaps = loads(state, quotas)[1]
     reported = {
         server: max(server.load, server.host_load)
--- a/flintreach/pilot/logic.py
+++ b/flintreach/pilot/logic.py
@@ -8,8 +8,7 @@
 from functools import partial
 from typing import Any
 
-from flintreach.pilot import demand, health, load, placement, reports
-from flintreach.pilot import interface as face
+from flintreach.pilot import demand, health, interface, load, placement, reports
 from flintreach.pilot.dispatch import Dispatcher
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.placement import Placement
@@ -27,7 +26,7 @@
 class Pilot:
     """Takes events to the parts that know them, and lets each part act when it is due."""
 
-    def __init__(self, settings: face.Settings) -> None:
+    def __init__(self, settings: interface.Settings) -> None:
         """Begin with an instance's settings; the first `handle` starts its clocks."""
         self.state = FleetState(settings)
         self.placement = Placement(self.state)
@@ -40,17 +39,17 @@
         self._first_run_ns = 0
         self._full_run_ns = 0
         self._handlers: dict[type, Callable[[Any], None]] = {
-            face.Roster: partial(reports.on_roster, self.state),
-            face.Heard: partial(reports.on_heard, self.state),
-            face.Measured: partial(reports.on_measured, self.state),
-            face.Probed: partial(reports.on_probed, self.state),
-            face.Demand: partial(demand.on_demand, self.state),
-            face.Given: self._on_given,
-            face.Held: self._on_held,
-            face.Joined: self.dispatcher.on_joined,
-            face.Left: self.dispatcher.on_left,
-            face.Applied: self.dispatcher.on_applied,
-            face.Solved: placement.on_solved,
+            interface.ServerList: partial(reports.on_roster, self.state),
+            interface.ServerReport: partial(reports.on_heard, self.state),
+            interface.HostLoad: partial(reports.on_measured, self.state),
+            interface.ProbeResult: partial(reports.on_probed, self.state),
+            interface.DemandReport: partial(demand.on_demand, self.state),
+            interface.SliceAssignment: self._on_given,
+            interface.SliceReplica: self._on_held,
+            interface.ProxyJoined: self.dispatcher.on_joined,
+            interface.ProxyLeft: self.dispatcher.on_left,
+            interface.OrdersApplied: self.dispatcher.on_applied,
+            interface.SearchResult: placement.on_solved,
         }
 
     def handle(self, now: int, events: Iterable[object]) -> list[object]:
@@ -86,13 +85,13 @@
     def _start(self) -> None:
         self._first_run_ns = self.state.now_ns + FIRST_RUN_NS
         self._full_run_ns = self._first_run_ns
-        if self.state.settings.asks_roster:
-            self.state.orders.append(face.Observe(True))
+        if self.state.settings.server_list_on_request:
+            self.state.orders.append(interface.WatchServers(True))
 
-    def _on_given(self, event: face.Given) -> None:
-        self.state.add_table(SliceTable(event.slice, event.ours, self.state.now_ns))
+    def _on_given(self, event: interface.SliceAssignment) -> None:
+        self.state.add_table(SliceTable(event.slice, event.owned, self.state.now_ns))
 
-    def _on_held(self, event: face.Held) -> None:
+    def _on_held(self, event: interface.SliceReplica) -> None:
         table = self.state.tables[event.slice]
         server = self.state.server(event.server)
         table.ordered[server] = event.weight
@@ -103,7 +102,7 @@
         """Look at the clock: timers, silence, and once a second the second's work."""
         state = self.state
         self._wake_ns = state.now_ns + health.BEAT_NS
-        state.orders.append(face.Wake(self._wake_ns))
+        state.orders.append(interface.SetTimer(self._wake_ns))
         health.check_timers(state)
         health.check_silent(state)
         if state.now_ns >= self._judge_ns and not self.work:
@@ -130,7 +129,7 @@
             self._owed_us = owed_us
         # A call takes several passes of its host's loop, so half as long is enough for others.
         self._resume_ns = state.now_ns + TURN_BUDGET_US * PAUSE_NS_PER_US
-        state.orders.append(face.Wake(self._resume_ns))
+        state.orders.append(interface.SetTimer(self._resume_ns))
 
     def second(self) -> Costs:
         """Do what is done each second."""
--- a/flintreach/pilot/operator_file.py
+++ b/flintreach/pilot/operator_file.py
@@ -35,7 +35,7 @@
 Reader = Callable[[object], Any]
 
 
-class OperatorError(ValueError):
+class OperatorConfigError(ValueError):
     """A file that nobody can start with; its text names the block, the field and what was expected."""
 
 
@@ -59,7 +59,7 @@
     return value
 
 
-def count(default: int, least: int, most: int) -> Any:
+def integer(default: int, least: int, most: int) -> Any:
     """Make a field for a whole number."""
 
     def read(value: object) -> int:
@@ -70,7 +70,7 @@
     return _block_field(default, read, f"a whole number from {least} to {most}")
 
 
-def share(default: float, least: float = 0.0, most: float = 1.0) -> Any:
+def number(default: float, least: float = 0.0, most: float = 1.0) -> Any:
     """Make a field for a number, such as a part of 1."""
 
     def read(value: object) -> float:
@@ -125,7 +125,7 @@
     return _block_field(scaled(default, SIZE_UNITS), read, f'a size such as "4MiB", from {least} to {most}')
 
 
-def switch(default: bool) -> Any:
+def boolean(default: bool) -> Any:
     """Make a field for true or false."""
 
     def read(value: object) -> bool:
@@ -136,7 +136,7 @@
     return _block_field(default, read, "true or false")
 
 
-def text(default: str | None, pattern: str = r".+", expected: str = "a text") -> Any:
+def string(default: str | None, pattern: str = r".+", expected: str = "a text") -> Any:
     """Make a field for a text that matches a pattern as a whole; without a default it must be named."""
 
     def read(value: object) -> str:
@@ -147,7 +147,7 @@
     return _block_field(default, read, expected)
 
 
-def table(default: dict[str, str]) -> Any:
+def string_map(default: dict[str, str]) -> Any:
     """Make a field for texts by names, such as { "host-1" = "s1" }."""
 
     def read(value: object) -> dict[str, str]:
@@ -177,7 +177,7 @@
 
 def one_of(default: str, *choices: str) -> Any:
     """Make a field for one of some texts."""
-    return text(default, "|".join(map(re.escape, choices)), "one of " + ", ".join(choices))
+    return string(default, "|".join(map(re.escape, choices)), "one of " + ", ".join(choices))
 
 
 def known_blocks() -> dict[str, type]:
@@ -193,7 +193,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """What the file holds: block by name; a block that it does not name is absent, and its part is off."""
 
     path: str
@@ -204,7 +204,7 @@
         return self.blocks.get(name)
 
 
-def load(path: str | None = None, variables: dict[str, str] | None = None) -> Operator | None:
+def load(path: str | None = None, variables: dict[str, str] | None = None) -> OperatorConfig | None:
     """Read the file that is named.
 
     Args:
@@ -215,7 +215,7 @@
         What the file holds; None where no file is named.
 
     Raises:
-        OperatorError: the file can't be read, or holds what can't be used.
+        OperatorConfigError: the file can't be read, or holds what can't be used.
     """
     path = path or (os.environ if variables is None else variables).get(VARIABLE)
     if not path:
@@ -225,13 +225,15 @@
     blocks = {}
     for name, given in rows.items():
         if name not in kinds:
-            raise OperatorError(f"{path}: {name}: no such block; expected one of {', '.join(sorted(kinds))}")
+            raise OperatorConfigError(
+                f"{path}: {name}: no such block; expected one of {', '.join(sorted(kinds))}"
+            )
         if not isinstance(given, list) or not all(isinstance(block, dict) for block in given):
-            raise OperatorError(f"{path}: {name}: expected a block, {name} {{ ... }}")
+            raise OperatorConfigError(f"{path}: {name}: expected a block, {name} {{ ... }}")
         if len(given) > 1:
-            raise OperatorError(f"{path}: {name}: stands {len(given)} times; expected once")
+            raise OperatorConfigError(f"{path}: {name}: stands {len(given)} times; expected once")
         blocks[name] = _fill(path, name, kinds[name], given[0])
-    return Operator(path, blocks)
+    return OperatorConfig(path, blocks)
 
 
 def _parse(path: str) -> dict[str, Any]:
@@ -239,20 +241,20 @@
     try:
         import hcl2
     except ImportError:
-        raise OperatorError(f"{path}: python-hcl2 is not installed; see extras/operator.txt") from None
+        raise OperatorConfigError(f"{path}: python-hcl2 is not installed; see extras/operator.txt") from None
     try:
         with open(path, encoding="utf-8") as file:
             content = file.read()
     except OSError as error:
-        raise OperatorError(f"{path}: {error.strerror}") from None
+        raise OperatorConfigError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise OperatorError(f"{path}: not a text in UTF-8") from None
+        raise OperatorConfigError(f"{path}: not a text in UTF-8") from None
     options = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, explicit_blocks=False)
     try:
         return hcl2.loads(content, serialization_options=options)
     except Exception as error:  # the parser has a dozen kinds of its own
         where = f"line {error.line}" if getattr(error, "line", -1) > 0 else "its end"
-        raise OperatorError(f"{path}: no HCL at {where}") from None
+        raise OperatorConfigError(f"{path}: no HCL at {where}") from None
 
 
 def _fill(path: str, name: str, kind: type, rows: dict[str, Any]) -> Any:
@@ -261,25 +263,25 @@
     values = {key: _read_field(f"{path}: {name}", key, value, block_fields) for key, value in rows.items()}
     for key, entry in block_fields.items():
         if key not in values and entry.default is None and entry.default_factory is MISSING:
-            raise OperatorError(f"{path}: {name}: {key}: missing; expected {entry.metadata[EXPECTED]}")
+            raise OperatorConfigError(f"{path}: {name}: {key}: missing; expected {entry.metadata[EXPECTED]}")
     try:
         return kind(**values)
     except ValueError as error:  # fields that do not go together
-        raise OperatorError(f"{path}: {name}: {error}") from None
+        raise OperatorConfigError(f"{path}: {name}: {error}") from None
 
 
 def _read_field(where: str, key: str, value: object, block_fields: dict[str, Field]) -> Any:
     if key not in block_fields:
-        raise OperatorError(f"{where}: {key}: not known; expected one of {', '.join(block_fields)}")
+        raise OperatorConfigError(f"{where}: {key}: not known; expected one of {', '.join(block_fields)}")
     metadata = block_fields[key].metadata
     try:
         return metadata[READER](value)
     except (ValueError, OverflowError):
         expected = metadata[EXPECTED]
-        raise OperatorError(f"{where}: {key}: expected {expected}, not {value!r:.60}") from None
+        raise OperatorConfigError(f"{where}: {key}: expected {expected}, not {value!r:.60}") from None
 
 
-def describe(operator: Operator) -> list[str]:
+def describe(operator: OperatorConfig) -> list[str]:
     """Tell what the file holds, a line a block."""
     lines = []
     for name, block in operator.blocks.items():
--- a/flintreach/pilot/placement.py
+++ b/flintreach/pilot/placement.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.load import Demands, Gaps, filled_share, loads
 from flintreach.pilot.records import GUARDED_MODES, Mode, ServerState, SliceTable
 from flintreach.pilot.state import FleetState
@@ -33,10 +33,10 @@
 def evacuate(state: FleetState) -> None:
     """Slices leave dead, draining and ejected servers at once; no table stays empty if it can be."""
     closed = {server for server in state.servers.values() if server.closed}
-    for table in state.own_tables():
+    for table in state.owned_tables():
         if not closed.isdisjoint(table.wanted):
             table.wanted = {server: weight for server, weight in table.wanted.items() if server not in closed}
-    empty = [table for table in state.own_tables() if not table.wanted]
+    empty = [table for table in state.owned_tables() if not table.wanted]
     if not empty:
         return
     demands, gaps = loads(state, state.quotas())
@@ -69,7 +69,7 @@
         """Search for a better map, and take it over; a full run also tries empty servers that warm up."""
         state = self._state
         yield TABLE_COST_US * len(state.tables) + SERVER_COST_US * len(state.servers)
-        tables = state.own_tables()
+        tables = state.owned_tables()
         quotas = state.quotas()
         for server in quotas:
             on_hold = state.now_ns < server.hold_until_ns
@@ -84,10 +84,13 @@
         yield TABLE_COST_US * len(tables)
         run = self._prepare(quotas, demands, gaps, full)
         search = run.search
-        if search.widest <= self._deviation + search.deviation * DEVIATION_SLACK and not search.changed:
+        if (
+            search.initial_deviation <= self._deviation + search.deviation * DEVIATION_SLACK
+            and not search.changed
+        ):
             return
-        if search.elsewhere:
-            state.orders.append(face.Solve(search))
+        if search.offloaded:
+            state.orders.append(interface.RunSearch(search))
         yield from search.steps()
         yield ADOPT_COST_US * len(tables)
         self._adopt(run)
@@ -133,7 +136,7 @@
         permitted = min(DEVIATION, FLEET_DEVIATION * share)  # the pilots' deviations add up
         self._deviation = max(permitted, self._deviation - permitted * DEVIATION_STEP)
         settings = state.settings
-        search = Search(settings.seed, self._draws, start, changed, permitted, settings.elsewhere)
+        search = Search(settings.seed, self._draws, start, changed, permitted, settings.offload_search)
         modes = [(server.mode, server.gained) for server in servers]
         return Run(search, tables, servers, [[*table.wanted] for table in tables], modes)
 
@@ -143,8 +146,8 @@
         search = run.search
         (self._deviation, moves), placements = search.best
         self._draws = search.counter
-        text = f"run: gap {search.widest:.0f}, dev {self._deviation:.0f}, {moves} placements"
-        state.orders.append(face.Log(text))
+        text = f"run: gap {search.initial_deviation:.0f}, dev {self._deviation:.0f}, {moves} placements"
+        state.orders.append(interface.Log(text))
         usable = self._usable(run)
         chosen: list[list[int]] = [[] for _ in run.tables]
         moved: set[int] = set()
@@ -172,8 +175,8 @@
         return usable
 
 
-def on_solved(event: face.Solved) -> None:
+def on_solved(event: interface.SearchResult) -> None:
     """Take the answer of a search that was done elsewhere; its run goes on."""
-    event.search.elsewhere = False
+    event.search.offloaded = False
     event.search.best = event.best
     event.search.counter = event.counter
--- a/flintreach/pilot/records.py
+++ b/flintreach/pilot/records.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.policy.window import SlidingSums
 
 SMOOTHING_S = 10  # of demand that a slice's rate covers
@@ -41,7 +41,7 @@
 class ServerState:
     """What is known of one server; times in nanoseconds, 0 for never."""
 
-    def __init__(self, server: face.Server | None) -> None:
+    def __init__(self, server: interface.Server | None) -> None:
         """Begin with a server of which nothing is known; None for the one that stands for the fleet."""
         self.server = server
         self.mode = Mode.UNKNOWN
@@ -82,10 +82,10 @@
 class SliceTable:
     """One slice: its demand, and the servers that serve it with their weights."""
 
-    def __init__(self, slice_: face.Slice, ours: bool = False, given_ns: int = 0) -> None:
-        """Begin an empty table, of a slice that this pilot has (`ours`) or another."""
+    def __init__(self, slice_: interface.Slice, owned: bool = False, given_ns: int = 0) -> None:
+        """Begin an empty table, of a slice that this pilot has (`owned`) or another."""
         self.slice = slice_
-        self.ours = ours
+        self.owned = owned
         self.given_ns = given_ns
         self.reported_ns = 0
         self.arrivals = SlidingSums(SMOOTHING_S + RECENT_S, 2)  # invocations without storms; all
--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -1,7 +1,7 @@
 """What lists, reports and probes tell of servers, taken into the state.  Pure."""
 
-from flintreach.pilot import interface as face
-from flintreach.pilot.interface import SECOND, EntryState, ProbeStatus, RosterKind
+from flintreach.pilot import interface
+from flintreach.pilot.interface import SECOND, EntryState, ProbeStatus, ServerListKind
 from flintreach.pilot.records import RECENT_S, Cause, Mode, ServerState
 from flintreach.pilot.state import LEAST_WEIGHT, REPORT_CYCLE_NS, FleetState
 from flintreach.policy.window import SlidingSums
@@ -10,19 +10,19 @@
 SUSPECT_SHARE = 0.3  # part of a line unanswered, and two at least: its server may be dead
 JAMMED_LATENCY = 0.5  # part of the latency objective that empties a cold server
 # Reports below which late answers are not a server's own load.
-IDLE_BELOW = {face.LOAD_QUEUE: 1, face.LOAD_UTILISATION: 0.8}
+IDLE_BELOW = {interface.LOAD_QUEUE: 1, interface.LOAD_UTILISATION: 0.8}
 PROBE_PAUSE_NS = SECOND
 SPAN_SMOOTHING = 50  # reports by which the learned span follows
 SILENT_STATUSES = (ProbeStatus.CONNECT_FAILED, ProbeStatus.TIMEOUT, ProbeStatus.RESET)
 
 
-def kind(line: face.Demand | face.Heard, objective_ns: int) -> tuple[bool, ...]:
+def classify(line: interface.DemandReport | interface.ServerReport, objective_ns: int) -> tuple[bool, ...]:
     """What a line is judged by alone: lines of one kind may be summed up.
 
     Returns:
         Of demand, (a storm of repeats); of a server, (suspect, jammed, nothing waits).
     """
-    if isinstance(line, face.Demand):
+    if isinstance(line, interface.DemandReport):
         return (line.unanswered > STORM_SHARE * line.tries,)
     idle_signs = [value < IDLE_BELOW[name] for name, value in line.load.items() if name in IDLE_BELOW]
     late = line.latency > JAMMED_LATENCY * objective_ns
@@ -31,21 +31,21 @@
     return suspect, jammed, bool(idle_signs) and all(idle_signs)
 
 
-def on_roster(state: FleetState, event: face.Roster) -> None:
+def on_roster(state: FleetState, event: interface.ServerList) -> None:
     """Take a list of servers; where it could not be had, ask again."""
-    if event.how == RosterKind.FAILED:
-        state.orders.append(face.Observe(True))
+    if event.kind == ServerListKind.FAILED:
+        state.orders.append(interface.WatchServers(True))
         return
     for entry in event.entries:
         _on_entry(state, entry)
-    if event.how == RosterKind.DELTA:
+    if event.kind == ServerListKind.DELTA:
         return
     listed = {entry.server for entry in event.entries}
     for server in [state.servers[name] for name in state.servers if name not in listed]:
         state.transition(server, Cause.LEAVE, "gone from the list")
 
 
-def _on_entry(state: FleetState, entry: face.Entry) -> None:
+def _on_entry(state: FleetState, entry: interface.ServerEntry) -> None:
     server = state.server(entry.server)
     server.weight = max(entry.weight, LEAST_WEIGHT)
     restarted = entry.started > server.started_ns
@@ -61,7 +61,7 @@
         state.transition(server, Cause.READY)
 
 
-def on_heard(state: FleetState, event: face.Heard) -> None:
+def on_heard(state: FleetState, event: interface.ServerReport) -> None:
     """Take what proxies met at a server; one that may be dead is probed, a cold one that jams relieved."""
     server = state.server(event.server)
     answered = max(0, event.tries - event.unanswered)
@@ -69,10 +69,10 @@
     of_this_process = state.now_ns - event.span - REPORT_CYCLE_NS > server.started_ns
     lost = event.unanswered if of_this_process else 0
     server.answers.add(state.now_ns, event.span, answered + lost, lost, answered * event.latency)
-    suspect, jammed, server.idle = event.kind or kind(event, state.cheapest.objective)
+    suspect, jammed, server.idle = event.kind or classify(event, state.cheapest.objective)
     server.reported_ns = state.now_ns
     state.report_span_ns += (event.span - state.report_span_ns) // SPAN_SMOOTHING
-    server.load = event.load.get(face.LOAD_UTILISATION, server.load)
+    server.load = event.load.get(interface.LOAD_UTILISATION, server.load)
     if lost and suspect:
         _probe(state, server)
     if jammed and not server.idle:
@@ -85,16 +85,16 @@
         return
     server.probed_ns = state.now_ns
     if state.settings.probes:
-        state.orders.append(face.Probe(server.server))
+        state.orders.append(interface.Probe(server.server))
 
 
-def on_measured(state: FleetState, event: face.Measured) -> None:
+def on_measured(state: FleetState, event: interface.HostLoad) -> None:
     """Take a host's load: it only adds to a report, and stands through silence, which frees nobody."""
     if event.age < REPORT_CYCLE_NS and event.server in state.servers:
         state.servers[event.server].host_load = event.busy
 
 
-def on_probed(state: FleetState, event: face.Probed) -> None:
+def on_probed(state: FleetState, event: interface.ProbeResult) -> None:
     """Note a probe without an answer; `health.check_silent` judges it."""
     if event.status in SILENT_STATUSES:
         state.server(event.server).silent_ns = state.now_ns
--- a/flintreach/pilot/settings.py
+++ b/flintreach/pilot/settings.py
@@ -4,12 +4,12 @@
 from decimal import Decimal
 from typing import Any
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 ABSENT = "-"
 # The configuration's texts, and what the decisions call the same.
 EFFECTS = {"read_like": "idempotent", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
-LOADS = {
+LOAD_FIELDS = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -37,21 +37,21 @@
     return int(value.scaleb(9))
 
 
-def flat(value: object, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
     """Turn settings in nested JSON into pairs of a path and a text.
 
-    >>> dict(flat({"me": 1, "areas": ["a b", "c"], "ops": [{"x": 0.5}], "on": True}))
+    >>> dict(flatten({"me": 1, "areas": ["a b", "c"], "ops": [{"x": 0.5}], "on": True}))
     {'me': '1', 'areas': 'a_b,c', 'ops.count': '1', 'ops.0.x': '0.5', 'on': 'true'}
     """
     if isinstance(value, dict):
         for key, inner in value.items():
-            yield from flat(inner, f"{path}.{key}" if path else key)
+            yield from flatten(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list) and value and isinstance(value[0], dict):
         yield f"{path}.count", str(len(value))
         for place, inner in enumerate(value):
-            yield from flat(inner, f"{path}.{place}")
+            yield from flatten(inner, f"{path}.{place}")
     elif isinstance(value, list):
-        yield path, ",".join(text for inner in value for _, text in flat(inner)) or ABSENT
+        yield path, ",".join(text for inner in value for _, text in flatten(inner)) or ABSENT
     else:
         yield path, _text(value).replace(" ", "_").replace(",", "_")
 
@@ -106,12 +106,12 @@
 )
 
 
-def read(seed: int, config: Config) -> face.Settings:
+def read(seed: int, config: Config) -> interface.Settings:
     """Read the start-up settings; keys that are not known are passed over, absent ones keep their defaults.
 
     Args:
         seed: of the decisions' random draws.
-        config: texts by their paths, as `flat` gives them; "-" stands for absent.
+        config: texts by their paths, as `flatten` gives them; "-" stands for absent.
 
     Returns:
         The settings that an instance begins with.
@@ -121,14 +121,16 @@
         OverflowError: an infinite number where a whole one is expected.
         decimal.InvalidOperation: a text that is no time where one is expected.
     """
-    settings = face.Settings(seed=seed)
+    settings = interface.Settings(seed=seed)
     for name, path, reader in FIELDS:
         if config.get(path, ABSENT) != ABSENT:
             setattr(settings, name, reader(config[path]))
     settings.zones = len(config.get("areas", ABSENT).split(","))
-    settings.asks_roster = config.get("discovery") == "on_request"
+    settings.server_list_on_request = config.get("discovery") == "on_request"
     settings.load_fields = _load_fields(config)
-    settings.slices = [face.Slice(number) for number in range(_whole(config.get("specifics.ranges", "0")))]
+    settings.slices = [
+        interface.Slice(number) for number in range(_whole(config.get("specifics.ranges", "0")))
+    ]
     settings.operations = _operations(config)
     return settings
 
@@ -138,10 +140,10 @@
     text = config.get("report.fields", ABSENT)
     if text in (ABSENT, ""):
         return ()
-    return tuple(LOADS.get(name, name) for name in text.split(","))
+    return tuple(LOAD_FIELDS.get(name, name) for name in text.split(","))
 
 
-def _operations(config: Config) -> list[face.Operation]:
+def _operations(config: Config) -> list[interface.Operation]:
     writes = config.get("specifics.writers", "").split(",")
     home_only = config.get("specifics.home_only", "").split(",")
     operations = []
@@ -157,17 +159,17 @@
     return place < len(marks) and _truth(marks[place])
 
 
-def _operation(config: Config, place: int) -> face.Operation:
+def _operation(config: Config, place: int) -> interface.Operation:
     """Read one operation, by its position."""
 
     def text(key: str, default: str) -> str:
         return config.get(f"request_classes.{place}.{key}", default)
 
-    return face.Operation(
+    return interface.Operation(
         name=text("name", str(place)),
-        place=place,
+        index=place,
         objective=nanoseconds(text("objective", "1")),
-        integration_timeout=nanoseconds(text("hard_limit", "4")),
+        attempt_timeout=nanoseconds(text("hard_limit", "4")),
         billed_value=float(text("worth", "1")),
         effect=EFFECTS.get(text("idempotency", ""), "side-effecting"),
         group=text("group", "all"),
--- a/flintreach/pilot/state.py
+++ b/flintreach/pilot/state.py
@@ -3,7 +3,7 @@
 All parts of the pilot's decisions share one `FleetState`; only its coordinator, `logic.Pilot`, makes it.
 """
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.records import Cause, Mode, ServerState, SliceTable
 
@@ -35,46 +35,46 @@
 class FleetState:
     """Servers, tables and the orders of the turn in hand."""
 
-    def __init__(self, settings: face.Settings) -> None:
+    def __init__(self, settings: interface.Settings) -> None:
         """Begin with the slices of the settings, none of them ours; without slices, with one table."""
         self.settings = settings
         self.now_ns = 0
         self.orders: list[object] = []  # of this turn
         self.orders_due = False  # something has changed that may want orders at once
-        self.servers: dict[face.Server, ServerState] = {}  # in the order in which they were met
+        self.servers: dict[interface.Server, ServerState] = {}  # in the order in which they were met
         self.tables = {slice_: SliceTable(slice_) for slice_ in settings.slices}
         self.shared_table: SliceTable | None = None  # without slices
         if not settings.slices:
-            self.shared_table = SliceTable(face.Slice(0), True)
+            self.shared_table = SliceTable(interface.Slice(0), True)
             self.tables[self.shared_table.slice] = self.shared_table
         self.shut_out: dict[ServerState, None] = {}  # withdrawn at all proxies, in order
         self.report_span_ns = SECOND  # that reports cover, smoothed
         self.typical_server = ServerState(None)  # as late as the middle one
         self.proven_rate = 0.0  # most answers a second seen for a hundredth of a mean server
         self.operations = sorted(settings.operations, key=lambda operation: operation.billed_value)
-        self._own_tables: list[SliceTable] | None = None
+        self._owned_tables: list[SliceTable] | None = None
 
     @property
-    def cheapest(self) -> face.Operation:
+    def cheapest(self) -> interface.Operation:
         """The operation with the lowest billed value: it is judged by, and the first to be let in less."""
         return self.operations[0]
 
-    def server(self, server: face.Server) -> ServerState:
+    def server(self, server: interface.Server) -> ServerState:
         """Give a server's state; one that is met for the first time is added."""
         return self.servers.get(server) or self.servers.setdefault(server, ServerState(server))
 
     def add_table(self, table: SliceTable) -> None:
         """Put a new table in place of a slice's old one."""
         self.tables[table.slice] = table
-        self._own_tables = None
+        self._owned_tables = None
         self.orders_due = True
 
-    def own_tables(self) -> list[SliceTable]:
+    def owned_tables(self) -> list[SliceTable]:
         """The tables of this pilot's slices; without the shared one."""
-        if self._own_tables is None:
-            ours = [table for table in self.tables.values() if table.ours]
-            self._own_tables = [table for table in ours if table is not self.shared_table]
-        return self._own_tables
+        if self._owned_tables is None:
+            ours = [table for table in self.tables.values() if table.owned]
+            self._owned_tables = [table for table in ours if table is not self.shared_table]
+        return self._owned_tables
 
     def transition(self, server: ServerState, cause: Cause, figures: str = "") -> None:
         """Change a server's mode as `TRANSITIONS` says, log it with figures, and do what belongs to it."""
@@ -84,7 +84,7 @@
             return
         if mode != server.mode and server.mode != Mode.UNKNOWN:
             text = f"server {server.server.name}: {server.mode} to {mode}: {cause} {figures}"
-            self.orders.append(face.Log(text))
+            self.orders.append(interface.Log(text))
         server.mode = mode
         if mode == Mode.COLD:  # it has started, or is strained
             self._relieve(server)
@@ -93,7 +93,7 @@
 
     def _relieve(self, server: ServerState) -> None:
         """Take its slices away: its old load would push a cold server over."""
-        for table in self.own_tables():
+        for table in self.owned_tables():
             table.wanted.pop(server, None)
         server.gained = True
         server.hold_until_ns = self.now_ns + HOLD_NS
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -242,7 +242,7 @@
         lost_endpoints = any(not state.endpoints <= ids for state in slices)
         if not problem.changes and not lost_endpoints:
             reached = self.deviations.get(service, PERMITTED_DEVIATION)
-            if not full or search.widest <= reached + DEVIATION_SLACK:
+            if not full or search.initial_deviation <= reached + DEVIATION_SLACK:
                 return
         assigned = problem.assigned
         if problem.changes or full:
--- a/flintreach/policy/partition.py
+++ b/flintreach/policy/partition.py
@@ -58,7 +58,7 @@
         return fork
 
     @property
-    def widest(self) -> float:
+    def max_deviation(self) -> float:
         """The largest deviation of any target from its quota."""
         return self.rankings[3][-1][0]
 
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -42,12 +42,12 @@
     start: Partition  # the map that stands
     changed: list[tuple[int, list[int], int]]  # unit, its targets, wanted replicas: where these differ
     deviation: float  # that is permitted, in hundredths of a mean target
-    elsewhere: bool = False  # another process takes the steps; till it has answered, `steps` waits
+    offloaded: bool = False  # another process takes the steps; till it has answered, `steps` waits
 
     def __post_init__(self) -> None:
         """Begin with nothing found; `steps` searches."""
         self.best: Solution | None = None
-        self.widest = self.start.widest
+        self.initial_deviation = self.start.max_deviation
 
     def _draw(self, ahead: int = 1) -> float:
         """The draw, from 0 to 1, that is so many ahead; the counter stays."""
@@ -63,7 +63,7 @@
 
     def steps(self) -> Costs:
         """Do the search: who fits a smaller deviation is `best`, then who has fewer changed placements."""
-        while self.elsewhere:
+        while self.offloaded:
             yield TURN_BUDGET_US
         if self.best:
             return
@@ -81,7 +81,7 @@
         size = len(self.start.original)
         step = self.deviation * DEVIATION_STEP
         for _ in range(max(LEAST_ATTEMPTS, size) + 1):
-            deviation = max(self.deviation, step * math.ceil(candidate.widest / step))
+            deviation = max(self.deviation, step * math.ceil(candidate.max_deviation / step))
             cost = deviation, candidate.distance
             if self.best is None or cost < self.best.cost:
                 self.best = Solution(cost, candidate.placements[:])
--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -3,10 +3,22 @@
 import hashlib
 import random
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
 BEAT = SECOND // 4
+# Names of orders as they stood when the digests in `tests/pilot/test_recorded.py` were recorded.
+RECORDED_NAMES = {
+    interface.BindProxy: "Bind",
+    interface.ClearTable: "Clear",
+    interface.FetchServerList: "FetchRoster",
+    interface.RunSearch: "Solve",
+    interface.SendToPilot: "Tell",
+    interface.SetAdmission: "Admit",
+    interface.SetTimer: "Wake",
+    interface.SetWeight: "SetLine",
+    interface.WatchServers: "Observe",
+}
 
 
 def plain(order) -> tuple:
@@ -17,7 +29,7 @@
         if isinstance(value, tuple):
             value = tuple(operation.name for operation in value)
         told.append((name, getattr(value, "number", getattr(value, "name", value))))
-    return type(order).__name__, *told
+    return RECORDED_NAMES.get(type(order), type(order).__name__), *told
 
 
 class World:
@@ -27,30 +39,37 @@
     def __init__(self, make, seed: int, servers: int, proxies: int, slices: int):
         self.rnd, self.now = random.Random(seed), 100 * SECOND
         operations = [
-            face.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
-            face.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
+            interface.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
+            interface.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
         ]
-        self.settings = face.Settings(
+        self.settings = interface.Settings(
             seed=seed,
             proxies=proxies,
             operations=operations,
             cold_share=0.2,
             warm_up=10 * SECOND,
-            slices=[face.Slice(n) for n in range(slices)],
+            slices=[interface.Slice(n) for n in range(slices)],
             channel_limit=50.0 * proxies,
             messages_most=20,
             load_fields=("util",),
             probes=True,
         )
-        self.servers = [face.Server(f"s{n}") for n in range(servers)]
-        self.proxies = [face.Proxy(n) for n in range(proxies)]
+        self.servers = [interface.Server(f"s{n}") for n in range(servers)]
+        self.proxies = [interface.Proxy(n) for n in range(proxies)]
         self.states = dict.fromkeys(self.servers, ("ready", 0))
         self.tables, self.replies, self.pilot = {}, [], make(self.settings)
-        events = [face.Roster("cached", [face.Entry(server, "ready", 1.0, 0) for server in self.servers])]
-        events += [face.Joined(proxy, True) for proxy in self.proxies]
+        events = [
+            interface.ServerList(
+                "cached", [interface.ServerEntry(server, "ready", 1.0, 0) for server in self.servers]
+            )
+        ]
+        events += [interface.ProxyJoined(proxy, True) for proxy in self.proxies]
         for n, piece in enumerate(self.settings.slices):
             server = self.servers[n % servers]
-            events += [face.Given(piece, bool(n % 7 or seed % 2)), face.Held(piece, server, 1.0)]
+            events += [
+                interface.SliceAssignment(piece, bool(n % 7 or seed % 2)),
+                interface.SliceReplica(piece, server, 1.0),
+            ]
             self.tables[piece] = {server: 1.0}
         self.rates = [self.rnd.lognormvariate(0, 0.8) * 20 for _ in range(slices)]
         self.say(events)
@@ -58,7 +77,7 @@
     def say(self, events: list) -> list:
         orders = self.pilot.handle(self.now, events)
         for order in orders:
-            if isinstance(order, face.SetLine):
+            if isinstance(order, interface.SetWeight):
                 table = self.tables[order.slice]
                 table.pop(order.server, None)
                 if order.weight:
@@ -77,7 +96,7 @@
                 part = 1 if self.states[server][0] == "gone" else rnd.choice([0, 0, 0, 0.1, 0.5])
                 latency = int(SECOND * (0.1 + 0.3 * count / mean * rnd.random()))
                 found.append(
-                    face.Heard(
+                    interface.ServerReport(
                         0,
                         server,
                         round(count),
@@ -90,14 +109,17 @@
         look = self.settings.operations[0]
         for piece, rate in zip(self.settings.slices, self.rates):
             unanswered = round(rate * rnd.choice([0, 0, 0.3]))
-            found.append(face.Demand(piece, None, look, round(rate), unanswered, SECOND))
+            found.append(interface.DemandReport(piece, None, look, round(rate), unanswered, SECOND))
         return found
 
     def beat(self, number: int) -> None:
         rnd, self.now = self.rnd, self.now + BEAT
-        marks = [order.number for order in self.replies[-1] if isinstance(order, face.Mark)]
+        marks = [order.number for order in self.replies[-1] if isinstance(order, interface.Mark)]
         events = [
-            face.Applied(proxy, mark, 0) for mark in marks for proxy in self.proxies if rnd.random() < 0.98
+            interface.OrdersApplied(proxy, mark, 0)
+            for mark in marks
+            for proxy in self.proxies
+            if rnd.random() < 0.98
         ]
         if rnd.random() < 0.1:
             self.rates[rnd.randrange(len(self.rates))] *= rnd.choice([0.2, 8])
@@ -106,19 +128,22 @@
             started = self.states[server][1]
             self.states[server] = ("ready", self.now) if what == "restart" else (what, started)
             events.append(
-                face.Roster(
-                    "delta", [face.Entry(server, self.states[server][0], 1.0, self.states[server][1])]
+                interface.ServerList(
+                    "delta",
+                    [interface.ServerEntry(server, self.states[server][0], 1.0, self.states[server][1])],
                 )
             )
         if rnd.random() < 0.05:
             piece = rnd.choice(self.settings.slices)
-            events.append(face.Given(piece, rnd.random() < 0.8))
-            events += [face.Held(piece, server, weight) for server, weight in self.tables[piece].items()]
+            events.append(interface.SliceAssignment(piece, rnd.random() < 0.8))
+            events += [
+                interface.SliceReplica(piece, server, weight) for server, weight in self.tables[piece].items()
+            ]
         if rnd.random() < 0.05:
-            events.append(face.Probed(rnd.choice(self.servers), "timeout", 0, {}))
+            events.append(interface.ProbeResult(rnd.choice(self.servers), "timeout", 0, {}))
         if number % 4 == 0:
             events += self.sums()
-        self.say([*events, face.Woke(0)])
+        self.say([*events, interface.TimerFired(0)])
 
     def play(self, seconds: int) -> str:
         """The digest of all orders."""
--- a/flintreach/telemetry/block.py
+++ b/flintreach/telemetry/block.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from flintreach.pilot.operator_file import address, duration, one_of, size, table, text
+from flintreach.pilot.operator_file import address, duration, one_of, size, string, string_map
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,11 +11,11 @@
 
     graphite: str = address()
     protocol: str = one_of("plaintext", "plaintext", "pickle")
-    prefix: str = text("flintreach", r"[A-Za-z0-9_.-]*", "letters, digits, _ . -")
-    tags: dict = table({})
+    prefix: str = string("flintreach", r"[A-Za-z0-9_.-]*", "letters, digits, _ . -")
+    tags: dict = string_map({})
     every: int = duration("10s", "1s", "60s")  # between two sendings, on whole seconds
     spool: int = size("4MiB", "4KiB", "256MiB")  # of what waits for a receiver; the oldest is dropped
-    history: str = text("")  # a directory for the last hour; without one it is held in memory
+    history: str = string("")  # a directory for the last hour; without one it is held in memory
 
     def __post_init__(self) -> None:
         for key, value in self.tags.items():
--- a/flintreach/telemetry/measures.py
+++ b/flintreach/telemetry/measures.py
@@ -6,16 +6,16 @@
 
 from hdrh.histogram import HdrHistogram
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.telemetry.names import BY_NAME, NAMES, PARTS
 
 LONGEST = 60_000_000  # microseconds: the longest turn that the histogram tells apart
 ORDERS = {
-    face.SetLine: "orders.lines",
-    face.Withdraw: "orders.shut",
-    face.Admit: "orders.levels",
-    face.Mark: "orders.marks",
-    face.Probe: "orders.probes",
+    interface.SetWeight: "orders.lines",
+    interface.Withdraw: "orders.shut",
+    interface.SetAdmission: "orders.levels",
+    interface.Mark: "orders.marks",
+    interface.Probe: "orders.probes",
 }
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
@@ -36,11 +36,11 @@
         self.spans["turns.time"].record_value(max(1, min(LONGEST, took // 1000)))
         for event in events:
             kind = type(event)
-            if kind is face.Heard:
+            if kind is interface.ServerReport:
                 counters["reports.servers"] += 1
                 counters["reports.tries"] += event.tries
                 counters["reports.unanswered"] += event.unanswered
-            elif kind is face.Demand:
+            elif kind is interface.DemandReport:
                 counters["reports.slices"] += 1
         for order in orders:
             name = ORDERS.get(type(order))
@@ -69,7 +69,7 @@
             "news.failures": service.news.failures,
             "news.proxies": len(service.news.joined),
             "news.slices": len(service.news.tables),
-            "level.fleet": pilot.dispatcher.level,
+            "level.fleet": pilot.dispatcher.admission_level,
             "warnings.count": sum(service.counts.values()),
             "process.cpu": time.process_time(),
             "process.memory": round(resident, 2),
--- a/tests/adapter/test_adapter.py
+++ b/tests/adapter/test_adapter.py
@@ -6,7 +6,7 @@
 
 from flintreach.adapter import wire
 from flintreach.adapter.host import Host
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.settings import read
 
 CONFIG = (
@@ -50,18 +50,18 @@
 
     def handle(self, now, events):
         self.seen += events
-        if any(isinstance(event, face.Woke) for event in events):
+        if any(isinstance(event, interface.TimerFired) for event in events):
             raise RuntimeError("two\nlines")
         server, piece = events[0].entries[0].server, self.settings.slices[2]
         return [
-            face.SetLine(piece, server, 0.75),
-            face.Wake(now + 1, 9),
-            face.Log("a\nb"),
-            face.Mark(3),
-            face.Admit(None, tuple(self.settings.operations), 0.5, 1),
-            face.Withdraw(server, True),
-            face.Tell(None, b"hi"),
-            face.Probe(server),
+            interface.SetWeight(piece, server, 0.75),
+            interface.SetTimer(now + 1, 9),
+            interface.Log("a\nb"),
+            interface.Mark(3),
+            interface.SetAdmission(None, tuple(self.settings.operations), 0.5, 1),
+            interface.Withdraw(server, True),
+            interface.SendToPilot(None, b"hi"),
+            interface.Probe(server),
         ]
 
 
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -22,8 +22,7 @@
 from flintreach.cores.front import Front
 from flintreach.net import config as net_config
 from flintreach.net.service import Service
-from flintreach.pilot import interface as face
-from flintreach.pilot import reports
+from flintreach.pilot import interface, reports
 from flintreach.pilot.interface import SECOND
 from flintreach.policy.partition import Partition
 from flintreach.policy.search import Search
@@ -32,7 +31,7 @@
 from flintreach.standins.platform import listing, row, told
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
-from tests.helpers import Fleet, Log, Recorder
+from tests.helpers import Fleet, RecordingLog, RecordingPilot
 
 OWN = 'cores {\n workers = 2\n hang = "1s"\n pause_first = "50ms"\n}\n'
 AGENT = b'{"msg":"agent","site":"north"}\n'
@@ -93,16 +92,16 @@
 
 # Summing up.
 
-OPS = [face.Operation("look", 0, SECOND, 3 * SECOND)]
-ONE, TWO = face.Server("one"), face.Server("two")
+OPS = [interface.Operation("look", 0, SECOND, 3 * SECOND)]
+ONE, TWO = interface.Server("one"), interface.Server("two")
 
 
 def heard(server=ONE, tries=10, unanswered=0, latency=SECOND // 10, span=SECOND, load=None, zone=0):
-    return face.Heard(zone, server, tries, unanswered, latency, span, load or {})
+    return interface.ServerReport(zone, server, tries, unanswered, latency, span, load or {})
 
 
 def kind(event):
-    return reports.kind(event, SECOND)
+    return reports.classify(event, SECOND)
 
 
 @pytest.mark.parametrize(
@@ -138,7 +137,7 @@
 
 
 def test_a_fold_is_bounded_and_a_busy_object_starves_no_other():
-    fold, servers = Fold(kind, 50), [face.Server(str(n)) for n in range(50)]
+    fold, servers = Fold(kind, 50), [interface.Server(str(n)) for n in range(50)]
     for server in servers:
         fold.add(heard(server))
     assert fold.full
@@ -167,20 +166,20 @@
 
     def play(workers):
         rnd, fleet = random.Random(3), Fleet(servers=8, slices=24, demand=30, load_fields=("util",))
-        folds = [Fold(lambda event: reports.kind(event, SECOND), 1000) for _ in range(workers)]
+        folds = [Fold(lambda event: reports.classify(event, SECOND), 1000) for _ in range(workers)]
         for second in range(40):
             if second == 8:
                 fleet.failing = {fleet.servers[2]: 1.0}
             if second == 16:
                 fleet.failing = {}
-                fleet.say(fleet.roster(s5=("ready", fleet.now)))
+                fleet.handle(fleet.server_list(s5=("ready", fleet.now)))
             if second == 24:
                 fleet.slow = {fleet.servers[4]: SECOND * 3 // 4}
             lines = []
-            for event in fleet.sums():
+            for event in fleet.reports():
                 for _ in range(3):  # three collectors tell a part each
                     part = replace(event, tries=event.tries // 3, unanswered=event.unanswered // 3)
-                    if isinstance(part, face.Heard):
+                    if isinstance(part, interface.ServerReport):
                         part.load = {"util": 0.3 + 0.01 * (second % 7)}
                     lines.append(part)
             rnd.shuffle(lines)
@@ -188,7 +187,7 @@
                 for place, line in enumerate(lines):
                     folds[place % workers].add(line)
                 lines = [row for fold in folds for row in fold.take(1000)][:: -1 if turned else 1]
-            fleet.say(*lines)
+            fleet.handle(*lines)
             fleet.run(1, sums=False)
         return fleet
 
@@ -518,12 +517,12 @@
             )
         )
         self.loop = uvloop.new_event_loop()
-        self.log = Log()
+        self.log = RecordingLog()
         block = Block(workers=2, rows=100)
         self.service = Service(
             net_config.load(str(path), {}), self.loop, self.log, lambda service: Front(service, block)
         )
-        self.service.pilot = self.recorder = Recorder()
+        self.service.pilot = self.recorder = RecordingPilot()
         self.held = self.service.roster.read(self.service.config.known, "cached")
         listen = self.service.clients.listen
 
@@ -544,7 +543,7 @@
 
         self.loop.run_until_complete(wait())
 
-    def sums(self, kind=face.Heard):
+    def sums(self, kind=interface.ServerReport):
         return [event for event in self.recorder.seen if isinstance(event, kind)]
 
     def dial(self, *lines):
@@ -616,7 +615,7 @@
 
     processes = [hand.process.pid for hand in shop.service.clients.all()]
     shop.service.pilot.handle = fail
-    shop.service.event(face.Woke(0))
+    shop.service.event(interface.TimerFired(0))
     shop.loop.run_forever()  # until it stops itself
     assert shop.service.status == 1 and "the decisions failed" in shop.log.lines
     shop.service.clients.end()
@@ -657,7 +656,7 @@
     )
 
     def solved(search):
-        found = [event for event in shop.recorder.seen if isinstance(event, face.Solved)]
+        found = [event for event in shop.recorder.seen if isinstance(event, interface.SearchResult)]
         return [event for event in found if event.search is search]
 
     shop.until(lambda: front.solver.serves)
--- a/tests/evidence/test_evidence.py
+++ b/tests/evidence/test_evidence.py
@@ -14,11 +14,11 @@
 from flintreach.evidence.packet import Bad, Value
 from flintreach.net.config import load
 from flintreach.net.service import Service
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
 from flintreach.standins.platform import told
-from tests.helpers import Fleet, Log, Loop, Recorder
+from tests.helpers import FakeLoop, Fleet, RecordingLog, RecordingPilot
 
 T = 1_700_000_000 * SECOND
 KEYS = {"anna": "secret", "bo": "other"}
@@ -360,7 +360,7 @@
 
 
 def evidence(fleet, busy, age=0):
-    return [face.Measured(server, part, age) for server, part in zip(fleet.servers, busy)]
+    return [interface.HostLoad(server, part, age) for server, part in zip(fleet.servers, busy)]
 
 
 def play(busy=None, seconds=30, until=30):
@@ -368,7 +368,7 @@
     fleet.load = {"util": 0.2}
     for second in range(seconds):
         if busy and second < until:
-            fleet.say(*evidence(fleet, busy))
+            fleet.handle(*evidence(fleet, busy))
         fleet.run(1)
     return fleet
 
@@ -379,7 +379,7 @@
 
 def test_a_busy_host_is_relieved_and_an_idle_one_gains_nothing():
     plain, busy, idle = play(), play([0.95, 0.2, 0.2, 0.2, 0.2, 0.2]), play([0.01] * 6)
-    count = [[len(fleet.holds(server)) for server in fleet.servers] for fleet in (plain, busy, idle)]
+    count = [[len(fleet.slices_of(server)) for server in fleet.servers] for fleet in (plain, busy, idle)]
     assert count[1][0] < count[0][0] and count[2] == count[0]
     assert idle.tables.values() and [sorted(s.name for s in t) for t in idle.tables.values()] == [
         sorted(s.name for s in t) for t in plain.tables.values()
@@ -391,16 +391,16 @@
     plain = play(seconds=10)
     old.load = {"util": 0.2}
     for _ in range(10):
-        old.say(*evidence(old, [0.95] * 6, age=300 * SECOND))
+        old.handle(*evidence(old, [0.95] * 6, age=300 * SECOND))
         old.run(1)
     assert [sorted(s.name for s in t) for t in old.tables.values()] == [
         sorted(s.name for s in t) for t in plain.tables.values()
     ]
     fleet = play([0.95, 0.2, 0.2, 0.2, 0.2, 0.2], seconds=40)
     fleet.run(20)
-    before = [len(fleet.holds(server)) for server in fleet.servers]
+    before = [len(fleet.slices_of(server)) for server in fleet.servers]
     fleet.run(300)  # five minutes without a word
-    after = [len(fleet.holds(server)) for server in fleet.servers]
+    after = [len(fleet.slices_of(server)) for server in fleet.servers]
     assert after[0] <= before[0]
 
 
@@ -414,8 +414,8 @@
     def build(**settings):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(told()))
-        service = Service(load(str(path), {}), Loop(), Log())
-        service.pilot = Recorder()
+        service = Service(load(str(path), {}), FakeLoop(), RecordingLog())
+        service.pilot = RecordingPilot()
         service.listed = service.roster.read(service.config.known, "cached")
         usual = {"listen": "127.0.0.1:0", "accept": "any", "hosts": {"h1": "s1", "h2": "s2"}}
         block = Block(**(usual | settings))
@@ -428,7 +428,7 @@
 
 
 def measured(intake):
-    return [event for event in intake.service.gathered if isinstance(event, face.Measured)]
+    return [event for event in intake.service.gathered if isinstance(event, interface.HostLoad)]
 
 
 def rounds(intake, count, wrap=lambda data: data, **changes):
@@ -495,7 +495,12 @@
         made.time += STEP
     assert measured(made)[-1].busy == pytest.approx(0.6)
     server = made.service.registry.servers["s1"]
-    made.tap(made.time, [face.Roster("delta", [face.Entry(server, "ready", 1.0, made.time)])], [], 0)
+    made.tap(
+        made.time,
+        [interface.ServerList("delta", [interface.ServerEntry(server, "ready", 1.0, made.time)])],
+        [],
+        0,
+    )
     assert made.ledger.hosts["h1"].state == "unknown"
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
 
@@ -24,42 +24,47 @@
             settings: of the pilot, where they differ from those here.
         """
         self.ops = [
-            face.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
-            face.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
+            interface.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
+            interface.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
         ]
         defaults = {
             "seed": 7,
             "proxies": proxies,
             "operations": self.ops,
             "cold_share": 0.2,
-            "slices": [face.Slice(n) for n in range(slices)],
+            "slices": [interface.Slice(n) for n in range(slices)],
             "warm_up": 10 * SECOND,
             "channel_limit": 8000.0,
         }
-        self.settings = face.Settings(**(defaults | settings))
+        self.settings = interface.Settings(**(defaults | settings))
         self.slices = self.settings.slices
         self.now = 100 * SECOND  # steady clock, in nanoseconds
         self.log: list[str] = []
         self.replies: list[tuple[int, list]] = []  # orders, and when
-        self.servers = [face.Server(f"s{n}", zone=n % self.settings.zones) for n in range(servers)]
-        self.proxies = [face.Proxy(n) for n in range(proxies)]
+        self.servers = [interface.Server(f"s{n}", zone=n % self.settings.zones) for n in range(servers)]
+        self.proxies = [interface.Proxy(n) for n in range(proxies)]
         self.tables = {piece: {} for piece in self.slices}
         self.rates = dict.fromkeys(self.slices, demand)
-        self.failing: dict[face.Server, float] = {}  # parts unanswered
+        self.failing: dict[interface.Server, float] = {}  # parts unanswered
         self.levels: dict[tuple, float] = {}  # as ordered, by slice and operation
         self.latency = SECOND // 5
-        self.slow: dict[face.Server, int] = {}  # latencies of their own
+        self.slow: dict[interface.Server, int] = {}  # latencies of their own
         self.load: dict[str, float] = {}  # that every server reports
-        self.shut: set[face.Server] = set()  # withdrawn
+        self.withdrawn: set[interface.Server] = set()  # withdrawn
         self.marks: list[int] = []  # not yet answered
         self.pilot = Pilot(self.settings)
-        self.say(self.roster("cached"), *[face.Joined(proxy, True) for proxy in self.proxies])
+        self.handle(
+            self.server_list("cached"), *[interface.ProxyJoined(proxy, True) for proxy in self.proxies]
+        )
         for n, piece in enumerate(self.slices):
             self.tables[piece] = {self.servers[n % servers]: 1.0}
-            self.say(face.Given(piece, True), face.Held(piece, self.servers[n % servers], 1.0))
+            self.handle(
+                interface.SliceAssignment(piece, True),
+                interface.SliceReplica(piece, self.servers[n % servers], 1.0),
+            )
 
-    def roster(self, how: str = "delta", **states: Any) -> face.Roster:
-        """roster(s1="gone", s2=("ready", started)); a list that is not a delta holds all the others too."""
+    def server_list(self, how: str = "delta", **states: Any) -> interface.ServerList:
+        """server_list(s1="gone", s2=("ready", started)); a list that is no delta holds all the others too."""
         rows = {server.name: "ready" for server in self.servers if how != "delta"} | states
         entries = []
         for server in self.servers:
@@ -67,31 +72,31 @@
                 state, started = rows[server.name], 0
                 if isinstance(state, tuple):
                     state, started = state
-                entries.append(face.Entry(server, state, 1.0, started))
-        return face.Roster(how, entries)
+                entries.append(interface.ServerEntry(server, state, 1.0, started))
+        return interface.ServerList(how, entries)
 
-    def say(self, *events: object) -> list:
+    def handle(self, *events: object) -> list:
         """Hand events to the pilot and carry its orders out; repeated or idle orders fail the test."""
         orders = self.pilot.handle(self.now, list(events))
         self.replies.append((self.now, orders))
         for order in orders:
             match order:
-                case face.SetLine(piece, server, weight):
+                case interface.SetWeight(piece, server, weight):
                     table = self.tables.setdefault(piece, {})
                     assert weight > 0 or server in table, "an absent line was removed"
                     assert table.get(server) != weight, "a standing value was repeated"
                     table.pop(server, None)
                     if weight > 0:
                         table[server] = weight
-                case face.Admit(piece, operations, level, resend):
+                case interface.SetAdmission(piece, operations, level, resend):
                     assert resend <= 1 or all(op.effect != "side-effecting" for op in operations)
                     self.levels |= {(piece, op): level for op in operations}
-                case face.Withdraw(server, out):
-                    assert out != (server in self.shut), "a standing withdrawal was repeated"
-                    (self.shut.add if out else self.shut.discard)(server)
-                case face.Mark(number):
+                case interface.Withdraw(server, out):
+                    assert out != (server in self.withdrawn), "a standing withdrawal was repeated"
+                    (self.withdrawn.add if out else self.withdrawn.discard)(server)
+                case interface.Mark(number):
                     self.marks.append(number)
-                case face.Log(text):
+                case interface.Log(text):
                     self.log.append(text)
         return orders
 
@@ -99,27 +104,29 @@
         """Beats of a quarter second; the marks of each reply are answered in the next."""
         for beat in range(4 * seconds):
             due = self.now + SECOND // 4
-            self.go_on(due)
+            self.run_pending_work(due)
             self.now = due
-            events = [face.Applied(proxy, mark, 0) for mark in self.marks for proxy in self.proxies]
+            events = [
+                interface.OrdersApplied(proxy, mark, 0) for mark in self.marks for proxy in self.proxies
+            ]
             self.marks = []
-            self.say(*events, face.Woke(0), *(self.sums() if sums and beat % 4 == 0 else []))
+            self.handle(*events, interface.TimerFired(0), *(self.reports() if sums and beat % 4 == 0 else []))
 
-    def go_on(self, due: int) -> None:
+    def run_pending_work(self, due: int) -> None:
         """A second's work goes on in turns."""
         while self.pilot.work and self.now + self.settings.tick < due:
             self.now += self.settings.tick
-            self.say(face.Woke(0))
+            self.handle(interface.TimerFired(0))
 
-    def sums(self) -> list:
+    def reports(self) -> list:
         """What the proxies report of the last second, by rates, tables and faults."""
-        came: dict[face.Server, float] = {}
+        came: dict[interface.Server, float] = {}
         for piece, rate in self.rates.items():
             lines = {server: weight for server, weight in self.tables[piece].items() if weight >= 1}
             for server in lines:
                 came[server] = came.get(server, 0) + rate / len(lines)
         heard = [
-            face.Heard(
+            interface.ServerReport(
                 server.zone,
                 server,
                 round(tries),
@@ -132,41 +139,46 @@
             if round(tries)
         ]
         return heard + [
-            face.Demand(piece, None, self.ops[0], rate, 0, SECOND) for piece, rate in self.rates.items()
+            interface.DemandReport(piece, None, self.ops[0], rate, 0, SECOND)
+            for piece, rate in self.rates.items()
         ]
 
-    def holds(self, server: face.Server) -> list[face.Slice]:
+    def slices_of(self, server: interface.Server) -> list[interface.Slice]:
         """The slices that a server serves."""
-        return [piece for piece, table in self.tables.items() if server in table and server not in self.shut]
+        return [
+            piece for piece, table in self.tables.items() if server in table and server not in self.withdrawn
+        ]
 
-    def mains(self, piece: face.Slice) -> list[face.Server]:
+    def full_weight_servers(self, piece: interface.Slice) -> list[interface.Server]:
         """The servers that serve a slice with a full weight."""
         return [
-            server for server, weight in self.tables[piece].items() if weight >= 1 and server not in self.shut
+            server
+            for server, weight in self.tables[piece].items()
+            if weight >= 1 and server not in self.withdrawn
         ]
 
 
-def cold_server_with_slices() -> tuple[Fleet, face.Server]:
+def cold_server_with_slices() -> tuple[Fleet, interface.Server]:
     """A fleet, and a server of it that has just started and yet has slices."""
     fleet = Fleet(servers=6, slices=48)
     fleet.run(8)
-    fleet.say(fleet.roster(s1=("ready", fleet.now)))
+    fleet.handle(fleet.server_list(s1=("ready", fleet.now)))
     for piece in fleet.slices[4:6]:
         fleet.pilot.state.tables[piece].wanted = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
     fleet.run(1)
-    assert len(fleet.holds(fleet.servers[1])) >= 2
+    assert len(fleet.slices_of(fleet.servers[1])) >= 2
     return fleet, fleet.servers[1]
 
 
-def report(fleet: Fleet, number: int, tries: int, unanswered: int, **load: float) -> face.Heard:
+def report(fleet: Fleet, number: int, tries: int, unanswered: int, **load: float) -> interface.ServerReport:
     """What proxies met at a server of the fleet within a second."""
-    return face.Heard(0, fleet.servers[number], tries, unanswered, fleet.latency, SECOND, load)
+    return interface.ServerReport(0, fleet.servers[number], tries, unanswered, fleet.latency, SECOND, load)
 
 
 # The service with no sockets: time by hand, connections by hand, decisions that only record.
 
 
-class Handle:
+class FakeTimerHandle:
     def __init__(self, at, do):
         self.at, self.do, self.off = at, do, False
 
@@ -174,12 +186,12 @@
         self.off = True
 
 
-class Loop:
+class FakeLoop:
     def __init__(self):
         self.now, self.due, self.stopped = 0.0, [], False
 
     def call_later(self, wait, do):
-        self.due.append(Handle(self.now + wait, do))
+        self.due.append(FakeTimerHandle(self.now + wait, do))
         return self.due[-1]
 
     def run(self, seconds):
@@ -199,14 +211,14 @@
         self.stopped = True
 
 
-class Wire:
+class FakeConnection:
     """In place of an HTTP connection: the test says how its calls end."""
 
-    made = []
+    created = []
 
     def __init__(self, clock, limits, to, done, piece=None):
         self.to, self.done, self.piece, self.state = to, done, piece, "new"
-        self.made.append(self)
+        self.created.append(self)
 
     def call(self, method, path, wait, body=b""):
         self.method, self.path, self.state = method, path, "asked"
@@ -219,13 +231,13 @@
         self.state = "idle" if how == "answered" else "closed"
         self.done(how, status, body if isinstance(body, bytes) else json.dumps(body).encode())
 
-    def tell(self, *items):
+    def deliver(self, *items):
         for item in items:
             kind, told = item if item else (None, None)
             self.piece(json.dumps({"type": kind, "object": told} if kind else {}).encode() + b"\n")
 
 
-class Recorder:
+class RecordingPilot:
     def __init__(self):
         self.seen, self.orders = [], []
 
@@ -235,7 +247,7 @@
         return orders
 
 
-class Log:
+class RecordingLog:
     def __init__(self):
         self.lines = []
 
@@ -245,7 +257,7 @@
     warning = error = info
 
 
-class Pipe:
+class FakeTransport:
     """In place of a client's transport."""
 
     def __init__(self):
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -8,25 +8,25 @@
 from flintreach.net.clients import Client
 from flintreach.net.pilots import Pilots
 from flintreach.net.service import Service
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
 from flintreach.standins.platform import listing, row, stands, told
-from tests.helpers import Log, Loop, Pipe, Recorder, Wire
+from tests.helpers import FakeConnection, FakeLoop, FakeTransport, RecordingLog, RecordingPilot
 
 
 @pytest.fixture
 def make(monkeypatch, tmp_path):
-    """A service that has been told the first list; its connections are in Wire.made."""
+    """A service that has been told the first list; its connections are in FakeConnection.created."""
     for module in (relay, roster, servers):
-        monkeypatch.setattr(module, "Connection", Wire)
-    monkeypatch.setattr(Wire, "made", [])
+        monkeypatch.setattr(module, "Connection", FakeConnection)
+    monkeypatch.setattr(FakeConnection, "created", [])
 
     def build(**changes):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(told(**changes)))
-        service = Service(config.load(str(path), {}), Loop(), Log())
-        service.pilot = Recorder()
+        service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
+        service.pilot = RecordingPilot()
         service.listed = service.roster.read(service.config.known, "cached")  # for as long as decisions would
         return service
 
@@ -36,8 +36,8 @@
 def joined(service):
     """Its news connection, with three proxies and all slices told."""
     service.news.look()
-    news = Wire.made[-1]
-    news.tell(*stands(), ())
+    news = FakeConnection.created[-1]
+    news.deliver(*stands(), ())
     service.loop.run(0.1)
     service.pilot.seen.clear()
     return news
@@ -47,26 +47,26 @@
     """What the decisions have been told, in short."""
     service.loop.run(0.1)
     short = {
-        face.Joined: lambda e: ("joined", e.proxy.number),
-        face.Left: lambda e: ("left", e.proxy.number),
-        face.Given: lambda e: ("given", e.slice.number, e.ours),
-        face.Held: lambda e: ("held", e.slice.number, e.server.name, e.weight),
-        face.Applied: lambda e: ("applied", e.proxy.number, e.number),
-        face.Roster: lambda e: (e.how, *[(entry.server.name, entry.state) for entry in e.entries]),
+        interface.ProxyJoined: lambda e: ("joined", e.proxy.number),
+        interface.ProxyLeft: lambda e: ("left", e.proxy.number),
+        interface.SliceAssignment: lambda e: ("given", e.slice.number, e.owned),
+        interface.SliceReplica: lambda e: ("held", e.slice.number, e.server.name, e.weight),
+        interface.OrdersApplied: lambda e: ("applied", e.proxy.number, e.number),
+        interface.ServerList: lambda e: (e.kind, *[(entry.server.name, entry.state) for entry in e.entries]),
     }
     return [short[type(event)](event) for event in service.pilot.seen if type(event) in short]
 
 
 def put(service, number, server, weight=1.0):
-    return face.SetLine(service.registry.piece(number), service.registry.server(server), weight)
+    return interface.SetWeight(service.registry.slice(number), service.registry.server(server), weight)
 
 
 def calls():
-    return [wire for wire in Wire.made if getattr(wire, "path", "") == "/batches"]
+    return [wire for wire in FakeConnection.created if getattr(wire, "path", "") == "/batches"]
 
 
 def order(service, *orders):
-    service.carry([*orders, face.Mark(7)])
+    service.carry([*orders, interface.Mark(7)])
 
 
 # Clients.
@@ -74,7 +74,7 @@
 
 def connect(service, *lines):
     client = Client(service.clients)
-    client.connection_made(Pipe())
+    client.connection_made(FakeTransport())
     for line in lines:
         client.data_received(line)
     return client
@@ -156,7 +156,7 @@
     service = make()
     collector = connect(service, AGENT, text(SUMS)[:20], text(SUMS)[20:] + text(message, HOT))
     assert not collector.transport.closed and collector.state == "collector"
-    assert [type(event) for event in service.gathered] == [face.Heard, face.Demand]
+    assert [type(event) for event in service.gathered] == [interface.ServerReport, interface.DemandReport]
     assert service.counts == {"report not understood": 1} or message == SUMS | {"target": "x"}
     assert connect(service, text(message)).transport.closed
 
@@ -278,7 +278,7 @@
     client = connect(service, b'{"msg":"probe"}\n')
     service.roster.start()
     assert client.transport.written == b""
-    Wire.made[0].end(body=listing())
+    FakeConnection.created[0].end(body=listing())
     assert client.transport.written == b'{"msg":"alive"}\n'
     late = make()
     client = connect(late, b'{"msg":"probe"}\n')
@@ -292,7 +292,7 @@
 def test_the_whole_list_then_watches_at_once(make):
     service = make()
     service.roster.start()
-    wire = Wire.made[0]
+    wire = FakeConnection.created[0]
     assert wire.path == "/discovery/hosts"
     wire.end(body=listing(2, 41))
     assert seen(service) == [("full", ("s0", "ready"), ("s1", "ready"))]
@@ -301,7 +301,7 @@
     wire.end(body=listing(0, 43, False, endpoints=changed))
     assert seen(service)[1:] == [("delta", ("s1", "draining"), ("s7", "gone"))]
     entry = service.pilot.seen[-1].entries[0]
-    assert (entry.started, entry.server.kind, entry.server.cell) == (1_700_000_000_123_000_000, 1, 1)
+    assert (entry.started, entry.server.machine_type, entry.server.cell) == (1_700_000_000_123_000_000, 1, 1)
     wire.end(body=listing(0, 43, False))
     assert len(seen(service)) == 2 and "after=43" in wire.path
 
@@ -341,13 +341,13 @@
 def test_a_bad_answer_leaves_the_old_list_standing(make, how, status, body, path, told):
     service = make()
     service.roster.start()
-    Wire.made[0].end(body=listing(2, 41))
+    FakeConnection.created[0].end(body=listing(2, 41))
     seen(service)
     service.pilot.seen.clear()
-    Wire.made[0].end(how, status, body)
+    FakeConnection.created[0].end(how, status, body)
     assert seen(service) == told
     service.loop.run(1)
-    wire = Wire.made[-1]
+    wire = FakeConnection.created[-1]
     assert wire.state == "asked" and path in wire.path and (path != "hosts" or wire.path.endswith("hosts"))
 
 
@@ -355,12 +355,12 @@
     settings = told()["settings"] | {"discovery": "on_request"}
     service = make(settings=settings)
     service.roster.start()
-    assert not Wire.made
-    service.carry([face.Observe(True)])
-    Wire.made[0].end("broken")
+    assert not FakeConnection.created
+    service.carry([interface.WatchServers(True)])
+    FakeConnection.created[0].end("broken")
     assert seen(service) == [("failed",)]
-    service.carry([face.FetchRoster()])
-    Wire.made[-1].end(body=listing(1))
+    service.carry([interface.FetchServerList()])
+    FakeConnection.created[-1].end(body=listing(1))
     assert seen(service)[1:] == [("full", ("s0", "ready"))]
 
 
@@ -375,7 +375,7 @@
         rows = [row(n - 4, "removed"), row(n, since_ms=now // 1_000_000)]
         service.event(service.roster.read(listing(0, n, False, endpoints=rows), "delta"))
         collector.data_received(text(SUMS | {"target": f"s{n - 4}"}, SUMS | {"target": f"s{n - 9}"}))
-        news.tell(
+        news.deliver(
             ("lease", {"range": 2, "flag": True}),
             ("line", {"range": 2, "target": f"s{n - 5}", "rps": 1.0}),
             (),
@@ -403,13 +403,13 @@
     look = service.settings.operations[0]
     order(
         service,
-        face.Withdraw(service.registry.server("s2"), True),
-        face.Admit(None, (look,), 0.6, 1),
-        face.Admit(service.registry.piece(3), (), 1.0, 0),
+        interface.Withdraw(service.registry.server("s2"), True),
+        interface.SetAdmission(None, (look,), 0.6, 1),
+        interface.SetAdmission(service.registry.slice(3), (), 1.0, 0),
         put(service, 1, "s0", 0),
         put(service, 1, "s3"),
-        face.Clear(service.registry.piece(5)),
-        face.Withdraw(service.registry.server("s1"), False),
+        interface.ClearTable(service.registry.slice(5)),
+        interface.Withdraw(service.registry.server("s1"), False),
     )
     (call,) = calls()
     assert call.orders == [
@@ -431,8 +431,10 @@
     news = joined(service)
     order(service, put(service, 1, "s3"))
     order(service, put(service, 2, "s1"), put(service, 4, "s1"))
-    service.carry([put(service, 2, "s1", 0), put(service, 2, "s2"), put(service, 3, "s0", 0), face.Mark(8)])
-    news.tell(("lease", {"range": 4, "flag": False}))
+    service.carry(
+        [put(service, 2, "s1", 0), put(service, 2, "s2"), put(service, 3, "s0", 0), interface.Mark(8)]
+    )
+    news.deliver(("lease", {"range": 4, "flag": False}))
     (first,) = calls()
     first.end("answered", 429, {"error": "BUSY"})
     service.loop.run(1)
@@ -498,15 +500,15 @@
     """Repeated on a guess, its lines and messages would count twice; dropped, drains would be late."""
     service = make()
     old = joined(service)
-    out = face.Withdraw(service.registry.server("s2"), True)
+    out = interface.Withdraw(service.registry.server("s2"), True)
     order(service, put(service, 1, "s0", 0), put(service, 1, "s3"), out)
     calls()[0].end(how, status, body)
     order(service, put(service, 2, "s3"))
     assert len(calls()) == 1  # it waits until the first is settled
-    new = Wire.made[-1]
+    new = FakeConnection.created[-1]
     assert new.path == "/stream" and old.state == "asked"
     table = "s3" if carried else "s0"
-    new.tell(
+    new.deliver(
         *[
             (kind, it | {"target": table} if kind == "line" and it["range"] == 1 else it)
             for kind, it in stands()
@@ -523,7 +525,7 @@
     joined(service).end("broken")
     service.loop.run(1)
     order(service, put(service, 1, "s0", 0), put(service, 1, "s3"))
-    Wire.made[-2].tell(
+    FakeConnection.created[-2].deliver(
         *[
             (kind, it | {"target": "s3"} if kind == "line" and it["range"] == 1 else it)
             for kind, it in stands()
@@ -538,11 +540,13 @@
     service = make()
     joined(service).end("broken")
     service.loop.run(1)
-    early = Wire.made[-1]
-    early.tell(*stands())
+    early = FakeConnection.created[-1]
+    early.deliver(*stands())
     order(service, put(service, 1, "s3"))
     calls()[0].end("silent")
-    assert early.state == "closed" and Wire.made[-1] is not early and service.calls.state == "doubt"
+    assert (
+        early.state == "closed" and FakeConnection.created[-1] is not early and service.calls.state == "doubt"
+    )
 
 
 @pytest.mark.parametrize("end, status, body", [("answered", 429, {"error": "BUSY"}), ("broken", 0, b"")])
@@ -558,9 +562,11 @@
         ("line", {"range": 1, "target": "s2", "rps": 1.0}),
         (),
     ]
-    news.tell(*again)
+    news.deliver(*again)
     if end == "broken":
-        Wire.made[-1].tell(*[item for item in stands() if item[1].get("range") != 1], *again[1:])
+        FakeConnection.created[-1].deliver(
+            *[item for item in stands() if item[1].get("range") != 1], *again[1:]
+        )
     service.loop.run(1)
     assert [told.get("table", told["op"]) for told in calls()[1].orders] == [2, "SYNC"]
     assert seen(service) == [("given", 1, False), ("given", 1, True), ("held", 1, "s2", 1.0)]
@@ -587,7 +593,7 @@
 
 def test_what_the_protocol_cannot_carry_is_refused_plainly(make):
     service = make()
-    service.carry([face.Bind(service.registry.piece(1), service.registry.proxy(1))])
+    service.carry([interface.BindProxy(service.registry.slice(1), service.registry.proxy(1))])
     assert not calls() and any("can't carry" in line for line in service.log.lines)
 
 
@@ -604,9 +610,11 @@
         ("line", {"range": 5, "target": "s2", "rps": 0.5}),
     ]
     rows = [item for item in stands(proxies=2) if item[1].get("range") not in (4, 5, 6)]
-    Wire.made[-1].tell(("hello", {"id": 0, "site": "south", "rps": 1.0, "new": True}), *rows[1:], *changed)
+    FakeConnection.created[-1].deliver(
+        ("hello", {"id": 0, "site": "south", "rps": 1.0, "new": True}), *rows[1:], *changed
+    )
     assert ("left", 2) not in seen(service)  # perhaps it is still to come
-    Wire.made[-1].tell(())
+    FakeConnection.created[-1].deliver(())
     assert seen(service) == [
         ("left", 0),
         ("joined", 0),
@@ -623,12 +631,12 @@
     """Given without them, its table would look empty, and a server be ordered that it need not have."""
     service = make()
     news = joined(service)
-    news.tell(("lease", {"range": 3, "flag": False}), ("lease", {"range": 3, "flag": True}))
+    news.deliver(("lease", {"range": 3, "flag": False}), ("lease", {"range": 3, "flag": True}))
     service.loop.run(0.01)
-    news.tell(("line", {"range": 3, "target": "s1", "rps": 1.0}))
+    news.deliver(("line", {"range": 3, "target": "s1", "rps": 1.0}))
     service.loop.run(0.01)
-    news.tell(("line", {"range": 3, "target": "s2", "rps": 1.0}))
-    assert not any(isinstance(event, face.Held) for event in service.pilot.seen)
+    news.deliver(("line", {"range": 3, "target": "s2", "rps": 1.0}))
+    assert not any(isinstance(event, interface.SliceReplica) for event in service.pilot.seen)
     service.loop.run(0.2)
     assert seen(service) == [
         ("given", 3, False),
@@ -643,10 +651,10 @@
     news = joined(service)
     for _ in range(4):
         service.loop.run(1)
-        news.tell(("ack", {"id": 1, "seq": 9, "ms": 300.5}), ())
-    assert len(Wire.made) == 1 and ("applied", 1, 9) in seen(service)
+        news.deliver(("ack", {"id": 1, "seq": 9, "ms": 300.5}), ())
+    assert len(FakeConnection.created) == 1 and ("applied", 1, 9) in seen(service)
     service.loop.run(4)
-    assert news.state == "closed" and Wire.made[-1].state == "asked"
+    assert news.state == "closed" and FakeConnection.created[-1].state == "asked"
 
 
 @pytest.mark.parametrize(
@@ -658,7 +666,7 @@
     news.piece(data)
     assert news.state == "closed" and not seen(service)
     service.loop.run(1)
-    assert Wire.made[-1].state == "asked" and Wire.made[-1] is not news
+    assert FakeConnection.created[-1].state == "asked" and FakeConnection.created[-1] is not news
 
 
 @pytest.mark.parametrize(
@@ -677,7 +685,7 @@
 def test_news_of_what_is_not_known_are_passed_over(make, kind, told):
     service = make()
     news = joined(service)
-    news.tell((kind, told))
+    news.deliver((kind, told))
     assert news.state == "asked" and not seen(service)
 
 
@@ -699,9 +707,11 @@
 )
 def test_probes_tell_how_they_ended(make, how, status, body, said, load):
     service = make()
-    service.carry([face.Probe(service.registry.server("s2"))])
-    assert Wire.made[0].path == "/metrics/load" and Wire.made[0].to == "127.0.0.1:9002"
-    Wire.made[0].end(how, status, body)
+    service.carry([interface.Probe(service.registry.server("s2"))])
+    assert (
+        FakeConnection.created[0].path == "/metrics/load" and FakeConnection.created[0].to == "127.0.0.1:9002"
+    )
+    FakeConnection.created[0].end(how, status, body)
     (event,) = service.gathered
     assert (event.status, event.load) == (said, load)
 
@@ -711,8 +721,8 @@
     """Told as one that could not connect, it condemned healthy servers when many were asked at once."""
     service = make(limits={"sockets": 16})
     servers = [service.registry.server(f"s{n}") for n in (range(3) if known else range(90, 93))]
-    service.carry([face.Probe(server) for server in servers])
-    assert len(Wire.made) == (2 if known else 0) and not service.gathered
+    service.carry([interface.Probe(server) for server in servers])
+    assert len(FakeConnection.created) == (2 if known else 0) and not service.gathered
     assert service.counts == {"question not sent": 1 if known else 3}
 
 
@@ -759,7 +769,7 @@
     service.loop.create_task = lambda task: task.close()
     connection = Socketless(service.clock, service.limits, "127.0.0.1:9", lambda *told: ends.append(told))
     connection.call("GET", "/x", SECOND)
-    connection.connection_made(Pipe())
+    connection.connection_made(FakeTransport())
     for at in range(0, len(data), size):
         connection.data_received(data[at : at + size])
     assert ends == [end]
@@ -773,7 +783,7 @@
         service.clock, service.limits, "127.0.0.1:9", lambda *told: ends.append(told[0]), pieces.append
     )
     connection.call("GET", "/stream", SECOND)
-    connection.connection_made(Pipe())
+    connection.connection_made(FakeTransport())
     connection.data_received(b"HTTP/1.1 429 Busy\r\nContent-Length: 2\r\n\r\n{}")
     assert ends == ["garbled"] and not pieces
 
@@ -790,8 +800,8 @@
 
 def test_wakes_come_in_time_and_never_within_the_reply_that_asked(make):
     service = make()
-    service.pilot.orders = [face.Wake(service.clock.now(), 5)]
-    service.event(face.Woke(1))
+    service.pilot.orders = [interface.SetTimer(service.clock.now(), 5)]
+    service.event(interface.TimerFired(1))
     service.loop.run(0.001)
     assert [event.label for event in service.pilot.seen] == [1]
     service.loop.run(0.1)
@@ -801,7 +811,7 @@
 def test_a_timer_that_fires_early_wakes_nobody(make):
     """The loop rounds to milliseconds; decisions woken too soon would never ask for another wake."""
     service = make()
-    service.carry([face.Wake(service.clock.now() + 60 * SECOND, 5)])
+    service.carry([interface.SetTimer(service.clock.now() + 60 * SECOND, 5)])
     service.loop.run(300)  # the loop's time runs ahead of the clock
     assert not service.gathered and not service.pilot.seen and not service.loop.due[-1].off
 
@@ -809,7 +819,7 @@
 def test_a_failure_of_the_decisions_ends_the_process_with_its_trace(make):
     service = make()
     service.pilot.handle = lambda now, events: 1 // 0
-    service.event(face.Woke(1))
+    service.event(interface.TimerFired(1))
     service.loop.run(1)
     assert service.loop.stopped and service.status == 1 and "the decisions failed" in service.log.lines
 
--- a/tests/pilot/test_admission.py
+++ b/tests/pilot/test_admission.py
@@ -91,8 +91,8 @@
     """Slow, or far from some proxies: it answers, but more than half as late as its peers at their best."""
     fleet = Fleet(servers=6, slices=48)
     fleet.run(12)
-    held = len(fleet.holds(fleet.servers[2]))
+    held = len(fleet.slices_of(fleet.servers[2]))
     fleet.slow = {fleet.servers[2]: SECOND * 35 // 100}
     fleet.run(20)
     assert fleet.pilot.state.server(fleet.servers[2]).capacity_share < 0.7
-    assert len(fleet.holds(fleet.servers[2])) < held and not fleet.levels
+    assert len(fleet.slices_of(fleet.servers[2])) < held and not fleet.levels
--- a/tests/pilot/test_demand.py
+++ b/tests/pilot/test_demand.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from tests.helpers import Fleet
 
@@ -14,7 +14,10 @@
     before = table.rate
     for _ in range(5):
         fleet.now += SECOND
-        fleet.say(face.Demand(fleet.slices[3], None, fleet.ops[0], 90, 80, SECOND), face.Woke(0))
+        fleet.handle(
+            interface.DemandReport(fleet.slices[3], None, fleet.ops[0], 90, 80, SECOND),
+            interface.TimerFired(0),
+        )
     assert table.rate <= 1.2 * before and table.recent_rate > 10 * before
 
 
@@ -24,11 +27,13 @@
     Without any invocation no line ever comes, so it is for a while."""
     fleet = Fleet(servers=5, slices=40)
     taken = fleet.slices[20:]
-    fleet.say(*[face.Given(piece, False) for piece in taken])
+    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in taken])
     fleet.run(12)
     for piece in taken:
         fleet.tables[piece] = {fleet.servers[0]: 1.0}
-        fleet.say(face.Given(piece, True), face.Held(piece, fleet.servers[0], 1.0))
+        fleet.handle(
+            interface.SliceAssignment(piece, True), interface.SliceReplica(piece, fleet.servers[0], 1.0)
+        )
     fleet.rates = {piece: rate for piece, rate in fleet.rates.items() if piece not in taken}
     fleet.run(after)
     rates = [fleet.pilot.state.tables[piece].rate for piece in taken]
--- a/tests/pilot/test_dispatch.py
+++ b/tests/pilot/test_dispatch.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.records import Cause
 from tests.helpers import Fleet
@@ -20,9 +20,9 @@
 def test_slices_leave_a_leaving_server_at_once(state, settings):
     fleet = Fleet(**settings)
     fleet.run(5)
-    fleet.say(fleet.roster(s1=state))
-    assert not fleet.holds(fleet.servers[1])
-    assert all(fleet.mains(piece) for piece in fleet.slices)
+    fleet.handle(fleet.server_list(s1=state))
+    assert not fleet.slices_of(fleet.servers[1])
+    assert all(fleet.full_weight_servers(piece) for piece in fleet.slices)
 
 
 def test_a_waiting_change_that_names_a_leaving_server_becomes_urgent():
@@ -32,15 +32,15 @@
     table = fleet.pilot.state.tables[fleet.slices[1]]
     table.wanted = {fleet.pilot.state.server(fleet.servers[2]): 1.0}
     fleet.pilot.dispatcher.sent_ns = fleet.now - 4 * SECOND
-    fleet.say(fleet.roster(s1="draining"))
-    assert not fleet.holds(fleet.servers[1])
+    fleet.handle(fleet.server_list(s1="draining"))
+    assert not fleet.slices_of(fleet.servers[1])
 
 
 def test_ordinary_orders_flow_without_a_message_limit():
     fleet = Fleet(messages_most=0)
     fleet.rates[fleet.slices[0]] = 40
     fleet.run(15)
-    assert len(fleet.mains(fleet.slices[0])) > 1
+    assert len(fleet.full_weight_servers(fleet.slices[0])) > 1
 
 
 def test_drains_leave_before_other_urgent_orders():
@@ -48,10 +48,12 @@
     fleet = Fleet(slices=24, proxies=10, channel_limit=400.0, demand=8)
     fleet.run(5)
     out, drained = fleet.pilot.state.server(fleet.servers[0]), fleet.servers[1]
-    before = [fleet.holds(server) for server in (out.server, drained)]
+    before = [fleet.slices_of(server) for server in (out.server, drained)]
     fleet.pilot.state.transition(out, Cause.FAILING)
-    fleet.say(fleet.roster(s1="draining"))
-    assert all(map(fleet.mains, before[1])) and not all(map(fleet.mains, before[0]))
+    fleet.handle(fleet.server_list(s1="draining"))
+    assert all(map(fleet.full_weight_servers, before[1])) and not all(
+        map(fleet.full_weight_servers, before[0])
+    )
 
 
 def test_what_stands_is_replaced_before_what_is_dead_is_removed():
@@ -60,8 +62,8 @@
     fleet.run(5)
     fleet.pilot.state.transition(fleet.pilot.state.server(fleet.servers[0]), Cause.FAILING)
     fleet.pilot.state.transition(fleet.pilot.state.server(fleet.servers[1]), Cause.FAILING)
-    fleet.say(face.Woke(0))
-    assert all(map(fleet.mains, fleet.slices)) and fleet.shut == set(fleet.servers[:2])
+    fleet.handle(interface.TimerFired(0))
+    assert all(map(fleet.full_weight_servers, fleet.slices)) and fleet.withdrawn == set(fleet.servers[:2])
     fleet.run(8)
     assert not any(server in table for table in fleet.tables.values() for server in fleet.servers[:2])
 
@@ -70,37 +72,41 @@
     """A zone's slices filled it past the grace, and proxies went on sending to servers that were gone."""
     fleet = Fleet(slices=60, proxies=10, channel_limit=220.0)
     fleet.run(5)
-    fleet.say(fleet.roster(s1="gone"))
-    assert not all(map(fleet.mains, fleet.slices)) and fleet.shut == {fleet.servers[1]}
+    fleet.handle(fleet.server_list(s1="gone"))
+    assert not all(map(fleet.full_weight_servers, fleet.slices)) and fleet.withdrawn == {fleet.servers[1]}
     fleet.run(20)
-    assert all(map(fleet.mains, fleet.slices))
+    assert all(map(fleet.full_weight_servers, fleet.slices))
     assert all(fleet.servers[1] not in table for table in fleet.tables.values())
-    fleet.say(fleet.roster(s1=("ready", fleet.now)))
+    fleet.handle(fleet.server_list(s1=("ready", fleet.now)))
     fleet.run(2)
-    assert not fleet.shut
+    assert not fleet.withdrawn
 
 
 def test_answers_lost_with_the_news_do_not_hold_the_channel_for_ever():
     """The last marks stayed unanswered, so the lines of their orders seemed to wait and no order had room."""
     fleet = Fleet(slices=60, proxies=10, channel_limit=220.0)
     fleet.run(5)
-    fleet.say(fleet.roster(s1="gone"))
+    fleet.handle(fleet.server_list(s1="gone"))
     fleet.marks.clear()
     fleet.run(5)
-    assert not all(map(fleet.mains, fleet.slices))
+    assert not all(map(fleet.full_weight_servers, fleet.slices))
     fleet.run(30)
-    assert all(map(fleet.mains, fleet.slices))
+    assert all(map(fleet.full_weight_servers, fleet.slices))
 
 
 def test_a_slice_taken_over_opens_the_server_that_it_is_on():
     """Another pilot had put it on a server that came back; still shut out here, the slice would be bare."""
     fleet = Fleet(slices=24)
     fleet.run(5)
-    fleet.say(fleet.roster(s1="gone"))
+    fleet.handle(fleet.server_list(s1="gone"))
     piece = fleet.slices[0]
-    fleet.say(fleet.roster(s1="ready"), face.Given(piece, True), face.Held(piece, fleet.servers[1], 1.0))
+    fleet.handle(
+        fleet.server_list(s1="ready"),
+        interface.SliceAssignment(piece, True),
+        interface.SliceReplica(piece, fleet.servers[1], 1.0),
+    )
     fleet.run(2)
-    assert not fleet.shut
+    assert not fleet.withdrawn
 
 
 def test_messages_and_lines_stay_within_the_limits():
@@ -108,8 +114,12 @@
     for n in range(60):
         fleet.run(1)
         server = f"s{n % 6}"
-        fleet.say(fleet.roster(**{server: "gone" if n % 2 else ("ready", fleet.now)}))
-    sent = [now for now, orders in fleet.replies if any(isinstance(order, face.SetLine) for order in orders)]
+        fleet.handle(fleet.server_list(**{server: "gone" if n % 2 else ("ready", fleet.now)}))
+    sent = [
+        now
+        for now, orders in fleet.replies
+        if any(isinstance(order, interface.SetWeight) for order in orders)
+    ]
     for now in sent:
         assert sum(now - 10 * SECOND < other <= now for other in sent) <= 6
 
@@ -117,11 +127,11 @@
 def test_an_answer_to_no_mark_confirms_nothing():
     fleet = Fleet(slices=24)
     fleet.run(5)
-    fleet.say(fleet.roster(s1="gone"))
+    fleet.handle(fleet.server_list(s1="gone"))
     waiting = fleet.pilot.dispatcher.unconfirmed[fleet.proxies[0]]
     held = len(waiting)
     for number in (0, 65535, 10**12):
-        fleet.say(face.Applied(fleet.proxies[0], number, 0))
+        fleet.handle(interface.OrdersApplied(fleet.proxies[0], number, 0))
     assert held == len(waiting) > 0
-    fleet.say(face.Applied(fleet.proxies[0], fleet.marks[-1], 0))
+    fleet.handle(interface.OrdersApplied(fleet.proxies[0], fleet.marks[-1], 0))
     assert not waiting
--- a/tests/pilot/test_health.py
+++ b/tests/pilot/test_health.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from tests.helpers import Fleet, report
 
@@ -47,14 +47,14 @@
     fleet.run(5)
     out = [n for n, server in enumerate(fleet.servers) if fleet.pilot.state.server(server).mode == "out"]
     assert out == condemned
-    assert all(not fleet.holds(fleet.servers[n]) for n in condemned)
+    assert all(not fleet.slices_of(fleet.servers[n]) for n in condemned)
 
 
 def test_the_last_warm_servers_of_a_release_are_not_condemned():
     """Crowded with all slices they answered nothing; taken out, the cold ones got everything and fell."""
     fleet = Fleet(servers=6, slices=24)
     fleet.run(5)
-    fleet.say(fleet.roster(**{f"s{n}": ("ready", fleet.now) for n in range(2, 6)}))
+    fleet.handle(fleet.server_list(**{f"s{n}": ("ready", fleet.now) for n in range(2, 6)}))
     fleet.failing = dict.fromkeys(fleet.servers[:1], 1.0)
     fleet.run(6)
     assert fleet.pilot.state.server(fleet.servers[0]).mode == "fit"
@@ -73,7 +73,7 @@
     fleet = Fleet(servers=6, slices=24, probes=True)
     fleet.run(5)
     for number in range(3):
-        fleet.say(report(fleet, number, 10, 8))
-        fleet.say(face.Probed(fleet.servers[number], "timeout", 0, {}))
+        fleet.handle(report(fleet, number, 10, 8))
+        fleet.handle(interface.ProbeResult(fleet.servers[number], "timeout", 0, {}))
     fleet.run(1, sums=False)
-    assert all(fleet.holds(server) for server in fleet.servers)
+    assert all(fleet.slices_of(server) for server in fleet.servers)
--- a/tests/pilot/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -8,7 +8,7 @@
     fleet.run(1)
     (table,) = [table for table in fleet.tables.values() if table]
     assert set(table) == set(fleet.servers)
-    fleet.say(fleet.roster(s2="gone"))
+    fleet.handle(fleet.server_list(s2="gone"))
     fleet.run(1)
     assert fleet.servers[2] not in table
 
@@ -18,7 +18,7 @@
         fleet = Fleet(servers=5, slices=20)
         fleet.rates[fleet.slices[3]] = 60
         fleet.run(15)
-        fleet.say(fleet.roster(s1="gone"))
+        fleet.handle(fleet.server_list(s1="gone"))
         fleet.run(15)
         return [
             (now, type(order).__name__, getattr(order, "weight", None))
--- a/tests/pilot/test_operator_file.py
+++ b/tests/pilot/test_operator_file.py
@@ -47,7 +47,7 @@
     if error is None:
         assert operator_file.describe(operator_file.load(str(path)))
         return
-    with pytest.raises(operator_file.OperatorError) as raised:
+    with pytest.raises(operator_file.OperatorConfigError) as raised:
         operator_file.load(str(path))
     assert error in str(raised.value) and "\n" not in str(raised.value)
     assert str(raised.value).startswith(str(path))
--- a/tests/pilot/test_placement.py
+++ b/tests/pilot/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from tests.helpers import Fleet, cold_server_with_slices
 
@@ -11,37 +11,37 @@
     """Nine servers, each warm one full; a fifth of the slices is ours; three servers have just started."""
     fleet = Fleet(servers=9, slices=90, pilots=pilots, number=number, warm_up=60 * SECOND)
     for server, lot in zip(fleet.servers[6:], lots):
-        server.lot = lot
-    fleet.say(fleet.roster(s6="gone", s7="gone", s8="gone"))
-    fleet.say(*[face.Given(piece, False) for piece in fleet.slices[18:]])
+        server.name_hash = lot
+    fleet.handle(fleet.server_list(s6="gone", s7="gone", s8="gone"))
+    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in fleet.slices[18:]])
     fleet.tables = {piece: table for piece, table in fleet.tables.items() if piece in fleet.slices[:18]}
     fleet.rates = dict.fromkeys(fleet.slices[:18], 4)
     fleet.run(8)
     for name in ("s6", "s7", "s8"):
-        fleet.say(fleet.roster(**{name: ("ready", fleet.now)}))
+        fleet.handle(fleet.server_list(**{name: ("ready", fleet.now)}))
     fleet.run(20)
-    return [len(fleet.holds(server)) for server in fleet.servers[6:]]
+    return [len(fleet.slices_of(server)) for server in fleet.servers[6:]]
 
 
 def test_hot_slice_gains_copies_and_loses_them_late():
     fleet = Fleet(servers=5, slices=20)
     fleet.rates[fleet.slices[3]] = 60
     fleet.run(25)
-    assert len(fleet.mains(fleet.slices[3])) > 1
+    assert len(fleet.full_weight_servers(fleet.slices[3])) > 1
     fleet.rates[fleet.slices[3]] = 4
     fleet.run(11)
-    assert len(fleet.mains(fleet.slices[3])) > 1
+    assert len(fleet.full_weight_servers(fleet.slices[3])) > 1
     fleet.run(120)
-    assert len(fleet.mains(fleet.slices[3])) == 1
+    assert len(fleet.full_weight_servers(fleet.slices[3])) == 1
 
 
 def test_a_just_started_server_is_not_given_many_slices_at_once():
     """Slices of another server that leaves in the same batch went to the cold one, which fell over."""
     fleet = Fleet(servers=4, slices=40)
     fleet.run(5)
-    fleet.say(fleet.roster(s1="gone"))
-    fleet.say(fleet.roster(s1=("ready", fleet.now), s2="gone"))
-    assert len(fleet.holds(fleet.servers[1])) <= 1 and not fleet.holds(fleet.servers[2])
+    fleet.handle(fleet.server_list(s1="gone"))
+    fleet.handle(fleet.server_list(s1=("ready", fleet.now), s2="gone"))
+    assert len(fleet.slices_of(fleet.servers[1])) <= 1 and not fleet.slices_of(fleet.servers[2])
 
 
 def test_a_slice_that_grows_hot_at_a_cold_server_is_guarded():
@@ -49,10 +49,12 @@
     fleet, cold = cold_server_with_slices()
     for _ in range(2):
         fleet.now += SECOND
-        hot = [face.Demand(piece, None, fleet.ops[0], 60, 55, SECOND) for piece in fleet.slices[4:6]]
-        fleet.say(*hot, face.Woke(0))
-        fleet.go_on(fleet.now + SECOND // 5)
-    assert len(fleet.holds(cold)) <= 1
+        hot = [
+            interface.DemandReport(piece, None, fleet.ops[0], 60, 55, SECOND) for piece in fleet.slices[4:6]
+        ]
+        fleet.handle(*hot, interface.TimerFired(0))
+        fleet.run_pending_work(fleet.now + SECOND // 5)
+    assert len(fleet.slices_of(cold)) <= 1
 
 
 @pytest.mark.parametrize(
@@ -76,8 +78,8 @@
     servers, each = 10, 12 * (1 + others)  # slices
     fleet = Fleet(servers=servers, slices=servers * each, pilots=1 + others, demand=2)
     keep = fleet.slices[: 12 * servers]
-    fleet.say(*[face.Given(piece, False) for piece in fleet.slices[len(keep) :]])
+    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in fleet.slices[len(keep) :]])
     fleet.tables = {piece: {fleet.servers[n % servers]: 1.0} for n, piece in enumerate(keep)}
     fleet.rates = {piece: most if n % servers == 3 else 2.0 for n, piece in enumerate(keep)}
     fleet.run(14)
-    assert (len(fleet.holds(fleet.servers[3])) < 12) == mended
+    assert (len(fleet.slices_of(fleet.servers[3])) < 12) == mended
--- a/tests/pilot/test_recorded.py
+++ b/tests/pilot/test_recorded.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from flintreach.pilot import interface as face
-from flintreach.pilot import logic
+from flintreach.pilot import interface, logic
 from flintreach.pilot.interface import SECOND
 from flintreach.standins.worlds import World
 
@@ -38,7 +37,7 @@
     handle = world.pilot.handle
 
     def told(now, events):
-        return handle(now, [face.Measured(server, busy, age) for server in world.servers] + events)
+        return handle(now, [interface.HostLoad(server, busy, age) for server in world.servers] + events)
 
     world.pilot.handle = told
     assert world.play(seconds) == digest
@@ -48,5 +47,7 @@
     size, seconds, digest = RECORDED[1]
     world = World(logic.Pilot, *size)
     handle = world.pilot.handle
-    world.pilot.handle = lambda now, events: handle(now, [*events, face.Measured(world.servers[0], 1.0, 0)])
+    world.pilot.handle = lambda now, events: handle(
+        now, [*events, interface.HostLoad(world.servers[0], 1.0, 0)]
+    )
     assert world.play(seconds) != digest
--- a/tests/pilot/test_state.py
+++ b/tests/pilot/test_state.py
@@ -1,6 +1,6 @@
 """Modes of servers, and what is forgotten."""
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.state import TRANSITIONS
 from tests.helpers import Fleet
@@ -11,23 +11,26 @@
     fleet.run(5)
     for n in range(300):
         gone = fleet.servers.pop(0)
-        fleet.servers.append(face.Server(f"s{6 + n}"))
-        fleet.say(
-            face.Roster(
+        fleet.servers.append(interface.Server(f"s{6 + n}"))
+        fleet.handle(
+            interface.ServerList(
                 "delta",
                 [
-                    face.Entry(gone, "draining", 1.0, 0),
-                    face.Entry(fleet.servers[-1], "ready", 1.0, fleet.now),
+                    interface.ServerEntry(gone, "draining", 1.0, 0),
+                    interface.ServerEntry(fleet.servers[-1], "ready", 1.0, fleet.now),
                 ],
             )
         )
         fleet.run(1)
-        fleet.say(
-            face.Roster("delta", [face.Entry(gone, "gone", 1.0, 0)]), face.Heard(0, gone, 9, 9, 0, 1, {})
+        fleet.handle(
+            interface.ServerList("delta", [interface.ServerEntry(gone, "gone", 1.0, 0)]),
+            interface.ServerReport(0, gone, 9, 9, 0, 1, {}),
         )
         fleet.run(2)
     assert (
-        len(fleet.pilot.state.servers) <= 8 and len(fleet.shut) <= 2 and len(fleet.pilot.state.shut_out) <= 2
+        len(fleet.pilot.state.servers) <= 8
+        and len(fleet.withdrawn) <= 2
+        and len(fleet.pilot.state.shut_out) <= 2
     )
     assert all(set(table) <= set(fleet.servers) for table in fleet.tables.values())
 
