--- a/flintreach/pilot/placement.py
+++ b/flintreach/pilot/placement.py
@@ -115,7 +115,7 @@
             len(units) * unit_memory - MEMORY_WEIGHT * filled_share(state, server, share) * quotas[server]
             for units, server in zip(placements, servers)
         ]
-        guarded_quotas = {
+        slow_start_quotas = {
             target: max(share, filled_share(state, server, 0)) * quotas[server]
             for server, target in positions.items()
             if server.guarded
@@ -129,7 +129,7 @@
             [*gaps.values()],
             replica_demands + [(0.0, 0.0)],
             unit_memory,
-            guarded_quotas,
+            slow_start_quotas,
             [server.gained for server in servers],
             2 * DEVIATION if full else 0.0,
         )
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -104,9 +104,9 @@
         """Whether endpoint `y` may gain slice `p`."""
         return y not in self.excluded[p] and super().may_gain(p, y)
 
-    def barred(self, p: int) -> set[int]:
+    def excluded_targets(self, p: int) -> set[int]:
         """The endpoints that may not gain slice `p`."""
-        return {*super().barred(p), *self.excluded[p]}
+        return {*super().excluded_targets(p), *self.excluded[p]}
 
 
 @dataclass(slots=True, frozen=True)
@@ -308,7 +308,7 @@
             demand_gaps=demand_gaps,
             demands=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
             unit_memory=memory,
-            guarded_quotas={
+            slow_start_quotas={
                 index: quotas[index]
                 for index, candidate in enumerate(problem.candidates)
                 if candidate.warming_up
--- a/flintreach/policy/partition.py
+++ b/flintreach/policy/partition.py
@@ -30,7 +30,7 @@
     demand_gaps: list[float]  # of each target: its demand, less its quota
     demands: list[tuple[float, float]]  # of a replica, at a usual and at a guarded target; last (0, 0)
     unit_memory: float  # what a unit adds to a memory gap
-    guarded_quotas: dict[int, float]  # by guarded target
+    slow_start_quotas: dict[int, float]  # by guarded target
     gains: list[int]  # units that each target has gained in this run
     empty_deviation: float = 0.0  # what a guarded target that is empty and may gain counts as
 
@@ -63,9 +63,9 @@
         return self.rankings[3][-1][0]
 
     def _figures_of(self, target: int) -> Figures:
-        quota = self.guarded_quotas.get(target)
+        quota = self.slow_start_quotas.get(target)
         # A target that may gain no more must not stand for the emptiest: it would hide those with room.
-        may_gain_no_more = target in self.guarded_quotas and self.gains[target]
+        may_gain_no_more = target in self.slow_start_quotas and self.gains[target]
         floor = 0.0 if may_gain_no_more else -math.inf
         memory = max(floor, self.memory_gaps[target])
         demand = max(floor, self.demand_gaps[target])
@@ -99,7 +99,7 @@
             self.distance += sign
             self.gains[target] += sign
         self.memory_gaps[target] += sign * self.unit_memory
-        self.demand_gaps[target] += sign * self.demands[unit][target in self.guarded_quotas]
+        self.demand_gaps[target] += sign * self.demands[unit][target in self.slow_start_quotas]
         before = self.figures[target]
         self.figures[target] = self._figures_of(target)
         for ranking, old, new in zip(self.rankings, before, self.figures[target]):
@@ -125,15 +125,15 @@
 
     def may_gain(self, unit: int, target: int) -> bool:
         """Whether a target can bear a unit: one that warms up must not be pushed over."""
-        if target not in self.guarded_quotas or unit in self.original[target]:
+        if target not in self.slow_start_quotas or unit in self.original[target]:
             return True
-        quota = self.guarded_quotas[target]
+        quota = self.slow_start_quotas[target]
         room = min(quota, FILL * quota - self.demand_gaps[target])  # a hot slice grows on
         return self.gains[target] < 1 and self.demands[unit][True] <= room
 
-    def barred(self, unit: int) -> list[int]:
+    def excluded_targets(self, unit: int) -> list[int]:
         """The targets that may not gain a unit."""
-        return [target for target in self.guarded_quotas if not self.may_gain(unit, target)]
+        return [target for target in self.slow_start_quotas if not self.may_gain(unit, target)]
 
     def _movable(self, source: int, target: int) -> list[tuple[int, float]]:
         """Units that may go from one target to another, with their demands."""
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -100,7 +100,7 @@
         missing = replicas - len(targets)
         for target in sorted(targets, key=load.__getitem__)[replicas:]:
             candidate.remove(unit, target)
-        barred = sorted({*targets, *candidate.barred(unit)})
+        barred = sorted({*targets, *candidate.excluded_targets(unit)})
         chosen: list[tuple[float, int]] = []
         for least, target in candidate.rankings[2]:
             if len(chosen) >= missing and (missing <= 0 or least > chosen[missing - 1][0]):
