--- a/flintreach/cli/inspection.py
+++ b/flintreach/cli/inspection.py
@@ -42,11 +42,11 @@
 def state(folder: Path, as_json: bool = JSON_OPTION) -> None:
     """Look into the disk folder of a controller that does not run; nothing there is changed."""
     from flintreach.cli.register_values import describe
-    from flintreach.consensus.inspection import rows
+    from flintreach.consensus.inspection import read_tables
     from flintreach.consensus.store import StoreError
 
     try:
-        tables = rows(str(folder), describe)
+        tables = read_tables(str(folder), describe)
     except StoreError as error:
         fail(ExitStatus.UNUSABLE, str(error))
     if as_json:
@@ -78,14 +78,14 @@
     confirm: str = typer.Option("", help="The word that is asked for."),
 ) -> None:
     """Last resort after more losses than allowed: a stopped controller's disk becomes the only voter."""
-    from flintreach.consensus.recovery import CONFIRM, alone
+    from flintreach.consensus.recovery import CONFIRMATION_PHRASE, force_single_voter
     from flintreach.consensus.store import StoreError
 
-    if confirm != CONFIRM:
-        text = f"all that this disk does not hold will be lost: say so by --confirm {CONFIRM}"
+    if confirm != CONFIRMATION_PHRASE:
+        text = f"all that this disk does not hold will be lost: say so by --confirm {CONFIRMATION_PHRASE}"
         fail(ExitStatus.UNUSABLE, text)
     try:
-        only_voter = alone(str(folder), epoch, parse_address(address))
+        only_voter = force_single_voter(str(folder), epoch, parse_address(address))
     except StoreError as error:
         fail(ExitStatus.UNUSABLE, str(error))
     typer.echo(f"{folder}: the only voter, epoch {only_voter.epoch}")
--- a/flintreach/consensus/acceptor_service.py
+++ b/flintreach/consensus/acceptor_service.py
@@ -35,13 +35,13 @@
 
     Attributes:
         busy: prepares and accepts under way at this disk.
-        refused: writes that the disk did not take.
+        failed_writes: writes that the disk did not take.
     """
 
     def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None) -> None:
         super().__init__(peer_pool, voters, store)
         self.busy = 0
-        self.refused = 0
+        self.failed_writes = 0
         self.locks: dict[str, Any] = {}
         peer_pool.handlers |= {
             MessageKind.PREPARE: self.on_prepare,
@@ -61,8 +61,8 @@
         """Write what the acceptor decided; the verdict to answer, `MUTE` where the disk did not take it."""
         if verdict not in (Verdict.PROMISE, Verdict.ACCEPTED):
             return verdict
-        if not self.store.keep({key: slot}):
-            self.refused += 1
+        if not self.store.persist({key: slot}):
+            self.failed_writes += 1
             return Verdict.MUTE
         self.acceptor.slots[key] = slot
         return verdict
@@ -77,7 +77,7 @@
             key: the register's key.
             decide: the acceptor's decision, taken while no other request holds the key.
         """
-        mismatch = self.check(epoch)
+        mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
         if not self.acceptor:
@@ -85,7 +85,7 @@
         self.busy += 1
         try:
             with self.lock_of(key):
-                mismatch = self.check(epoch)  # it may have moved while another request held the key
+                mismatch = self.check_epoch(epoch)  # it may have moved while another request held the key
                 if mismatch is not None:
                     return mismatch
                 verdict, slot = decide()
@@ -93,7 +93,7 @@
         finally:
             self.busy -= 1
         # Moved while the disk wrote: who listed the keys of the later epoch may have missed this one.
-        return self.check(epoch) or AcceptorAnswer(verdict, slot, self.acceptor.incarnation)
+        return self.check_epoch(epoch) or AcceptorAnswer(verdict, slot, self.acceptor.incarnation)
 
     def prepare(self, request: PrepareRequest) -> AcceptorAnswer | EpochMismatch:
         """Answer phase 1 of a proposal."""
@@ -121,32 +121,32 @@
 
     def on_slot_ballots(self, link: Any, epoch: int) -> dict[str, SlotBallots] | EpochMismatch | None:
         """Both ballots of each key, for a disk that came back empty; it asks for values one by one."""
-        mismatch = self.check(epoch)
+        mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
-        if not self.votes():
+        if not self.can_vote():
             return None
         return {key: SlotBallots(slot.promised, slot.accepted) for key, slot in self.acceptor.slots.items()}
 
     def on_accepted_ballots(self, link: Any, epoch: int) -> dict[str, Ballot] | EpochMismatch | None:
         """The accepted ballot of each key; None where this disk doesn't vote."""
-        mismatch = self.check(epoch)
+        mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
-        if not self.votes():
+        if not self.can_vote():
             return None
         return {key: slot.accepted for key, slot in self.acceptor.slots.items()}
 
     def on_accepted_value(self, link: Any, body: list[Any]) -> AcceptedValue | EpochMismatch | None:
         """Another process's `ValueRequest`; None where this disk doesn't vote, or has no such key."""
         request = msgspec.convert(body, ValueRequest)
-        mismatch = self.check(request.epoch)
+        mismatch = self.check_epoch(request.epoch)
         if mismatch is not None:
             return mismatch
-        slot = self.acceptor.slots.get(request.key) if self.votes() else None
+        slot = self.acceptor.slots.get(request.key) if self.can_vote() else None
         return AcceptedValue(slot.accepted, slot.value) if slot else None
 
-    def fetch(self, address: Address, key: str, ballot: Ballot) -> Slot | None:
+    def fetch_slot(self, address: Address, key: str, ballot: Ballot) -> Slot | None:
         """What another disk has accepted of a key, at this ballot or a later one.
 
         None where it has accepted nothing there, or does not answer.
@@ -162,7 +162,7 @@
 
     # A disk that came back empty.
 
-    def relearn(self) -> bool:
+    def recover_promises(self) -> bool:
         """Learn what the lost disk may have promised, from the other voters, before this one votes.
 
         Only under an epoch that records this disk's incarnation: a change of an earlier epoch may still count
@@ -173,7 +173,7 @@
         """
         address = self.peer_pool.address
         voters = self.voters
-        if not self.acceptor or self.acceptor.voting or address not in self.group:
+        if not self.acceptor or self.acceptor.voting or address not in self.voter_addresses:
             return True
         if voters.incarnations(address) != {self.store.incarnation}:
             return False
@@ -185,10 +185,10 @@
             return False
         # Keys that only the lost disk held are dropped: this one stands for another.
         written = {**dict.fromkeys(self.acceptor.slots), **slots}
-        if not self.store.keep(written, {VOTING_FACT: YES}):
+        if not self.store.persist(written, {VOTING_FACT: YES}):
             return False
         self.acceptor.slots = slots
-        self.trusted = True
+        self.promises_known = True
         self.update_voting()
         return self.acceptor.voting
 
@@ -220,7 +220,7 @@
                 for address, held_slots in holders
                 if held_slots.get(key, Slot()).accepted == slot.accepted
             )
-            accepted = self.fetch(holder, key, slot.accepted)
+            accepted = self.fetch_slot(holder, key, slot.accepted)
             if accepted is not None:
                 promised = max(slot.promised, accepted.promised)
                 complete[key] = Slot(promised, accepted.accepted, accepted.value)
--- a/flintreach/consensus/inspection.py
+++ b/flintreach/consensus/inspection.py
@@ -107,7 +107,7 @@
     return table
 
 
-def rows(folder: str, describe: Describe = describe_nothing) -> dict[str, Rows]:
+def read_tables(folder: str, describe: Describe = describe_nothing) -> dict[str, Rows]:
     """What is on a disk, as tables by title.
 
     Args:
--- a/flintreach/consensus/proposer.py
+++ b/flintreach/consensus/proposer.py
@@ -11,7 +11,7 @@
 
 from flintreach.consensus.acceptor import NO_BALLOT, Ballot
 
-Step = Callable[[bytes | None], bytes | None]
+ChangeFunction = Callable[[bytes | None], bytes | None]
 Quorum = Callable[[Iterable[Hashable]], bool]
 
 
@@ -35,7 +35,7 @@
         highest_round: the highest round seen in a refusal.
     """
 
-    def __init__(self, quorum: Quorum, ballot: Ballot, step: Step) -> None:
+    def __init__(self, quorum: Quorum, ballot: Ballot, step: ChangeFunction) -> None:
         """Start in the prepare phase.
 
         Args:
@@ -45,7 +45,7 @@
         """
         self.quorum = quorum
         self.ballot = ballot
-        self.step = step
+        self.change_function = step
         self.state = ProposalState.PREPARE
         self.incarnations: dict[Hashable, str] = {}
         self.acceptances: set[Hashable] = set()
@@ -77,7 +77,7 @@
 
     def begin_accept(self) -> None:
         """Choose the value to propose, or end where nothing is to be written."""
-        new_value = self.step(self.value)
+        new_value = self.change_function(self.value)
         if new_value is not None:
             self.value = new_value
             self.state = ProposalState.ACCEPT
--- a/flintreach/consensus/quorum.py
+++ b/flintreach/consensus/quorum.py
@@ -66,7 +66,7 @@
     new: tuple[Member, ...] = ()
 
     @classmethod
-    def of(cls, row: VotersRow | list[Any]) -> "Voters":
+    def from_row(cls, row: VotersRow | list[Any]) -> "Voters":
         """A configuration from its wire form, decoded or still a plain list."""
         if not isinstance(row, VotersRow):
             row = msgspec.convert(row, VotersRow)
@@ -80,7 +80,7 @@
     def from_facts(cls, facts: dict[str, str]) -> "Voters":
         """The latest configuration on a disk, or the list that earlier releases wrote, as epoch 1."""
         if VOTERS_FACT in facts:
-            return cls.of(decode(bytes.fromhex(facts[VOTERS_FACT])))
+            return cls.from_row(decode(bytes.fromhex(facts[VOTERS_FACT])))
         legacy_list = facts.get(LEGACY_VOTERS_FACT)
         if not legacy_list:
             return cls()
@@ -122,10 +122,10 @@
         )
         return Voters(self.epoch + 1, *sets)
 
-    def met(self, addresses: Iterable[Address]) -> bool:
+    def is_quorum(self, addresses: Iterable[Address]) -> bool:
         """Whether these addresses are a quorum: a majority of each set. An empty set has no quorum.
 
-        >>> Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), ""))).met({("a", 1), ("c", 1)})
+        >>> Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), ""))).is_quorum({("a", 1), ("c", 1)})
         True
         """
         present = set(addresses)
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -95,7 +95,7 @@
         register = self.register
         voters = register.voters
         address = register.peer_pool.address
-        if not register.acceptor or not voters.epoch or address in register.group or register.busy:
+        if not register.acceptor or not voters.epoch or address in register.voter_addresses or register.busy:
             return False
         answers = register.quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
         if answers is None:
@@ -128,12 +128,12 @@
             return True
         slot: Slot | None = None
         if newest.ballot != NO_BALLOT:
-            slot = register.fetch(newest.holder, key, newest.ballot)
+            slot = register.fetch_slot(newest.holder, key, newest.ballot)
             if slot is None:
                 return False
         # Once it votes, only prepares and accepts may change what it holds: they wait for the same lock.
         with register.lock_of(key):
-            if register.voters != voters or not register.store.keep({key: slot}):
+            if register.voters != voters or not register.store.persist({key: slot}):
                 return False
             if slot:
                 register.acceptor.slots[key] = slot
@@ -145,19 +145,20 @@
         """What this process tells of its disk under an epoch (None: no matter which); None: it has none."""
         register = self.register
         if epoch is not None:
-            mismatch = register.check(epoch)
+            mismatch = register.check_epoch(epoch)
             if mismatch is not None:
                 return mismatch
         if not register.store:
             return None
         caught_up = self.caught_up_epoch == register.voters.epoch
         return DiskStatus(
-            register.store.incarnation, caught_up and register.peer_pool.address not in register.group
+            register.store.incarnation,
+            caught_up and register.peer_pool.address not in register.voter_addresses,
         )
 
     # At a voter.
 
-    def enter(self) -> bool:
+    def start_voting(self) -> bool:
         """Make this disk vote, if it is a voter's.
 
         A disk that came back empty has its incarnation recorded first: from then on the others take no change
@@ -168,26 +169,26 @@
         """
         register = self.register
         address = register.peer_pool.address
-        if register.acceptor and not register.votes() and address in register.group:
+        if register.acceptor and not register.can_vote() and address in register.voter_addresses:
             incarnation = register.store.incarnation
             recorded = register.voters.incarnations(address) == {incarnation}
-            if not recorded and not self.decide(register.voters.renewed(address, incarnation)):
+            if not recorded and not self.propose(register.voters.renewed(address, incarnation)):
                 return False
-        return register.relearn()
+        return register.recover_promises()
 
     def on_sync_records(self, link: Any, epoch: int) -> bool | EpochMismatch | None:
         """Answer True once this disk has the endpoint records of a quorum in the joint epoch."""
         register = self.register
-        mismatch = register.check(epoch)
+        mismatch = register.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
         if self.synced_epoch != epoch:
-            if not register.votes() or not self.collect() or register.voters.epoch != epoch:
-                return register.check(epoch)
+            if not register.can_vote() or not self.collect() or register.voters.epoch != epoch:
+                return register.check_epoch(epoch)
             self.synced_epoch = epoch
         return True
 
-    def decide(self, wish: Voters, timeout: float = 1.0) -> bool:
+    def propose(self, wish: Voters, timeout: float = 1.0) -> bool:
         """Propose a configuration as the one after ours, under ours.
 
         Args:
@@ -200,14 +201,14 @@
         register = self.register
 
         def step(value: bytes | None) -> bytes | None:
-            standing = Voters.of(decode(value)) if value else Voters()
+            standing = Voters.from_row(decode(value)) if value else Voters()
             if standing.epoch > register.voters.epoch or wish.epoch != register.voters.epoch + 1:
                 return None
             return encode(wish.row())
 
         done, value = register.change(VOTERS_KEY, step, timeout)
         if done and value:
-            register.adopt(Voters.of(decode(value)))
+            register.adopt(Voters.from_row(decode(value)))
         return register.voters == wish
 
     def rewrite(self, timeout: float = 2.0) -> bool:
@@ -237,7 +238,7 @@
         self.runtime.all([lambda key=key: rewrite_key(key) for key in sorted(keys)], timeout)
         return len(rewritten) == len(keys) and register.voters == voters
 
-    def carry_on(self) -> bool:
+    def leave_joint(self) -> bool:
         """Go from a joint configuration to the new set alone.
 
         To be called by anybody, at any time, again after any failure.
@@ -252,13 +253,13 @@
         successor = Voters(voters.epoch + 1, voters.new)
 
         def is_synced(answers: Answers) -> bool:
-            return successor.met(address for address, synced in answers if synced is True)
+            return successor.is_quorum(address for address, synced in answers if synced is True)
 
         members = successor.members()
         answers = register.gather(members, MessageKind.SYNC_RECORDS, voters.epoch, is_synced, SYNC_TIMEOUT_S)
         if not is_synced(answers) or register.voters != voters:
             return False
-        return self.decide(successor) and self.announce()
+        return self.propose(successor) and self.announce()
 
     def announce(self, timeout: float = 1.0) -> bool:
         """Tell the voters the configuration that stands.
@@ -277,7 +278,9 @@
         voters = register.voters
 
         def is_known(answers: Answers) -> bool:
-            return voters.met(address for address, row in answers if Voters.of(row).epoch >= voters.epoch)
+            return voters.is_quorum(
+                address for address, row in answers if Voters.from_row(row).epoch >= voters.epoch
+            )
 
         answers = register.peer_pool.gather(
             voters.members(), MessageKind.VOTERS, voters.row(), is_known, timeout
--- a/flintreach/consensus/recovery.py
+++ b/flintreach/consensus/recovery.py
@@ -22,7 +22,7 @@
 )
 
 EPOCHS_SKIPPED = 1000  # survivors of the old voters can't have come that far by themselves
-CONFIRM = "lose-what-others-hold"  # what an operator types to confirm
+CONFIRMATION_PHRASE = "lose-what-others-hold"  # what an operator types to confirm
 LOCK_TIMEOUT_S = 0.5
 
 
@@ -49,7 +49,7 @@
         raise StoreError(f"{path}: this disk came back empty and does not know what the voters held")
 
 
-def alone(folder: str, epoch: int, address: Address) -> Voters:
+def force_single_voter(folder: str, epoch: int, address: Address) -> Voters:
     """Make the disk of a stopped controller the only voter.
 
     Args:
--- a/flintreach/consensus/register.py
+++ b/flintreach/consensus/register.py
@@ -18,7 +18,7 @@
     PrepareRequest,
     acceptor_answer,
 )
-from flintreach.consensus.proposer import Proposal, ProposalState, Step
+from flintreach.consensus.proposer import ChangeFunction, Proposal, ProposalState
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.store import Store
 from flintreach.consensus.voting_process import Answers
@@ -103,7 +103,7 @@
         self.rounds: dict[str, int] = {}
         self.incarnations: dict[Address, str] = {}
 
-    def change(self, key: str, step: Step, timeout: float = CHANGE_TIMEOUT_S) -> ChangeResult:
+    def change(self, key: str, step: ChangeFunction, timeout: float = CHANGE_TIMEOUT_S) -> ChangeResult:
         """Change a key, or read it, with as many attempts as the time allows.
 
         Args:
@@ -122,7 +122,7 @@
                 return ChangeResult(False, None)
             self.rounds[key] = self.rounds.get(key, 0) + 1
             voters = self.voters
-            proposal = Proposal(voters.met, Ballot(self.rounds[key], self.writer), step)
+            proposal = Proposal(voters.is_quorum, Ballot(self.rounds[key], self.writer), step)
             began = self.runtime.now()
             self.attempt(proposal, key, min(remaining_s, ATTEMPT_TIMEOUT_S), voters)
             if proposal.state == ProposalState.DONE:
--- a/flintreach/consensus/store.py
+++ b/flintreach/consensus/store.py
@@ -98,7 +98,7 @@
         self.pending: list[Write] = []
         self.work_waits = Event()
         self.broken = False
-        self.base: sqlite3.Connection = self.pool.apply(self.open, (first_run,))
+        self.connection: sqlite3.Connection = self.pool.apply(self.open, (first_run,))
         self.slots = self.read_slots()
         self.facts: dict[str, str] = dict(self.query(SELECT_FACTS))
         self.endpoint_rows: dict[str, bytes] = dict(self.query(SELECT_ENDPOINTS))
@@ -159,7 +159,7 @@
 
     def query(self, statement: str) -> list[tuple]:
         """All rows of a select, by way of the writer thread."""
-        return self.pool.apply(lambda: self.base.execute(statement).fetchall())
+        return self.pool.apply(lambda: self.connection.execute(statement).fetchall())
 
     def read_slots(self) -> dict[str, Slot]:
         """The register as it is on disk."""
@@ -168,7 +168,7 @@
             slots[key] = Slot(Ballot(promised_n, promised_by), Ballot(accepted_n, accepted_by), value)
         return slots
 
-    def keep(
+    def persist(
         self,
         slots: dict[str, Slot | None],
         facts: dict[str, str] | None = None,
@@ -206,13 +206,13 @@
         """Write a batch in one commit; whether the disk took it. Runs in the writer thread."""
         try:
             if self.broken:
-                self.base.close()
-                self.base = self.connect()
+                self.connection.close()
+                self.connection = self.connect()
                 self.broken = False
-            self.base.execute("begin immediate")
+            self.connection.execute("begin immediate")
             for write in batch:
                 self.execute(write)
-            self.base.execute("commit")
+            self.connection.execute("commit")
             return True
         except sqlite3.Error:
             self.broken = True
@@ -225,8 +225,8 @@
         ]
         removed_slots = [(key,) for key, slot in write.slots.items() if not slot]
         removed_endpoints = [(id,) for id, row in write.endpoint_rows.items() if not row]
-        self.base.executemany(PUT_SLOT, slot_rows)
-        self.base.executemany(DELETE_SLOT, removed_slots)
-        self.base.executemany(PUT_FACT, write.facts.items())
-        self.base.executemany(PUT_ENDPOINT, write.endpoint_rows.items())
-        self.base.executemany(DELETE_ENDPOINT, removed_endpoints)
+        self.connection.executemany(PUT_SLOT, slot_rows)
+        self.connection.executemany(DELETE_SLOT, removed_slots)
+        self.connection.executemany(PUT_FACT, write.facts.items())
+        self.connection.executemany(PUT_ENDPOINT, write.endpoint_rows.items())
+        self.connection.executemany(DELETE_ENDPOINT, removed_endpoints)
--- a/flintreach/consensus/voter_selection.py
+++ b/flintreach/consensus/voter_selection.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Losses:
+class FailureTolerance:
     """What may be lost at once with all that was acknowledged kept."""
 
     machines: int = 0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disk:
+class VoterCandidate:
     """A machine with a disk that may vote, as the others see it.
 
     Attributes:
@@ -52,12 +52,12 @@
     caught_up: bool = False
 
 
-def borne(places: Iterable[Place], losses: Losses) -> bool:
+def borne(places: Iterable[Place], losses: FailureTolerance) -> bool:
     """Whether voters at these places (zone, region) keep a majority after any of the losses.
 
-    >>> borne([("a", "r"), ("b", "r"), ("c", "r")], Losses(machines=1, zones=1))
+    >>> borne([("a", "r"), ("b", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
     True
-    >>> borne([("a", "r"), ("b", "r"), ("c", "r"), ("c", "r")], Losses(machines=1, zones=1))
+    >>> borne([("a", "r"), ("b", "r"), ("c", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
     False
     """
     known_places = list(places)
@@ -70,19 +70,19 @@
     return size - worst_loss > size // 2
 
 
-def in_turn(disks: Iterable[Disk]) -> list[Disk]:
+def in_turn(disks: Iterable[VoterCandidate]) -> list[VoterCandidate]:
     """Disks in the order in which they are taken: zones take turns, within one the addresses decide."""
-    zones: dict[str, list[Disk]] = {}
+    zones: dict[str, list[VoterCandidate]] = {}
     for disk in sorted(disks, key=lambda disk: disk.address):
         zones.setdefault(disk.zone, []).append(disk)
     queues = [zones[zone] for zone in sorted(zones)]
-    ordered_disks: list[Disk] = []
+    ordered_disks: list[VoterCandidate] = []
     while any(queues):
         ordered_disks += [queue.pop(0) for queue in queues if queue]
     return ordered_disks
 
 
-def largest_that_bears(disks: list[Disk], losses: Losses) -> list[Disk] | None:
+def largest_that_bears(disks: list[VoterCandidate], losses: FailureTolerance) -> list[VoterCandidate] | None:
     """As many of the first disks as bear the losses, or None where no number does."""
     for size in range(len(disks), 0, -1):
         if borne([(disk.zone, disk.region) for disk in disks[:size]], losses):
@@ -90,7 +90,9 @@
     return None
 
 
-def first(disks: Iterable[Disk], losses: Losses, calm_s: float) -> Voters | None:
+def choose_initial_voters(
+    disks: Iterable[VoterCandidate], losses: FailureTolerance, calm_s: float
+) -> Voters | None:
     """The voters of a first start, or None while more disks are to be waited for.
 
     With too few voters the losses that are allowed would leave no majority, or take the only copies: nothing
@@ -112,7 +114,7 @@
     return Voters(1, tuple(sorted((disk.address, disk.incarnation) for disk in chosen)))
 
 
-def exchanged(voters: Voters, out: Address | None = None, into: Disk | None = None) -> Voters:
+def exchanged(voters: Voters, out: Address | None = None, into: VoterCandidate | None = None) -> Voters:
     """The joint configuration that follows, with one voter left out, one taken in, or both."""
     members = [member for member in voters.old if member[0] != out]
     if into:
@@ -130,7 +132,7 @@
         gone: voters that are dead or leave, those that leave first.
     """
 
-    def __init__(self, voters: Voters, disks: Iterable[Disk], losses: Losses) -> None:
+    def __init__(self, voters: Voters, disks: Iterable[VoterCandidate], losses: FailureTolerance) -> None:
         self.voters = voters
         self.losses = losses
         self.disks = {disk.address: disk for disk in disks}
@@ -141,7 +143,7 @@
             filter(self.is_gone, self.inside), key=lambda address: (not self.disks[address].leaving, address)
         )
 
-    def is_spare(self, disk: Disk) -> bool:
+    def is_spare(self, disk: VoterCandidate) -> bool:
         """Whether a disk may be taken in."""
         return disk.caught_up and disk.alive and not disk.leaving and disk.address not in self.inside
 
@@ -151,7 +153,10 @@
         return disk is not None and (disk.leaving or not disk.alive)
 
     def bears(
-        self, out: Iterable[Address] = (), into: Disk | None = None, losses: Losses | None = None
+        self,
+        out: Iterable[Address] = (),
+        into: VoterCandidate | None = None,
+        losses: FailureTolerance | None = None,
     ) -> bool:
         """Whether the voters without some and with another bear the losses.
 
@@ -171,7 +176,7 @@
             places.append((into.zone, into.region))
         return borne(places, losses or self.losses)
 
-    def ranked_spares(self, out: Address | None = None) -> list[Disk]:
+    def ranked_spares(self, out: Address | None = None) -> list[VoterCandidate]:
         """Spares, best first: of the zone of the one left out, then of the zone with the fewest voters."""
         voters_by_zone = Counter(
             self.disks[address].zone for address in self.inside if address in self.disks and address != out
@@ -187,7 +192,7 @@
         Best where all losses stay borne, else where those of machines do: without the spare one of them has
         happened for good.
         """
-        for losses in (self.losses, Losses(self.losses.machines)):
+        for losses in (self.losses, FailureTolerance(self.losses.machines)):
             for address in self.gone:
                 for spare in self.ranked_spares(address):
                     if not self.bears_losses or self.bears([address], spare, losses):
@@ -234,7 +239,9 @@
         return exchanged(self.voters, None, spares[0]) if spares and has_room else None
 
 
-def wanted(voters: Voters, disks: Iterable[Disk], losses: Losses, calm_s: float) -> Voters | None:
+def choose_next_voters(
+    voters: Voters, disks: Iterable[VoterCandidate], losses: FailureTolerance, calm_s: float
+) -> Voters | None:
     """The configuration that should follow one that stands alone, or None where it is well as it is.
 
     Args:
@@ -252,8 +259,12 @@
     return plan.grown()
 
 
-def ordered(
-    voters: Voters, disks: Iterable[Disk], losses: Losses, out: Address | None, into: Address | None
+def plan_operator_change(
+    voters: Voters,
+    disks: Iterable[VoterCandidate],
+    losses: FailureTolerance,
+    out: Address | None,
+    into: Address | None,
 ) -> tuple[Voters | None, str]:
     """What follows by an operator's order.
 
--- a/flintreach/consensus/voting_process.py
+++ b/flintreach/consensus/voting_process.py
@@ -35,8 +35,8 @@
         voters: the latest configuration that this process knows to be decided; epoch 0 until one is.
         store: this process's disk, None where it has none.
         acceptor: the acceptor on that disk, None where it has none.
-        trusted: the disk knows all that it has promised: it is of a first start, was taken in as a voter that
-            had not voted, or has relearned what a lost disk had promised.
+        promises_known: the disk knows all that it has promised: it is of a first start, was taken in as a
+            voter that had not voted, or has relearned what a lost disk had promised.
     """
 
     def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None) -> None:
@@ -45,23 +45,27 @@
         self.voters = voters
         self.store = store
         self.acceptor = Acceptor(store.incarnation, store.voting, store.slots) if store else None
-        self.trusted = bool(store and store.voting)
+        self.promises_known = bool(store and store.voting)
         self.adopting = self.runtime.lock()
         self.update_voting()
         peer_pool.handlers |= {MessageKind.VOTERS: self.on_voters}
 
     @property
-    def group(self) -> list[Address]:
+    def voter_addresses(self) -> list[Address]:
         """Addresses of the processes whose disks vote; empty until it is known."""
         return self.voters.members() if self.voters.epoch else []
 
-    def votes(self) -> bool:
+    def can_vote(self) -> bool:
         """Whether this process's disk is one of those that vote, and knows enough to."""
-        return self.acceptor is not None and self.acceptor.voting and self.peer_pool.address in self.group
+        return (
+            self.acceptor is not None
+            and self.acceptor.voting
+            and self.peer_pool.address in self.voter_addresses
+        )
 
     # The epoch of a request.
 
-    def check(self, epoch: int) -> EpochMismatch | None:
+    def check_epoch(self, epoch: int) -> EpochMismatch | None:
         """None where a sender's epoch is ours; else what to answer instead of acting."""
         if epoch < self.voters.epoch:
             return LaterEpoch(self.voters.row())
@@ -83,7 +87,7 @@
         if mismatch is None:
             return False
         if isinstance(mismatch, LaterEpoch):
-            self.adopt(Voters.of(mismatch.voters))
+            self.adopt(Voters.from_row(mismatch.voters))
         else:
             self.peer_pool.ask(address, MessageKind.VOTERS, self.voters.row(), TELL_TIMEOUT_S)
         return True
@@ -160,18 +164,18 @@
 
         def ask(address: Address, kind: str, body: Any, remaining_s: float) -> Any:
             if local_answer is not None and address == local_address:
-                return local_answer() if self.votes() else None
+                return local_answer() if self.can_vote() else None
             return self.ask(address, kind, body, remaining_s, ask_peer)
 
         def is_quorum(answers: Answers) -> bool:
-            return voters.met(address for address, _ in answers)
+            return voters.is_quorum(address for address, _ in answers)
 
         answers = self.gather(voters.members(), kind, body, is_quorum, timeout, ask)
         if not is_quorum(answers) or self.voters != voters:
             return None
         return dict(answers)
 
-    def poll(
+    def ask_quorum_of_each_epoch(
         self,
         kind: str,
         body: list[Any],
@@ -183,7 +187,7 @@
         deadline = self.runtime.now() + timeout
         while True:
             remaining_s = deadline - self.runtime.now()
-            if remaining_s <= 0 or not self.group:
+            if remaining_s <= 0 or not self.voter_addresses:
                 return None
             voters = self.voters
             answers = self.quorum(kind, [voters.epoch, *body], remaining_s, ask_peer, local_answer)
@@ -207,10 +211,10 @@
             facts = voters.to_facts()
             if newly_voting:
                 facts[VOTING_FACT] = YES
-            if self.store and not self.store.keep({}, facts):
+            if self.store and not self.store.persist({}, facts):
                 return False
             self.voters = voters
-            self.trusted = self.trusted or newly_voting
+            self.promises_known = self.promises_known or newly_voting
             self.update_voting()
             return True
 
@@ -226,7 +230,7 @@
     def on_voters(self, link: Any, row: list[Any] | None) -> VotersRow | None:
         """Another process tells its configuration, or only asks (None); ours is the answer."""
         if row is not None:
-            self.adopt(Voters.of(row))
+            self.adopt(Voters.from_row(row))
         return self.voters.row() if self.voters.epoch else None
 
     def update_voting(self) -> None:
@@ -237,5 +241,5 @@
         if self.acceptor and self.voters.epoch:
             recorded = self.voters.incarnations(self.peer_pool.address)
             self.acceptor.voting = (
-                self.trusted and bool(recorded) and recorded <= {"", self.store.incarnation}
+                self.promises_known and bool(recorded) and recorded <= {"", self.store.incarnation}
             )
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -121,7 +121,7 @@
     @property
     def group(self) -> list[Address]:
         """Return the addresses of the voters; empty until they are known."""
-        return self.register.group
+        return self.register.voter_addresses
 
     @property
     def registry(self) -> EndpointRegistry:
--- a/flintreach/controller/endpoint_service.py
+++ b/flintreach/controller/endpoint_service.py
@@ -183,7 +183,7 @@
         ranks = [record.rank for record in records]
         rows = {record.id: PACK(record.row(now_ns)) for record in records}
         self.on_disk |= rows.keys()
-        if (rows or facts) and not self.store.keep({}, facts, rows):
+        if (rows or facts) and not self.store.persist({}, facts, rows):
             return False
         for record, rank in zip(records, ranks):
             record.stored_rank = max(record.stored_rank, rank)
@@ -221,7 +221,7 @@
             local_write.result(ACKNOWLEDGE_S)
             return True if self.ensure_on_disk(endpoint_id, rank) else None
 
-        answers = self.register.poll(kind, body, ACKNOWLEDGE_S, local_answer=local_answer)
+        answers = self.register.ask_quorum_of_each_epoch(kind, body, ACKNOWLEDGE_S, local_answer=local_answer)
         if answers is None:
             return False
         record.durable_rank = max(record.durable_rank, rank)
@@ -282,7 +282,7 @@
 
     def other_epoch(self, epoch: int | None) -> list | None:
         """What to answer instead of acting, where the sender's voters are of another epoch."""
-        return None if epoch is None else self.register.check(epoch)
+        return None if epoch is None else self.register.check_epoch(epoch)
 
     def answer(self, epoch: int | None, endpoint_id: str, rank: int, changed_ids: list[str]) -> bool | None:
         """Publish what a message changed, and say whether it is on this disk.
@@ -292,7 +292,7 @@
             answer, where it has not, does not vote or was not asked.
         """
         self.publish(changed_ids)
-        if epoch is None or not self.register.votes():
+        if epoch is None or not self.register.can_vote():
             return None
         return True if self.ensure_on_disk(endpoint_id, rank) else None
 
@@ -331,7 +331,7 @@
         refusal = self.other_epoch(epoch)
         if refusal is not None:
             return refusal
-        if not self.register.votes() or not self.complete:
+        if not self.register.can_vote() or not self.complete:
             return None
         now_ns = self.runtime.now_ns()
         ids_left = sorted(endpoint_id for endpoint_id in self.registry.records if endpoint_id > after_id)
@@ -388,7 +388,9 @@
         def local_copy() -> RegistryCopy | None:
             return RegistryCopy([], in_contact=False) if self.complete else None
 
-        answers = self.register.poll(REGISTRY_PAGE_KIND, [""], timeout_s, self.ask_registry, local_copy)
+        answers = self.register.ask_quorum_of_each_epoch(
+            REGISTRY_PAGE_KIND, [""], timeout_s, self.ask_registry, local_copy
+        )
         if answers is None:
             return False
         copies = [*answers.values()]
@@ -507,7 +509,7 @@
         empty_rows = dict.fromkeys(self.on_disk - self.registry.records.keys(), b"")
         if not empty_rows or not self.store:
             return
-        if self.store.keep({}, None, empty_rows):
+        if self.store.persist({}, None, empty_rows):
             # An endpoint may have come back during the write.
             self.on_disk -= empty_rows.keys() - self.registry.records.keys()
 
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -128,7 +128,7 @@
         while True:
             self.runtime.sleep(self._interval_s())
             # A process that has just started may know an old state: it owns nothing before it is up to date.
-            if not self.plane.serving or self.plane.routes is None or not self.plane.register.votes():
+            if not self.plane.serving or self.plane.routes is None or not self.plane.register.can_vote():
                 continue
             self._follow_configuration()
             for lease_owner in self.lease_owners.values():
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -75,7 +75,7 @@
             number, zones = UNPACK(value)
             self.plane.updates.offer(key, number, zones)
         elif key == VOTERS_KEY:
-            self.plane.register.adopt(Voters.of(UNPACK(value)))
+            self.plane.register.adopt(Voters.from_row(UNPACK(value)))
         elif key == ASSIGNMENT_KEY:
             number, assignment = UNPACK(value)
             self._publish_assignment(number, assignment)
@@ -99,7 +99,7 @@
         if value is None:
             return False
         if key == VOTERS_KEY:
-            return Voters.of(UNPACK(value)).epoch <= self.plane.register.voters.epoch
+            return Voters.from_row(UNPACK(value)).epoch <= self.plane.register.voters.epoch
         if key == CONFIGURATION_KEY:
             number = ConfigurationHistory.of(value).number
         else:
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -114,7 +114,7 @@
     ) -> dict[str, list[Any]] | None:
         """Answer which ballots this disk has accepted of the reported keys; None where it does not vote."""
         register = self.plane.register
-        if not register.votes():
+        if not register.can_vote():
             return None
         slots = register.acceptor.slots
         return {key: list(slots[key].accepted) for key in KEYS if key in slots}
@@ -158,7 +158,7 @@
         if fetched_ballot >= newest and requests.is_published(key, value):
             contact.record_known(key, fetched_ballot)
             return
-        if fetched_ballot == newest and register.voters.met(holders):
+        if fetched_ballot == newest and register.voters.is_quorum(holders):
             requests.publish(key, value)
             contact.record_known(key, newest)
             return
@@ -181,7 +181,7 @@
             if slot.accepted >= ballot:
                 return slot.accepted, slot.value
         for address in holders[:1]:
-            fetched = self.plane.register.fetch(address, key, ballot)
+            fetched = self.plane.register.fetch_slot(address, key, ballot)
             if fetched is not None:
                 return fetched.accepted, fetched.value
         return NO_BALLOT, None
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -105,7 +105,9 @@
         6.0
         """
         for since in sorted(self.confirmed_at.values(), reverse=True):
-            if voters.met(address for address, asked_at in self.confirmed_at.items() if asked_at >= since):
+            if voters.is_quorum(
+                address for address, asked_at in self.confirmed_at.items() if asked_at >= since
+            ):
                 return now - since
         return NEVER
 
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -94,7 +94,9 @@
         is_starting = True
         while True:
             timeout_s = START_COMPARE_TIMEOUT_S if is_starting else COMPARE_TIMEOUT_S
-            is_compared = self.voter_manager.reconfiguration.enter() and self.compare(is_starting, timeout_s)
+            is_compared = self.voter_manager.reconfiguration.start_voting() and self.compare(
+                is_starting, timeout_s
+            )
             if is_compared and is_starting:
                 is_starting = not self.plane.start_serving()
             if is_starting:
@@ -114,7 +116,7 @@
         """
         voters = self.register.voters
         answers = self._gather_ballots(voters, is_quorum_enough, timeout_s)
-        if not voters.met(address for address, _ in answers) or self.register.voters != voters:
+        if not voters.is_quorum(address for address, _ in answers) or self.register.voters != voters:
             return False
         comparisons = list(compare_keys(answers))
         tasks = [task for task in map(self._task, comparisons) if task is not None]
@@ -132,7 +134,7 @@
         def is_enough(answers: list[tuple[Address, Any]]) -> bool:
             if len(answers) == len(group):
                 return True
-            return is_quorum_enough and voters.met(address for address, _ in answers)
+            return is_quorum_enough and voters.is_quorum(address for address, _ in answers)
 
         answers = self.register.gather(group, BALLOTS_MESSAGE, voters.epoch, is_enough, timeout_s)
         return [(address, ballots) for address, ballots in answers if isinstance(ballots, dict)]
@@ -141,7 +143,7 @@
         """Return what is to be done for a key, None for nothing."""
         key = comparison.key
         lagged_before = comparison.is_lagging and self.lagging.get(key) == comparison.oldest
-        if not self.register.voters.met(comparison.holders):
+        if not self.register.voters.is_quorum(comparison.holders):
             # What a change under way explains is left alone: a read would only stand in its way.
             if not self.plane.serving or lagged_before:
                 return partial(self.reread_key, key)
@@ -155,7 +157,7 @@
 
     def fetch(self, key: str, ballot: Ballot, holder: Address) -> None:
         """Publish the value of a ballot that a quorum holds, as one of the holders has it."""
-        slot = self.register.fetch(holder, key, ballot)
+        slot = self.register.fetch_slot(holder, key, ballot)
         # What the holder has accepted since may never stand: a quorum reported this ballot only.
         if slot and slot.accepted == ballot:
             self.published[key] = ballot
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -142,10 +142,10 @@
                 f"{refusal.count} {reason} ({now - refusal.last_at:.1f} s ago)"
                 for reason, refusal in refusals
             ),
-            "refused_by_disk": plane.register.refused,
+            "refused_by_disk": plane.register.failed_writes,
             "sleeps": plane.suspend_detector.suspensions,
             "disks": len(plane.group),
-            "votes": plane.register.votes(),
+            "votes": plane.register.can_vote(),
             "contact_s": round(plane.quorum_contact_age(), 1),
             "contacts_s": " ".join(f"{ip} {now - asked_at:.1f}" for (ip, _), asked_at in contacts),
             "evacuated": " ".join(sorted(plane.evacuated_zones())),
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -14,7 +14,13 @@
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.reconfiguration import Reconfiguration
 from flintreach.consensus.register import Register
-from flintreach.consensus.voter_selection import Disk, Losses, first, ordered, wanted
+from flintreach.consensus.voter_selection import (
+    FailureTolerance,
+    VoterCandidate,
+    choose_initial_voters,
+    choose_next_voters,
+    plan_operator_change,
+)
 from flintreach.membership.member_list import LEFT, SUSPECTED, Member, MemberList
 from flintreach.transport.peer_connection import PeerConnection
 from flintreach.transport.peer_pool import PeerPool
@@ -111,10 +117,10 @@
         return self.plane.endpoints.sync_from_quorum()
 
     @property
-    def losses(self) -> Losses:
+    def losses(self) -> FailureTolerance:
         """What may be lost at once with all that was acknowledged kept, as the settings say now."""
         settings = self.plane.node.rules.losses
-        return Losses(settings.machines, settings.zones, settings.regions)
+        return FailureTolerance(settings.machines, settings.zones, settings.regions)
 
     def _calm_s(self) -> float:
         """Seconds since a disk came or went."""
@@ -122,16 +128,16 @@
 
     # The disks that are known.
 
-    def disks(self) -> dict[Address, Disk]:
+    def disks(self) -> dict[Address, VoterCandidate]:
         """Disks of the controllers that are members, and voters that are no members.
 
         Notes on the way when a disk came or went.
         """
         now = self.runtime.now()
         disks = self._member_disks(now)
-        unmet = [address for address in self.register.group if address not in disks]
+        unmet = [address for address in self.register.voter_addresses if address not in disks]
         if now - self.started_at > UNMET_GRACE_S:
-            disks |= {address: Disk(address, "?", "?", alive=False) for address in unmet}
+            disks |= {address: VoterCandidate(address, "?", "?", alive=False) for address in unmet}
         elif unmet:
             # No growth around a voter that may be gone: its place is for a successor.
             self.alive_changed_at = now
@@ -141,8 +147,8 @@
             self.alive_changed_at = now
         return disks
 
-    def _member_disks(self, now: float) -> dict[Address, Disk]:
-        disks: dict[Address, Disk] = {}
+    def _member_disks(self, now: float) -> dict[Address, VoterCandidate]:
+        disks: dict[Address, VoterCandidate] = {}
         for member in [*self.plane.member_list.members.values()]:
             if member.role != ROLE_CONTROLLER or not member.counted:
                 continue
@@ -151,9 +157,9 @@
                 disks[member.address] = self._member_disk(member, now)
         return disks
 
-    def _member_disk(self, member: Member, now: float) -> Disk:
+    def _member_disk(self, member: Member, now: float) -> VoterCandidate:
         announced = now < self.leaving.get(member.address, 0.0)
-        return Disk(
+        return VoterCandidate(
             member.address,
             member.zone,
             member.region,
@@ -161,13 +167,13 @@
             leaving=announced or member.state == LEFT,
         )
 
-    def ask_disks(self, disks: dict[Address, Disk]) -> list[Disk]:
+    def ask_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
         """The disks, with what those that don't vote say of themselves under the epoch that stands.
 
         A voter that is reported dead is asked as well: the report may be wrong, and a voter that answers must
         not be replaced.
         """
-        group = self.register.group
+        group = self.register.voter_addresses
         asked = [
             address
             for address, disk in disks.items()
@@ -175,12 +181,14 @@
         ]
         return self._ask(disks, asked, self.register.voters.epoch)
 
-    def ask_alive_disks(self, disks: dict[Address, Disk]) -> list[Disk]:
+    def ask_alive_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
         """The disks, with what all that are alive say of themselves, under whichever epoch."""
         asked = [address for address, disk in disks.items() if disk.alive and not disk.leaving]
         return self._ask(disks, asked, None)
 
-    def _ask(self, disks: dict[Address, Disk], asked: list[Address], epoch: int | None) -> list[Disk]:
+    def _ask(
+        self, disks: dict[Address, VoterCandidate], asked: list[Address], epoch: int | None
+    ) -> list[VoterCandidate]:
         def all_answered(answers: list) -> bool:
             return len(answers) == len(asked)
 
@@ -196,15 +204,15 @@
         return answered_disks
 
     @staticmethod
-    def _answered(disk: Disk, incarnation: str, caught_up: bool) -> Disk:
+    def _answered(disk: VoterCandidate, incarnation: str, caught_up: bool) -> VoterCandidate:
         return dataclasses.replace(disk, incarnation=incarnation, alive=True, caught_up=caught_up)
 
-    def as_if_caught_up(self, disks: dict[Address, Disk]) -> list[Disk]:
+    def as_if_caught_up(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
         """The disks as if all that don't vote were alive and had caught up.
 
         They are asked for it only where something could come of it.
         """
-        group = self.register.group
+        group = self.register.voter_addresses
         return [
             disk if address in group else self._answered(disk, "", True) for address, disk in disks.items()
         ]
@@ -218,7 +226,7 @@
         forced = store.facts.get(FORCED_FACT) if store else None
         if forced:
             say("voters_forced", what=forced)
-        may_decide = self.plane.first_run or (store is not None and self.register.trusted)
+        may_decide = self.plane.first_run or (store is not None and self.register.promises_known)
         while not self.register.voters.epoch:
             self.runtime.sleep(FIRST_CHECK_INTERVAL_S)
             self._find_once(may_decide)
@@ -233,7 +241,7 @@
         if not self.plane.first_run or register.voters.sets:
             return
         register.voters = Voters(0, tuple(sorted((seed, "") for seed in self.plane.seeds())))
-        while register.store and not register.store.keep({}, register.voters.to_facts()):
+        while register.store and not register.store.persist({}, register.voters.to_facts()):
             self.runtime.sleep(CHECK_INTERVAL_S)
 
     def _find_once(self, may_decide: bool) -> None:
@@ -242,22 +250,22 @@
         others = [address for address in disks if address != self.address]
         answers = self.peer_pool.gather(others, VOTERS_KIND, None, bool, ASK_S) if others else []
         if answers:
-            known = [Voters.of(row) for _, row in answers]
+            known = [Voters.from_row(row) for _, row in answers]
             self.register.adopt(max(known, key=lambda voters: voters.epoch))
             return
-        if not may_decide or not first(disks.values(), self.losses, self._calm_s()):
+        if not may_decide or not choose_initial_voters(disks.values(), self.losses, self._calm_s()):
             return
         # What an earlier process has decided stands: the disks of the seeds know it.
-        wish = first(self.ask_alive_disks(disks), self.losses, self._calm_s())
+        wish = choose_initial_voters(self.ask_alive_disks(disks), self.losses, self._calm_s())
         if wish:
-            self.reconfiguration.decide(wish)
+            self.reconfiguration.propose(wish)
 
     def report(self) -> None:
         """Log the voters that stand."""
         voters = self.register.voters
         self.reported_epoch = voters.epoch
         addresses = [[f"{ip}:{port}" for ip, port in sorted(voter_set)] for voter_set in voters.sets]
-        say("voters", epoch=voters.epoch, votes=self.register.votes(), sets=addresses)
+        say("voters", epoch=voters.epoch, votes=self.register.can_vote(), sets=addresses)
 
     # Later changes.
 
@@ -277,12 +285,12 @@
         register = self.register
         now = self.runtime.now()
         voters = register.voters
-        if self.address not in register.group:
+        if self.address not in register.voter_addresses:
             if now >= self.catch_up_at:
                 caught_up = self.reconfiguration.catch_up()
                 self.catch_up_at = now + (CATCH_UP_INTERVAL_S if caught_up else 0.0)
             return
-        if register.votes() and self.is_due(voters):
+        if register.can_vote() and self.is_due(voters):
             self.advance(voters)
 
     def is_due(self, voters: Voters) -> bool:
@@ -293,7 +301,7 @@
             self.wish = voters
         else:
             calm_s = now - self.alive_changed_at
-            self.wish = wanted(voters, self.as_if_caught_up(disks), self.losses, calm_s)
+            self.wish = choose_next_voters(voters, self.as_if_caught_up(disks), self.losses, calm_s)
         if self.wish is None:
             self.due_epoch = -1
             return False
@@ -302,11 +310,11 @@
             self.due_at = now
         return now - self.due_at >= self._turn(disks) * TURN_S
 
-    def _turn(self, disks: dict[Address, Disk]) -> int:
+    def _turn(self, disks: dict[Address, VoterCandidate]) -> int:
         """This controller's place in the order in which voters act; the last where it is not alive there."""
         order = sorted(
             address
-            for address in self.register.group
+            for address in self.register.voter_addresses
             if address in disks and disks[address].alive and not disks[address].leaving
         )
         return order.index(self.address) if self.address in order else len(order)
@@ -314,12 +322,12 @@
     def advance(self, voters: Voters) -> None:
         """Go on with a joint configuration, or begin the change that is wanted, if it still is."""
         if voters.joint:
-            self.reconfiguration.carry_on()
+            self.reconfiguration.leave_joint()
             return
         disks = self.ask_disks(self.disks())
-        wish = wanted(voters, disks, self.losses, self._calm_s())
-        if wish and self.reconfiguration.decide(wish):
-            self.reconfiguration.carry_on()
+        wish = choose_next_voters(voters, disks, self.losses, self._calm_s())
+        if wish and self.reconfiguration.propose(wish):
+            self.reconfiguration.leave_joint()
 
     # Leaving, and an operator's orders.
 
@@ -334,7 +342,7 @@
 
         At most for as long as the platform lets it.
         """
-        if self.address not in self.register.group:
+        if self.address not in self.register.voter_addresses:
             return
         now = self.runtime.now()
         deadline = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - HANDOVER_RESERVE_S)
@@ -353,13 +361,13 @@
     def _handed_over(self) -> bool:
         """Whether the voters get on without this process."""
         voters = self.register.voters
-        if self.address not in self.register.group:
+        if self.address not in self.register.voter_addresses:
             return self.reconfiguration.announce(TOLD_S)
         # While two sets stand both may need this voter: it stays until that is over. And a spare that has
         # just started is still copying: a voter that ended at once would be missed until that is done.
         if voters.joint:
             return False
-        return not wanted(voters, self.as_if_caught_up(self.disks()), self.losses, 0.0)
+        return not choose_next_voters(voters, self.as_if_caught_up(self.disks()), self.losses, 0.0)
 
     def on_replace(self, connection: PeerConnection | None, body: list) -> str:
         """An operator's order: [address to leave out or None, address to take in or None].
@@ -370,10 +378,10 @@
         leave_out, take_in = (tuple(address) if address else None for address in body)
         voters = self.register.voters  # read first: an order is for those that stood when it came in
         disks = self.ask_disks(self.disks())
-        wish, reason = ordered(voters, disks, self.losses, leave_out, take_in)
+        wish, reason = plan_operator_change(voters, disks, self.losses, leave_out, take_in)
         if wish is None:
             return reason
-        if self.reconfiguration.decide(wish) and self.reconfiguration.carry_on():
+        if self.reconfiguration.propose(wish) and self.reconfiguration.leave_joint():
             return DONE
         return UNFINISHED if self.register.voters.joint else UNKNOWN
 
@@ -399,7 +407,7 @@
         return " and ".join(sets)
 
     @classmethod
-    def _row(cls, voters: Voters, address: Address, disk: Disk | None) -> dict:
+    def _row(cls, voters: Voters, address: Address, disk: VoterCandidate | None) -> dict:
         return {
             "epoch": voters.epoch,
             "address": f"{address[0]}:{address[1]}",
@@ -423,7 +431,7 @@
         return "votes" if set_names else ""
 
     @staticmethod
-    def _state_text(disk: Disk | None) -> str:
+    def _state_text(disk: VoterCandidate | None) -> str:
         if disk is None:
             return "unknown"
         if disk.leaving:
--- a/flintreach/simulation/disk.py
+++ b/flintreach/simulation/disk.py
@@ -122,13 +122,13 @@
             RECORDS_COMPLETE_FACT: lost_nothing,
         }
 
-    def keep(
+    def persist(
         self,
         slots: dict[str, Slot | None],
         facts: dict[str, str] | None = None,
         endpoint_rows: dict[str, bytes] | None = None,
     ) -> bool:
-        """Write to the disk, and wait until that is synced; see `consensus.store.Store.keep`."""
+        """Write to the disk, and wait until that is synced; see `consensus.store.Store.persist`."""
         waiter = Waiter(self.process)
         # As it stands now: its caller may go on changing what it handed over.
         copied_slots = {
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -607,14 +607,14 @@
         # One that was removed may still stand among them, as long as any further loss leaves a quorum.
         loss_count = shape.lost_machines if len(machines) > 2 * shape.lost_machines else 0
         for lost in combinations(sorted(alive), loss_count):
-            if not voters.met(alive - {*lost}):
+            if not voters.is_quorum(alive - {*lost}):
                 self.broke("voters", f"{text}: the loss of {lost} leaves no quorum")
         zones = sorted({machine.zone for machine in machines.values()})
         if not shape.lost_zones or len(zones) <= 2:
             return
         for zone in zones:
             left = {address for address, machine in machines.items() if machine.zone != zone}
-            if not voters.met(left & members):
+            if not voters.is_quorum(left & members):
                 self.broke("voters", f"{text}: the loss of {zone} leaves no quorum")
 
 
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -15,7 +15,7 @@
 from flintreach.config.configuration_history import PutOutcome
 from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Decision, Verdict
 from flintreach.consensus.proposer import ProposalState
-from flintreach.consensus.voter_selection import Losses
+from flintreach.consensus.voter_selection import FailureTolerance
 from flintreach.endpoints.registry import DrainRank
 from flintreach.sharding.range_assignment import Allocation, RangeState
 from flintreach.simulation.scheduler import NS_PER_SECOND
@@ -54,7 +54,7 @@
 
     def mutant(self: Any, *args: Any) -> None:
         record_promise(self, *args)
-        is_read = getattr(self.step, "__qualname__", "").startswith("Register.read")
+        is_read = getattr(self.change_function, "__qualname__", "").startswith("Register.read")
         if self.state == ProposalState.ACCEPT and is_read:
             self.state = ProposalState.DONE
 
@@ -67,7 +67,7 @@
     def mutant(self: Any) -> None:
         update_voting(self)
         if self.acceptor:
-            self.acceptor.voting = self.peer_pool.address in self.group
+            self.acceptor.voting = self.peer_pool.address in self.voter_addresses
 
     return mutant
 
@@ -90,22 +90,22 @@
     return mutant
 
 
-def answer_before_sync(keep: Function) -> Function:
+def answer_before_sync(persist: Function) -> Function:
     """A write is acknowledged at once, and goes down only after a while, as without a sync."""
 
     def mutant(self: Any, *args: Any, **named: Any) -> bool:
         runtime = self.process.runtime
-        self.process.sim.after(LATE_SYNC_NS, runtime.spawn, lambda: keep(self, *args, **named))
+        self.process.sim.after(LATE_SYNC_NS, runtime.spawn, lambda: persist(self, *args, **named))
         return True
 
     return mutant
 
 
-def choose_voters_at_once(first: Function) -> Function:
+def choose_voters_at_once(choose_initial_voters: Function) -> Function:
     """The first voters are chosen as if nothing were ever lost."""
 
-    def mutant(disks: Iterable[Any], losses: Losses, calm_s: float) -> Any:
-        return first(disks, Losses(), calm_s)
+    def mutant(disks: Iterable[Any], losses: FailureTolerance, calm_s: float) -> Any:
+        return choose_initial_voters(disks, FailureTolerance(), calm_s)
 
     return mutant
 
@@ -262,7 +262,7 @@
     ),
     "told-before-synced": Mutant(
         "flintreach.simulation.disk:Store",
-        "keep",
+        "persist",
         answer_before_sync,
         ("durable", "known", "kept"),
         "a disk says yes before its sync",
@@ -304,14 +304,14 @@
     ),
     "settles-at-once": Mutant(
         f"{CONTROLLER}.voter_management:",
-        "first",
+        "choose_initial_voters",
         choose_voters_at_once,
         ("voters", "live", "kept", "durable", "known"),
         "a first start takes whoever is there for the voters",
     ),
     "keeps-voters": Mutant(
         f"{CONTROLLER}.voter_management:",
-        "wanted",
+        "choose_next_voters",
         always_none,
         ("voters", "live"),
         "the voters never change",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -434,7 +434,7 @@
             stored = self.disks[machine.ip].facts.get(VOTERS_KEY)
             if stored:
                 latest = max(
-                    latest, Voters.of(decode(bytes.fromhex(stored))), key=lambda voters: voters.epoch
+                    latest, Voters.from_row(decode(bytes.fromhex(stored))), key=lambda voters: voters.epoch
                 )
             if machine.process is not None and machine.process.alive:
                 known = machine.process.plane.register.voters
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -17,9 +17,9 @@
 from flintreach.config import configuration, configuration_history
 from flintreach.config.configuration_history import ConfigurationHistory
 from flintreach.consensus.acceptor import Slot
-from flintreach.consensus.inspection import rows
+from flintreach.consensus.inspection import read_tables
 from flintreach.consensus.quorum import Voters
-from flintreach.consensus.recovery import alone
+from flintreach.consensus.recovery import force_single_voter
 from flintreach.consensus.store import Store
 from flintreach.endpoints.registry import EndpointRecord, EndpointRow
 from flintreach.sharding.range_assignment import Allocation
@@ -52,14 +52,16 @@
 
         def close():
             store.writer.kill()
-            store.pool.apply(store.base.close)
+            store.pool.apply(store.connection.close)
             store.pool.kill()
 
         self.close = close
         return store
 
     def test_the_command_state_shows_what_it_showed(self):
-        self.assertEqual(rows(str(self.folder), describe), json.loads((DISK / "state.json").read_text()))
+        self.assertEqual(
+            read_tables(str(self.folder), describe), json.loads((DISK / "state.json").read_text())
+        )
 
     def test_the_identity_of_the_disk_stands(self):
         store = self.opened()
@@ -164,7 +166,7 @@
         before = tables(self.folder / "before")
         store = self.opened()
         fresh = Slot((9, "a:1"), (9, "a:1"), b"new")
-        self.assertTrue(store.keep({"another": fresh, "evac": None}, {"more": "1"}, {"desk-4": b""}))
+        self.assertTrue(store.persist({"another": fresh, "evac": None}, {"more": "1"}, {"desk-4": b""}))
         self.close()
         after = tables(self.folder)
         self.assertEqual(sorted(after), ["facts", "huts", "slots"])
@@ -175,8 +177,8 @@
 
     def test_the_last_resort_takes_the_older_disk(self):
         with self.assertRaisesRegex(Exception, "holds epoch 7, not 6"):
-            alone(str(self.folder), 6, ("10.1.0.13", 7720))
-        after = alone(str(self.folder), 7, ("10.1.0.13", 7720))
+            force_single_voter(str(self.folder), 6, ("10.1.0.13", 7720))
+        after = force_single_voter(str(self.folder), 7, ("10.1.0.13", 7720))
         self.assertEqual((after.epoch, after.members()), (1007, [("10.1.0.13", 7720)]))
 
 
--- a/tests/consensus/cluster_model.py
+++ b/tests/consensus/cluster_model.py
@@ -11,7 +11,7 @@
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.reconfiguration import Reconfiguration
 from flintreach.consensus.register import Register
-from flintreach.consensus.voter_selection import Disk, exchanged
+from flintreach.consensus.voter_selection import VoterCandidate, exchanged
 
 encode = msgspec.msgpack.encode
 decode = msgspec.msgpack.decode
@@ -29,14 +29,16 @@
     return Voters(epoch, *(tuple((address_of(name), f"{name}0") for name in names) for names in (old, new)))
 
 
-def disks_of(text: str) -> list[Disk]:
+def disks_of(text: str) -> list[VoterCandidate]:
     """Disks from "a:x b:y- c:z+ d:x~": names and zones; - dead, ~ leaving, + caught up and outside."""
     disks = []
     for word in text.split():
         name, rest = word.split(":")
         zone = rest[0]
         disks.append(
-            Disk(address_of(name), zone, zone, f"{name}0", "-" not in rest, "~" in rest, "+" in rest)
+            VoterCandidate(
+                address_of(name), zone, zone, f"{name}0", "-" not in rest, "~" in rest, "+" in rest
+            )
         )
     return disks
 
@@ -118,7 +120,7 @@
         self.facts: dict[str, str] = {}
         self.during_next_write: Callable[[], Any] | None = None
 
-    def keep(
+    def persist(
         self,
         slots: dict[str, Slot | None],
         facts: dict[str, str] | None = None,
@@ -171,9 +173,9 @@
         """Exchange one voter for another, at a process; whether that was finished."""
         register = self.registers[by]
         reconfiguration = self.reconfigurations[by]
-        spare = Disk(address_of(into), "z", "r", self.registers[into].store.incarnation)
+        spare = VoterCandidate(address_of(into), "z", "r", self.registers[into].store.incarnation)
         wish = exchanged(register.voters, address_of(out), spare)
-        return reconfiguration.decide(wish) and reconfiguration.carry_on()
+        return reconfiguration.propose(wish) and reconfiguration.leave_joint()
 
     def put(self, by: str, key: str, value: bytes) -> bool:
         """Write a key at a process; whether it is known to stand."""
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -55,8 +55,8 @@
         self.assertEqual(decode(encode([*Verdict])), ["promise", "accepted", "refused", "mute"])
 
     def test_voters_are_read_from_a_list_and_from_a_struct(self) -> None:
-        self.assertEqual(Voters.of(VOTERS_LIST), VOTERS)
-        self.assertEqual(Voters.of(VOTERS.row()), VOTERS)
+        self.assertEqual(Voters.from_row(VOTERS_LIST), VOTERS)
+        self.assertEqual(Voters.from_row(VOTERS.row()), VOTERS)
 
 
 class TestAnswers(unittest.TestCase):
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -39,8 +39,8 @@
             )  # what stands is written on in any case
             for _ in range(4):
                 if cluster.registers["b"].voters.joint:
-                    cluster.reconfigurations["b"].carry_on()
-                elif address_of("d") not in cluster.registers["b"].group:
+                    cluster.reconfigurations["b"].leave_joint()
+                elif address_of("d") not in cluster.registers["b"].voter_addresses:
                     self.assertTrue(cluster.exchange("b", "c", "d"), request_count)
             self.assertEqual(cluster.registers["b"].voters, voters_of(3, "abd"), request_count)
             cluster.down.add(address_of("a"))  # the new one and one of the old hold all that was acknowledged
@@ -71,18 +71,20 @@
         cluster = Cluster("abcd", "abc")
         full = False
 
-        def keeps(keep):
-            return lambda slots, facts=None: not (full and "voters" in (facts or ())) and keep(slots, facts)
+        def keeps(persist):
+            return lambda slots, facts=None: (
+                not (full and "voters" in (facts or ())) and persist(slots, facts)
+            )
 
-        def decide(wish, first=cluster.reconfigurations["a"].decide):
+        def decide(wish, first=cluster.reconfigurations["a"].propose):
             nonlocal full
             full = not wish.joint  # two disks take none of the last step
             return first(wish)
 
         self.assertTrue(cluster.reconfigurations["d"].catch_up())
         for name in "bd":
-            cluster.registers[name].store.keep = keeps(cluster.registers[name].store.keep)
-        cluster.reconfigurations["a"].decide = decide
+            cluster.registers[name].store.persist = keeps(cluster.registers[name].store.persist)
+        cluster.reconfigurations["a"].propose = decide
         self.assertFalse(cluster.exchange("a", "c", "d"))
         self.assertEqual(cluster.registers["a"].voters, voters_of(3, "abd"))
         full = False
@@ -98,7 +100,7 @@
         self.assertFalse(cluster.exchange("a", "c", "d"))
         self.assertTrue(cluster.registers["a"].voters.joint)
         cluster.reconfigurations["d"].collect = lambda: True
-        self.assertTrue(cluster.reconfigurations["b"].carry_on())
+        self.assertTrue(cluster.reconfigurations["b"].leave_joint())
 
     def test_an_old_voter_comes_back_without_what_no_quorum_took(self) -> None:
         """Its accepted value has a ballot above those of later changes: it must not come to light with it."""
@@ -119,7 +121,7 @@
         )
         self.assertTrue(cluster.exchange("b", "a", "c"))
         self.assertEqual(old.read("k", 0.5), (True, b"1"))
-        self.assertTrue(old.votes())
+        self.assertTrue(old.can_vote())
 
     def test_a_lost_disk_has_its_incarnation_recorded_and_relearns_before_it_votes(self) -> None:
         cluster = Cluster("abc", "abc")
@@ -127,16 +129,16 @@
         fresh = cluster.join("c", Voters(), False, 1)
         fresh.adopt(cluster.registers["a"].voters)
         self.assertEqual(fresh.on_prepare(None, ["k", [9, "z"], 1]).verdict, Verdict.MUTE)
-        self.assertFalse(fresh.relearn(), "its incarnation is not recorded yet")
+        self.assertFalse(fresh.recover_promises(), "its incarnation is not recorded yet")
         cluster.down.add(address_of("b"))
-        self.assertFalse(cluster.reconfigurations["c"].enter())  # one other is no quorum
+        self.assertFalse(cluster.reconfigurations["c"].start_voting())  # one other is no quorum
         cluster.down.clear()
-        self.assertTrue(cluster.reconfigurations["c"].enter())
+        self.assertTrue(cluster.reconfigurations["c"].start_voting())
         self.assertEqual(fresh.voters.incarnations(address_of("c")), {"c1"})
         self.assertEqual((fresh.voters.epoch, fresh.acceptor.slots["k"].value), (2, b"1"))
         self.assertEqual(fresh.store.facts["voting"], "1")
         before = Register(FakePeerPool(cluster, address_of("c")), fresh.voters, InMemoryStore("c0"))
-        self.assertFalse(before.votes(), "the lost disk came back")
+        self.assertFalse(before.can_vote(), "the lost disk came back")
 
 
 class Starts(unittest.TestCase):
@@ -217,7 +219,7 @@
         again = Cluster("abc", "abc")
         again.registers["a"].voters = Voters()
         plane = self.plane(again, "a", [(0, "a", "v")])
-        plane.register.store.keep({}, Voters(0, tuple((address_of(n), "") for n in "abc")).to_facts())
+        plane.register.store.persist({}, Voters(0, tuple((address_of(n), "") for n in "abc")).to_facts())
         self.assertEqual(
             Voters.from_facts(plane.register.store.facts).members(), [address_of(n) for n in "abc"]
         )
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -4,7 +4,7 @@
 
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
-from flintreach.consensus.recovery import EPOCHS_SKIPPED, alone
+from flintreach.consensus.recovery import EPOCHS_SKIPPED, force_single_voter
 from flintreach.consensus.store import FILE_NAME, StoreError
 from tests.consensus.cluster_model import Cluster, address_of
 from tests.consensus.test_store import StoreInFolder, opened_store
@@ -17,17 +17,17 @@
             voters = Voters(
                 7, ((address_of("a"), incarnation), (address_of("b"), "b0"), (address_of("c"), "c0"))
             )
-            store.keep({}, voters.to_facts())
+            store.persist({}, voters.to_facts())
             with self.assertRaisesRegex(StoreError, "locked"):
-                alone(str(self.folder), 7, address_of("a"))
+                force_single_voter(str(self.folder), 7, address_of("a"))
         for epoch, name, reason in (
             (6, "a", "epoch 7, not 6"),
             (7, "d", "no voter"),
             (7, "b", "came back empty"),
         ):
             with self.assertRaisesRegex(StoreError, reason):
-                alone(str(self.folder), epoch, address_of(name))
-        forced = alone(str(self.folder), 7, address_of("a"))
+                force_single_voter(str(self.folder), epoch, address_of(name))
+        forced = force_single_voter(str(self.folder), 7, address_of("a"))
         self.assertEqual(forced, Voters(7 + EPOCHS_SKIPPED, ((address_of("a"), incarnation),)))
         with opened_store(self.folder) as store:
             self.assertEqual(Voters.from_facts(store.facts), forced)
@@ -47,12 +47,12 @@
     def test_a_disk_that_came_back_empty_is_no_last_resort(self) -> None:
         with opened_store(self.folder) as store:
             voters = Voters(7, ((address_of("a"), store.incarnation),))
-            store.keep({}, voters.to_facts() | {"voting": "0"})
+            store.persist({}, voters.to_facts() | {"voting": "0"})
         with self.assertRaisesRegex(StoreError, "came back empty"):
-            alone(str(self.folder), 7, address_of("a"))
+            force_single_voter(str(self.folder), 7, address_of("a"))
         base = sqlite3.connect(self.folder / FILE_NAME)
         base.execute("update facts set value = '9' where name = 'format'")
         base.commit()
         base.close()
         with self.assertRaisesRegex(StoreError, "format 9"):
-            alone(str(self.folder), 7, address_of("a"))
+            force_single_voter(str(self.folder), 7, address_of("a"))
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -25,7 +25,7 @@
         yield store
     finally:
         store.writer.kill()
-        store.pool.apply(store.base.close)
+        store.pool.apply(store.connection.close)
         store.pool.kill()
 
 
@@ -52,9 +52,9 @@
         old_slots = {"timetable": Slot(FIRST_BALLOT, FIRST_BALLOT, b"old" * 50)}
         new_slots = {"timetable": Slot(SECOND_BALLOT, SECOND_BALLOT, b"new" * 50)}
         with opened_store(self.folder / "live") as store:
-            self.assertTrue(store.keep(old_slots, None, {"e1": b"ready"}))
+            self.assertTrue(store.persist(old_slots, None, {"e1": b"ready"}))
             size_before = (self.folder / "live" / LOG_NAME).stat().st_size
-            self.assertTrue(store.keep(new_slots, None, {"e1": b"closing"}))
+            self.assertTrue(store.persist(new_slots, None, {"e1": b"closing"}))
             self.copy("after")
         log = (self.folder / "after" / LOG_NAME).read_bytes()
         self.assertGreater(len(log), size_before)
@@ -102,11 +102,11 @@
     def test_a_disk_that_refuses_a_write_says_so_and_takes_the_next(self) -> None:
         with opened_store(self.folder / "a") as store:
             first = {"k": Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")}
-            self.assertTrue(store.keep(first))
-            store.pool.apply(store.base.execute, ("pragma max_page_count = 1",))
+            self.assertTrue(store.persist(first))
+            store.pool.apply(store.connection.execute, ("pragma max_page_count = 1",))
             big = {"big": Slot(FIRST_BALLOT, FIRST_BALLOT, b"x" * 100_000)}
-            self.assertFalse(store.keep(big))
-            self.assertTrue(store.keep({"k": Slot(Ballot(2, "a"), Ballot(2, "a"), b"2")}))
+            self.assertFalse(store.persist(big))
+            self.assertTrue(store.persist({"k": Slot(Ballot(2, "a"), Ballot(2, "a"), b"2")}))
         values, _, _ = stored(self.folder / "a")
         self.assertEqual(values, {"k": b"2"})
 
@@ -115,7 +115,7 @@
             for number in range(3000):
                 value = bytes([number % 251]) * 4000
                 ballot = Ballot(number, "a")
-                self.assertTrue(store.keep({f"k{number % 7}": Slot(ballot, ballot, value)}))
+                self.assertTrue(store.persist({f"k{number % 7}": Slot(ballot, ballot, value)}))
             sizes = [(self.folder / name).stat().st_size for name in (FILE_NAME, LOG_NAME)]
         self.assertLess(sizes[0], 400_000)
         self.assertLessEqual(sizes[1], LOG_BYTES)
@@ -123,8 +123,8 @@
     def test_a_slot_that_is_dropped_is_gone_from_the_disk(self) -> None:
         slot = Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")
         with opened_store(self.folder) as store:
-            store.keep({"k": slot, "m": slot})
-            self.assertTrue(store.keep({"k": None}))
+            store.persist({"k": slot, "m": slot})
+            self.assertTrue(store.persist({"k": None}))
         with opened_store(self.folder) as store:
             self.assertEqual([*store.slots], ["m"])
 
--- a/tests/consensus/test_voter_selection.py
+++ b/tests/consensus/test_voter_selection.py
@@ -6,27 +6,31 @@
 from flintreach.consensus.voter_selection import (
     GROWTH_CALM_S,
     MAX_VOTERS,
-    Disk,
-    Losses,
+    FailureTolerance,
+    VoterCandidate,
     borne,
+    choose_initial_voters,
+    choose_next_voters,
     exchanged,
-    first,
-    ordered,
-    wanted,
+    plan_operator_change,
 )
 from tests.consensus.cluster_model import address_of, disks_of, voters_of
 
 
-def grid_of_disks(zones: int, each: int) -> list[Disk]:
+def grid_of_disks(zones: int, each: int) -> list[VoterCandidate]:
     """So many disks in each of so many zones."""
     return [
-        Disk((f"10.0.{zone}.{number}", 7), f"z{zone}", "r") for zone in range(zones) for number in range(each)
+        VoterCandidate((f"10.0.{zone}.{number}", 7), f"z{zone}", "r")
+        for zone in range(zones)
+        for number in range(each)
     ]
 
 
-def first_members(disks: list[Disk], losses: Losses, calm_s: float) -> list[Address] | None:
+def first_members(
+    disks: list[VoterCandidate], losses: FailureTolerance, calm_s: float
+) -> list[Address] | None:
     """Addresses of the first voters, None while more disks are waited for."""
-    voters = first(disks, losses, calm_s)
+    voters = choose_initial_voters(disks, losses, calm_s)
     return None if voters is None else voters.members()
 
 
@@ -50,27 +54,27 @@
             ("aaa", (0, 1), False),
         ):
             self.assertEqual(
-                borne([(zone, "r") for zone in places], Losses(*losses)), expected, (places, losses)
+                borne([(zone, "r") for zone in places], FailureTolerance(*losses)), expected, (places, losses)
             )
         regions = [("a", "r"), ("b", "r"), ("c", "s")]
-        self.assertTrue(borne(regions, Losses(1, 1, 0)))
-        self.assertFalse(borne(regions, Losses(1, 1, 1)))
+        self.assertTrue(borne(regions, FailureTolerance(1, 1, 0)))
+        self.assertFalse(borne(regions, FailureTolerance(1, 1, 1)))
 
 
 class TestFirstStart(unittest.TestCase):
     def test_zones_take_turns_and_the_number_is_bounded(self) -> None:
         disks = grid_of_disks(3, 5)
-        losses = Losses(1, 1)
+        losses = FailureTolerance(1, 1)
         members = first_members(disks, losses, 1.0)
         self.assertEqual(len(members), MAX_VOTERS)
         self.assertEqual({ip.split(".")[2] for ip, _ in members}, {"0", "1", "2"})
         self.assertEqual(first_members(disks[::-1], losses, 1.0), members)
-        self.assertEqual(first_members(disks[:1], Losses(), 1.0), [("10.0.0.0", 7)])
+        self.assertEqual(first_members(disks[:1], FailureTolerance(), 1.0), [("10.0.0.0", 7)])
 
     def test_a_first_start_waits_for_disks_that_come_but_not_for_ever(self) -> None:
         """(disks, losses, seconds without a new one, how many are to vote: 0 while more are waited for)"""
-        one_machine = Losses(1, 1)
-        two_machines = Losses(2, 1)
+        one_machine = FailureTolerance(1, 1)
+        two_machines = FailureTolerance(2, 1)
         for count, losses, calm_s, voter_count in (
             (0, one_machine, 9.0, 0),
             (3, one_machine, 0.5, 0),
@@ -88,15 +92,15 @@
     def test_fewer_voters_than_bear_the_losses_are_not_chosen_while_more_may_come(self) -> None:
         """The first start of a grown site: two of five were there after 0.6 s, and voted for ever."""
         five = disks_of("a:v b:w c:x d:y e:z")
-        losses = Losses(2, 1)
+        losses = FailureTolerance(2, 1)
         for known in range(1, 5):
-            self.assertIsNone(first(five[:known], losses, 2.5), known)
+            self.assertIsNone(choose_initial_voters(five[:known], losses, 2.5), known)
         self.assertEqual(first_members(five, losses, 0.6), [address_of(name) for name in "abcde"])
         self.assertEqual(first_members(five[:3], losses, 6.0), [address_of(name) for name in "abc"])
-        self.assertEqual(first(five[:1], Losses(), 0.6), voters_of(1, "a"))
+        self.assertEqual(choose_initial_voters(five[:1], FailureTolerance(), 0.6), voters_of(1, "a"))
         # A second disk of a zone would make the loss of that zone fatal: it is left out until there are more.
         four = disks_of("a:x b:y c:z d:z")
-        self.assertEqual(first(four, Losses(1, 1), 0.6), voters_of(1, "abc"))
+        self.assertEqual(choose_initial_voters(four, FailureTolerance(1, 1), 0.6), voters_of(1, "abc"))
 
 
 class TestWanted(unittest.TestCase):
@@ -126,7 +130,9 @@
             ("a", "a:x b:x+", (1, 1), calm_s, "ab"),
             ("abcdefghi", "a:a b:b c:c d:d e:e f:f g:g h:h i:i j:j+", (2, 1), 99, ""),
         ):
-            successor = wanted(voters_of(4, old), disks_of(known), Losses(*losses), since_s)
+            successor = choose_next_voters(
+                voters_of(4, old), disks_of(known), FailureTolerance(*losses), since_s
+            )
             members = () if successor is None else successor.new
             names = "".join(chr(96 + int(address[0].split(".")[3])) for address, _ in members)
             self.assertEqual(names, expected, (old, known))
@@ -136,12 +142,18 @@
         self.assertEqual(MAX_VOTERS, 9)
 
     def test_nothing_follows_while_the_voters_change_or_are_not_known(self) -> None:
-        self.assertIsNone(wanted(voters_of(4, "ab", "ac"), disks_of("a:x b:y- c:z d:y+"), Losses(1, 1), 99))
-        self.assertIsNone(wanted(voters_of(0, "ab"), disks_of("a:x b:y- c:z+"), Losses(1, 1), 99))
+        self.assertIsNone(
+            choose_next_voters(
+                voters_of(4, "ab", "ac"), disks_of("a:x b:y- c:z d:y+"), FailureTolerance(1, 1), 99
+            )
+        )
+        self.assertIsNone(
+            choose_next_voters(voters_of(0, "ab"), disks_of("a:x b:y- c:z+"), FailureTolerance(1, 1), 99)
+        )
 
     def test_a_voter_that_nobody_has_met_counts_with_all_such_as_one_place(self) -> None:
         voters = voters_of(4, "abc")
-        successor = wanted(voters, disks_of("a:x b:y c:?- d:z+"), Losses(1, 1), 0)
+        successor = choose_next_voters(voters, disks_of("a:x b:y c:?- d:z+"), FailureTolerance(1, 1), 0)
         self.assertEqual(successor, exchanged(voters, address_of("c"), disks_of("d:z")[0]))
 
 
@@ -158,9 +170,13 @@
         ):
             out_address = out and address_of(out)
             into_address = into and address_of(into)
-            voters, answer = ordered(voters_of(4, "abc"), known, Losses(1, 1), out_address, into_address)
+            voters, answer = plan_operator_change(
+                voters_of(4, "abc"), known, FailureTolerance(1, 1), out_address, into_address
+            )
             self.assertEqual((voters is not None, reason in answer), (not reason, True), (out, into, answer))
-        _, answer = ordered(voters_of(4, "ab", "ac"), known, Losses(), address_of("a"), None)
+        _, answer = plan_operator_change(
+            voters_of(4, "ab", "ac"), known, FailureTolerance(), address_of("a"), None
+        )
         self.assertIn("settled", answer)
 
 
--- a/tests/consensus/test_voters_model.py
+++ b/tests/consensus/test_voters_model.py
@@ -13,7 +13,7 @@
 class AnswersEarlierEpochs(Register):
     """Mutant: who knows a later epoch takes the earlier one all the same."""
 
-    def check(self, epoch: int) -> EpochMismatch | None:
+    def check_epoch(self, epoch: int) -> EpochMismatch | None:
         return EarlierEpoch() if epoch > self.voters.epoch else None
 
 
--- a/tests/consensus/test_voting_process.py
+++ b/tests/consensus/test_voting_process.py
@@ -20,8 +20,8 @@
         self.assertTrue(register.adopt(voters_of(5, "abc")))
         self.assertTrue(register.adopt(voters_of(4, "ab")))
         self.assertEqual(Voters.from_facts(register.store.facts), voters_of(5, "abc"))
-        self.assertEqual(register.check(4), LaterEpoch(voters_of(5, "abc").row()))
-        register.store.keep = lambda *_: False
+        self.assertEqual(register.check_epoch(4), LaterEpoch(voters_of(5, "abc").row()))
+        register.store.persist = lambda *_: False
         self.assertFalse(register.adopt(voters_of(6, "abc")))
         self.assertEqual(register.voters.epoch, 5)
 
@@ -32,7 +32,7 @@
         register = Cluster("ab", "ab").registers["a"]
         register.voters = legacy
         register.update_voting()
-        self.assertTrue(register.votes())
+        self.assertTrue(register.can_vote())
 
 
 if __name__ == "__main__":
--- a/tests/consensus/voters_model.py
+++ b/tests/consensus/voters_model.py
@@ -1,8 +1,8 @@
 """The changes of voters as a graph of states, walked breadth first: each step is one request and its answer.
 
-Nodes are the shipped `Register` (its `prepare`, `accept`, `check`, `adopt`, `update_voting`), loaded with a
-state and read back; attempts are the shipped `Proposal`. What is never delivered is lost; a proposer that
-takes no further step has died. After each step it is asked what every quorum would read.
+Nodes are the shipped `Register` (its `prepare`, `accept`, `check_epoch`, `adopt`, `update_voting`), loaded
+with a state and read back; attempts are the shipped `Proposal`. What is never delivered is lost; a proposer
+that takes no further step has died. After each step it is asked what every quorum would read.
 """
 
 import contextlib
@@ -143,7 +143,7 @@
     """A register that sends nothing, on a disk that takes all."""
     runtime = SimpleNamespace(lock=contextlib.nullcontext, now=lambda: 0.0)
     peer_pool = SimpleNamespace(address=ADDRESSES[name], handlers={}, runtime=runtime)
-    store = SimpleNamespace(incarnation="", voting=False, slots={}, facts={}, keep=lambda *_: True)
+    store = SimpleNamespace(incarnation="", voting=False, slots={}, facts={}, persist=lambda *_: True)
     return register_class(peer_pool, Voters(), store)
 
 
@@ -211,7 +211,7 @@
         register.store.incarnation = node.incarnation
         register.acceptor.incarnation = node.incarnation
         register.voters = node.voters
-        register.trusted = node.trusted
+        register.promises_known = node.trusted
         register.acceptor.voting = node.trusted
         register.acceptor.slots = slots_of(node.slots)
         register.update_voting()
@@ -221,7 +221,7 @@
         """The node with its register's state."""
         return node._replace(
             voters=register.voters,
-            trusted=register.trusted,
+            trusted=register.promises_known,
             slots=slot_rows(register.acceptor.slots),
             relearned=relearned,
         )
@@ -241,7 +241,7 @@
 
     def proposal(self, kind: str, attempt: Attempt) -> Proposal:
         """The attempt as a `Proposal` that got the same answers."""
-        proposal = Proposal(attempt.voters.met, attempt.ballot, self.step(kind, attempt))
+        proposal = Proposal(attempt.voters.is_quorum, attempt.ballot, self.step(kind, attempt))
         for name, incarnation, accepted, value in attempt.promises:
             proposal.record_promise(ADDRESSES[name], incarnation, accepted, value)
         for name in attempt.acceptances:
@@ -471,7 +471,7 @@
                 and ADDRESSES[name] in voters.members()
                 and self.would_vote(name, node, voters)
             ]
-            if voters.epoch < latest - 1 and voters.met(address for address, _ in able):
+            if voters.epoch < latest - 1 and voters.is_quorum(address for address, _ in able):
                 return f"epoch {voters.epoch} can still decide beside epoch {latest}"
             fault = self.fault_of_reads(voters, able, acknowledged)
             if fault:
@@ -482,7 +482,7 @@
         """What some quorum of the nodes that can act for an epoch would miss, or ""."""
         for size in range(1, len(able) + 1):
             for group in itertools.combinations(able, size):
-                if not voters.met(address for address, _ in group):
+                if not voters.is_quorum(address for address, _ in group):
                     continue
                 rows = [row for _, node in group for row in node.slots if row[0] == DATA_KEY]
                 _, _, _, value = max(rows, key=lambda row: row[2], default=("", 0, 0, None))
--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -219,7 +219,7 @@
             voting=True,
             slots=dict(slots or {}),
             facts={},
-            keep=lambda *rows: True,
+            persist=lambda *rows: True,
         )
         self.register = Register(self, cluster.voters, disk)
         self.serving = True
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -199,7 +199,7 @@
         self.refuses = False
         self.writes = 0
 
-    def keep(
+    def persist(
         self, slots: dict, facts: dict[str, str] | None = None, endpoint_rows: dict[str, bytes] | None = None
     ) -> bool:
         if self.refuses:
@@ -239,7 +239,7 @@
 
     @property
     def group(self) -> list[Address]:
-        return self.register.group
+        return self.register.voter_addresses
 
     @property
     def registry(self) -> EndpointRegistry:
@@ -300,7 +300,7 @@
 
 def on_quorum_of_disks(fleet: Fleet, endpoint_id: str, rank: int) -> bool:
     """Whether the disks of a quorum have an endpoint at least at a rank."""
-    return fleet.voters.met(
+    return fleet.voters.is_quorum(
         controller.address for controller in fleet if controller.store.rank(endpoint_id) >= rank
     )
 
@@ -449,7 +449,7 @@
         fleet.cut_ways.clear()
         fleet[1].store = SimulatedDisk(voting=False)
         fleet.restart(1)
-        fleet[1].register.acceptor.voting = True  # as after `relearn`
+        fleet[1].register.acceptor.voting = True  # as after `recover_promises`
         fleet.partition(0)
         self.assertFalse(fleet[1].endpoints.recover())
         fleet.restart(2)
@@ -881,7 +881,7 @@
                 for controller in self.fleet
                 if controller.store.rank(self.id(number)) >= rank or not controller.endpoints.complete
             }
-            assert rank < 0 or self.fleet.voters.met(holders), "not on a quorum's disks"
+            assert rank < 0 or self.fleet.voters.is_quorum(holders), "not on a quorum's disks"
         for controller in self.fleet:
             for endpoint_id, record in controller.registry.records.items():
                 key = controller.address, endpoint_id
@@ -1010,7 +1010,7 @@
         "an address given anew ends its first owner": (EndpointRegistry, "record_heartbeat", end_rivals),
         "an empty disk is counted": (EndpointService, "__init__", count_empty_disk),
         "a start waits for nobody": (EndpointService, "sync_from_quorum", lambda self: True),
-        "one answer is a quorum": (Voters, "met", lambda self, heard: len({*heard}) > 0),
+        "one answer is a quorum": (Voters, "is_quorum", lambda self, heard: len({*heard}) > 0),
         "updates that are not agreed with are passed on": (
             EndpointService,
             "merge_update",
@@ -1033,8 +1033,8 @@
             with mock.patch.object(owner, method, fault):
                 while found is None and steps < 20_000:
                     run = RandomRun()
-                    if method == "met":
-                        run.fleet.voters = mock.Mock(met=lambda heard: len({*heard}) > 1)
+                    if method == "is_quorum":
+                        run.fleet.voters = mock.Mock(is_quorum=lambda heard: len({*heard}) > 1)
                     try:
                         for _ in range(40):
                             steps += 1
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -11,7 +11,7 @@
 
 from flintreach.config import configuration, configuration_history
 from flintreach.config.configuration_history import MAX_ENTRIES, ConfigurationHistory, PutOutcome
-from flintreach.consensus.proposer import Step
+from flintreach.consensus.proposer import ChangeFunction
 from flintreach.controller.http_api import Refusal
 from flintreach.controller.operator_requests import OperatorRequests, RequestOutcome
 from flintreach.controller.quorum_contact import RESUME_DELAY_S
@@ -270,7 +270,7 @@
         ):
 
             def change(
-                key: str, step: Step, timeout: float, permissions: list[bool] = permissions
+                key: str, step: ChangeFunction, timeout: float, permissions: list[bool] = permissions
             ) -> tuple[bool, bytes | None]:
                 values = [step(None) for _ in permissions]  # an attempt each
                 return True, values[-1]
--- a/tests/controller/test_repair.py
+++ b/tests/controller/test_repair.py
@@ -20,7 +20,7 @@
             (Slot(reported, reported, b"old"), [mock.call("evac", b"old")], {"evac": reported}),
         ):
             plane = mock.Mock()
-            register = mock.Mock(fetch=mock.Mock(return_value=slot))
+            register = mock.Mock(fetch_slot=mock.Mock(return_value=slot))
             repair = SimpleNamespace(plane=plane, register=register, published={})
             Repair.fetch(repair, "evac", reported, HOLDER)
             self.assertEqual(plane.operator_requests.publish.mock_calls, publications)
--- a/tests/demo/test_cluster.py
+++ b/tests/demo/test_cluster.py
@@ -18,7 +18,7 @@
 from flintreach.cli.app import build_app
 from flintreach.cli.register_values import describe
 from flintreach.config.settings import parse_address
-from flintreach.consensus.inspection import rows
+from flintreach.consensus.inspection import read_tables
 from flintreach.consensus.store import StoreError
 from flintreach.demo.cluster import CONTROLLER_ROLE, PEER_PORT, PROXY_ROLE, DemoCluster, Machine
 from flintreach.demo.configuration import CONFIGURATION
@@ -158,7 +158,7 @@
         cluster = self.cluster
         for machine in cluster.machines:
             machine.end(signal.SIGKILL)
-        disks = [rows(machine.store_folder, describe) for machine in cluster.of(CONTROLLER_ROLE)]
+        disks = [read_tables(machine.store_folder, describe) for machine in cluster.of(CONTROLLER_ROLE)]
         stored = [row["holds"] for disk in disks for row in disk["register"] if row["key"] == "timetable"]
         self.assertGreaterEqual(sum("edition 00000002" in summary for summary in stored), 2)
         self.assertEqual({row["line"] for disk in disks for row in disk["endpoints"]}, {"desk", "store"})
@@ -176,7 +176,7 @@
 
     def test_a_folder_that_is_no_disk_is_told(self) -> None:
         with self.assertRaisesRegex(StoreError, "no such file"):
-            rows(self.cluster.folder)
+            read_tables(self.cluster.folder)
 
 
 class VoterChanges(ClusterCase):
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -16,7 +16,7 @@
 
             def write(store=store, told=told):
                 for n in range(50):
-                    if store.keep({}, {f"f{n}": "x"}):
+                    if store.persist({}, {f"f{n}": "x"}):
                         told.append(f"f{n}")
 
             world.a.runtime.spawn(write)
@@ -30,7 +30,7 @@
             kept, lost = kept + (len(there) > len(told)), lost + (len(there) == len(told))
             disk.fault = DiskFault.FULL
             again = Store(world.b, disk, "a", False)
-            world.b.runtime.spawn(lambda again=again, told=told: told.append(again.keep({}, {"g": "x"})))
+            world.b.runtime.spawn(lambda again=again, told=told: told.append(again.persist({}, {"g": "x"})))
             world.run(1)
             self.assertIs(told[-1], False)
             self.assertNotIn("g", disk.facts)
