--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -60,7 +60,7 @@
 
     @property
     def lease_status(self) -> int | None:
-        """The status as `RangeLeases.answered` takes it: None where the call was not sent."""
+        """The status as `RangeLeases.record_result` takes it: None where the call was not sent."""
         return None if self.outcome is CallOutcome.NOT_SENT else self.status
 
 
@@ -131,9 +131,9 @@
             return
         allocation = self._change_allocation(started_at)
         if allocation is None:
-            self.state.not_committed()
+            self.state.record_commit_failure()
             return
-        if self.state.committed(allocation, started_at, self.runtime.now()):
+        if self.state.record_commit(allocation, started_at, self.runtime.now()):
             say("lease_acquired", service=self.service, epoch=allocation.epoch)
         self._publish(allocation)
         for kind, key_range in self.state.due_calls(self.runtime.now()):
@@ -188,7 +188,7 @@
             result = self.exchange(kind, key_range)
         finally:
             # Also where the call failed in an unforeseen way: the range would stay busy for good.
-            self.soon |= self.state.answered(
+            self.soon |= self.state.record_result(
                 kind, key_range, result.lease_status, result.handover or "", self.runtime.now()
             )
 
@@ -212,7 +212,7 @@
         def connected(connection: socket) -> None:
             # Asked here and no sooner: this process may have slept while the connection came up. And where
             # none comes up nothing was sent, so the time of a dead holder does not begin anew.
-            if not self.state.may_send(kind, key_range, self.runtime.now()):
+            if not self.state.authorize_send(kind, key_range, self.runtime.now()):
                 raise LeaseExpiredError
             # A call that was given up must not arrive later: after a close in order the kernel would send it
             # for minutes.
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -161,7 +161,7 @@
         range_assignment.assign_free_ranges(stored, weights, addresses, load)
         range_assignment.rebalance(stored, weights, load, busy)
 
-    def committed(self, stored: Allocation, began: float, now: float) -> bool:
+    def record_commit(self, stored: Allocation, began: float, now: float) -> bool:
         """Take in that this process's change stands in the register.
 
         Args:
@@ -216,7 +216,7 @@
             if id in holders or now - at < RETRY_AFTER_S
         }
 
-    def not_committed(self) -> None:
+    def record_commit_failure(self) -> None:
         """Take in that this process's change does not stand, as far as is known: it may send no grant."""
         self.send_until = 0.0
 
@@ -240,7 +240,7 @@
                 key_range.free(handover or "")
 
     def due_calls(self, now: float) -> list[tuple[CallKind, Range]]:
-        """The calls that are to be made now; each is in flight until `answered` hears of it."""
+        """The calls that are to be made now; each is in flight until `record_result` hears of it."""
         calls = []
         for key_range in self.allocation.ranges:
             if key_range.fence in self.in_flight or not key_range.address:
@@ -262,7 +262,7 @@
                 return CallKind.RELEASE
         return None
 
-    def may_send(self, kind: CallKind, key_range: Range, now: float) -> bool:
+    def authorize_send(self, kind: CallKind, key_range: Range, now: float) -> bool:
         """Whether a call may be sent, asked last, when the connection is up.  A grant is then noted as sent.
 
         This process may have been suspended since it decided on a grant: another may be the owner by now, and
@@ -274,7 +274,7 @@
             self.last_grant_sent[key_range.fence] = now
         return True
 
-    def answered(
+    def record_result(
         self, kind: CallKind, key_range: Range, status: int | None, handover: str, now: float
     ) -> bool:
         """Take in how a call ended.
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -145,11 +145,11 @@
 # Leases of key ranges.
 
 
-def forget_leases(committed: Function) -> Function:
+def forget_leases(record_commit: Function) -> Function:
     """A new owner takes it that nothing was granted before it."""
 
     def mutant(self: Any, stored: Allocation, began: float, now: float) -> bool:
-        took_over = committed(self, stored, began, now)
+        took_over = record_commit(self, stored, began, now)
         if took_over:
             self.last_grant_sent = {}
             self.moves_blocked_until = now
@@ -283,7 +283,7 @@
     ),
     "forgets-holds": Mutant(
         "flintreach.sharding.range_lease:RangeLeases",
-        "committed",
+        "record_commit",
         forget_leases,
         ("owner",),
         "a new lease owner does not wait for the end of what the one before it granted",
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -598,7 +598,7 @@
     def send(self) -> None:
         """The connection is up: send, if the owner still may."""
         state = self.owner.state
-        if not state.may_send(self.kind, self.key_range, self.owner.runtime.now()):
+        if not state.authorize_send(self.kind, self.key_range, self.owner.runtime.now()):
             self.waiter.wake(lease_owner.NOT_SENT)
             return
         lease_s = state.lease_s if self.kind == CallKind.GRANT else 0.0
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -719,11 +719,11 @@
             if keeping.update_allocation(
                 held, now, able, lambda id: id not in able, LoadDistribution(), set()
             ):
-                keeping.committed(held, now, now)
+                keeping.record_commit(held, now, now)
             for kind, r in keeping.due_calls(now):
                 status = 200 if turn % 3 else 0
-                if keeping.may_send(kind, r, now):
-                    keeping.answered(kind, r, status, "", now)
+                if keeping.authorize_send(kind, r, now):
+                    keeping.record_result(kind, r, status, "", now)
         fences = {r.fence for r in held.ranges}
         self.assertLessEqual(keeping.last_grant_sent.keys(), fences)
         self.assertGreater(held.fence, 80)
--- a/tests/controller/test_suspended_process.py
+++ b/tests/controller/test_suspended_process.py
@@ -24,7 +24,7 @@
     leases = RangeLeases("k0", 10.0)
     allocation = Allocation.from_row(None)
     leases.update_allocation(allocation, 10.0, {}, never_ended, LoadDistribution(), set())
-    leases.committed(allocation, 10.0, 10.0)
+    leases.record_commit(allocation, 10.0, 10.0)
     return leases, allocation
 
 
@@ -33,16 +33,18 @@
         leases, _ = leases_since_10()
         for late_s in (0.0, OWNER_LEASE_S - 0.01, OWNER_LEASE_S, OWNER_LEASE_S + 5):
             self.assertEqual(
-                leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0 + late_s), late_s < OWNER_LEASE_S, late_s
+                leases.authorize_send(CallKind.GRANT, GRANTED_RANGE, 10.0 + late_s),
+                late_s < OWNER_LEASE_S,
+                late_s,
             )
-        leases.not_committed()
-        self.assertFalse(leases.may_send(CallKind.GRANT, GRANTED_RANGE, 10.0))
+        leases.record_commit_failure()
+        self.assertFalse(leases.authorize_send(CallKind.GRANT, GRANTED_RANGE, 10.0))
 
     def test_a_process_suspended_while_its_change_was_written_may_send_nothing(self) -> None:
         """The lease counts from the beginning of the change, not from the answer."""
         leases, allocation = leases_since_10()
-        leases.committed(allocation, 20.0, 26.0)
-        self.assertFalse(leases.may_send(CallKind.GRANT, GRANTED_RANGE, 26.0))
+        leases.record_commit(allocation, 20.0, 26.0)
+        self.assertFalse(leases.authorize_send(CallKind.GRANT, GRANTED_RANGE, 26.0))
 
     def test_a_suspension_while_the_connection_comes_up_sends_nothing(self) -> None:
         clock = [10.0]
@@ -75,20 +77,20 @@
         """Another has taken over meanwhile: the first may not change the allocation by what it reads late."""
         leases, allocation = leases_since_10()
         allocation.ranges = [Range(0, KEYS - 1, "e0", 3, RangeState.REVOKING, address="e0:80")]
-        leases.committed(allocation, 10.0, 10.0)
+        leases.record_commit(allocation, 10.0, 10.0)
         self.assertEqual([kind for kind, _ in leases.due_calls(10.0)], ["release"])
         later = Allocation.from_row(allocation.row())
         later.owner = "k1"
         later.epoch = allocation.epoch + 1
         later.renewals = allocation.renewals + 1
-        leases.answered("release", allocation.ranges[0], 200, "handover", 16.0)
+        leases.record_result("release", allocation.ranges[0], 200, "handover", 16.0)
         self.assertFalse(leases.should_update(later, 16.0))
-        self.assertFalse(leases.may_send(CallKind.GRANT, allocation.ranges[0], 16.0))
+        self.assertFalse(leases.authorize_send(CallKind.GRANT, allocation.ranges[0], 16.0))
         # And once it takes over again, what it was told in the earlier epoch is forgotten.
         self.assertTrue(leases.should_update(later, 18.0))
         self.assertTrue(leases.update_allocation(later, 18.0, {}, never_ended, LoadDistribution(), set()))
         self.assertEqual(later.ranges[0].state, RangeState.REVOKING)
-        leases.committed(later, 18.0, 18.0)
+        leases.record_commit(later, 18.0, 18.0)
         self.assertEqual(leases.handovers, {})
 
 
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -103,11 +103,11 @@
         if not leases.update_allocation(
             allocation, began, self.eligible(), lambda id: False, EVEN_LOAD, set()
         ):
-            leases.not_committed()
+            leases.record_commit_failure()
             return
         self.stored = allocation.encode()
         # It may be suspended between its change and what follows it, and between a call and its sending.
-        leases.committed(Allocation.decode(self.stored), began, self.now)
+        leases.record_commit(Allocation.decode(self.stored), began, self.now)
         for kind, key_range in leases.due_calls(self.now):
             delay = self.draw.choice([0.0, 0.0, 0.05, 0.4]) if not self.calm else 0.0
             self.wire.append((self.now + delay, "send", index, kind, key_range))
@@ -116,10 +116,10 @@
         """A call's connection comes up, or doesn't."""
         leases = self.lease_owners[index]
         if not self.endpoints[key_range.holder].reachable(self.now):
-            leases.answered(kind, key_range, range_lease.NO_ANSWER, "", self.now)
+            leases.record_result(kind, key_range, range_lease.NO_ANSWER, "", self.now)
             return
-        if not leases.may_send(kind, key_range, self.now):
-            leases.answered(kind, key_range, range_lease.NOT_SENT, "", self.now)
+        if not leases.authorize_send(kind, key_range, self.now):
+            leases.record_result(kind, key_range, range_lease.NOT_SENT, "", self.now)
             return
         delay = self.draw.choice([0.0, 0.0, 0.1, MAX_MESSAGE_DELAY_S]) if not self.calm else 0.0
         self.wire.append((self.now + delay, "arrive", index, kind, key_range))
@@ -133,7 +133,7 @@
             answer = endpoint.handle(kind, key_range, leases.lease_s, self.now)
         if not self.calm and self.draw.random() < 0.1:
             answer = range_lease.NO_ANSWER, ""  # lost on its way back
-        leases.answered(kind, key_range, *answer, self.now)
+        leases.record_result(kind, key_range, *answer, self.now)
 
     def play(self, seconds: float) -> str | None:
         """Go on to a time; what went wrong, or None."""
@@ -197,7 +197,7 @@
         self.assertIsNone(first_breach(range(120)))
 
     def test_mutants_are_seen(self) -> None:
-        with mock.patch.object(RangeLeases, "may_send", lambda self, kind, key_range, now: True):
+        with mock.patch.object(RangeLeases, "authorize_send", lambda self, kind, key_range, now: True):
             self.assertIn("is held by", first_breach(range(120)) or "")
         with mock.patch.object(range_lease, "CLOCK_DRIFT_FACTOR", 0.5):
             self.assertIn("is held by", first_breach(range(120)) or "")
@@ -230,7 +230,7 @@
         leaving = next(key_range for key_range in allocation.ranges if key_range.holder == "e1")
         service.stored = allocation.encode()
         leases.allocation = allocation
-        leases.answered(CallKind.RELEASE, leaving, 200, "proof", service.now)
+        leases.record_result(CallKind.RELEASE, leaving, 200, "proof", service.now)
         for _ in range(2):  # the register was taken by another writer: the same step once more
             again = Allocation.decode(service.stored)
             leases.update_allocation(
