--- a/flintreach/consensus/acceptor.py
+++ b/flintreach/consensus/acceptor.py
@@ -1,10 +1,10 @@
-"""One disk's acceptor, as a state machine without input or output.
+"""CASPaxos acceptor of one disk, as a pure state machine.
 
-Each key is a register of its own. `register.py` carries requests to the acceptor and writes what it returns
-to the disk: a promise or an acceptance must be on disk before anybody is told of it.
+Each key is an independent register. `acceptor_service.py` passes requests to the acceptor and persists the
+returned slot: a promise or an acceptance must be on disk before it is sent.
 
 Source: L. Lamport, "Paxos Made Simple" (2001); D. Rystsov, "CASPaxos: Replicated State Machines without
-logs" (2018), for the change of a value in place.
+logs" (2018), for changing a value in place.
 """
 
 from enum import StrEnum
@@ -14,19 +14,19 @@
 
 
 class Ballot(NamedTuple):
-    """A proposal number. The writer is part of it, so two writers never make the same one."""
+    """A ballot number. It includes the writer, so that ballots of different writers are never equal."""
 
     round: int
     writer: str
 
 
-NO_BALLOT = Ballot(0, "")  # below every ballot that is proposed
+NO_BALLOT = Ballot(0, "")  # lower than any proposed ballot
 
 
 class Slot(msgspec.Struct, array_like=True):
-    """What this disk has promised and accepted of one key.
+    """Acceptor state of one key.
 
-    On the wire an array [promised, accepted, value], each ballot an array [round, writer].
+    Encoded as an array [promised, accepted, value], with each ballot as an array [round, writer].
     """
 
     promised: Ballot = NO_BALLOT
@@ -35,37 +35,36 @@
 
 
 class Verdict(StrEnum):
-    """What an acceptor makes of a request; the words are on the wire as earlier releases wrote them."""
+    """Outcome of a request at an acceptor. The values are sent to other releases and must not change."""
 
     PROMISE = "promise"
     ACCEPTED = "accepted"
-    REFUSED = "refused"  # a higher ballot was promised
-    MUTE = "mute"  # an answer that counts for nothing
+    REFUSED = "refused"  # a higher ballot has been promised
+    ABSTAIN = "mute"  # the acceptor does not vote; the answer counts towards no quorum
 
 
 class Decision(NamedTuple):
-    """An acceptor's verdict with a slot.
+    """An acceptor's verdict and the slot that goes with it.
 
-    The slot is the one to write to disk for `PROMISE` and `ACCEPTED`, the one that stands for `REFUSED`, and
-    None for `MUTE`.
+    For `PROMISE` and `ACCEPTED` the slot to persist, for `REFUSED` the current slot, for `ABSTAIN` None.
     """
 
     verdict: Verdict
     slot: Slot | None
 
 
-MUTE = Decision(Verdict.MUTE, None)
+ABSTAIN = Decision(Verdict.ABSTAIN, None)
 
 
 class Acceptor:
-    """The slots of one disk, and whether its answers count.
+    """Acceptor state of one disk.
 
     Attributes:
-        incarnation: names the disk. A disk that came back empty is another incarnation, and isn't bound by
-            what the lost one promised.
-        voting: false while a disk that came back empty doesn't know yet what it had promised: it answers
-            nothing that counts.
-        slots: key -> slot, as on the disk.
+        incarnation: identifies the disk's contents. A disk that was replaced or wiped gets a new incarnation
+            and is not bound by the promises of the old one.
+        voting: whether answers count towards quorums. False while a wiped disk has not yet recovered its
+            promises from the other voters.
+        slots: key -> slot, as persisted.
     """
 
     def __init__(self, incarnation: str, voting: bool, slots: dict[str, Slot] | None = None) -> None:
@@ -74,40 +73,40 @@
         self.slots: dict[str, Slot] = slots or {}
 
     def prepare(self, key: str, ballot: Ballot) -> Decision:
-        """Promise to accept nothing of a key below a ballot, unless a ballot as high was promised."""
+        """Phase 1: promise to accept nothing below `ballot`, unless an equal or higher one was promised."""
         if not self.voting:
-            return MUTE
+            return ABSTAIN
         slot = self.slots.get(key, Slot())
         if ballot <= slot.promised:
             return Decision(Verdict.REFUSED, slot)
         return Decision(Verdict.PROMISE, Slot(ballot, slot.accepted, slot.value))
 
     def accept(self, key: str, ballot: Ballot, value: bytes | None, incarnation: str) -> Decision:
-        """Accept a value of a key, unless a higher ballot was promised.
+        """Phase 2: accept a value, unless a higher ballot has been promised.
 
         Args:
             key: the register's key.
-            ballot: the proposal that a quorum has promised.
+            ballot: the ballot that a quorum has promised.
             value: the proposed value.
-            incarnation: the disk that gave the promise for this ballot. A promise by a disk that was lost
-                must not count, because its other promises are forgotten.
+            incarnation: the incarnation that promised this ballot. The promise of a lost disk must not
+                count, because the disk's other promises are lost with it.
         """
         if not self.voting or incarnation != self.incarnation:
-            return MUTE
+            return ABSTAIN
         slot = self.slots.get(key, Slot())
         if ballot < slot.promised:
             return Decision(Verdict.REFUSED, slot)
         return Decision(Verdict.ACCEPTED, Slot(ballot, ballot, value))
 
 
-def merged(answers: list[dict[str, Slot]]) -> dict[str, Slot]:
-    """Merge slots of other disks into slots for a disk that came back empty.
+def merge_slots(answers: list[dict[str, Slot]]) -> dict[str, Slot]:
+    """Rebuild the slots of a wiped disk from those of other voters.
 
     Args:
-        answers: the slots of each disk that answered; `Voters.covered` tells whether they are enough.
+        answers: slots of each voter that answered; see `Voters.is_recovery_quorum` for how many are needed.
 
     Returns:
-        For each key the highest promise, and the value that was accepted with the highest ballot.
+        For each key the highest promised ballot, and the value accepted at the highest ballot.
     """
     result: dict[str, Slot] = {}
     for slots in answers:
--- a/flintreach/consensus/acceptor_service.py
+++ b/flintreach/consensus/acceptor_service.py
@@ -1,6 +1,6 @@
-"""This process's acceptor over the network: it answers proposers, and relearns what a lost disk had promised.
+"""Network service of this process's acceptor: answers proposers, and recovers the promises of a wiped disk.
 
-A layer of `Register`, on `VotingProcess`.
+The layer of `Register` on top of `VotingProcess`.
 """
 
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Decision, Slot, Verdict, merged
+from flintreach.consensus.acceptor import NO_BALLOT, Ballot, Decision, Slot, Verdict, merge_slots
 from flintreach.consensus.messages import (
     AcceptedValue,
     AcceptorAnswer,
@@ -27,22 +27,22 @@
 FETCH_TIMEOUT_S = 0.8
 RELEARN_TIMEOUT_S = 2.0
 
-Holder = tuple[Address, dict[str, Slot]]  # a voter, and its slots without their values
+VoterSlots = tuple[Address, dict[str, Slot]]  # a voter and its slots, without values
 
 
 class AcceptorService(VotingProcess):
-    """Answers of this process's disk.
+    """Answers requests to the acceptor on this process's disk.
 
     Attributes:
-        busy: prepares and accepts under way at this disk.
-        failed_writes: writes that the disk did not take.
+        requests_in_progress: number of prepare and accept requests being processed.
+        failed_writes: number of decisions that could not be written to disk.
     """
 
     def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None) -> None:
         super().__init__(peer_pool, voters, store)
-        self.busy = 0
+        self.requests_in_progress = 0
         self.failed_writes = 0
-        self.locks: dict[str, Any] = {}
+        self.key_locks: dict[str, Any] = {}
         peer_pool.handlers |= {
             MessageKind.PREPARE: self.on_prepare,
             MessageKind.ACCEPT: self.on_accept,
@@ -53,74 +53,78 @@
 
     # Prepare and accept.
 
-    def lock_of(self, key: str) -> Any:
-        """The lock under which a key's slot is changed on this disk."""
-        return self.locks.setdefault(key, self.runtime.lock())
+    def lock_for(self, key: str) -> Any:
+        """The lock that serializes changes of a key's slot on this disk."""
+        return self.key_locks.setdefault(key, self.runtime.lock())
 
-    def persist(self, key: str, verdict: Verdict, slot: Slot | None) -> Verdict:
-        """Write what the acceptor decided; the verdict to answer, `MUTE` where the disk did not take it."""
+    def persist_decision(self, key: str, verdict: Verdict, slot: Slot | None) -> Verdict:
+        """Write the acceptor's decision to disk; returns the verdict to answer, `ABSTAIN` if that failed."""
         if verdict not in (Verdict.PROMISE, Verdict.ACCEPTED):
             return verdict
         if not self.store.persist({key: slot}):
             self.failed_writes += 1
-            return Verdict.MUTE
+            return Verdict.ABSTAIN
         self.acceptor.slots[key] = slot
         return verdict
 
-    def decide_under(
+    def decide_in_epoch(
         self, epoch: int, key: str, decide: Callable[[], Decision]
     ) -> AcceptorAnswer | EpochMismatch:
-        """Let the acceptor decide on a key under an epoch, and write the outcome to disk.
+        """Let the acceptor decide on a request of the current epoch, and persist the decision.
 
         Args:
             epoch: the sender's epoch.
             key: the register's key.
-            decide: the acceptor's decision, taken while no other request holds the key.
+            decide: takes the acceptor's decision; called with the key locked.
         """
         mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
         if not self.acceptor:
-            return AcceptorAnswer(Verdict.MUTE, None, "")
-        self.busy += 1
+            return AcceptorAnswer(Verdict.ABSTAIN, None, "")
+        self.requests_in_progress += 1
         try:
-            with self.lock_of(key):
-                mismatch = self.check_epoch(epoch)  # it may have moved while another request held the key
+            with self.lock_for(key):
+                mismatch = self.check_epoch(epoch)  # it may have changed while waiting for the lock
                 if mismatch is not None:
                     return mismatch
                 verdict, slot = decide()
-                verdict = self.persist(key, verdict, slot)
+                verdict = self.persist_decision(key, verdict, slot)
         finally:
-            self.busy -= 1
-        # Moved while the disk wrote: who listed the keys of the later epoch may have missed this one.
+            self.requests_in_progress -= 1
+        # If the epoch changed during the write, a process that listed the keys in the later epoch may have
+        # missed this one, so the decision must not count.
         return self.check_epoch(epoch) or AcceptorAnswer(verdict, slot, self.acceptor.incarnation)
 
     def prepare(self, request: PrepareRequest) -> AcceptorAnswer | EpochMismatch:
-        """Answer phase 1 of a proposal."""
-        return self.decide_under(
+        """Handle phase 1 of a proposal."""
+        return self.decide_in_epoch(
             request.epoch, request.key, lambda: self.acceptor.prepare(request.key, request.ballot)
         )
 
     def accept(self, request: AcceptRequest) -> AcceptorAnswer | EpochMismatch:
-        """Answer phase 2 of a proposal."""
+        """Handle phase 2 of a proposal."""
 
         def decide() -> Decision:
             return self.acceptor.accept(request.key, request.ballot, request.value, request.incarnation)
 
-        return self.decide_under(request.epoch, request.key, decide)
+        return self.decide_in_epoch(request.epoch, request.key, decide)
 
     def on_prepare(self, link: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
-        """Another process's `PrepareRequest`."""
+        """Handle a `PrepareRequest` from another process."""
         return self.prepare(msgspec.convert(body, PrepareRequest))
 
     def on_accept(self, link: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
-        """Another process's `AcceptRequest`."""
+        """Handle an `AcceptRequest` from another process."""
         return self.accept(msgspec.convert(body, AcceptRequest))
 
-    # What this disk holds.
+    # Reads of this disk's state.
 
     def on_slot_ballots(self, link: Any, epoch: int) -> dict[str, SlotBallots] | EpochMismatch | None:
-        """Both ballots of each key, for a disk that came back empty; it asks for values one by one."""
+        """Both ballots of each key, None if this disk doesn't vote.
+
+        For the recovery of a wiped disk, which then fetches the values one by one.
+        """
         mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
@@ -129,7 +133,7 @@
         return {key: SlotBallots(slot.promised, slot.accepted) for key, slot in self.acceptor.slots.items()}
 
     def on_accepted_ballots(self, link: Any, epoch: int) -> dict[str, Ballot] | EpochMismatch | None:
-        """The accepted ballot of each key; None where this disk doesn't vote."""
+        """The accepted ballot of each key, None if this disk doesn't vote."""
         mismatch = self.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
@@ -138,7 +142,7 @@
         return {key: slot.accepted for key, slot in self.acceptor.slots.items()}
 
     def on_accepted_value(self, link: Any, body: list[Any]) -> AcceptedValue | EpochMismatch | None:
-        """Another process's `ValueRequest`; None where this disk doesn't vote, or has no such key."""
+        """Answer a `ValueRequest`; None if this disk doesn't vote or doesn't have the key."""
         request = msgspec.convert(body, ValueRequest)
         mismatch = self.check_epoch(request.epoch)
         if mismatch is not None:
@@ -147,9 +151,10 @@
         return AcceptedValue(slot.accepted, slot.value) if slot else None
 
     def fetch_slot(self, address: Address, key: str, ballot: Ballot) -> Slot | None:
-        """What another disk has accepted of a key, at this ballot or a later one.
+        """Fetch the value of a key that another disk has accepted at this ballot or a higher one.
 
-        None where it has accepted nothing there, or does not answer.
+        Returns:
+            The accepted slot; None if it has accepted nothing at such a ballot, or does not answer.
         """
         request = ValueRequest(self.voters.epoch, key)
         answer = self.ask(address, MessageKind.ACCEPTED_VALUE, request, FETCH_TIMEOUT_S)
@@ -160,16 +165,17 @@
             return None
         return Slot(accepted.ballot, accepted.ballot, accepted.value)
 
-    # A disk that came back empty.
+    # Recovery of a wiped disk.
 
     def recover_promises(self) -> bool:
-        """Learn what the lost disk may have promised, from the other voters, before this one votes.
+        """Rebuild what the lost disk may have promised from the other voters, before this disk votes.
 
-        Only under an epoch that records this disk's incarnation: a change of an earlier epoch may still count
-        an acceptance of the lost disk, and find the rest of its quorum after the others have answered here.
+        This requires an epoch in which this disk's incarnation is recorded. A change of an earlier epoch may
+        still count an acceptance of the lost disk, and could complete its quorum after the other voters have
+        answered this recovery.
 
         Returns:
-            Whether this disk may vote, or need not.
+            Whether this disk votes or need not vote.
         """
         address = self.peer_pool.address
         voters = self.voters
@@ -177,13 +183,13 @@
             return True
         if voters.incarnations(address) != {self.store.incarnation}:
             return False
-        holders = self.slots_of_others(voters)
+        holders = self.ballots_of_others(voters)
         if holders is None:
             return False
-        slots = self.with_values(merged([slots for _, slots in holders]), holders)
+        slots = self.fetch_values(merge_slots([slots for _, slots in holders]), holders)
         if slots is None or self.voters != voters:
             return False
-        # Keys that only the lost disk held are dropped: this one stands for another.
+        # Keys that no other voter reported are deleted: this disk replaces the lost one.
         written = {**dict.fromkeys(self.acceptor.slots), **slots}
         if not self.store.persist(written, {VOTING_FACT: YES}):
             return False
@@ -192,16 +198,16 @@
         self.update_voting()
         return self.acceptor.voting
 
-    def slots_of_others(self, voters: Voters) -> list[Holder] | None:
-        """Slots without values, of as many other voters as know all that the lost disk may have promised.
+    def ballots_of_others(self, voters: Voters) -> list[VoterSlots] | None:
+        """Slots, without values, of enough other voters to know all that the lost disk may have promised.
 
         Returns:
-            None where too few answered, or a later epoch came: then they are asked again under that.
+            None if too few voters answered or the epoch changed, in which case recovery has to be retried.
         """
         local_address = self.peer_pool.address
 
         def is_covered(answers: Answers) -> bool:
-            return voters.covered(local_address, (address for address, _ in answers))
+            return voters.is_recovery_quorum(local_address, (address for address, _ in answers))
 
         others = [address for address in voters.members() if address != local_address]
         answers = self.gather(others, MessageKind.SLOT_BALLOTS, voters.epoch, is_covered, RELEARN_TIMEOUT_S)
@@ -209,8 +215,8 @@
             return None
         return [(address, slots_without_values(rows)) for address, rows in answers]
 
-    def with_values(self, slots: dict[str, Slot], holders: list[Holder]) -> dict[str, Slot] | None:
-        """The same slots with their values, each fetched from a disk that has accepted it; None: not all."""
+    def fetch_values(self, slots: dict[str, Slot], holders: list[VoterSlots]) -> dict[str, Slot] | None:
+        """Add the accepted values, each fetched from a voter that holds it; None if any could not be."""
         wanted = [(key, slot) for key, slot in slots.items() if slot.accepted != NO_BALLOT]
         complete: dict[str, Slot] = {}
 
@@ -233,6 +239,6 @@
 
 
 def slots_without_values(rows: dict[str, Any]) -> dict[str, Slot]:
-    """Slots from an answer to `SLOT_BALLOTS`."""
+    """Decode an answer to `SLOT_BALLOTS`."""
     ballots = msgspec.convert(rows, dict[str, SlotBallots])
     return {key: Slot(row.promised, row.accepted) for key, row in ballots.items()}
--- a/flintreach/consensus/inspection.py
+++ b/flintreach/consensus/inspection.py
@@ -1,4 +1,4 @@
-"""What is on a controller's disk, read without the controller and without a change to the folder."""
+"""Offline inspection of a controller's disk, without modifying its folder."""
 
 import contextlib
 import os
@@ -21,60 +21,60 @@
     check_format,
 )
 
-Describe = Callable[[str, bytes], str | None]
-Rows = list[dict[str, Any]]
+DescribeValue = Callable[[str, bytes], str | None]
+Table = list[dict[str, Any]]
 
 decode = msgspec.msgpack.decode
 
-# What a value of another shape than its key's raises while it is described.
-UNREADABLE = (ValueError, TypeError, KeyError, IndexError, AttributeError, msgspec.DecodeError)
+# Raised when a value to be described doesn't have the format of its key.
+DECODE_ERRORS = (ValueError, TypeError, KeyError, IndexError, AttributeError, msgspec.DecodeError)
 
 
 def describe_nothing(key: str, value: bytes) -> str | None:
-    """The description of a value where the caller knows no keys."""
+    """Default `DescribeValue`, which knows no keys."""
     return None
 
 
 def describe_members(members: list[MemberRow]) -> str:
-    """Addresses of one set of voters."""
+    """Format the addresses of one set of voters."""
     return " ".join(f"{member.ip}:{member.port}" for member in members)
 
 
 def describe_voters(value: bytes) -> str:
-    """One line on a configuration of voters."""
+    """Describe a voter configuration in one line."""
     voters = msgspec.msgpack.decode(value, type=VotersRow)
     sets = [describe_members(members) for members in (voters.old, voters.new) if members]
     return f"epoch {voters.epoch}: " + " and ".join(sets)
 
 
-def describe_slot(key: str, value: bytes | None, describe: Describe) -> str:
-    """One line on what a key of the register holds."""
+def describe_slot(key: str, value: bytes | None, describe: DescribeValue) -> str:
+    """Describe the content of a slot in one line."""
     if value is None:
         return "promised, nothing accepted"
     try:
         text = describe_voters(value) if key == VOTERS_KEY else describe(key, value)
-    except UNREADABLE:
-        return f"{len(value)} bytes that can't be read"
+    except DECODE_ERRORS:
+        return f"{len(value)} bytes that can't be decoded"
     return f"{len(value)} bytes" if text is None else text
 
 
 @contextlib.contextmanager
-def opened_copy(folder: str) -> Iterator[sqlite3.Connection]:
-    """A copy of the database in a folder, for as long as it is read."""
+def open_copy(folder: str) -> Iterator[sqlite3.Connection]:
+    """Open a temporary copy of the database in a folder."""
     with tempfile.TemporaryDirectory() as copy:
-        # The newest commits stand in the log beside the file; opening them in place would fold them in.
+        # The latest commits are in the write-ahead log. Opening the original would run a checkpoint on it.
         for name in (FILE_NAME, f"{FILE_NAME}-wal"):
             if os.path.exists(os.path.join(folder, name)):
                 shutil.copyfile(os.path.join(folder, name), os.path.join(copy, name))
-        base = sqlite3.connect(os.path.join(copy, FILE_NAME))
+        connection = sqlite3.connect(os.path.join(copy, FILE_NAME))
         try:
-            yield base
+            yield connection
         finally:
-            base.close()
+            connection.close()
 
 
-def register_rows(base: sqlite3.Connection, describe: Describe) -> Rows:
-    """The register's keys."""
+def register_table(connection: sqlite3.Connection, describe: DescribeValue) -> Table:
+    """The register's slots, ordered by key."""
     return [
         {
             "key": key,
@@ -83,16 +83,16 @@
             "bytes": len(value or b""),
             "holds": describe_slot(key, value, describe),
         }
-        for key, promised_round, promised_by, accepted_round, accepted_by, value in base.execute(
+        for key, promised_round, promised_by, accepted_round, accepted_by, value in connection.execute(
             f"{SELECT_SLOTS} order by key"
         )
     ]
 
 
-def endpoint_table(base: sqlite3.Connection) -> Rows:
-    """The endpoint records, by the positions in which the endpoint registry writes them."""
+def endpoint_table(connection: sqlite3.Connection) -> Table:
+    """The endpoint records, decoded by the field positions that the endpoint registry uses."""
     table = []
-    for _, encoded in base.execute(f"{SELECT_ENDPOINTS} order by id"):
+    for _, encoded in connection.execute(f"{SELECT_ENDPOINTS} order by id"):
         endpoint_id, service, address, zone, _, _, state, call_seq, *_ = decode(encoded)
         table.append(
             {
@@ -107,26 +107,26 @@
     return table
 
 
-def read_tables(folder: str, describe: Describe = describe_nothing) -> dict[str, Rows]:
-    """What is on a disk, as tables by title.
+def read_tables(folder: str, describe: DescribeValue = describe_nothing) -> dict[str, Table]:
+    """Read the content of a disk as tables by title.
 
     Args:
-        folder: of the disk.
-        describe: one line on what a key of the register holds, given the key and its value; None where it
-            doesn't know the key. The keys belong to the register's users, so this package can't tell.
+        folder: folder of the disk.
+        describe: describes the value of a key in one line, given both; None if it doesn't know the key. The
+            format of values is up to the register's users, so this package doesn't know it.
 
     Raises:
-        StoreError: there is no such file, or it can't be read.
+        StoreError: the file doesn't exist or can't be read.
     """
     path = os.path.join(folder, FILE_NAME)
     if not os.path.isfile(path):
         raise StoreError(f"{path}: no such file")
     try:
-        with opened_copy(folder) as base:
-            facts = dict(base.execute(SELECT_FACTS))
+        with open_copy(folder) as connection:
+            facts = dict(connection.execute(SELECT_FACTS))
             check_format(path, facts)
-            register = register_rows(base, describe)
-            endpoints = endpoint_table(base)
+            register = register_table(connection, describe)
+            endpoints = endpoint_table(connection)
     except sqlite3.Error as error:
         raise StoreError(f"{path}: {error}") from None
     return {
--- a/flintreach/consensus/messages.py
+++ b/flintreach/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Requests and answers of the register between processes: kinds, and rows by named fields.
+"""Messages of the register between processes.
 
-Kinds, verdicts and field orders stay as earlier releases wrote them: old and new processes work together
-while a fleet is exchanged. Each struct is an array on the wire.
+Kinds, verdicts and the order of fields must stay compatible with earlier releases, because old and new
+processes work together during a rolling upgrade. Each struct is encoded as an array.
 """
 
 from enum import StrEnum
@@ -14,14 +14,14 @@
 
 
 class MessageKind(StrEnum):
-    """What a request asks for."""
+    """Kind of a request."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
-    SLOT_BALLOTS = "slots"  # promised and accepted ballots of all keys
-    ACCEPTED_BALLOTS = "stamps"  # accepted ballots of all keys
-    ACCEPTED_VALUE = "value"  # the value of one key
-    VOTERS = "voters"  # tells a configuration, and asks for the receiver's
+    SLOT_BALLOTS = "slots"  # read the promised and accepted ballots of all keys
+    ACCEPTED_BALLOTS = "stamps"  # read the accepted ballots of all keys
+    ACCEPTED_VALUE = "value"  # read the accepted value of one key
+    VOTERS = "voters"  # send a configuration, and ask for the receiver's
     DISK_STATUS = "disk"
     SYNC_RECORDS = "sync"  # collect the endpoint records of a quorum
 
@@ -35,7 +35,7 @@
 
 
 class AcceptRequest(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Phase 2 of a proposal; `incarnation` names the disk that gave its promise."""
+    """Phase 2 of a proposal; `incarnation` is that of the disk that promised."""
 
     key: str
     ballot: Ballot
@@ -45,7 +45,7 @@
 
 
 class AcceptorAnswer(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What an acceptor answers to prepare and accept."""
+    """An acceptor's answer to prepare or accept."""
 
     verdict: Verdict
     slot: Slot | None
@@ -60,25 +60,25 @@
 
 
 class ValueRequest(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Asks for what a disk has accepted of a key."""
+    """Asks for the value of a key that a disk has accepted."""
 
     epoch: int
     key: str
 
 
 class AcceptedValue(msgspec.Struct, array_like=True, frozen=True):
-    """What a disk has accepted of a key."""
+    """The value of a key that a disk has accepted, and its ballot."""
 
     ballot: Ballot
     value: bytes | None
 
 
 class DiskStatus(msgspec.Struct, array_like=True, frozen=True):
-    """What a process tells of its disk.
+    """Status of a process's disk.
 
     Attributes:
-        incarnation: the disk.
-        caught_up: it doesn't vote, and holds what a quorum holds, under the epoch that stands.
+        incarnation: the disk's incarnation.
+        caught_up: whether it is a non-voter that holds the state of a quorum in the current epoch.
     """
 
     incarnation: str
@@ -86,27 +86,27 @@
 
 
 class LaterEpoch(msgspec.Struct, array_like=True, frozen=True, tag="newer"):
-    """The receiver knows a later epoch than the sender; on the wire ["newer", configuration]."""
+    """The receiver is in a later epoch than the sender; encoded as ["newer", configuration]."""
 
     voters: VotersRow
 
 
 class EarlierEpoch(msgspec.Struct, array_like=True, frozen=True, tag="behind"):
-    """The receiver doesn't know the sender's epoch yet; on the wire ["behind"]."""
+    """The receiver doesn't know the sender's epoch yet; encoded as ["behind"]."""
 
 
 EpochMismatch = LaterEpoch | EarlierEpoch
 
 
-def epoch_mismatch(answer: Any) -> EpochMismatch | None:
-    """The epoch mismatch that an answer tells of, or None where it is an answer to the request itself."""
+def decode_epoch_mismatch(answer: Any) -> EpochMismatch | None:
+    """Decode an epoch mismatch; None if the answer is an answer to the request itself."""
     if not isinstance(answer, list) or answer[:1] not in (["newer"], ["behind"]):
         return None
     return msgspec.convert(answer, EpochMismatch)
 
 
-def acceptor_answer(answer: Any) -> AcceptorAnswer | None:
-    """An answer to prepare or accept, or None if it is malformed: one bad answer must not hide the others."""
+def decode_acceptor_answer(answer: Any) -> AcceptorAnswer | None:
+    """Decode an answer to prepare or accept; None if malformed, so that it doesn't affect other answers."""
     try:
         return msgspec.convert(answer, AcceptorAnswer)
     except msgspec.ValidationError:
--- a/flintreach/consensus/proposer.py
+++ b/flintreach/consensus/proposer.py
@@ -1,7 +1,7 @@
-"""One proposal for a key, as a state machine without input or output.
+"""CASPaxos proposer for one ballot, as a pure state machine.
 
-`Proposal` is fed with the acceptors' answers and tells which phase is next; `Register.attempt` in
-`register.py` sends its requests.
+`Proposal` consumes the acceptors' answers and determines the next phase; `Register.attempt` in `register.py`
+sends the requests.
 
 Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018), section 2.2.
 """
@@ -16,36 +16,36 @@
 
 
 class ProposalState(StrEnum):
-    """The phase that a proposal is in."""
+    """Phase or outcome of a proposal."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
     DONE = "done"
-    LOST = "lost"  # another writer was ahead
+    PREEMPTED = "preempted"  # an acceptor has promised a higher ballot
 
 
 class Proposal:
-    """One attempt to change a key, at one ballot.
+    """One attempt to change a key at one ballot.
 
     Attributes:
-        state: the phase.
-        value: in `ACCEPT` the value to be accepted, in `DONE` the value that stands.
-        incarnations: acceptor -> incarnation of the disk that gave its promise.
-        acceptances: acceptors that accepted the value.
+        state: the current phase.
+        value: the proposed value in `ACCEPT`, the chosen value in `DONE`.
+        incarnations: acceptor -> incarnation of the disk that promised.
+        acceptances: acceptors that have accepted the value.
         highest_round: the highest round seen in a refusal.
     """
 
-    def __init__(self, quorum: Quorum, ballot: Ballot, step: ChangeFunction) -> None:
+    def __init__(self, quorum: Quorum, ballot: Ballot, change_function: ChangeFunction) -> None:
         """Start in the prepare phase.
 
         Args:
-            quorum: whether some acceptors are a quorum.
-            ballot: the proposal number.
-            step: the new value for the one that stands, or None to leave that.
+            quorum: whether the given acceptors form a quorum.
+            ballot: the ballot to propose at.
+            change_function: maps the current value to the new one, or to None to leave it unchanged.
         """
         self.quorum = quorum
         self.ballot = ballot
-        self.change_function = step
+        self.change_function = change_function
         self.state = ProposalState.PREPARE
         self.incarnations: dict[Hashable, str] = {}
         self.acceptances: set[Hashable] = set()
@@ -57,13 +57,13 @@
     def record_promise(
         self, acceptor: Hashable, incarnation: str, accepted: Ballot, value: bytes | None
     ) -> None:
-        """Take in a promise; with a quorum of them the next phase begins.
+        """Record a promise; a quorum of promises ends the prepare phase.
 
         Args:
-            acceptor: who promised.
-            incarnation: its disk.
-            accepted: the ballot of what it had accepted before.
-            value: the value that it had accepted before.
+            acceptor: the acceptor that promised.
+            incarnation: the incarnation of its disk.
+            accepted: the ballot of the value that it last accepted.
+            value: the value that it last accepted.
         """
         if self.state != ProposalState.PREPARE:
             return
@@ -76,7 +76,7 @@
             self.begin_accept()
 
     def begin_accept(self) -> None:
-        """Choose the value to propose, or end where nothing is to be written."""
+        """Apply the change function, and finish if there is nothing to write."""
         new_value = self.change_function(self.value)
         if new_value is not None:
             self.value = new_value
@@ -88,18 +88,18 @@
         if self.highest_accepted == NO_BALLOT or on_quorum:
             self.state = ProposalState.DONE
         else:
-            # What stands may be on a minority alone: it is proposed again before it is returned, or it could
+            # Only a minority may hold the value: write it back before returning it. Otherwise it could still
             # be lost after a caller has read it.
             self.state = ProposalState.ACCEPT
 
     def record_acceptance(self, acceptor: Hashable) -> None:
-        """Take in an acceptance; with a quorum of them the value stands."""
+        """Record an acceptance; a quorum of acceptances chooses the value."""
         self.acceptances.add(acceptor)
         if self.state == ProposalState.ACCEPT and self.quorum(self.acceptances):
             self.state = ProposalState.DONE
 
     def record_refusal(self, promised: Ballot) -> None:
-        """Take in a refusal: one acceptor has promised a higher ballot, so this proposal is lost."""
+        """Record a refusal: an acceptor has promised a higher ballot, which preempts this proposal."""
         self.highest_round = max(self.highest_round, promised[0])
         if self.state in (ProposalState.PREPARE, ProposalState.ACCEPT):
-            self.state = ProposalState.LOST
+            self.state = ProposalState.PREEMPTED
--- a/flintreach/consensus/quorum.py
+++ b/flintreach/consensus/quorum.py
@@ -1,9 +1,9 @@
-"""Which disks vote: a configuration of the register's acceptors, a value with an epoch. No input or output.
+"""Voter configurations of the register, each identified by its epoch; no I/O.
 
-A change of voters goes by joint configurations: from one set to both at once, and from both to the new one.
-While two sets stand, a quorum is a majority of each. An epoch is decided in the register, under the epoch
-before it. Each prepare, accept and message on endpoints carries its sender's epoch; a receiver that knows a
-later epoch refuses it and answers with the later one.
+Voters change by joint consensus: from the old set to a joint configuration of the old and the new set, and
+from there to the new set. In a joint configuration a quorum is a majority of each set. Each epoch is decided
+in the register under the epoch before it. Prepare, accept and endpoint messages carry the sender's epoch; a
+receiver in a later epoch rejects them and answers with its configuration.
 
 Source: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), section 6.
 """
@@ -15,17 +15,17 @@
 import msgspec
 
 Address = tuple[str, int]
-Member = tuple[Address, str]  # a voter's address and its disk's incarnation
+Member = tuple[Address, str]  # a voter's address and the incarnation of its disk
 
 VOTERS_FACT = "voters"
-LEGACY_VOTERS_FACT = "circle"  # the list of voters, without epochs, that earlier releases wrote
+LEGACY_VOTERS_FACT = "circle"  # list of voters without an epoch, as earlier releases stored it
 
 encode = msgspec.msgpack.encode
 decode = msgspec.msgpack.decode
 
 
 class MemberRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A voter on the wire and on disk: an array [ip, port, incarnation]."""
+    """Encoded voter, an array [ip, port, incarnation]."""
 
     ip: str
     port: int
@@ -33,7 +33,7 @@
 
 
 class VotersRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A configuration on the wire and on disk: an array [epoch, old set, new set]."""
+    """Encoded configuration, an array [epoch, old set, new set]."""
 
     epoch: int
     old: list[MemberRow] = []
@@ -41,24 +41,24 @@
 
 
 def member_rows(members: tuple[Member, ...]) -> list[MemberRow]:
-    """The wire form of one set of voters."""
+    """Encode one set of voters."""
     return [MemberRow(ip, port, incarnation) for (ip, port), incarnation in members]
 
 
-def members_of(rows: list[MemberRow]) -> tuple[Member, ...]:
-    """One set of voters from its wire form."""
+def members_from_rows(rows: list[MemberRow]) -> tuple[Member, ...]:
+    """Decode one set of voters."""
     return tuple(((row.ip, row.port), row.incarnation) for row in rows)
 
 
 @dataclass(frozen=True, slots=True)
 class Voters:
-    """A configuration of voters.
+    """A voter configuration.
 
     Attributes:
-        epoch: number of the configuration; 0 before the first is decided.
-        old: voters, each with the incarnation of its disk when it was taken in. The incarnation is "" in
-            epoch 0, where the disks of the seeds decide on the first voters.
-        new: the set that follows; empty while one set stands alone.
+        epoch: number of the configuration; 0 until the first one is decided.
+        old: the current voters, each with the incarnation of its disk at the time it was added. The
+            incarnation is "" in epoch 0, in which the seeds' disks decide on the first voters.
+        new: the next set of voters in a joint configuration, otherwise empty.
     """
 
     epoch: int = 0
@@ -67,18 +67,18 @@
 
     @classmethod
     def from_row(cls, row: VotersRow | list[Any]) -> "Voters":
-        """A configuration from its wire form, decoded or still a plain list."""
+        """Create a configuration from its row, given as a struct or as a plain list."""
         if not isinstance(row, VotersRow):
             row = msgspec.convert(row, VotersRow)
-        return cls(row.epoch, members_of(row.old), members_of(row.new))
+        return cls(row.epoch, members_from_rows(row.old), members_from_rows(row.new))
 
     def row(self) -> VotersRow:
-        """The wire form."""
+        """The row that encodes this configuration."""
         return VotersRow(self.epoch, member_rows(self.old), member_rows(self.new))
 
     @classmethod
     def from_facts(cls, facts: dict[str, str]) -> "Voters":
-        """The latest configuration on a disk, or the list that earlier releases wrote, as epoch 1."""
+        """Read the configuration stored on a disk; a list stored by an earlier release becomes epoch 1."""
         if VOTERS_FACT in facts:
             return cls.from_row(decode(bytes.fromhex(facts[VOTERS_FACT])))
         legacy_list = facts.get(LEGACY_VOTERS_FACT)
@@ -88,25 +88,25 @@
         return cls(1, tuple(sorted(((ip, int(port)), "") for ip, _, port in endpoints)))
 
     def to_facts(self) -> dict[str, str]:
-        """The fact to write to a disk, as `from_facts` reads it."""
+        """The fact to store on a disk, in the format that `from_facts` reads."""
         return {VOTERS_FACT: encode(self.row()).hex()}
 
     @property
     def sets(self) -> list[set[Address]]:
-        """One set of addresses, or two while they change."""
+        """Addresses of each set of voters: two sets in a joint configuration, otherwise one."""
         return [{address for address, _ in members} for members in (self.old, self.new) if members]
 
     @property
     def joint(self) -> bool:
-        """Whether two sets stand."""
+        """Whether this is a joint configuration."""
         return bool(self.new)
 
     def members(self) -> list[Address]:
-        """All that vote, in either set, sorted."""
+        """Sorted addresses of the voters of all sets."""
         return sorted(set().union(*self.sets))
 
     def incarnations(self, address: Address) -> set[str]:
-        """Disk incarnations recorded for an address: none where it doesn't vote."""
+        """Disk incarnations recorded for an address; empty if it is not a voter."""
         return {
             incarnation
             for members in (self.old, self.new)
@@ -114,8 +114,8 @@
             if member == address
         }
 
-    def renewed(self, address: Address, incarnation: str) -> "Voters":
-        """The next configuration with the same voters, one of which has another disk."""
+    def with_incarnation(self, address: Address, incarnation: str) -> "Voters":
+        """The next configuration, with the same voters and a new disk incarnation for one of them."""
         sets = (
             tuple((member, incarnation if member == address else recorded) for member, recorded in members)
             for members in (self.old, self.new)
@@ -123,7 +123,7 @@
         return Voters(self.epoch + 1, *sets)
 
     def is_quorum(self, addresses: Iterable[Address]) -> bool:
-        """Whether these addresses are a quorum: a majority of each set. An empty set has no quorum.
+        """Whether the addresses contain a majority of each set. Without voters there is no quorum.
 
         >>> Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), ""))).is_quorum({("a", 1), ("c", 1)})
         True
@@ -131,15 +131,15 @@
         present = set(addresses)
         return bool(self.sets) and all(len(present & members) > len(members) // 2 for members in self.sets)
 
-    def covered(self, address: Address, addresses: Iterable[Address]) -> bool:
-        """Whether some voters know all that the lost disk of another may have promised.
+    def is_recovery_quorum(self, address: Address, addresses: Iterable[Address]) -> bool:
+        """Whether these voters together know everything that a lost disk may have promised or accepted.
 
-        In each set that the lost disk is in, any `size - majority + 1` others have a member of every majority
-        that it was part of.
+        In each set with the lost disk, any `size - majority + 1` other voters intersect every majority that
+        the lost disk was part of.
 
         Args:
             address: the voter whose disk was lost.
-            addresses: the voters that have told what they hold.
+            addresses: the voters that have reported their slots.
         """
         others = set(addresses) - {address}
         return all(
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -1,13 +1,13 @@
-"""How the voters change: a new disk copies, then a joint epoch, then the new set alone.
+"""Membership changes of the voters: a new disk catches up, then a joint epoch, then the new set.
 
-In epoch e the voters are C. A change of the key "voters" decides e+1 = (C, C'). There every key is read and,
-where it must be, written once more, and the endpoint records are collected anew, so that a quorum of C' holds
-all that a quorum of C held. Then e+2 = (C') is decided under the quorums of e+1. Any two epochs that follow
-each other share majorities of a set, and before e+2 a majority of C has moved to e+1, so no change of e can
-end any more. A proposer may die at any step: whoever finds a joint configuration goes on with it.
+Let C be the voters of epoch e. A change of the key "voters" decides epoch e+1 = (C, C'). In e+1 every key is
+read, which writes it back where necessary, and the endpoint records are collected again, so that a quorum of
+C' holds everything that a quorum of C held. Then e+2 = (C') is decided by the quorums of e+1. Consecutive
+epochs share majorities of a set, and before e+2 a majority of C has moved to e+1, so no change of e can
+complete any more. A proposer may fail at any step: any process that finds a joint configuration completes it.
 
-Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018), section 2.3, changes of the
-members, made of joint configurations.
+Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018), section 2.3 on membership
+changes, here with joint configurations.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class NewestCopy(NamedTuple):
-    """The highest accepted ballot of a key among a quorum, and who has it (None: nobody has the key)."""
+    """The highest accepted ballot of a key in a quorum, and a voter that holds it (None if no voter does)."""
 
     ballot: Ballot
     holder: Address | None
@@ -41,11 +41,11 @@
 
 
 def newest_copies(answers: dict[Address, dict[str, Any]], known_keys: list[str]) -> dict[str, NewestCopy]:
-    """The newest copy of each key, of those that are known or that a voter told of.
+    """Find the newest copy of each key that this disk or a voter holds.
 
     Args:
-        answers: accepted ballots by key, of each voter that answered.
-        known_keys: keys of this disk.
+        answers: accepted ballots by key, from each voter that answered.
+        known_keys: the keys on this disk.
     """
     newest: dict[str, NewestCopy] = dict.fromkeys(known_keys, NO_COPY)
     for address, ballots in answers.items():
@@ -56,23 +56,23 @@
 
 
 class Reconfiguration:
-    """Changes of the voters, as one process takes part in them.
+    """One process's part in changes of the voters.
 
     Attributes:
-        caught_up_epoch: the epoch under which this disk, which doesn't vote, copied what a quorum holds.
-        synced_epoch: the joint epoch under which this disk collected the endpoint records.
+        caught_up_epoch: the epoch in which this disk, as a non-voter, last copied the state of a quorum.
+        synced_epoch: the joint epoch in which this disk last collected the endpoint records.
     """
 
-    def __init__(self, register: Register, collect: Callable[[], bool]) -> None:
-        """Take part in changes of a register's voters.
+    def __init__(self, register: Register, collect_records: Callable[[], bool]) -> None:
+        """Add the message handlers for membership changes.
 
         Args:
             register: this process's register.
-            collect: collects endpoint records; whether those of a quorum are on this disk.
+            collect_records: collects the endpoint records of a quorum; whether they are on this disk.
         """
         self.register = register
         self.runtime = register.runtime
-        self.collect = collect
+        self.collect_records = collect_records
         self.caught_up_epoch = -1
         self.synced_epoch = -1
         register.peer_pool.handlers |= {
@@ -80,36 +80,41 @@
             MessageKind.SYNC_RECORDS: self.on_sync_records,
         }
 
-    # At a disk that doesn't vote.
+    # On a non-voter.
 
     def catch_up(self) -> bool:
-        """Make this disk, which doesn't vote, hold just what a quorum holds.
+        """Copy the state of a quorum to this disk, which is not a voter.
 
-        What it held before goes: an old voter's accepted values may be such as no quorum took, with ballots
-        above those of later changes. They count for nothing while it doesn't vote, and must not come back
-        with it.
+        The disk's previous state is replaced. A former voter may hold accepted values that no quorum
+        accepted, at ballots higher than those of later changes. They do not count while the disk is not a
+        voter, and must not reappear when it becomes one again.
 
         Returns:
-            Whether it holds that now.
+            Whether the disk holds exactly the state of a quorum of the current epoch.
         """
         register = self.register
         voters = register.voters
         address = register.peer_pool.address
-        if not register.acceptor or not voters.epoch or address in register.voter_addresses or register.busy:
+        if (
+            not register.acceptor
+            or not voters.epoch
+            or address in register.voter_addresses
+            or register.requests_in_progress
+        ):
             return False
-        answers = register.quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
+        answers = register.ask_quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
         if answers is None:
             return False
-        if not self.copy_all(newest_copies(answers, list(register.acceptor.slots)), voters):
+        if not self.copy_keys(newest_copies(answers, list(register.acceptor.slots)), voters):
             return False
-        if self.caught_up_epoch != voters.epoch and not self.collect():
+        if self.caught_up_epoch != voters.epoch and not self.collect_records():
             return False
         if register.voters == voters:
             self.caught_up_epoch = voters.epoch
         return self.caught_up_epoch == voters.epoch
 
-    def copy_all(self, copies: dict[str, NewestCopy], voters: Voters) -> bool:
-        """Whether all keys are on this disk as the newest copies have them, under the same configuration."""
+    def copy_keys(self, copies: dict[str, NewestCopy], voters: Voters) -> bool:
+        """Copy the newest copy of each key to this disk; whether all succeeded in the same configuration."""
         copied: list[str] = []
 
         def copy(key: str, newest: NewestCopy) -> None:
@@ -121,7 +126,7 @@
         return len(copied) >= len(copies) and self.register.voters == voters
 
     def copy_key(self, key: str, newest: NewestCopy, voters: Voters) -> bool:
-        """Whether a key is on this disk as its newest copy has it; a key that no voter has is dropped."""
+        """Copy one key to this disk, or delete it if no voter has it; whether that succeeded."""
         register = self.register
         local_slot = register.acceptor.slots.get(key)
         if local_slot and local_slot.accepted == newest.ballot and local_slot.promised == newest.ballot:
@@ -131,8 +136,8 @@
             slot = register.fetch_slot(newest.holder, key, newest.ballot)
             if slot is None:
                 return False
-        # Once it votes, only prepares and accepts may change what it holds: they wait for the same lock.
-        with register.lock_of(key):
+        # Once the disk votes, only prepare and accept may change its slots; they take the same lock.
+        with register.lock_for(key):
             if register.voters != voters or not register.store.persist({key: slot}):
                 return False
             if slot:
@@ -142,7 +147,7 @@
         return True
 
     def on_disk_status(self, link: Any, epoch: int | None) -> DiskStatus | EpochMismatch | None:
-        """What this process tells of its disk under an epoch (None: no matter which); None: it has none."""
+        """Report the disk's status in an epoch (None: in any epoch); None if this process has no disk."""
         register = self.register
         if epoch is not None:
             mismatch = register.check_epoch(epoch)
@@ -156,76 +161,76 @@
             caught_up and register.peer_pool.address not in register.voter_addresses,
         )
 
-    # At a voter.
+    # On a voter.
 
     def start_voting(self) -> bool:
-        """Make this disk vote, if it is a voter's.
+        """Make this disk vote if this process is a voter.
 
-        A disk that came back empty has its incarnation recorded first: from then on the others take no change
-        of an epoch in which the lost disk's answers still count.
+        The incarnation of a wiped disk is recorded in a new configuration first. From then on the other
+        voters reject changes of earlier epochs, in which answers of the lost disk still count.
 
         Returns:
-            Whether it votes, or need not.
+            Whether the disk votes or need not vote.
         """
         register = self.register
         address = register.peer_pool.address
         if register.acceptor and not register.can_vote() and address in register.voter_addresses:
             incarnation = register.store.incarnation
             recorded = register.voters.incarnations(address) == {incarnation}
-            if not recorded and not self.propose(register.voters.renewed(address, incarnation)):
+            if not recorded and not self.propose(register.voters.with_incarnation(address, incarnation)):
                 return False
         return register.recover_promises()
 
     def on_sync_records(self, link: Any, epoch: int) -> bool | EpochMismatch | None:
-        """Answer True once this disk has the endpoint records of a quorum in the joint epoch."""
+        """Answer True once this disk holds the endpoint records of a quorum in the joint epoch."""
         register = self.register
         mismatch = register.check_epoch(epoch)
         if mismatch is not None:
             return mismatch
         if self.synced_epoch != epoch:
-            if not register.can_vote() or not self.collect() or register.voters.epoch != epoch:
+            if not register.can_vote() or not self.collect_records() or register.voters.epoch != epoch:
                 return register.check_epoch(epoch)
             self.synced_epoch = epoch
         return True
 
-    def propose(self, wish: Voters, timeout: float = 1.0) -> bool:
-        """Propose a configuration as the one after ours, under ours.
+    def propose(self, proposed: Voters, timeout: float = 1.0) -> bool:
+        """Propose the next configuration under the current one.
 
         Args:
-            wish: the configuration.
-            timeout: seconds in all.
+            proposed: the next configuration.
+            timeout: total time in seconds.
 
         Returns:
-            Whether it stands now. Another that was decided first is adopted instead.
+            Whether it is the current configuration now. If another was decided first, that one is adopted.
         """
         register = self.register
 
         def step(value: bytes | None) -> bytes | None:
             standing = Voters.from_row(decode(value)) if value else Voters()
-            if standing.epoch > register.voters.epoch or wish.epoch != register.voters.epoch + 1:
+            if standing.epoch > register.voters.epoch or proposed.epoch != register.voters.epoch + 1:
                 return None
-            return encode(wish.row())
+            return encode(proposed.row())
 
         done, value = register.change(VOTERS_KEY, step, timeout)
         if done and value:
             register.adopt(Voters.from_row(decode(value)))
-        return register.voters == wish
+        return register.voters == proposed
 
-    def rewrite(self, timeout: float = 2.0) -> bool:
-        """Read every key under the configuration that stands.
+    def rewrite_keys(self, timeout: float = 2.0) -> bool:
+        """Read every key under the current configuration.
 
-        A read writes back what only a part of a quorum holds; and its promises refuse, at each later quorum,
-        what a few may have accepted under an earlier epoch.
+        A read writes back a value that only part of a quorum holds. Its promises also make every later
+        quorum refuse values that a minority may have accepted in an earlier epoch.
 
         Args:
             timeout: seconds for all keys.
 
         Returns:
-            Whether a quorum of this epoch holds what stands of every key.
+            Whether a quorum of this epoch holds the current value of every key.
         """
         register = self.register
         voters = register.voters
-        answers = register.quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
+        answers = register.ask_quorum(MessageKind.ACCEPTED_BALLOTS, voters.epoch, QUORUM_TIMEOUT_S)
         if answers is None:
             return False
         keys = {key for ballots in answers.values() for key in ballots} - {VOTERS_KEY}
@@ -239,16 +244,16 @@
         return len(rewritten) == len(keys) and register.voters == voters
 
     def leave_joint(self) -> bool:
-        """Go from a joint configuration to the new set alone.
+        """Complete a joint configuration by deciding its new set.
 
-        To be called by anybody, at any time, again after any failure.
+        Any process may call this at any time, and may repeat it after a failure.
 
         Returns:
-            Whether the new set stands alone, and a quorum of it knows.
+            Whether the new set was decided and a quorum of it has adopted it.
         """
         register = self.register
         voters = register.voters
-        if not voters.joint or not self.rewrite():
+        if not voters.joint or not self.rewrite_keys():
             return False
         successor = Voters(voters.epoch + 1, voters.new)
 
@@ -262,17 +267,17 @@
         return self.propose(successor) and self.announce()
 
     def announce(self, timeout: float = 1.0) -> bool:
-        """Tell the voters the configuration that stands.
+        """Send the current configuration to its voters.
 
-        Until a quorum has it on disk, who proposed it must not die together with who was left out: those who
-        know the joint epoch alone would ask for a majority of the old set too, and never learn that it is
-        over.
+        A change is complete only when a quorum has persisted the configuration. Before that, if the proposer
+        and the removed voters failed together, the remaining voters would know only the joint epoch, still
+        require a majority of the old set, and never learn that the new set was decided.
 
         Args:
-            timeout: seconds in all.
+            timeout: total time in seconds.
 
         Returns:
-            Whether a quorum of this configuration has it on its disks.
+            Whether a quorum of this configuration has persisted it.
         """
         register = self.register
         voters = register.voters
--- a/flintreach/consensus/register.py
+++ b/flintreach/consensus/register.py
@@ -1,7 +1,7 @@
-"""The register: reads and changes of keys, proposed to the acceptors of other processes and of this one.
+"""The replicated register: reads and changes of keys, proposed to the acceptors of all voters.
 
-Without a disk of its own, or outside the group of voters, a process only proposes. `VotingProcess` has the
-epochs, `AcceptorService` the answers of this process's disk.
+A process that has no disk or is not a voter only proposes. `VotingProcess` tracks epochs, `AcceptorService`
+answers for this process's disk.
 
 Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018).
 """
@@ -16,7 +16,7 @@
     AcceptRequest,
     MessageKind,
     PrepareRequest,
-    acceptor_answer,
+    decode_acceptor_answer,
 )
 from flintreach.consensus.proposer import ChangeFunction, Proposal, ProposalState
 from flintreach.consensus.quorum import Address, Voters
@@ -27,18 +27,18 @@
 CHANGE_TIMEOUT_S = 2.0
 ATTEMPT_TIMEOUT_S = 1.0
 MIN_ACCEPT_TIMEOUT_S = 0.05
-RETRY_S = 0.05  # pause after an attempt without a quorum
-MIN_BACKOFF_S = 0.005  # shortest pause after an attempt that another writer has beaten
-MIN_BACKOFF_RANGE_S = 0.05  # the longest such pause is at least this
-BACKOFF_PER_ROUND = 1.5  # and so many times what the attempt took
+RETRY_S = 0.05  # delay after an attempt that did not reach a quorum
+MIN_BACKOFF_S = 0.005  # minimum delay after an attempt that another writer preempted
+MIN_BACKOFF_RANGE_S = 0.05  # lower bound of the maximum delay after such an attempt
+BACKOFF_PER_ROUND = 1.5  # maximum delay as a multiple of the attempt's duration
 
 
 class ChangeResult(NamedTuple):
     """The outcome of a change.
 
     Attributes:
-        done: whether it is known what stands. If not, the change may or may not stand.
-        value: what stands, where that is known.
+        done: whether the outcome is known. If not, the change may or may not have been applied.
+        value: the current value if the outcome is known.
     """
 
     done: bool
@@ -46,23 +46,23 @@
 
 
 class AnswerFeed:
-    """Feeds a proposal with the answers of one phase, each of a growing list once."""
+    """Passes the answers of one phase to a proposal, each exactly once, from a list that grows."""
 
     def __init__(self, proposal: Proposal) -> None:
         self.proposal = proposal
         self.consumed = 0
 
     def unread(self, answers: Answers) -> Iterator[tuple[Address, AcceptorAnswer]]:
-        """Well-formed answers that came since the last call."""
+        """Well-formed answers that arrived since the last call."""
         while len(answers) > self.consumed:
             address, row = answers[self.consumed]
             self.consumed += 1
-            answer = acceptor_answer(row)
+            answer = decode_acceptor_answer(row)
             if answer is not None:
                 yield address, answer
 
     def prepared(self, answers: Answers) -> bool:
-        """Whether the prepare phase is over."""
+        """Pass on new answers to prepare; whether the prepare phase is over."""
         for address, answer in self.unread(answers):
             if answer.verdict == Verdict.PROMISE:
                 slot = answer.slot
@@ -72,7 +72,7 @@
         return self.proposal.state != ProposalState.PREPARE
 
     def accepted(self, answers: Answers) -> bool:
-        """Whether the accept phase is over."""
+        """Pass on new answers to accept; whether the accept phase is over."""
         for address, answer in self.unread(answers):
             if answer.verdict == Verdict.ACCEPTED:
                 self.proposal.record_acceptance(address)
@@ -82,38 +82,40 @@
 
 
 class Register(AcceptorService):
-    """Reads and changes of keys by this process.
+    """Reads and changes keys on behalf of this process.
 
     Attributes:
-        writer: this process's name in its ballots.
-        rounds: key -> the highest round of a ballot that this process knows of.
-        incarnations: acceptor -> incarnation of the disk that last promised there.
+        writer: identifies this process in its ballots.
+        rounds: key -> the highest ballot round known to this process.
+        incarnations: acceptor -> incarnation of the disk that last promised.
     """
 
     def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None) -> None:
-        """Take part with a disk, or without one.
+        """Create the register and add its message handlers to the peer pool.
 
         Args:
-            peer_pool: connections to other processes; the register's handlers are added to its own.
-            voters: the configuration that this process knows at its start.
-            store: this process's disk, or None.
+            peer_pool: connections to other processes.
+            voters: the configuration known at start-up.
+            store: this process's disk, None if it has none.
         """
         super().__init__(peer_pool, voters, store)
         self.writer = f"{peer_pool.address[0]}:{peer_pool.address[1]}"
         self.rounds: dict[str, int] = {}
         self.incarnations: dict[Address, str] = {}
 
-    def change(self, key: str, step: ChangeFunction, timeout: float = CHANGE_TIMEOUT_S) -> ChangeResult:
-        """Change a key, or read it, with as many attempts as the time allows.
+    def change(
+        self, key: str, change_function: ChangeFunction, timeout: float = CHANGE_TIMEOUT_S
+    ) -> ChangeResult:
+        """Change or read a key, retrying until the timeout.
 
         Args:
             key: the register's key.
-            step: the new value for the one that stands, or None to leave that. It may be called once for
-                each attempt.
-            timeout: seconds in all.
+            change_function: maps the current value to the new one, or to None to leave it unchanged. It may
+                be called once per attempt.
+            timeout: total time in seconds.
 
         Returns:
-            The value that stands after `step`, or that it isn't known.
+            The value after the change, or that the outcome is unknown.
         """
         deadline = self.runtime.now() + timeout
         while True:
@@ -122,59 +124,59 @@
                 return ChangeResult(False, None)
             self.rounds[key] = self.rounds.get(key, 0) + 1
             voters = self.voters
-            proposal = Proposal(voters.is_quorum, Ballot(self.rounds[key], self.writer), step)
+            proposal = Proposal(voters.is_quorum, Ballot(self.rounds[key], self.writer), change_function)
             began = self.runtime.now()
             self.attempt(proposal, key, min(remaining_s, ATTEMPT_TIMEOUT_S), voters)
             if proposal.state == ProposalState.DONE:
                 return ChangeResult(True, proposal.value)
             self.rounds[key] = max(self.rounds[key], proposal.highest_round)
-            if self.voters.epoch == voters.epoch:  # else it was of an earlier epoch: at once again
+            if self.voters.epoch == voters.epoch:  # after a change of epoch, retry without a delay
                 self.back_off(proposal, self.runtime.now() - began)
 
     def back_off(self, proposal: Proposal, attempt_s: float) -> None:
         """Wait before the next attempt.
 
-        The pause follows how long an attempt takes: two writers a long way apart would turn each other down
-        for ever.
+        The delay scales with the duration of an attempt. With a fixed delay, two writers with a high latency
+        could preempt each other indefinitely.
 
         Args:
             proposal: the attempt that failed.
-            attempt_s: seconds that it took.
+            attempt_s: its duration in seconds.
         """
-        if proposal.state != ProposalState.LOST:
+        if proposal.state != ProposalState.PREEMPTED:
             self.runtime.sleep(RETRY_S)
             return
         longest_s = max(MIN_BACKOFF_RANGE_S, BACKOFF_PER_ROUND * attempt_s)
         self.runtime.sleep(self.runtime.chance.uniform(MIN_BACKOFF_S, longest_s))
 
     def attempt(self, proposal: Proposal, key: str, timeout: float, voters: Voters) -> None:
-        """Put one proposal to the voters.
+        """Run both phases of one proposal.
 
         Args:
-            proposal: fed with the answers; its state tells the outcome.
+            proposal: receives the answers; its state gives the outcome.
             key: the register's key.
             timeout: seconds for both phases.
-            voters: the configuration that the proposal is of.
+            voters: the configuration under which the proposal is made.
         """
         deadline = self.runtime.now() + timeout
         members = voters.members()
         request = PrepareRequest(key, proposal.ballot, voters.epoch)
         self.gather(members, MessageKind.PREPARE, request, AnswerFeed(proposal).prepared, timeout)
-        # A process that slept must not tell others to accept what its caller has given up on. Nor may an
-        # attempt go on under a later epoch: its promises are not a quorum of that.
+        # A process that was suspended must not send accept requests for a change that its caller has given
+        # up on. Nor may an attempt continue in a later epoch, in which its promises are not a quorum.
         if proposal.state != ProposalState.ACCEPT or self.runtime.now() > deadline:
             return
         if self.voters.epoch != voters.epoch:
             return
         self.incarnations |= proposal.incarnations
-        # A copy: another change may meanwhile meet a newer disk there, which this promise does not bind.
+        # Copied, because a concurrent change may record a newer disk, which is not bound by this promise.
         incarnations = {**self.incarnations, **proposal.incarnations}
 
         def accept_request(address: Address) -> AcceptRequest:
             return AcceptRequest(key, proposal.ballot, proposal.value, incarnations[address], voters.epoch)
 
         self.gather(
-            # Those whose promise came too late are asked as well, lest they lag until anti-entropy finds it.
+            # Includes acceptors whose promise came late: otherwise they lag until anti-entropy finds it.
             [address for address in members if address in incarnations],
             MessageKind.ACCEPT,
             accept_request,
@@ -183,14 +185,14 @@
         )
 
     def read(self, key: str, timeout: float = CHANGE_TIMEOUT_S) -> ChangeResult:
-        """What stands, by a quorum; disks that lag are repaired on the way.
+        """Read a key from a quorum, writing the value back to voters that lag.
 
         Args:
             key: the register's key.
-            timeout: seconds in all.
+            timeout: total time in seconds.
         """
 
-        def leave_as_it_is(value: bytes | None) -> None:
+        def leave_unchanged(value: bytes | None) -> None:
             return None
 
-        return self.change(key, leave_as_it_is, timeout)
+        return self.change(key, leave_unchanged, timeout)
--- a/flintreach/consensus/voter_selection.py
+++ b/flintreach/consensus/voter_selection.py
@@ -1,8 +1,8 @@
-"""Which disks should vote, as a pure function of the known disks and of the losses to be borne.
+"""Selection of voters, as a pure function of the known disks and the required failure tolerance.
 
-The number follows what the deployment asks for: a set bears the losses if it keeps a majority after the loss
-of any `machines` voters, of any `zones` zones or of any `regions` regions. One voter is taken in, left out or
-exchanged at a time.
+A set of voters tolerates the failures if it keeps a majority after the loss of any `machines` voters, any
+`zones` zones or any `regions` regions. The number of voters follows from that. Each change adds, removes or
+replaces a single voter.
 """
 
 from collections import Counter
@@ -11,18 +11,21 @@
 
 from flintreach.consensus.quorum import Address, Voters
 
-MAX_VOTERS = 9  # more make every write dearer and bear no more than the settings ask for
-FIRST_START_CALM_S = 0.6  # without a new disk, at a first start with enough of them
-TOO_FEW_CALM_S = 6.0  # without a new disk, at a first start with too few of them
-GROWTH_CALM_S = 2.5  # without a disk that came or went, before the voters grow
-UNKNOWN_PLACE = ("?", "?")  # zone and region of a voter that nobody has met
+MAX_VOTERS = 9  # more would make every write costlier without tolerating more than the settings require
 
-Place = tuple[str, str]  # zone and region
+# How long the set of disks must have been unchanged, in seconds.
+INITIAL_STABLE_S = 0.6  # before a first start with enough disks
+INITIAL_MAX_STABLE_S = 6.0  # before a first start with too few disks to tolerate the failures
+GROWTH_STABLE_S = 2.5  # before a voter is added to voters that need no replacement
+
+UNKNOWN_LOCATION = ("?", "?")  # zone and region of a voter that is not a known member
+
+Location = tuple[str, str]  # zone and region
 
 
 @dataclass(frozen=True, slots=True)
 class FailureTolerance:
-    """What may be lost at once with all that was acknowledged kept."""
+    """How many failures at once must not lose any acknowledged write."""
 
     machines: int = 0
     zones: int = 0
@@ -31,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterCandidate:
-    """A machine with a disk that may vote, as the others see it.
+    """A machine with a disk that votes or may become a voter.
 
     Attributes:
-        address: of its process.
-        zone: its zone.
-        region: its region.
-        incarnation: of the disk, "" where it isn't known.
-        alive: the membership has it alive.
-        leaving: it has said that it ends.
-        caught_up: it holds what a quorum holds, and says so under the epoch that stands.
+        address: address of its process.
+        zone: zone of the machine.
+        region: region of the machine.
+        incarnation: incarnation of the disk, "" if unknown.
+        alive: whether the membership reports the process as alive.
+        leaving: whether the process has announced its shutdown.
+        caught_up: whether the disk reports that it holds the state of a quorum in the current epoch.
     """
 
     address: Address
@@ -52,26 +55,26 @@
     caught_up: bool = False
 
 
-def borne(places: Iterable[Place], losses: FailureTolerance) -> bool:
-    """Whether voters at these places (zone, region) keep a majority after any of the losses.
+def tolerates(locations: Iterable[Location], tolerance: FailureTolerance) -> bool:
+    """Whether voters at these locations keep a majority after any of the failures to be tolerated.
 
-    >>> borne([("a", "r"), ("b", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
+    >>> tolerates([("a", "r"), ("b", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
     True
-    >>> borne([("a", "r"), ("b", "r"), ("c", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
+    >>> tolerates([("a", "r"), ("b", "r"), ("c", "r"), ("c", "r")], FailureTolerance(machines=1, zones=1))
     False
     """
-    known_places = list(places)
-    size = len(known_places)
-    zones = Counter(zone for zone, _ in known_places)
-    regions = Counter(region for _, region in known_places)
-    lost_with_zones = sum(count for _, count in zones.most_common(losses.zones))
-    lost_with_regions = sum(count for _, count in regions.most_common(losses.regions))
-    worst_loss = max(min(losses.machines, size), lost_with_zones, lost_with_regions)
+    known_locations = list(locations)
+    size = len(known_locations)
+    zones = Counter(zone for zone, _ in known_locations)
+    regions = Counter(region for _, region in known_locations)
+    lost_with_zones = sum(count for _, count in zones.most_common(tolerance.zones))
+    lost_with_regions = sum(count for _, count in regions.most_common(tolerance.regions))
+    worst_loss = max(min(tolerance.machines, size), lost_with_zones, lost_with_regions)
     return size - worst_loss > size // 2
 
 
-def in_turn(disks: Iterable[VoterCandidate]) -> list[VoterCandidate]:
-    """Disks in the order in which they are taken: zones take turns, within one the addresses decide."""
+def interleave_zones(disks: Iterable[VoterCandidate]) -> list[VoterCandidate]:
+    """Order disks round-robin by zone, and by address within a zone."""
     zones: dict[str, list[VoterCandidate]] = {}
     for disk in sorted(disks, key=lambda disk: disk.address):
         zones.setdefault(disk.zone, []).append(disk)
@@ -82,40 +85,45 @@
     return ordered_disks
 
 
-def largest_that_bears(disks: list[VoterCandidate], losses: FailureTolerance) -> list[VoterCandidate] | None:
-    """As many of the first disks as bear the losses, or None where no number does."""
+def largest_tolerant_set(
+    disks: list[VoterCandidate], tolerance: FailureTolerance
+) -> list[VoterCandidate] | None:
+    """The longest prefix of the disks that tolerates the failures, None if there is none."""
     for size in range(len(disks), 0, -1):
-        if borne([(disk.zone, disk.region) for disk in disks[:size]], losses):
+        if tolerates([(disk.zone, disk.region) for disk in disks[:size]], tolerance):
             return disks[:size]
     return None
 
 
 def choose_initial_voters(
-    disks: Iterable[VoterCandidate], losses: FailureTolerance, calm_s: float
+    disks: Iterable[VoterCandidate], tolerance: FailureTolerance, stable_s: float
 ) -> Voters | None:
-    """The voters of a first start, or None while more disks are to be waited for.
+    """Choose the voters of a first start; None while more disks should be waited for.
 
-    With too few voters the losses that are allowed would leave no majority, or take the only copies: nothing
-    is acknowledged before they are enough, or before no new disk has come for `TOO_FEW_CALM_S`.
+    With too few voters, a failure that should be tolerated could leave no majority or destroy the only
+    copies. So nothing is acknowledged before there are enough disks, or before no new disk has appeared for
+    `INITIAL_MAX_STABLE_S`.
 
     Args:
         disks: the known disks.
-        losses: what must be borne.
-        calm_s: seconds without a new disk.
+        tolerance: the failures to tolerate.
+        stable_s: seconds since the set of disks last changed.
     """
-    candidates = in_turn(disk for disk in disks if disk.alive)[:MAX_VOTERS]
-    chosen = largest_that_bears(candidates, losses)
+    candidates = interleave_zones(disk for disk in disks if disk.alive)[:MAX_VOTERS]
+    chosen = largest_tolerant_set(candidates, tolerance)
     if chosen is None:
-        if calm_s < TOO_FEW_CALM_S:
+        if stable_s < INITIAL_MAX_STABLE_S:
             return None
         chosen = candidates
-    if not chosen or calm_s < FIRST_START_CALM_S:
+    if not chosen or stable_s < INITIAL_STABLE_S:
         return None
     return Voters(1, tuple(sorted((disk.address, disk.incarnation) for disk in chosen)))
 
 
-def exchanged(voters: Voters, out: Address | None = None, into: VoterCandidate | None = None) -> Voters:
-    """The joint configuration that follows, with one voter left out, one taken in, or both."""
+def joint_configuration(
+    voters: Voters, out: Address | None = None, into: VoterCandidate | None = None
+) -> Voters:
+    """The joint configuration that removes one voter, adds one, or both."""
     members = [member for member in voters.old if member[0] != out]
     if into:
         members.append((into.address, into.incarnation))
@@ -123,177 +131,182 @@
 
 
 class VoterPlan:
-    """What could follow one configuration of a single set.
+    """Possible successors of a configuration that is not joint.
 
     Attributes:
-        inside: addresses of the voters.
-        spares: disks that may be taken in.
-        bears_losses: whether the voters bear the losses as they are.
-        gone: voters that are dead or leave, those that leave first.
+        voter_addresses: addresses of the current voters.
+        spares: disks that may become voters.
+        is_tolerant: whether the current voters tolerate the failures.
+        departing: voters that are leaving or dead, in this order.
     """
 
-    def __init__(self, voters: Voters, disks: Iterable[VoterCandidate], losses: FailureTolerance) -> None:
+    def __init__(self, voters: Voters, disks: Iterable[VoterCandidate], tolerance: FailureTolerance) -> None:
         self.voters = voters
-        self.losses = losses
+        self.tolerance = tolerance
         self.disks = {disk.address: disk for disk in disks}
-        self.inside = [address for address, _ in voters.old]
+        self.voter_addresses = [address for address, _ in voters.old]
         self.spares = [disk for disk in self.disks.values() if self.is_spare(disk)]
-        self.bears_losses = self.bears()
-        self.gone = sorted(
-            filter(self.is_gone, self.inside), key=lambda address: (not self.disks[address].leaving, address)
+        self.is_tolerant = self.is_tolerant_with()
+        self.departing = sorted(
+            filter(self.is_departing, self.voter_addresses),
+            key=lambda address: (not self.disks[address].leaving, address),
         )
 
     def is_spare(self, disk: VoterCandidate) -> bool:
-        """Whether a disk may be taken in."""
-        return disk.caught_up and disk.alive and not disk.leaving and disk.address not in self.inside
+        """Whether a disk may become a voter."""
+        return disk.caught_up and disk.alive and not disk.leaving and disk.address not in self.voter_addresses
 
-    def is_gone(self, address: Address) -> bool:
-        """Whether a voter is known to be dead, or to leave."""
+    def is_departing(self, address: Address) -> bool:
+        """Whether a voter is known to be dead or leaving."""
         disk = self.disks.get(address)
         return disk is not None and (disk.leaving or not disk.alive)
 
-    def bears(
+    def is_tolerant_with(
         self,
         out: Iterable[Address] = (),
         into: VoterCandidate | None = None,
-        losses: FailureTolerance | None = None,
+        tolerance: FailureTolerance | None = None,
     ) -> bool:
-        """Whether the voters without some and with another bear the losses.
+        """Whether the voters tolerate the failures after a change.
 
         Args:
-            out: voters that are left out.
-            into: a disk that is taken in.
-            losses: what must be borne, if not all that the deployment asks for.
+            out: voters to remove.
+            into: disk to add.
+            tolerance: the failures to tolerate, by default all that the deployment requires.
         """
-        places: list[Place] = []
-        for address in self.inside:
+        locations: list[Location] = []
+        for address in self.voter_addresses:
             if address in out:
                 continue
             disk = self.disks.get(address)
-            # Where a voter stands that nobody has met is not known: all such count as one place.
-            places.append((disk.zone, disk.region) if disk else UNKNOWN_PLACE)
+            # The location of an unknown voter is not known; all such voters count as one location.
+            locations.append((disk.zone, disk.region) if disk else UNKNOWN_LOCATION)
         if into:
-            places.append((into.zone, into.region))
-        return borne(places, losses or self.losses)
+            locations.append((into.zone, into.region))
+        return tolerates(locations, tolerance or self.tolerance)
 
     def ranked_spares(self, out: Address | None = None) -> list[VoterCandidate]:
-        """Spares, best first: of the zone of the one left out, then of the zone with the fewest voters."""
+        """Spares, best first: from the zone of the removed voter, then from zones with the fewest voters."""
         voters_by_zone = Counter(
-            self.disks[address].zone for address in self.inside if address in self.disks and address != out
+            self.disks[address].zone
+            for address in self.voter_addresses
+            if address in self.disks and address != out
         )
         zone = self.disks[out].zone if out in self.disks else None
         return sorted(
             self.spares, key=lambda disk: (disk.zone != zone, voters_by_zone[disk.zone], disk.address)
         )
 
-    def replaced(self) -> Voters | None:
-        """A voter that is gone makes room for a spare.
+    def replacement(self) -> Voters | None:
+        """Replace a departing voter by a spare.
 
-        Best where all losses stay borne, else where those of machines do: without the spare one of them has
-        happened for good.
+        Preferably so that all failures stay tolerated, otherwise at least those of machines: without a
+        replacement, one of these failures would be permanent.
         """
-        for losses in (self.losses, FailureTolerance(self.losses.machines)):
-            for address in self.gone:
+        for tolerance in (self.tolerance, FailureTolerance(self.tolerance.machines)):
+            for address in self.departing:
                 for spare in self.ranked_spares(address):
-                    if not self.bears_losses or self.bears([address], spare, losses):
-                        return exchanged(self.voters, address, spare)
+                    if not self.is_tolerant or self.is_tolerant_with([address], spare, tolerance):
+                        return joint_configuration(self.voters, address, spare)
         return None
 
-    def dropped(self) -> Voters | None:
-        """A voter that is gone is left out without a successor.
+    def removal(self) -> Voters | None:
+        """Remove a departing voter without a replacement.
 
-        Only where the rest bears the losses by itself and can then lose more than before: of an even number
-        any, of an odd one if more said that they leave.
+        Only if the remaining voters tolerate the failures by themselves and can then lose more voters than
+        before. With an even number of voters any departing voter qualifies; with an odd number, several must
+        have announced their shutdown.
         """
-        size = len(self.inside)
-        first_gone = self.gone[:1] if size % 2 == 0 else []
-        leaving = [address for address in self.gone if self.disks[address].leaving]
-        alive = size - len(self.gone)
-        for dropped in (first_gone, leaving):
-            rest = size - len(dropped)
-            if not dropped or rest < 2 * self.losses.machines + 1 or not self.bears(dropped):
+        size = len(self.voter_addresses)
+        first_departing = self.departing[:1] if size % 2 == 0 else []
+        leaving = [address for address in self.departing if self.disks[address].leaving]
+        alive = size - len(self.departing)
+        for removed in (first_departing, leaving):
+            rest = size - len(removed)
+            if not removed or rest < 2 * self.tolerance.machines + 1 or not self.is_tolerant_with(removed):
                 continue
             spare_votes_after = alive - (rest // 2 + 1)
             spare_votes_before = alive - (size // 2 + 1)
             if spare_votes_after > spare_votes_before:
-                return exchanged(self.voters, dropped[0])
+                return joint_configuration(self.voters, removed[0])
         return None
 
-    def grown(self) -> Voters | None:
-        """Another voter, as long as that costs no tolerance; with too few, what repairs it."""
+    def growth(self) -> Voters | None:
+        """Add a voter if the failures stay tolerated; if they are not tolerated now, try to restore that."""
         spares = self.ranked_spares()
-        has_room = len(self.inside) < MAX_VOTERS
+        has_room = len(self.voter_addresses) < MAX_VOTERS
         if has_room:
             for spare in spares:
-                if self.bears((), spare):
-                    return exchanged(self.voters, None, spare)
-        if self.bears_losses:
+                if self.is_tolerant_with((), spare):
+                    return joint_configuration(self.voters, None, spare)
+        if self.is_tolerant:
             return None
         for spare in spares:
-            for address in self.inside:
-                if self.bears([address], spare):
-                    return exchanged(self.voters, address, spare)
-        for address in self.inside[::-1]:
-            if self.bears([address]):
-                return exchanged(self.voters, address)
-        return exchanged(self.voters, None, spares[0]) if spares and has_room else None
+            for address in self.voter_addresses:
+                if self.is_tolerant_with([address], spare):
+                    return joint_configuration(self.voters, address, spare)
+        for address in self.voter_addresses[::-1]:
+            if self.is_tolerant_with([address]):
+                return joint_configuration(self.voters, address)
+        return joint_configuration(self.voters, None, spares[0]) if spares and has_room else None
 
 
 def choose_next_voters(
-    voters: Voters, disks: Iterable[VoterCandidate], losses: FailureTolerance, calm_s: float
+    voters: Voters, disks: Iterable[VoterCandidate], tolerance: FailureTolerance, stable_s: float
 ) -> Voters | None:
-    """The configuration that should follow one that stands alone, or None where it is well as it is.
+    """Choose the joint configuration that should follow; None if no change is needed or one is in progress.
 
     Args:
-        voters: the configuration that stands.
+        voters: the current configuration.
         disks: the known disks.
-        losses: what must be borne.
-        calm_s: seconds since a disk came or went; growth waits for some, a replacement for none.
+        tolerance: the failures to tolerate.
+        stable_s: seconds since the set of disks last changed. Adding a voter waits for `GROWTH_STABLE_S`, a
+            replacement or removal does not.
     """
     if voters.epoch == 0 or voters.joint:
         return None
-    plan = VoterPlan(voters, disks, losses)
-    successor = plan.replaced() or plan.dropped()
-    if successor or calm_s < GROWTH_CALM_S:
+    plan = VoterPlan(voters, disks, tolerance)
+    successor = plan.replacement() or plan.removal()
+    if successor or stable_s < GROWTH_STABLE_S:
         return successor
-    return plan.grown()
+    return plan.growth()
 
 
 def plan_operator_change(
     voters: Voters,
     disks: Iterable[VoterCandidate],
-    losses: FailureTolerance,
+    tolerance: FailureTolerance,
     out: Address | None,
     into: Address | None,
 ) -> tuple[Voters | None, str]:
-    """What follows by an operator's order.
+    """Check a change of voters that an operator requested.
 
     Args:
-        voters: the configuration that stands.
+        voters: the current configuration.
         disks: the known disks.
-        losses: what must be borne.
-        out: the voter to leave out.
-        into: the disk to take in.
+        tolerance: the failures to tolerate.
+        out: the voter to remove.
+        into: the disk to add.
 
     Returns:
-        The joint configuration and "", or None and why not, for the operator to read.
+        The joint configuration and "", or None and the reason for the rejection.
     """
     if voters.epoch == 0 or voters.joint:
-        return None, "the voters are not settled, ask again"
+        return None, "the voters are not known yet or are changing; try again later"
     if out is None and into is None:
-        return None, "nobody to leave out or to take in"
-    plan = VoterPlan(voters, disks, losses)
-    if out is not None and out not in plan.inside:
+        return None, "neither a voter to remove nor a disk to add was given"
+    plan = VoterPlan(voters, disks, tolerance)
+    if out is not None and out not in plan.voter_addresses:
         return None, f"{out[0]}:{out[1]} does not vote"
     spare = next((disk for disk in plan.spares if disk.address == into), None)
     if into is not None and spare is None:
-        return None, f"{into[0]}:{into[1]} is no disk that is alive, caught up and does not vote"
+        return None, f"{into[0]}:{into[1]} is not a spare disk: it must be alive, caught up and not vote yet"
     left_out = [] if out is None else [out]
-    size = len(plan.inside) - len(left_out) + (spare is not None)
+    size = len(plan.voter_addresses) - len(left_out) + (spare is not None)
     if size > MAX_VOTERS:
-        return None, f"more than {MAX_VOTERS} voters"
-    if plan.bears_losses and not plan.bears(left_out, spare):
-        return None, "the voters that are left would not bear the losses that the settings ask for"
+        return None, f"there would be more than {MAX_VOTERS} voters"
+    if plan.is_tolerant and not plan.is_tolerant_with(left_out, spare):
+        return None, "the remaining voters would not tolerate the failures that the settings require"
     if size == 0:
-        return None, "nobody would be left"
-    return exchanged(voters, out, spare), ""
+        return None, "no voter would remain"
+    return joint_configuration(voters, out, spare), ""
--- a/flintreach/consensus/voting_process.py
+++ b/flintreach/consensus/voting_process.py
@@ -1,8 +1,8 @@
-"""A process that knows which disks vote, and its own disk among them.
+"""The voter configuration known to a process, and requests bound to its epoch.
 
-This layer of `Register` agrees with other processes on the epoch: a request carries its sender's epoch, and
-is answered only by a receiver in the same one. Above it `acceptor_service.py` answers for this disk, and
-`register.py` proposes changes.
+The lowest layer of `Register`. A request carries its sender's epoch and is processed only by a receiver in
+the same epoch; otherwise the process in the earlier epoch adopts the later configuration. On top of this
+layer, `acceptor_service.py` answers for this process's disk and `register.py` proposes changes.
 """
 
 from collections.abc import Callable
@@ -14,13 +14,13 @@
     EpochMismatch,
     LaterEpoch,
     MessageKind,
-    epoch_mismatch,
+    decode_epoch_mismatch,
 )
 from flintreach.consensus.quorum import Address, Voters, VotersRow
 from flintreach.consensus.store import VOTING_FACT, YES, Store
 from flintreach.transport.peer_pool import PeerPool
 
-EPOCH_ATTEMPTS = 3  # how often a request is sent to a process that is in another epoch each time
+EPOCH_ATTEMPTS = 3  # attempts to send a request to a process that is in a different epoch each time
 TELL_TIMEOUT_S = 0.5
 MIN_TIMEOUT_S = 0.01
 
@@ -29,14 +29,15 @@
 
 
 class VotingProcess:
-    """The configuration that this process knows, and whether its disk counts in it.
+    """The voter configuration known to this process, and the voting status of its disk.
 
     Attributes:
-        voters: the latest configuration that this process knows to be decided; epoch 0 until one is.
-        store: this process's disk, None where it has none.
-        acceptor: the acceptor on that disk, None where it has none.
-        promises_known: the disk knows all that it has promised: it is of a first start, was taken in as a
-            voter that had not voted, or has relearned what a lost disk had promised.
+        voters: the latest decided configuration known to this process; epoch 0 if none is known.
+        store: this process's disk, None if it has none.
+        acceptor: the acceptor on that disk, None if it has none.
+        promises_known: whether the disk holds all promises that it ever gave. True for a disk created at the
+            first start of the deployment, for a disk that was added as a voter and had not voted before, and
+            for a wiped disk that has recovered its promises.
     """
 
     def __init__(self, peer_pool: PeerPool, voters: Voters, store: Store | None) -> None:
@@ -46,17 +47,17 @@
         self.store = store
         self.acceptor = Acceptor(store.incarnation, store.voting, store.slots) if store else None
         self.promises_known = bool(store and store.voting)
-        self.adopting = self.runtime.lock()
+        self.adopt_lock = self.runtime.lock()
         self.update_voting()
         peer_pool.handlers |= {MessageKind.VOTERS: self.on_voters}
 
     @property
     def voter_addresses(self) -> list[Address]:
-        """Addresses of the processes whose disks vote; empty until it is known."""
+        """Addresses of the current voters; empty until a configuration is known."""
         return self.voters.members() if self.voters.epoch else []
 
     def can_vote(self) -> bool:
-        """Whether this process's disk is one of those that vote, and knows enough to."""
+        """Whether this process is a voter and its disk's answers count."""
         return (
             self.acceptor is not None
             and self.acceptor.voting
@@ -66,7 +67,7 @@
     # The epoch of a request.
 
     def check_epoch(self, epoch: int) -> EpochMismatch | None:
-        """None where a sender's epoch is ours; else what to answer instead of acting."""
+        """None if a sender's epoch is the current one; otherwise the answer to give instead."""
         if epoch < self.voters.epoch:
             return LaterEpoch(self.voters.row())
         if epoch > self.voters.epoch:
@@ -74,16 +75,16 @@
         return None
 
     def resolve_mismatch(self, address: Address, answer: Any) -> bool:
-        """Bring the process that is in the earlier epoch to the later one.
+        """If the answer reports a different epoch, bring the process in the earlier epoch to the later one.
 
         Args:
-            address: who answered.
+            address: the process that answered.
             answer: its answer.
 
         Returns:
-            Whether the answer told of another epoch: then the request is to be sent again.
+            Whether the answer was an epoch mismatch, in which case the request has to be sent again.
         """
-        mismatch = epoch_mismatch(answer)
+        mismatch = decode_epoch_mismatch(answer)
         if mismatch is None:
             return False
         if isinstance(mismatch, LaterEpoch):
@@ -92,21 +93,21 @@
             self.peer_pool.ask(address, MessageKind.VOTERS, self.voters.row(), TELL_TIMEOUT_S)
         return True
 
-    # Requests under our epoch.
+    # Requests in the current epoch.
 
     def ask(self, address: Address, kind: str, body: Any, timeout: float, ask_peer: Ask | None = None) -> Any:
-        """Send a request that carries our epoch, again after a receiver in another epoch is brought to it.
+        """Send a request that carries the current epoch, and resend it after resolving an epoch mismatch.
 
         Args:
             address: the receiver.
             kind: the kind of message.
             body: the request.
-            timeout: seconds in all.
-            ask_peer: sends it, in place of `PeerPool.ask`.
+            timeout: total time in seconds.
+            ask_peer: sends the request, in place of `PeerPool.ask`.
 
         Returns:
-            The answer, or None. None too where our own epoch moved meanwhile: the request was of the earlier
-            one.
+            The answer, or None. Also None if this process moved to a later epoch in the meantime, as the
+            request belongs to the earlier one.
         """
         deadline = self.runtime.now() + timeout
         epoch = self.voters.epoch
@@ -128,7 +129,7 @@
         timeout: float,
         ask: Ask | None = None,
     ) -> Answers:
-        """As `PeerPool.gather`, by `self.ask` unless `ask` is given; it ends too when our epoch moves."""
+        """Like `PeerPool.gather`, but with `self.ask` by default, and ends when the epoch changes."""
         epoch = self.voters.epoch
         return self.peer_pool.gather(
             addresses,
@@ -139,7 +140,7 @@
             ask or self.ask,
         )
 
-    def quorum(
+    def ask_quorum(
         self,
         kind: str,
         body: Any,
@@ -152,12 +153,13 @@
         Args:
             kind: the kind of message.
             body: the request.
-            timeout: seconds in all.
+            timeout: total time in seconds.
             ask_peer: asks one voter, in place of `PeerPool.ask`.
-            local_answer: gives the answer of this process, where it votes.
+            local_answer: provides the answer of this process if it is a voter.
 
         Returns:
-            Answers of a quorum of the configuration that stands, all given under its epoch; None: too few.
+            Answers from a quorum, all given in the epoch of the current configuration; None if too few
+            voters answered.
         """
         voters = self.voters
         local_address = self.peer_pool.address
@@ -183,28 +185,28 @@
         ask_peer: Ask | None = None,
         local_answer: Callable[[], Any] | None = None,
     ) -> dict[Address, Any] | None:
-        """As `quorum`, with [the epoch, *body], and again under each later epoch that comes meanwhile."""
+        """Like `ask_quorum` with [epoch, *body], repeated if the epoch changes in the meantime."""
         deadline = self.runtime.now() + timeout
         while True:
             remaining_s = deadline - self.runtime.now()
             if remaining_s <= 0 or not self.voter_addresses:
                 return None
             voters = self.voters
-            answers = self.quorum(kind, [voters.epoch, *body], remaining_s, ask_peer, local_answer)
+            answers = self.ask_quorum(kind, [voters.epoch, *body], remaining_s, ask_peer, local_answer)
             if answers is not None or self.voters == voters:
                 return answers
 
     # The configuration.
 
     def adopt(self, voters: Voters) -> bool:
-        """Take a later configuration, one that was decided.
+        """Adopt a decided configuration if it is later than the current one.
 
-        It is written to disk first: an acceptor that forgot an epoch would serve the earlier one again.
+        It is persisted first: an acceptor that lost an epoch in a restart would serve the earlier one again.
 
         Returns:
-            Whether this process now has this configuration or a later one.
+            Whether this process is now in this configuration or a later one.
         """
-        with self.adopting:  # two at once could reach the disk in the wrong order
+        with self.adopt_lock:  # concurrent calls could reach the disk in the wrong order
             if voters.epoch <= self.voters.epoch:
                 return True
             newly_voting = self.is_new_voter(voters)
@@ -219,7 +221,7 @@
             return True
 
     def is_new_voter(self, voters: Voters) -> bool:
-        """Whether a configuration takes in this disk, which has not voted: it promised nothing."""
+        """Whether a configuration adds this disk as a voter, so that it has not promised anything yet."""
         if self.store is None or not self.voters.epoch:
             return False
         address = self.peer_pool.address
@@ -228,15 +230,16 @@
         }
 
     def on_voters(self, link: Any, row: list[Any] | None) -> VotersRow | None:
-        """Another process tells its configuration, or only asks (None); ours is the answer."""
+        """Adopt the configuration that another process sends (None: it only asks), and answer with ours."""
         if row is not None:
             self.adopt(Voters.from_row(row))
         return self.voters.row() if self.voters.epoch else None
 
     def update_voting(self) -> None:
-        """Decide whether this disk's answers count: its incarnation is recorded, and it is trusted.
+        """Set whether this disk's answers count: its incarnation is recorded and its promises are known.
 
-        An older disk that comes back to its address doesn't know what a later one promised there.
+        The incarnation must match because an old disk that returns to its address does not know what its
+        replacement has promised.
         """
         if self.acceptor and self.voters.epoch:
             recorded = self.voters.incarnations(self.peer_pool.address)
--- a/tests/consensus/cluster_model.py
+++ b/tests/consensus/cluster_model.py
@@ -11,7 +11,7 @@
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.reconfiguration import Reconfiguration
 from flintreach.consensus.register import Register
-from flintreach.consensus.voter_selection import VoterCandidate, exchanged
+from flintreach.consensus.voter_selection import VoterCandidate, joint_configuration
 
 encode = msgspec.msgpack.encode
 decode = msgspec.msgpack.decode
@@ -174,7 +174,7 @@
         register = self.registers[by]
         reconfiguration = self.reconfigurations[by]
         spare = VoterCandidate(address_of(into), "z", "r", self.registers[into].store.incarnation)
-        wish = exchanged(register.voters, address_of(out), spare)
+        wish = joint_configuration(register.voters, address_of(out), spare)
         return reconfiguration.propose(wish) and reconfiguration.leave_joint()
 
     def put(self, by: str, key: str, value: bytes) -> bool:
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -16,8 +16,8 @@
     PrepareRequest,
     SlotBallots,
     ValueRequest,
-    acceptor_answer,
-    epoch_mismatch,
+    decode_acceptor_answer,
+    decode_epoch_mismatch,
 )
 from flintreach.consensus.quorum import Voters
 
@@ -37,7 +37,7 @@
             (PrepareRequest("k", BALLOT, 2), ["k", [5, "10.0.0.1:7"], 2]),
             (AcceptRequest("k", BALLOT, None, "a0", 2), ["k", [5, "10.0.0.1:7"], None, "a0", 2]),
             (AcceptorAnswer(Verdict.PROMISE, slot, "a0"), ["promise", slot_list, "a0"]),
-            (AcceptorAnswer(Verdict.MUTE, None, ""), ["mute", None, ""]),
+            (AcceptorAnswer(Verdict.ABSTAIN, None, ""), ["mute", None, ""]),
             (SlotBallots(BALLOT, NO_BALLOT), [[5, "10.0.0.1:7"], [0, ""]]),
             (ValueRequest(2, "k"), [2, "k"]),
             (AcceptedValue(BALLOT, b"v"), [[5, "10.0.0.1:7"], b"v"]),
@@ -62,17 +62,17 @@
 class TestAnswers(unittest.TestCase):
     def test_an_answer_of_an_acceptor_is_read_back(self) -> None:
         answer = AcceptorAnswer(Verdict.REFUSED, Slot(BALLOT, NO_BALLOT, None), "a0")
-        self.assertEqual(acceptor_answer(decode(encode(answer))), answer)
+        self.assertEqual(decode_acceptor_answer(decode(encode(answer))), answer)
 
     def test_a_malformed_answer_is_none(self) -> None:
         for answer in (True, {}, [], ["promise"], ["promise", [1, 2], "a0"], ["promise", None, "a0", 1]):
-            self.assertIsNone(acceptor_answer(answer), answer)
+            self.assertIsNone(decode_acceptor_answer(answer), answer)
 
     def test_only_an_epoch_mismatch_is_one(self) -> None:
         for mismatch in (LaterEpoch(VOTERS.row()), EarlierEpoch()):
-            self.assertEqual(epoch_mismatch(decode(encode(mismatch))), mismatch)
+            self.assertEqual(decode_epoch_mismatch(decode(encode(mismatch))), mismatch)
         for answer in (None, True, [], ["promise", None, ""], {"newer": 1}):
-            self.assertIsNone(epoch_mismatch(answer), answer)
+            self.assertIsNone(decode_epoch_mismatch(answer), answer)
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -4,7 +4,7 @@
 import unittest
 from collections.abc import Callable, Hashable, Iterable
 
-from flintreach.consensus.acceptor import Acceptor, Ballot, Verdict, merged
+from flintreach.consensus.acceptor import Acceptor, Ballot, Verdict, merge_slots
 from flintreach.consensus.proposer import Proposal, ProposalState
 from flintreach.consensus.quorum import Voters
 
@@ -63,9 +63,9 @@
         self.by_name[name] = fresh
         slots = {(other, 0): self.by_name[other].slots for other in others if self.by_name[other].voting}
         voters = Voters(1, tuple(((other, 0), "") for other in self.by_name))
-        enough = voters.covered((name, 0), slots)
+        enough = voters.is_recovery_quorum((name, 0), slots)
         if enough:
-            fresh.slots = merged([*slots.values()])
+            fresh.slots = merge_slots([*slots.values()])
             fresh.voting = True
         return enough
 
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -95,11 +95,11 @@
         cluster = Cluster("abcd", "abc")
         self.assertTrue(cluster.reconfigurations["d"].catch_up())
         cluster.collected.clear()
-        cluster.reconfigurations["d"].collect = lambda: False
-        cluster.reconfigurations["b"].collect = lambda: False
+        cluster.reconfigurations["d"].collect_records = lambda: False
+        cluster.reconfigurations["b"].collect_records = lambda: False
         self.assertFalse(cluster.exchange("a", "c", "d"))
         self.assertTrue(cluster.registers["a"].voters.joint)
-        cluster.reconfigurations["d"].collect = lambda: True
+        cluster.reconfigurations["d"].collect_records = lambda: True
         self.assertTrue(cluster.reconfigurations["b"].leave_joint())
 
     def test_an_old_voter_comes_back_without_what_no_quorum_took(self) -> None:
@@ -128,7 +128,7 @@
         self.assertTrue(cluster.put("a", "k", b"1"))
         fresh = cluster.join("c", Voters(), False, 1)
         fresh.adopt(cluster.registers["a"].voters)
-        self.assertEqual(fresh.on_prepare(None, ["k", [9, "z"], 1]).verdict, Verdict.MUTE)
+        self.assertEqual(fresh.on_prepare(None, ["k", [9, "z"], 1]).verdict, Verdict.ABSTAIN)
         self.assertFalse(fresh.recover_promises(), "its incarnation is not recorded yet")
         cluster.down.add(address_of("b"))
         self.assertFalse(cluster.reconfigurations["c"].start_voting())  # one other is no quorum
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -4,7 +4,7 @@
 
 from flintreach.consensus.acceptor import Slot
 from flintreach.consensus.quorum import Voters
-from flintreach.consensus.recovery import EPOCHS_SKIPPED, force_single_voter
+from flintreach.consensus.recovery import FORCED_EPOCH_STEP, force_single_voter
 from flintreach.consensus.store import FILE_NAME, StoreError
 from tests.consensus.cluster_model import Cluster, address_of
 from tests.consensus.test_store import StoreInFolder, opened_store
@@ -22,13 +22,13 @@
                 force_single_voter(str(self.folder), 7, address_of("a"))
         for epoch, name, reason in (
             (6, "a", "epoch 7, not 6"),
-            (7, "d", "no voter"),
+            (7, "d", "not a voter"),
             (7, "b", "came back empty"),
         ):
             with self.assertRaisesRegex(StoreError, reason):
                 force_single_voter(str(self.folder), epoch, address_of(name))
         forced = force_single_voter(str(self.folder), 7, address_of("a"))
-        self.assertEqual(forced, Voters(7 + EPOCHS_SKIPPED, ((address_of("a"), incarnation),)))
+        self.assertEqual(forced, Voters(7 + FORCED_EPOCH_STEP, ((address_of("a"), incarnation),)))
         with opened_store(self.folder) as store:
             self.assertEqual(Voters.from_facts(store.facts), forced)
             self.assertIn("epoch 1007 by hand over 7", store.facts["forced"])
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from flintreach.consensus.acceptor import Ballot, Slot
-from flintreach.consensus.store import FILE_NAME, LOG_BYTES, Store, StoreError
+from flintreach.consensus.store import FILE_NAME, MAX_WAL_BYTES, Store, StoreError
 
 LOG_NAME = f"{FILE_NAME}-wal"
 SHARED_MEMORY_NAME = f"{FILE_NAME}-shm"
@@ -118,7 +118,7 @@
                 self.assertTrue(store.persist({f"k{number % 7}": Slot(ballot, ballot, value)}))
             sizes = [(self.folder / name).stat().st_size for name in (FILE_NAME, LOG_NAME)]
         self.assertLess(sizes[0], 400_000)
-        self.assertLessEqual(sizes[1], LOG_BYTES)
+        self.assertLessEqual(sizes[1], MAX_WAL_BYTES)
 
     def test_a_slot_that_is_dropped_is_gone_from_the_disk(self) -> None:
         slot = Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")
--- a/tests/consensus/test_voter_selection.py
+++ b/tests/consensus/test_voter_selection.py
@@ -4,15 +4,15 @@
 
 from flintreach.consensus.quorum import Address
 from flintreach.consensus.voter_selection import (
-    GROWTH_CALM_S,
+    GROWTH_STABLE_S,
     MAX_VOTERS,
     FailureTolerance,
     VoterCandidate,
-    borne,
     choose_initial_voters,
     choose_next_voters,
-    exchanged,
+    joint_configuration,
     plan_operator_change,
+    tolerates,
 )
 from tests.consensus.cluster_model import address_of, disks_of, voters_of
 
@@ -27,10 +27,10 @@
 
 
 def first_members(
-    disks: list[VoterCandidate], losses: FailureTolerance, calm_s: float
+    disks: list[VoterCandidate], losses: FailureTolerance, stable_s: float
 ) -> list[Address] | None:
     """Addresses of the first voters, None while more disks are waited for."""
-    voters = choose_initial_voters(disks, losses, calm_s)
+    voters = choose_initial_voters(disks, losses, stable_s)
     return None if voters is None else voters.members()
 
 
@@ -54,11 +54,13 @@
             ("aaa", (0, 1), False),
         ):
             self.assertEqual(
-                borne([(zone, "r") for zone in places], FailureTolerance(*losses)), expected, (places, losses)
+                tolerates([(zone, "r") for zone in places], FailureTolerance(*losses)),
+                expected,
+                (places, losses),
             )
         regions = [("a", "r"), ("b", "r"), ("c", "s")]
-        self.assertTrue(borne(regions, FailureTolerance(1, 1, 0)))
-        self.assertFalse(borne(regions, FailureTolerance(1, 1, 1)))
+        self.assertTrue(tolerates(regions, FailureTolerance(1, 1, 0)))
+        self.assertFalse(tolerates(regions, FailureTolerance(1, 1, 1)))
 
 
 class TestFirstStart(unittest.TestCase):
@@ -75,7 +77,7 @@
         """(disks, losses, seconds without a new one, how many are to vote: 0 while more are waited for)"""
         one_machine = FailureTolerance(1, 1)
         two_machines = FailureTolerance(2, 1)
-        for count, losses, calm_s, voter_count in (
+        for count, losses, stable_s, voter_count in (
             (0, one_machine, 9.0, 0),
             (3, one_machine, 0.5, 0),
             (3, one_machine, 0.6, 3),
@@ -86,8 +88,8 @@
             (4, two_machines, 6.0, 4),
             (5, two_machines, 0.6, 5),
         ):
-            members = first_members(grid_of_disks(count, 1), losses, calm_s)
-            self.assertEqual(len(members or ()), voter_count, (count, losses, calm_s))
+            members = first_members(grid_of_disks(count, 1), losses, stable_s)
+            self.assertEqual(len(members or ()), voter_count, (count, losses, stable_s))
 
     def test_fewer_voters_than_bear_the_losses_are_not_chosen_while_more_may_come(self) -> None:
         """The first start of a grown site: two of five were there after 0.6 s, and voted for ever."""
@@ -106,7 +108,7 @@
 class TestWanted(unittest.TestCase):
     def test_what_should_follow(self) -> None:
         """(voters, disks, machines and zones to be borne, seconds of calm, the set that follows or "")"""
-        calm_s = GROWTH_CALM_S
+        stable_s = GROWTH_STABLE_S
         for old, known, losses, since_s, expected in (
             ("abc", "a:x b:y c:z", (1, 1), 99, ""),
             ("abc", "a:x b:y c:z-", (1, 1), 99, ""),  # dead, and nobody to take its place
@@ -117,17 +119,17 @@
             ("abc", "a:x b:y c:z~ d:z+", (1, 1), 0, "abd"),
             ("abc", "a:x b:y c:z- d:y+ e:z+", (1, 1), 0, "abe"),  # the zone of the lost one first
             ("abc", "a:x b:y c:z- d:y+", (1, 1), 0, "abd"),  # machines borne again, if not zones
-            ("abd", "a:x b:y d:y c:z+", (1, 1), calm_s, "acd"),  # and the zones when one comes there
+            ("abd", "a:x b:y d:y c:z+", (1, 1), stable_s, "acd"),  # and the zones when one comes there
             ("abc", "a:x b:y c:z d:w+", (1, 1), 0, ""),
-            ("abc", "a:x b:y c:z d:w+", (1, 1), calm_s, "abcd"),
+            ("abc", "a:x b:y c:z d:w+", (1, 1), stable_s, "abcd"),
             ("abcd", "a:x b:y c:z d:w-", (1, 1), 0, "abc"),  # of an even number it costs nothing
             ("abcde", "a:v b:w c:x d:y e:z-", (1, 1), 99, ""),  # of an odd one it would gain nothing
             ("abcde", "a:v b:w c:x d:y- e:z-", (1, 1), 99, ""),  # cut off, perhaps
             ("abcde", "a:v b:w c:x d:y~ e:z~", (1, 1), 0, "abce"),
             ("abcdef", "a:u b:v c:w d:x e:y f:z~", (2, 1), 0, "abcde"),
             ("abcde", "a:v b:w c:x d:y e:z~", (2, 1), 0, ""),  # it may only restart
-            ("ab", "a:x b:y c:z+", (1, 1), calm_s, "abc"),
-            ("a", "a:x b:x+", (1, 1), calm_s, "ab"),
+            ("ab", "a:x b:y c:z+", (1, 1), stable_s, "abc"),
+            ("a", "a:x b:x+", (1, 1), stable_s, "ab"),
             ("abcdefghi", "a:a b:b c:c d:d e:e f:f g:g h:h i:i j:j+", (2, 1), 99, ""),
         ):
             successor = choose_next_voters(
@@ -154,7 +156,7 @@
     def test_a_voter_that_nobody_has_met_counts_with_all_such_as_one_place(self) -> None:
         voters = voters_of(4, "abc")
         successor = choose_next_voters(voters, disks_of("a:x b:y c:?- d:z+"), FailureTolerance(1, 1), 0)
-        self.assertEqual(successor, exchanged(voters, address_of("c"), disks_of("d:z")[0]))
+        self.assertEqual(successor, joint_configuration(voters, address_of("c"), disks_of("d:z")[0]))
 
 
 class TestOrdered(unittest.TestCase):
@@ -162,11 +164,11 @@
         known = disks_of("a:x b:y c:z d:z+ e:z")
         for out, into, reason in (
             ("c", "d", ""),
-            ("c", "e", "no disk"),
-            (None, "d", "losses"),
-            ("c", None, "losses"),
+            ("c", "e", "not a spare disk"),
+            (None, "d", "would not tolerate the failures"),
+            ("c", None, "would not tolerate the failures"),
             ("d", None, "does not vote"),
-            (None, None, "nobody"),
+            (None, None, "neither a voter"),
         ):
             out_address = out and address_of(out)
             into_address = into and address_of(into)
@@ -177,7 +179,7 @@
         _, answer = plan_operator_change(
             voters_of(4, "ab", "ac"), known, FailureTolerance(), address_of("a"), None
         )
-        self.assertIn("settled", answer)
+        self.assertIn("are changing", answer)
 
 
 if __name__ == "__main__":
--- a/tests/consensus/voters_model.py
+++ b/tests/consensus/voters_model.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from flintreach.consensus.acceptor import Slot, Verdict, merged
+from flintreach.consensus.acceptor import Slot, Verdict, merge_slots
 from flintreach.consensus.messages import (
     AcceptorAnswer,
     AcceptRequest,
@@ -262,7 +262,7 @@
         """The configuration that an actor proposes after the one that it knows."""
         if kind.isdigit():
             name = self.names[int(kind)]
-            return known.renewed(ADDRESSES[name], second_incarnation(name))
+            return known.with_incarnation(ADDRESSES[name], second_incarnation(name))
         if known.joint:
             return Voters(known.epoch + 1, known.new)
         return joint(known, self.goals.get(kind, self.target))
@@ -433,7 +433,7 @@
             relearned = tuple(sorted((*node.relearned, (other_name, other.slots))))
             node = node._replace(relearned=relearned)
         if self.knows_enough(self.names[index], node):
-            slots = merged([slots_of(rows) for _, rows in node.relearned])
+            slots = merge_slots([slots_of(rows) for _, rows in node.relearned])
             node = node._replace(trusted=True, relearned=(), slots=slot_rows(slots))
         return state._replace(nodes=replaced(nodes, index, node))
 
@@ -444,7 +444,7 @@
         if not recorded or not recorded <= allowed:
             return False
         asked = [ADDRESSES[other_name] for other_name, _ in node.relearned]
-        return node.voters.covered(ADDRESSES[name], asked)
+        return node.voters.is_recovery_quorum(ADDRESSES[name], asked)
 
     # What must hold.
 
