--- a/tests/consensus/cluster_model.py
+++ b/tests/consensus/cluster_model.py
@@ -1,4 +1,4 @@
-"""Registers of several processes in one thread, for tests: a message is a call, a clock moves by sleeps."""
+"""Single-threaded model of a cluster of registers: messages are calls, and sleeping advances the clock."""
 
 import contextlib
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 
 
 def address_of(name: str) -> Address:
-    """The address of a process that is named by a letter."""
+    """The address of a process, given its one-letter name."""
     return f"10.0.0.{ord(name) - 96}", 7
 
 
 def voters_of(epoch: int, old: str, new: str = "") -> Voters:
-    """A configuration of processes with their first disks."""
+    """A configuration in which each process has its first disk."""
     return Voters(epoch, *(tuple((address_of(name), f"{name}0") for name in names) for names in (old, new)))
 
 
 def disks_of(text: str) -> list[VoterCandidate]:
-    """Disks from "a:x b:y- c:z+ d:x~": names and zones; - dead, ~ leaving, + caught up and outside."""
+    """Parse disks such as "a:x b:y- c:z+ d:x~": name and zone; "-" dead, "~" leaving, "+" caught up."""
     disks = []
     for word in text.split():
         name, rest = word.split(":")
@@ -44,11 +44,11 @@
 
 
 class ProcessDied(Exception):
-    """The process that asked is dead."""
+    """The process that sends the request has died."""
 
 
 class FakeRuntime:
-    """A clock that sleeps move, one thing at a time."""
+    """Runtime without concurrency, whose clock advances only by sleeping."""
 
     def __init__(self) -> None:
         self.time_s = 0.0
@@ -59,7 +59,7 @@
 
     def sleep(self, seconds: float) -> None:
         self.time_s += seconds
-        assert self.time_s < MAX_TIME_S, "it waits for ever"
+        assert self.time_s < MAX_TIME_S, f"still waiting after {MAX_TIME_S} s of simulated time"
 
     def lock(self) -> contextlib.AbstractContextManager:
         return contextlib.nullcontext()
@@ -70,7 +70,7 @@
 
 
 class FakePeerPool:
-    """Requests of one process to the others of a cluster."""
+    """Delivers the requests of one process to the others of a cluster."""
 
     def __init__(self, cluster: "Cluster", address: Address) -> None:
         self.cluster = cluster
@@ -111,7 +111,7 @@
 
 
 class InMemoryStore:
-    """What `Store` promises, in memory; `during_next_write` is called while the next write is under way."""
+    """In-memory stand-in for `Store`; `during_next_write` is called once, during the next write."""
 
     def __init__(self, incarnation: str, voting: bool = True) -> None:
         self.incarnation = incarnation
@@ -135,12 +135,12 @@
 
 
 class Cluster:
-    """Registers and their reconfigurations, one process each, by name.
+    """A cluster of processes, each with a register and its reconfiguration, by name.
 
     Attributes:
-        down: addresses of processes that neither ask nor answer.
+        down: addresses of processes that neither send nor receive.
         dying: address of the process that dies after `requests_before_death` more requests.
-        collected: names of the processes that collected endpoint records.
+        collected: names of the processes that collected endpoint records, in order.
     """
 
     def __init__(self, names: str, start: str) -> None:
@@ -165,18 +165,18 @@
         return register
 
     def collect(self, name: str) -> bool:
-        """Endpoint records are always to be had."""
+        """Record that a process collected endpoint records, which always succeeds."""
         self.collected.append(name)
         return True
 
-    def exchange(self, by: str, out: str, into: str) -> bool:
-        """Exchange one voter for another, at a process; whether that was finished."""
+    def replace_voter(self, by: str, out: str, into: str) -> bool:
+        """Replace one voter by another, proposed by process `by`; whether that completed."""
         register = self.registers[by]
         reconfiguration = self.reconfigurations[by]
         spare = VoterCandidate(address_of(into), "z", "r", self.registers[into].store.incarnation)
-        wish = joint_configuration(register.voters, address_of(out), spare)
-        return reconfiguration.propose(wish) and reconfiguration.leave_joint()
+        proposed = joint_configuration(register.voters, address_of(out), spare)
+        return reconfiguration.propose(proposed) and reconfiguration.leave_joint()
 
     def put(self, by: str, key: str, value: bytes) -> bool:
-        """Write a key at a process; whether it is known to stand."""
+        """Write a key from process `by`; whether the write is known to have succeeded."""
         return self.registers[by].change(key, lambda old: value, 0.5).done
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages and rows of the register have the bytes that earlier releases wrote, who sent them as lists."""
+"""Messages and rows of the register encode to the bytes of earlier releases, which sent plain lists."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 class TestBytes(unittest.TestCase):
-    def test_structs_are_the_arrays_of_earlier_releases(self) -> None:
+    def test_structs_encode_like_the_lists_of_earlier_releases(self) -> None:
         slot = Slot(BALLOT, NO_BALLOT, b"v")
         slot_list = [[5, "10.0.0.1:7"], [0, ""], b"v"]
         for struct, plain in (
@@ -49,26 +49,26 @@
         ):
             self.assertEqual(encode(struct), encode(plain), plain)
 
-    def test_kinds_and_verdicts_are_the_words_of_earlier_releases(self) -> None:
+    def test_kinds_and_verdicts_keep_the_values_of_earlier_releases(self) -> None:
         kinds = ["prepare", "accept", "slots", "stamps", "value", "voters", "disk", "sync"]
         self.assertEqual(decode(encode([*MessageKind])), kinds)
         self.assertEqual(decode(encode([*Verdict])), ["promise", "accepted", "refused", "mute"])
 
-    def test_voters_are_read_from_a_list_and_from_a_struct(self) -> None:
+    def test_voters_are_decoded_from_a_list_and_from_a_struct(self) -> None:
         self.assertEqual(Voters.from_row(VOTERS_LIST), VOTERS)
         self.assertEqual(Voters.from_row(VOTERS.row()), VOTERS)
 
 
 class TestAnswers(unittest.TestCase):
-    def test_an_answer_of_an_acceptor_is_read_back(self) -> None:
+    def test_an_acceptor_answer_is_decoded(self) -> None:
         answer = AcceptorAnswer(Verdict.REFUSED, Slot(BALLOT, NO_BALLOT, None), "a0")
         self.assertEqual(decode_acceptor_answer(decode(encode(answer))), answer)
 
-    def test_a_malformed_answer_is_none(self) -> None:
+    def test_a_malformed_answer_decodes_to_none(self) -> None:
         for answer in (True, {}, [], ["promise"], ["promise", [1, 2], "a0"], ["promise", None, "a0", 1]):
             self.assertIsNone(decode_acceptor_answer(answer), answer)
 
-    def test_only_an_epoch_mismatch_is_one(self) -> None:
+    def test_only_epoch_mismatches_are_decoded_as_such(self) -> None:
         for mismatch in (LaterEpoch(VOTERS.row()), EarlierEpoch()):
             self.assertEqual(decode_epoch_mismatch(decode(encode(mismatch))), mismatch)
         for answer in (None, True, [], ["promise", None, ""], {"newer": 1}):
--- a/tests/consensus/test_reconfiguration.py
+++ b/tests/consensus/test_reconfiguration.py
@@ -32,7 +32,7 @@
             cluster.requests_before_death = request_count
             done = False
             with contextlib.suppress(ProcessDied):
-                done = cluster.exchange("a", "c", "d")
+                done = cluster.replace_voter("a", "c", "d")
             cluster.dying = None
             self.assertTrue(
                 cluster.put("b", "k", b"2"), request_count
@@ -41,7 +41,7 @@
                 if cluster.registers["b"].voters.joint:
                     cluster.reconfigurations["b"].leave_joint()
                 elif address_of("d") not in cluster.registers["b"].voter_addresses:
-                    self.assertTrue(cluster.exchange("b", "c", "d"), request_count)
+                    self.assertTrue(cluster.replace_voter("b", "c", "d"), request_count)
             self.assertEqual(cluster.registers["b"].voters, voters_of(3, "abd"), request_count)
             cluster.down.add(address_of("a"))  # the new one and one of the old hold all that was acknowledged
             for by in "bd":
@@ -61,7 +61,7 @@
         for proposer in "ab":
             cluster = Cluster("abcd", "abc")
             self.assertTrue(cluster.put("a", "k", b"1") and cluster.reconfigurations["d"].catch_up())
-            self.assertTrue(cluster.exchange(proposer, "c", "d"))
+            self.assertTrue(cluster.replace_voter(proposer, "c", "d"))
             cluster.down |= {address_of(proposer), address_of("c")}
             left = next(name for name in "ab" if name != proposer)
             self.assertTrue(cluster.put(left, "k", b"2"))
@@ -85,7 +85,7 @@
         for name in "bd":
             cluster.registers[name].store.persist = keeps(cluster.registers[name].store.persist)
         cluster.reconfigurations["a"].propose = decide
-        self.assertFalse(cluster.exchange("a", "c", "d"))
+        self.assertFalse(cluster.replace_voter("a", "c", "d"))
         self.assertEqual(cluster.registers["a"].voters, voters_of(3, "abd"))
         full = False
         self.assertTrue(cluster.reconfigurations["a"].announce())
@@ -97,7 +97,7 @@
         cluster.collected.clear()
         cluster.reconfigurations["d"].collect_records = lambda: False
         cluster.reconfigurations["b"].collect_records = lambda: False
-        self.assertFalse(cluster.exchange("a", "c", "d"))
+        self.assertFalse(cluster.replace_voter("a", "c", "d"))
         self.assertTrue(cluster.registers["a"].voters.joint)
         cluster.reconfigurations["d"].collect_records = lambda: True
         self.assertTrue(cluster.reconfigurations["b"].leave_joint())
@@ -110,7 +110,7 @@
         old.acceptor.slots["k"] = Slot((90, "x"), (90, "x"), b"never")
         old.acceptor.slots["n"] = Slot((90, "x"), (90, "x"), b"never")
         cluster.down.add(address_of("c"))
-        self.assertTrue(cluster.reconfigurations["d"].catch_up() and cluster.exchange("a", "c", "d"))
+        self.assertTrue(cluster.reconfigurations["d"].catch_up() and cluster.replace_voter("a", "c", "d"))
         cluster.down.clear()
         self.assertFalse(cluster.reconfigurations["c"].on_disk_status(None, None).caught_up)
         self.assertEqual(old.read("k", 0.5), (True, b"1"))  # it hears that it doesn't vote
@@ -119,7 +119,7 @@
         self.assertEqual(
             {key: slot.value for key, slot in old.acceptor.slots.items() if key != "voters"}, {"k": b"1"}
         )
-        self.assertTrue(cluster.exchange("b", "a", "c"))
+        self.assertTrue(cluster.replace_voter("b", "a", "c"))
         self.assertEqual(old.read("k", 0.5), (True, b"1"))
         self.assertTrue(old.can_vote())
 
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -1,4 +1,4 @@
-"""One disk stands for all: by an operator's order, only a disk that knows, far above the survivors."""
+"""Forced recovery with a single voter: which disks qualify, and that surviving old voters are fenced off."""
 
 import sqlite3
 
@@ -10,8 +10,8 @@
 from tests.consensus.test_store import StoreInFolder, opened_store
 
 
-class TestAlone(StoreInFolder):
-    def test_the_last_resort_is_explicit_fenced_and_logged(self) -> None:
+class TestForceSingleVoter(StoreInFolder):
+    def test_forced_recovery_is_explicit_fenced_and_recorded(self) -> None:
         with opened_store(self.folder) as store:
             incarnation = store.incarnation
             voters = Voters(
@@ -33,7 +33,7 @@
             self.assertEqual(Voters.from_facts(store.facts), forced)
             self.assertIn("epoch 1007 by hand over 7", store.facts["forced"])
 
-    def test_a_survivor_is_refused_and_decides_nothing_with_the_others(self) -> None:
+    def test_surviving_old_voters_follow_the_forced_epoch(self) -> None:
         cluster = Cluster("abc", "abc")
         cluster.registers["a"].adopt(Voters(1001, ((address_of("a"), "a0"),)))
         self.assertTrue(cluster.put("b", "k", b"later"))
@@ -44,7 +44,7 @@
         }
         self.assertEqual(values, {"a": b"later", "b": None, "c": None})
 
-    def test_a_disk_that_came_back_empty_is_no_last_resort(self) -> None:
+    def test_a_wiped_disk_or_another_format_is_rejected(self) -> None:
         with opened_store(self.folder) as store:
             voters = Voters(7, ((address_of("a"), store.incarnation),))
             store.persist({}, voters.to_facts() | {"voting": "0"})
--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -1,4 +1,4 @@
-"""The register's requests, as they are sent."""
+"""The requests that the register sends."""
 
 import unittest
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class AnsweringPeerPool:
-    """Peers that promise and accept, with a newer disk met between the two phases."""
+    """Peers that promise and accept; a newer disk is recorded between the two phases."""
 
     address = LOCAL
 
@@ -22,22 +22,22 @@
         self.handlers: dict[str, Callable] = {}
         self.runtime = Runtime()
         self.register: Register | None = None
-        self.accepts_sent: list[str] = []  # incarnations that they named
+        self.accepts_sent: list[str] = []  # incarnations in the accept requests
 
     def gather(
         self, group: list[Address], kind: str, body: Any, enough: Callable, timeout: float, ask: Callable
     ) -> bool:
-        """Answer for all of them at once."""
+        """Return the answers of all peers at once."""
         if kind == "prepare":
             return enough([(address, ["promise", EMPTY_SLOT, "old"]) for address in group])
-        # Another change, in between.
+        # A concurrent change records newer disks in the meantime.
         self.register.incarnations |= dict.fromkeys(self.register.incarnations, "new")
         self.accepts_sent.extend(body(address).incarnation for address in group)
         return enough([(address, ["accepted", EMPTY_SLOT, "old"]) for address in group])
 
 
 class TestChange(unittest.TestCase):
-    def test_an_accept_names_the_incarnation_that_promised_though_a_newer_disk_has_been_met(self) -> None:
+    def test_an_accept_carries_the_incarnation_that_promised_even_if_a_newer_disk_is_known(self) -> None:
         peer_pool = AnsweringPeerPool()
         register = Register(peer_pool, Voters(1, ((LOCAL, ""), (REMOTE, ""))), None)
         peer_pool.register = register
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""What is on a controller's disk after power failed at any point of a write; disks that are not ours."""
+"""Content of a controller's disk after a power failure at any point of a write, and disks of other nodes."""
 
 import shutil
 import sqlite3
@@ -11,7 +11,7 @@
 from flintreach.consensus.acceptor import Ballot, Slot
 from flintreach.consensus.store import FILE_NAME, MAX_WAL_BYTES, Store, StoreError
 
-LOG_NAME = f"{FILE_NAME}-wal"
+WAL_NAME = f"{FILE_NAME}-wal"
 SHARED_MEMORY_NAME = f"{FILE_NAME}-shm"
 FIRST_BALLOT = Ballot(1, "a")
 SECOND_BALLOT = Ballot(2, "b")
@@ -19,7 +19,7 @@
 
 @contextmanager
 def opened_store(folder: Path, node: str = "n1", first_run: bool = True) -> Iterator[Store]:
-    """A store in a folder, with its threads ended at the end."""
+    """Open a store in a folder, and stop its threads afterwards."""
     store = Store(str(folder), node, first_run)
     try:
         yield store
@@ -48,21 +48,21 @@
         return self.folder / name
 
     def test_power_may_fail_at_any_byte_of_a_write(self) -> None:
-        """What was acknowledged before is read back; what was being written is complete or absent."""
+        """Acknowledged writes are read back; an unfinished write is either complete or absent."""
         old_slots = {"timetable": Slot(FIRST_BALLOT, FIRST_BALLOT, b"old" * 50)}
         new_slots = {"timetable": Slot(SECOND_BALLOT, SECOND_BALLOT, b"new" * 50)}
         with opened_store(self.folder / "live") as store:
             self.assertTrue(store.persist(old_slots, None, {"e1": b"ready"}))
-            size_before = (self.folder / "live" / LOG_NAME).stat().st_size
+            size_before = (self.folder / "live" / WAL_NAME).stat().st_size
             self.assertTrue(store.persist(new_slots, None, {"e1": b"closing"}))
             self.copy("after")
-        log = (self.folder / "after" / LOG_NAME).read_bytes()
+        log = (self.folder / "after" / WAL_NAME).read_bytes()
         self.assertGreater(len(log), size_before)
         outcomes = []
         for cut in [*range(size_before, len(log), 397), len(log)]:
-            for torn in {b"", b"\xff" * (len(log) - cut)}:  # the rest is missing, or is not what was written
+            for torn in {b"", b"\xff" * (len(log) - cut)}:  # the rest is missing or garbage
                 copy = self.copy(f"cut-{cut}-{len(torn)}", "after")
-                (copy / LOG_NAME).write_bytes(log[:cut] + torn)
+                (copy / WAL_NAME).write_bytes(log[:cut] + torn)
                 (copy / SHARED_MEMORY_NAME).unlink(missing_ok=True)
                 values, endpoint_rows, voting = stored(copy)
                 self.assertTrue(voting)
@@ -74,7 +74,7 @@
 
 
 class TestOpening(StoreInFolder):
-    def test_only_a_first_start_votes_at_once(self) -> None:
+    def test_only_a_disk_created_at_the_first_start_votes_at_once(self) -> None:
         with opened_store(self.folder / "a", first_run=True) as store:
             self.assertTrue(store.voting)
             incarnation = store.incarnation
@@ -84,7 +84,7 @@
             self.assertFalse(store.voting)
             self.assertNotEqual(store.incarnation, incarnation)
 
-    def test_a_disk_of_another_node_or_format_is_reported_and_left_alone(self) -> None:
+    def test_a_disk_of_another_node_or_format_is_rejected(self) -> None:
         for name in ("a", "b"):
             with opened_store(self.folder / name):
                 pass
@@ -99,7 +99,7 @@
 
 
 class TestWriting(StoreInFolder):
-    def test_a_disk_that_refuses_a_write_says_so_and_takes_the_next(self) -> None:
+    def test_a_failed_write_is_reported_and_the_next_one_succeeds(self) -> None:
         with opened_store(self.folder / "a") as store:
             first = {"k": Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")}
             self.assertTrue(store.persist(first))
@@ -110,17 +110,17 @@
         values, _, _ = stored(self.folder / "a")
         self.assertEqual(values, {"k": b"2"})
 
-    def test_the_file_and_its_log_stay_bounded(self) -> None:
+    def test_database_and_write_ahead_log_stay_bounded(self) -> None:
         with opened_store(self.folder) as store:
             for number in range(3000):
                 value = bytes([number % 251]) * 4000
                 ballot = Ballot(number, "a")
                 self.assertTrue(store.persist({f"k{number % 7}": Slot(ballot, ballot, value)}))
-            sizes = [(self.folder / name).stat().st_size for name in (FILE_NAME, LOG_NAME)]
+            sizes = [(self.folder / name).stat().st_size for name in (FILE_NAME, WAL_NAME)]
         self.assertLess(sizes[0], 400_000)
         self.assertLessEqual(sizes[1], MAX_WAL_BYTES)
 
-    def test_a_slot_that_is_dropped_is_gone_from_the_disk(self) -> None:
+    def test_a_deleted_slot_is_gone_from_the_disk(self) -> None:
         slot = Slot(FIRST_BALLOT, FIRST_BALLOT, b"1")
         with opened_store(self.folder) as store:
             store.persist({"k": slot, "m": slot})
