--- a/tests/consensus/test_voter_selection.py
+++ b/tests/consensus/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""Which disks vote."""
+"""Selection of the disks that vote."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 def grid_of_disks(zones: int, each: int) -> list[VoterCandidate]:
-    """So many disks in each of so many zones."""
+    """`each` disks in each of `zones` zones."""
     return [
         VoterCandidate((f"10.0.{zone}.{number}", 7), f"z{zone}", "r")
         for zone in range(zones)
@@ -29,14 +29,14 @@
 def first_members(
     disks: list[VoterCandidate], losses: FailureTolerance, stable_s: float
 ) -> list[Address] | None:
-    """Addresses of the first voters, None while more disks are waited for."""
+    """Addresses of the initial voters, None while more disks are waited for."""
     voters = choose_initial_voters(disks, losses, stable_s)
     return None if voters is None else voters.members()
 
 
-class TestLosses(unittest.TestCase):
-    def test_losses_that_are_borne(self) -> None:
-        """(zones of the voters, losses, whether they are borne)"""
+class TestFailureTolerance(unittest.TestCase):
+    def test_which_voters_tolerate_which_failures(self) -> None:
+        """(zones of the voters, machines and zones that may fail, whether that is tolerated)"""
         for places, losses, expected in (
             ("a", (0, 0), True),
             ("a", (1, 0), False),
@@ -64,7 +64,7 @@
 
 
 class TestFirstStart(unittest.TestCase):
-    def test_zones_take_turns_and_the_number_is_bounded(self) -> None:
+    def test_voters_are_spread_over_zones_and_their_number_is_bounded(self) -> None:
         disks = grid_of_disks(3, 5)
         losses = FailureTolerance(1, 1)
         members = first_members(disks, losses, 1.0)
@@ -73,8 +73,8 @@
         self.assertEqual(first_members(disks[::-1], losses, 1.0), members)
         self.assertEqual(first_members(disks[:1], FailureTolerance(), 1.0), [("10.0.0.0", 7)])
 
-    def test_a_first_start_waits_for_disks_that_come_but_not_for_ever(self) -> None:
-        """(disks, losses, seconds without a new one, how many are to vote: 0 while more are waited for)"""
+    def test_a_first_start_waits_for_more_disks_but_not_forever(self) -> None:
+        """(disks, failures, seconds without a new disk, number of voters: 0 while waiting for more disks)"""
         one_machine = FailureTolerance(1, 1)
         two_machines = FailureTolerance(2, 1)
         for count, losses, stable_s, voter_count in (
@@ -91,8 +91,8 @@
             members = first_members(grid_of_disks(count, 1), losses, stable_s)
             self.assertEqual(len(members or ()), voter_count, (count, losses, stable_s))
 
-    def test_fewer_voters_than_bear_the_losses_are_not_chosen_while_more_may_come(self) -> None:
-        """The first start of a grown site: two of five were there after 0.6 s, and voted for ever."""
+    def test_too_few_voters_to_tolerate_the_failures_are_not_chosen_while_more_disks_may_appear(self) -> None:
+        """Guards against permanently choosing the two of five disks known 0.6 s after a first start."""
         five = disks_of("a:v b:w c:x d:y e:z")
         losses = FailureTolerance(2, 1)
         for known in range(1, 5):
@@ -100,40 +100,46 @@
         self.assertEqual(first_members(five, losses, 0.6), [address_of(name) for name in "abcde"])
         self.assertEqual(first_members(five[:3], losses, 6.0), [address_of(name) for name in "abc"])
         self.assertEqual(choose_initial_voters(five[:1], FailureTolerance(), 0.6), voters_of(1, "a"))
-        # A second disk of a zone would make the loss of that zone fatal: it is left out until there are more.
+        # With two voters in one zone, the loss of that zone would be fatal, so the second is not chosen.
         four = disks_of("a:x b:y c:z d:z")
         self.assertEqual(choose_initial_voters(four, FailureTolerance(1, 1), 0.6), voters_of(1, "abc"))
 
 
-class TestWanted(unittest.TestCase):
-    def test_what_should_follow(self) -> None:
-        """(voters, disks, machines and zones to be borne, seconds of calm, the set that follows or "")"""
+class TestNextVoters(unittest.TestCase):
+    def test_which_voters_follow(self) -> None:
+        """(voters, disks, machines and zones that may fail, seconds without a change, next voters or "")"""
         stable_s = GROWTH_STABLE_S
-        for old, known, losses, since_s, expected in (
+        for old, known, losses, unchanged_s, expected in (
             ("abc", "a:x b:y c:z", (1, 1), 99, ""),
-            ("abc", "a:x b:y c:z-", (1, 1), 99, ""),  # dead, and nobody to take its place
-            ("abc", "a:x b:y c:z- d:z+", (1, 1), 0, "abd"),  # without delay
+            ("abc", "a:x b:y c:z-", (1, 1), 99, ""),  # dead, and no spare
+            ("abc", "a:x b:y c:z- d:z+", (1, 1), 0, "abd"),  # a replacement does not wait
             ("abc", "a:x b:y c:z- d:z", (1, 1), 99, ""),  # not caught up
             ("abc", "a:x b:y c:z- d:z+-", (1, 1), 99, ""),
             ("abc", "a:x b:y c:z d:z+", (1, 1), 99, ""),  # two of four in one zone
             ("abc", "a:x b:y c:z~ d:z+", (1, 1), 0, "abd"),
-            ("abc", "a:x b:y c:z- d:y+ e:z+", (1, 1), 0, "abe"),  # the zone of the lost one first
-            ("abc", "a:x b:y c:z- d:y+", (1, 1), 0, "abd"),  # machines borne again, if not zones
-            ("abd", "a:x b:y d:y c:z+", (1, 1), stable_s, "acd"),  # and the zones when one comes there
+            (
+                "abc",
+                "a:x b:y c:z- d:y+ e:z+",
+                (1, 1),
+                0,
+                "abe",
+            ),  # a spare in the zone of the dead voter first
+            ("abc", "a:x b:y c:z- d:y+", (1, 1), 0, "abd"),  # tolerates a machine again, but no zone
+            ("abd", "a:x b:y d:y c:z+", (1, 1), stable_s, "acd"),  # tolerates zones again
             ("abc", "a:x b:y c:z d:w+", (1, 1), 0, ""),
             ("abc", "a:x b:y c:z d:w+", (1, 1), stable_s, "abcd"),
-            ("abcd", "a:x b:y c:z d:w-", (1, 1), 0, "abc"),  # of an even number it costs nothing
-            ("abcde", "a:v b:w c:x d:y e:z-", (1, 1), 99, ""),  # of an odd one it would gain nothing
-            ("abcde", "a:v b:w c:x d:y- e:z-", (1, 1), 99, ""),  # cut off, perhaps
+            ("abcd", "a:x b:y c:z d:w-", (1, 1), 0, "abc"),  # with an even number, costs no tolerance
+            ("abcde", "a:v b:w c:x d:y e:z-", (1, 1), 99, ""),  # with an odd number, gains nothing
+            ("abcde", "a:v b:w c:x d:y- e:z-", (1, 1), 99, ""),  # may be a partition
             ("abcde", "a:v b:w c:x d:y~ e:z~", (1, 1), 0, "abce"),
             ("abcdef", "a:u b:v c:w d:x e:y f:z~", (2, 1), 0, "abcde"),
-            ("abcde", "a:v b:w c:x d:y e:z~", (2, 1), 0, ""),  # it may only restart
+            ("abcde", "a:v b:w c:x d:y e:z~", (2, 1), 0, ""),  # may only be restarting
             ("ab", "a:x b:y c:z+", (1, 1), stable_s, "abc"),
             ("a", "a:x b:x+", (1, 1), stable_s, "ab"),
             ("abcdefghi", "a:a b:b c:c d:d e:e f:f g:g h:h i:i j:j+", (2, 1), 99, ""),
         ):
             successor = choose_next_voters(
-                voters_of(4, old), disks_of(known), FailureTolerance(*losses), since_s
+                voters_of(4, old), disks_of(known), FailureTolerance(*losses), unchanged_s
             )
             members = () if successor is None else successor.new
             names = "".join(chr(96 + int(address[0].split(".")[3])) for address, _ in members)
@@ -143,7 +149,7 @@
                 self.assertLessEqual(len({*successor.old} ^ {*successor.new}), 2)
         self.assertEqual(MAX_VOTERS, 9)
 
-    def test_nothing_follows_while_the_voters_change_or_are_not_known(self) -> None:
+    def test_no_change_starts_while_another_is_in_progress_or_the_voters_are_unknown(self) -> None:
         self.assertIsNone(
             choose_next_voters(
                 voters_of(4, "ab", "ac"), disks_of("a:x b:y- c:z d:y+"), FailureTolerance(1, 1), 99
@@ -153,14 +159,14 @@
             choose_next_voters(voters_of(0, "ab"), disks_of("a:x b:y- c:z+"), FailureTolerance(1, 1), 99)
         )
 
-    def test_a_voter_that_nobody_has_met_counts_with_all_such_as_one_place(self) -> None:
+    def test_unknown_voters_count_as_one_location(self) -> None:
         voters = voters_of(4, "abc")
         successor = choose_next_voters(voters, disks_of("a:x b:y c:?- d:z+"), FailureTolerance(1, 1), 0)
         self.assertEqual(successor, joint_configuration(voters, address_of("c"), disks_of("d:z")[0]))
 
 
-class TestOrdered(unittest.TestCase):
-    def test_what_an_operator_may_order(self) -> None:
+class TestOperatorChange(unittest.TestCase):
+    def test_which_changes_an_operator_may_make(self) -> None:
         known = disks_of("a:x b:y c:z d:z+ e:z")
         for out, into, reason in (
             ("c", "d", ""),
