--- a/flintreach/consensus/__init__.py
+++ b/flintreach/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated register: values of keys on a quorum of disks, each changed one version at a time."""
+"""A replicated register: a quorum of disks agrees on each key independently, one change at a time."""
--- a/flintreach/consensus/acceptor_service.py
+++ b/flintreach/consensus/acceptor_service.py
@@ -110,17 +110,17 @@
 
         return self.decide_in_epoch(request.epoch, request.key, decide)
 
-    def on_prepare(self, link: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
+    def on_prepare(self, connection: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
         """Handle a `PrepareRequest` from another process."""
         return self.prepare(msgspec.convert(body, PrepareRequest))
 
-    def on_accept(self, link: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
+    def on_accept(self, connection: Any, body: list[Any]) -> AcceptorAnswer | EpochMismatch:
         """Handle an `AcceptRequest` from another process."""
         return self.accept(msgspec.convert(body, AcceptRequest))
 
     # Reads of this disk's state.
 
-    def on_slot_ballots(self, link: Any, epoch: int) -> dict[str, SlotBallots] | EpochMismatch | None:
+    def on_slot_ballots(self, connection: Any, epoch: int) -> dict[str, SlotBallots] | EpochMismatch | None:
         """Both ballots of each key, None if this disk doesn't vote.
 
         For the recovery of a wiped disk, which then fetches the values one by one.
@@ -132,7 +132,7 @@
             return None
         return {key: SlotBallots(slot.promised, slot.accepted) for key, slot in self.acceptor.slots.items()}
 
-    def on_accepted_ballots(self, link: Any, epoch: int) -> dict[str, Ballot] | EpochMismatch | None:
+    def on_accepted_ballots(self, connection: Any, epoch: int) -> dict[str, Ballot] | EpochMismatch | None:
         """The accepted ballot of each key, None if this disk doesn't vote."""
         mismatch = self.check_epoch(epoch)
         if mismatch is not None:
@@ -141,7 +141,7 @@
             return None
         return {key: slot.accepted for key, slot in self.acceptor.slots.items()}
 
-    def on_accepted_value(self, link: Any, body: list[Any]) -> AcceptedValue | EpochMismatch | None:
+    def on_accepted_value(self, connection: Any, body: list[Any]) -> AcceptedValue | EpochMismatch | None:
         """Answer a `ValueRequest`; None if this disk doesn't vote or doesn't have the key."""
         request = msgspec.convert(body, ValueRequest)
         mismatch = self.check_epoch(request.epoch)
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -146,7 +146,7 @@
                 register.acceptor.slots.pop(key, None)
         return True
 
-    def on_disk_status(self, link: Any, epoch: int | None) -> DiskStatus | EpochMismatch | None:
+    def on_disk_status(self, connection: Any, epoch: int | None) -> DiskStatus | EpochMismatch | None:
         """Report the disk's status in an epoch (None: in any epoch); None if this process has no disk."""
         register = self.register
         if epoch is not None:
@@ -181,7 +181,7 @@
                 return False
         return register.recover_promises()
 
-    def on_sync_records(self, link: Any, epoch: int) -> bool | EpochMismatch | None:
+    def on_sync_records(self, connection: Any, epoch: int) -> bool | EpochMismatch | None:
         """Answer True once this disk holds the endpoint records of a quorum in the joint epoch."""
         register = self.register
         mismatch = register.check_epoch(epoch)
@@ -206,8 +206,8 @@
         register = self.register
 
         def step(value: bytes | None) -> bytes | None:
-            standing = Voters.from_row(decode(value)) if value else Voters()
-            if standing.epoch > register.voters.epoch or proposed.epoch != register.voters.epoch + 1:
+            current = Voters.from_row(decode(value)) if value else Voters()
+            if current.epoch > register.voters.epoch or proposed.epoch != register.voters.epoch + 1:
                 return None
             return encode(proposed.row())
 
--- a/flintreach/consensus/register.py
+++ b/flintreach/consensus/register.py
@@ -27,10 +27,10 @@
 CHANGE_TIMEOUT_S = 2.0
 ATTEMPT_TIMEOUT_S = 1.0
 MIN_ACCEPT_TIMEOUT_S = 0.05
-RETRY_S = 0.05  # delay after an attempt that did not reach a quorum
+RETRY_DELAY_S = 0.05  # delay after an attempt that did not reach a quorum
 MIN_BACKOFF_S = 0.005  # minimum delay after an attempt that another writer preempted
 MIN_BACKOFF_RANGE_S = 0.05  # lower bound of the maximum delay after such an attempt
-BACKOFF_PER_ROUND = 1.5  # maximum delay as a multiple of the attempt's duration
+BACKOFF_PER_ATTEMPT = 1.5  # maximum delay as a multiple of the attempt's duration
 
 
 class ChangeResult(NamedTuple):
@@ -144,9 +144,9 @@
             attempt_s: its duration in seconds.
         """
         if proposal.state != ProposalState.PREEMPTED:
-            self.runtime.sleep(RETRY_S)
+            self.runtime.sleep(RETRY_DELAY_S)
             return
-        longest_s = max(MIN_BACKOFF_RANGE_S, BACKOFF_PER_ROUND * attempt_s)
+        longest_s = max(MIN_BACKOFF_RANGE_S, BACKOFF_PER_ATTEMPT * attempt_s)
         self.runtime.sleep(self.runtime.chance.uniform(MIN_BACKOFF_S, longest_s))
 
     def attempt(self, proposal: Proposal, key: str, timeout: float, voters: Voters) -> None:
--- a/flintreach/consensus/voter_selection.py
+++ b/flintreach/consensus/voter_selection.py
@@ -15,8 +15,8 @@
 
 # How long the set of disks must have been unchanged, in seconds.
 INITIAL_STABLE_S = 0.6  # before a first start with enough disks
-INITIAL_MAX_STABLE_S = 6.0  # before a first start with too few disks to tolerate the failures
-GROWTH_STABLE_S = 2.5  # before a voter is added to voters that need no replacement
+TOO_FEW_STABLE_S = 6.0  # before a first start with too few disks to tolerate the failures
+GROWTH_STABLE_S = 2.5  # before `VoterPlan.growth`
 
 UNKNOWN_LOCATION = ("?", "?")  # zone and region of a voter that is not a known member
 
@@ -102,7 +102,7 @@
 
     With too few voters, a failure that should be tolerated could leave no majority or destroy the only
     copies. So nothing is acknowledged before there are enough disks, or before no new disk has appeared for
-    `INITIAL_MAX_STABLE_S`.
+    `TOO_FEW_STABLE_S`.
 
     Args:
         disks: the known disks.
@@ -112,7 +112,7 @@
     candidates = interleave_zones(disk for disk in disks if disk.alive)[:MAX_VOTERS]
     chosen = largest_tolerant_set(candidates, tolerance)
     if chosen is None:
-        if stable_s < INITIAL_MAX_STABLE_S:
+        if stable_s < TOO_FEW_STABLE_S:
             return None
         chosen = candidates
     if not chosen or stable_s < INITIAL_STABLE_S:
@@ -260,8 +260,8 @@
         voters: the current configuration.
         disks: the known disks.
         tolerance: the failures to tolerate.
-        stable_s: seconds since the set of disks last changed. Adding a voter waits for `GROWTH_STABLE_S`, a
-            replacement or removal does not.
+        stable_s: seconds since the set of disks last changed. `VoterPlan.growth` waits for `GROWTH_STABLE_S`,
+            the replacement or removal of a departing voter does not.
     """
     if voters.epoch == 0 or voters.joint:
         return None
--- a/flintreach/consensus/voting_process.py
+++ b/flintreach/consensus/voting_process.py
@@ -229,7 +229,7 @@
             self.store.incarnation
         }
 
-    def on_voters(self, link: Any, row: list[Any] | None) -> VotersRow | None:
+    def on_voters(self, connection: Any, row: list[Any] | None) -> VotersRow | None:
         """Adopt the configuration that another process sends (None: it only asks), and answer with ours."""
         if row is not None:
             self.adopt(Voters.from_row(row))
--- a/tests/consensus/test_voter_selection.py
+++ b/tests/consensus/test_voter_selection.py
@@ -27,17 +27,17 @@
 
 
 def first_members(
-    disks: list[VoterCandidate], losses: FailureTolerance, stable_s: float
+    disks: list[VoterCandidate], tolerance: FailureTolerance, stable_s: float
 ) -> list[Address] | None:
     """Addresses of the initial voters, None while more disks are waited for."""
-    voters = choose_initial_voters(disks, losses, stable_s)
+    voters = choose_initial_voters(disks, tolerance, stable_s)
     return None if voters is None else voters.members()
 
 
 class TestFailureTolerance(unittest.TestCase):
     def test_which_voters_tolerate_which_failures(self) -> None:
         """(zones of the voters, machines and zones that may fail, whether that is tolerated)"""
-        for places, losses, expected in (
+        for places, tolerance, expected in (
             ("a", (0, 0), True),
             ("a", (1, 0), False),
             ("ab", (1, 0), False),
@@ -54,9 +54,9 @@
             ("aaa", (0, 1), False),
         ):
             self.assertEqual(
-                tolerates([(zone, "r") for zone in places], FailureTolerance(*losses)),
+                tolerates([(zone, "r") for zone in places], FailureTolerance(*tolerance)),
                 expected,
-                (places, losses),
+                (places, tolerance),
             )
         regions = [("a", "r"), ("b", "r"), ("c", "s")]
         self.assertTrue(tolerates(regions, FailureTolerance(1, 1, 0)))
@@ -66,18 +66,18 @@
 class TestFirstStart(unittest.TestCase):
     def test_voters_are_spread_over_zones_and_their_number_is_bounded(self) -> None:
         disks = grid_of_disks(3, 5)
-        losses = FailureTolerance(1, 1)
-        members = first_members(disks, losses, 1.0)
+        tolerance = FailureTolerance(1, 1)
+        members = first_members(disks, tolerance, 1.0)
         self.assertEqual(len(members), MAX_VOTERS)
         self.assertEqual({ip.split(".")[2] for ip, _ in members}, {"0", "1", "2"})
-        self.assertEqual(first_members(disks[::-1], losses, 1.0), members)
+        self.assertEqual(first_members(disks[::-1], tolerance, 1.0), members)
         self.assertEqual(first_members(disks[:1], FailureTolerance(), 1.0), [("10.0.0.0", 7)])
 
     def test_a_first_start_waits_for_more_disks_but_not_forever(self) -> None:
         """(disks, failures, seconds without a new disk, number of voters: 0 while waiting for more disks)"""
         one_machine = FailureTolerance(1, 1)
         two_machines = FailureTolerance(2, 1)
-        for count, losses, stable_s, voter_count in (
+        for count, tolerance, stable_s, voter_count in (
             (0, one_machine, 9.0, 0),
             (3, one_machine, 0.5, 0),
             (3, one_machine, 0.6, 3),
@@ -88,17 +88,17 @@
             (4, two_machines, 6.0, 4),
             (5, two_machines, 0.6, 5),
         ):
-            members = first_members(grid_of_disks(count, 1), losses, stable_s)
-            self.assertEqual(len(members or ()), voter_count, (count, losses, stable_s))
+            members = first_members(grid_of_disks(count, 1), tolerance, stable_s)
+            self.assertEqual(len(members or ()), voter_count, (count, tolerance, stable_s))
 
     def test_too_few_voters_to_tolerate_the_failures_are_not_chosen_while_more_disks_may_appear(self) -> None:
         """Guards against permanently choosing the two of five disks known 0.6 s after a first start."""
         five = disks_of("a:v b:w c:x d:y e:z")
-        losses = FailureTolerance(2, 1)
+        tolerance = FailureTolerance(2, 1)
         for known in range(1, 5):
-            self.assertIsNone(choose_initial_voters(five[:known], losses, 2.5), known)
-        self.assertEqual(first_members(five, losses, 0.6), [address_of(name) for name in "abcde"])
-        self.assertEqual(first_members(five[:3], losses, 6.0), [address_of(name) for name in "abc"])
+            self.assertIsNone(choose_initial_voters(five[:known], tolerance, 2.5), known)
+        self.assertEqual(first_members(five, tolerance, 0.6), [address_of(name) for name in "abcde"])
+        self.assertEqual(first_members(five[:3], tolerance, 6.0), [address_of(name) for name in "abc"])
         self.assertEqual(choose_initial_voters(five[:1], FailureTolerance(), 0.6), voters_of(1, "a"))
         # With two voters in one zone, the loss of that zone would be fatal, so the second is not chosen.
         four = disks_of("a:x b:y c:z d:z")
@@ -109,7 +109,7 @@
     def test_which_voters_follow(self) -> None:
         """(voters, disks, machines and zones that may fail, seconds without a change, next voters or "")"""
         stable_s = GROWTH_STABLE_S
-        for old, known, losses, unchanged_s, expected in (
+        for old, known, tolerance, unchanged_s, expected in (
             ("abc", "a:x b:y c:z", (1, 1), 99, ""),
             ("abc", "a:x b:y c:z-", (1, 1), 99, ""),  # dead, and no spare
             ("abc", "a:x b:y c:z- d:z+", (1, 1), 0, "abd"),  # a replacement does not wait
@@ -117,13 +117,7 @@
             ("abc", "a:x b:y c:z- d:z+-", (1, 1), 99, ""),
             ("abc", "a:x b:y c:z d:z+", (1, 1), 99, ""),  # two of four in one zone
             ("abc", "a:x b:y c:z~ d:z+", (1, 1), 0, "abd"),
-            (
-                "abc",
-                "a:x b:y c:z- d:y+ e:z+",
-                (1, 1),
-                0,
-                "abe",
-            ),  # a spare in the zone of the dead voter first
+            ("abc", "a:x b:y c:z- d:y+ e:z+", (1, 1), 0, "abe"),  # prefers the same zone
             ("abc", "a:x b:y c:z- d:y+", (1, 1), 0, "abd"),  # tolerates a machine again, but no zone
             ("abd", "a:x b:y d:y c:z+", (1, 1), stable_s, "acd"),  # tolerates zones again
             ("abc", "a:x b:y c:z d:w+", (1, 1), 0, ""),
@@ -139,7 +133,7 @@
             ("abcdefghi", "a:a b:b c:c d:d e:e f:f g:g h:h i:i j:j+", (2, 1), 99, ""),
         ):
             successor = choose_next_voters(
-                voters_of(4, old), disks_of(known), FailureTolerance(*losses), unchanged_s
+                voters_of(4, old), disks_of(known), FailureTolerance(*tolerance), unchanged_s
             )
             members = () if successor is None else successor.new
             names = "".join(chr(96 + int(address[0].split(".")[3])) for address, _ in members)
