--- a/flintreach/consensus/voter_selection.py
+++ b/flintreach/consensus/voter_selection.py
@@ -300,7 +300,7 @@
         return None, f"{out[0]}:{out[1]} does not vote"
     spare = next((disk for disk in plan.spares if disk.address == into), None)
     if into is not None and spare is None:
-        return None, f"{into[0]}:{into[1]} is not a spare disk: it must be alive, caught up and not vote yet"
+        return None, f"{into[0]}:{into[1]} is not a spare disk, i.e. alive, caught up and not a voter"
     left_out = [] if out is None else [out]
     size = len(plan.voter_addresses) - len(left_out) + (spare is not None)
     if size > MAX_VOTERS:
