--- a/flintreach/pilot/admission.py
+++ b/flintreach/pilot/admission.py
@@ -6,20 +6,20 @@
 from flintreach.pilot.records import ServerState
 from flintreach.pilot.state import FleetState
 
-CROWDED_STRAIN = 0.6  # strain from which a server is crowded
-CROWDED_RATIO = 1.5  # and by the best quarter's
-CAPACITY_FALL = 0.8  # factor of a crowded server's quota
-CAPACITY_RISE = 0.05
-LEAST_CAPACITY = 0.5
-LEVEL_FALL = 0.4  # the lowest factor of one fall
-LEVEL_RISE = 0.2
-LEAST_LEVEL = 0.05
-CALM_LATENESS = 2 / 3  # below it a level rises
-HARD_UNANSWERED = 0.3  # part unanswered that strains a server
+OVERLOAD_PRESSURE = 0.6  # strain from which a server is crowded
+OVERLOAD_RATIO = 1.5  # and by the best quarter's
+CAPACITY_DECREASE = 0.8  # factor of a crowded server's quota
+CAPACITY_INCREASE = 0.05
+MIN_CAPACITY_SHARE = 0.5
+MIN_LEVEL_FACTOR = 0.4  # the lowest factor of one fall
+LEVEL_INCREASE = 0.2
+MIN_LEVEL = 0.05
+RECOVERED_LATENESS = 2 / 3  # below it a level rises
+HIGH_UNANSWERED_SHARE = 0.3  # part unanswered that strains a server
 LEVEL_STEPS = 5  # levels are ordered in fifths
 
 
-def adjust(state: FleetState, server: ServerState, strain: float, usual_strain: float) -> None:
+def adjust(state: FleetState, server: ServerState, pressure: float, peer_pressure: float) -> None:
     """Let a server that is worse off than its peers bear less; where it is late, let less in.
 
     Args:
@@ -28,19 +28,21 @@
         strain: of the server; 1 is hard.
         usual_strain: of the best quarter of its peers.
     """
-    crowded = strain > max(CROWDED_STRAIN, CROWDED_RATIO * usual_strain)
-    if crowded and state.now_ns >= server.hold_until_ns:
-        server.capacity_share = max(LEAST_CAPACITY, server.capacity_share * CAPACITY_FALL)
+    overloaded = pressure > max(OVERLOAD_PRESSURE, OVERLOAD_RATIO * peer_pressure)
+    if overloaded and state.now_ns >= server.hold_until_ns:
+        server.capacity_share = max(MIN_CAPACITY_SHARE, server.capacity_share * CAPACITY_DECREASE)
         # The next fall waits for reports of after this one, else shares fall to nothing meanwhile.
         server.hold_until_ns = state.now_ns + SECOND + state.report_span_ns
         if server.lateness > 1 and not server.idle:
-            fall = max(LEVEL_FALL, 1 / server.lateness)
-            server.admission_level = max(LEAST_LEVEL, server.admission_level * fall)
+            fall = max(MIN_LEVEL_FACTOR, 1 / server.lateness)
+            server.admission_level = max(MIN_LEVEL, server.admission_level * fall)
     reports_idle = server.idle and server.load is not None
-    if strain < CROWDED_STRAIN / 2 or (reports_idle and server.unanswered_share < HARD_UNANSWERED / 2):
-        server.capacity_share = min(1.0, server.capacity_share + CAPACITY_RISE)
-    calm = server.lateness < CALM_LATENESS
-    server.admission_level = min(1.0, server.admission_level + LEVEL_RISE * calm)
+    if pressure < OVERLOAD_PRESSURE / 2 or (
+        reports_idle and server.unanswered_share < HIGH_UNANSWERED_SHARE / 2
+    ):
+        server.capacity_share = min(1.0, server.capacity_share + CAPACITY_INCREASE)
+    recovered = server.lateness < RECOVERED_LATENESS
+    server.admission_level = min(1.0, server.admission_level + LEVEL_INCREASE * recovered)
 
 
 def admitted_level(state: FleetState, servers: Iterable[ServerState]) -> float:
--- a/flintreach/pilot/logic.py
+++ b/flintreach/pilot/logic.py
@@ -16,8 +16,8 @@
 from flintreach.pilot.state import FleetState
 from flintreach.policy.search import TURN_BUDGET_US, Costs
 
-FULL_RUN_EVERY_NS = 10 * SECOND
-FIRST_RUN_NS = 4 * SECOND  # after the start
+FULL_PLACEMENT_INTERVAL_NS = 10 * SECOND
+FIRST_PLACEMENT_DELAY_NS = 4 * SECOND  # after the start
 PAUSE_NS_PER_US = 500  # of a turn's budget: the pause is half as long as the turn
 TABLE_COST_US = 2
 SHARED_WEIGHT_UNIT = 10  # hundredths of a mean server a step of weight in the shared table
@@ -31,25 +31,25 @@
         self.state = FleetState(settings)
         self.placement = Placement(self.state)
         self.dispatcher = Dispatcher(self.state)
-        self.work: Costs | None = None  # this second's, while it lasts
-        self._resume_ns = 0  # when it goes on
-        self._owed_us = 0  # what its next part costs
-        self._wake_ns = 0
-        self._judge_ns = 0
-        self._first_run_ns = 0
-        self._full_run_ns = 0
+        self.pending_work: Costs | None = None  # this second's, while it lasts
+        self._resume_work_ns = 0  # when it goes on
+        self._next_cost_us = 0  # what its next part costs
+        self._next_tick_ns = 0
+        self._next_evaluation_ns = 0
+        self._first_placement_ns = 0
+        self._next_full_placement_ns = 0
         self._handlers: dict[type, Callable[[Any], None]] = {
-            interface.ServerList: partial(reports.on_roster, self.state),
-            interface.ServerReport: partial(reports.on_heard, self.state),
-            interface.HostLoad: partial(reports.on_measured, self.state),
-            interface.ProbeResult: partial(reports.on_probed, self.state),
-            interface.DemandReport: partial(demand.on_demand, self.state),
-            interface.SliceAssignment: self._on_given,
-            interface.SliceReplica: self._on_held,
-            interface.ProxyJoined: self.dispatcher.on_joined,
-            interface.ProxyLeft: self.dispatcher.on_left,
-            interface.OrdersApplied: self.dispatcher.on_applied,
-            interface.SearchResult: placement.on_solved,
+            interface.ServerList: partial(reports.on_server_list, self.state),
+            interface.ServerReport: partial(reports.on_server_report, self.state),
+            interface.HostLoad: partial(reports.on_host_load, self.state),
+            interface.ProbeResult: partial(reports.on_probe_result, self.state),
+            interface.DemandReport: partial(demand.on_demand_report, self.state),
+            interface.SliceAssignment: self._on_slice_assignment,
+            interface.SliceReplica: self._on_slice_replica,
+            interface.ProxyJoined: self.dispatcher.on_proxy_joined,
+            interface.ProxyLeft: self.dispatcher.on_proxy_left,
+            interface.OrdersApplied: self.dispatcher.on_orders_applied,
+            interface.SearchResult: placement.on_search_result,
         }
 
     def handle(self, now: int, events: Iterable[object]) -> list[object]:
@@ -65,17 +65,17 @@
         state = self.state
         state.now_ns = now
         state.orders = []
-        if not self._wake_ns:
+        if not self._next_tick_ns:
             self._start()
         for event in events:
             handler = self._handlers.get(type(event))
             if handler:
                 handler(event)
-        if now >= self._wake_ns:
-            self._beat()
-        elif self.work and now >= self._resume_ns:
+        if now >= self._next_tick_ns:
+            self._tick()
+        elif self.pending_work and now >= self._resume_work_ns:
             urgent = state.orders_due or state.orders  # what was ordered must not wait for work
-            self._go_on(0 if urgent else TURN_BUDGET_US)
+            self._run_pending_work(0 if urgent else TURN_BUDGET_US)
         if state.orders_due:
             state.orders_due = False
             placement.evacuate(state)
@@ -83,70 +83,70 @@
         return state.orders
 
     def _start(self) -> None:
-        self._first_run_ns = self.state.now_ns + FIRST_RUN_NS
-        self._full_run_ns = self._first_run_ns
+        self._first_placement_ns = self.state.now_ns + FIRST_PLACEMENT_DELAY_NS
+        self._next_full_placement_ns = self._first_placement_ns
         if self.state.settings.server_list_on_request:
             self.state.orders.append(interface.WatchServers(True))
 
-    def _on_given(self, event: interface.SliceAssignment) -> None:
+    def _on_slice_assignment(self, event: interface.SliceAssignment) -> None:
         self.state.add_table(SliceTable(event.slice, event.owned, self.state.now_ns))
 
-    def _on_held(self, event: interface.SliceReplica) -> None:
+    def _on_slice_replica(self, event: interface.SliceReplica) -> None:
         table = self.state.tables[event.slice]
         server = self.state.server(event.server)
         table.ordered[server] = event.weight
-        table.wanted[server] = event.weight
-        table.replicas = max(1, len(table.wanted))
+        table.desired[server] = event.weight
+        table.replicas = max(1, len(table.desired))
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         """Look at the clock: timers, silence, and once a second the second's work."""
         state = self.state
-        self._wake_ns = state.now_ns + health.BEAT_NS
-        state.orders.append(interface.SetTimer(self._wake_ns))
+        self._next_tick_ns = state.now_ns + health.TICK_NS
+        state.orders.append(interface.SetTimer(self._next_tick_ns))
         health.check_timers(state)
-        health.check_silent(state)
-        if state.now_ns >= self._judge_ns and not self.work:
-            self._judge_ns = state.now_ns + SECOND
-            self.work = self.second()
-            self._go_on(TURN_BUDGET_US)
+        health.check_failed_probes(state)
+        if state.now_ns >= self._next_evaluation_ns and not self.pending_work:
+            self._next_evaluation_ns = state.now_ns + SECOND
+            self.pending_work = self.periodic_work()
+            self._run_pending_work(TURN_BUDGET_US)
         state.orders_due = True
 
-    def _go_on(self, budget_us: int) -> None:
+    def _run_pending_work(self, budget_us: int) -> None:
         """Do some of the second's work, one part at least unless the budget is 0.
 
         The work grows with the fleet, so all else has its turn between.
         """
         state = self.state
         spent_us = 0
-        while budget_us and (not spent_us or spent_us + self._owed_us <= budget_us):
-            spent_us += self._owed_us
-            owed_us = next(self.work, None)
-            if owed_us is None:
-                self.work = None
-                self._owed_us = 0
+        while budget_us and (not spent_us or spent_us + self._next_cost_us <= budget_us):
+            spent_us += self._next_cost_us
+            next_cost_us = next(self.pending_work, None)
+            if next_cost_us is None:
+                self.pending_work = None
+                self._next_cost_us = 0
                 state.orders_due = True
                 return
-            self._owed_us = owed_us
+            self._next_cost_us = next_cost_us
         # A call takes several passes of its host's loop, so half as long is enough for others.
-        self._resume_ns = state.now_ns + TURN_BUDGET_US * PAUSE_NS_PER_US
-        state.orders.append(interface.SetTimer(self._resume_ns))
+        self._resume_work_ns = state.now_ns + TURN_BUDGET_US * PAUSE_NS_PER_US
+        state.orders.append(interface.SetTimer(self._resume_work_ns))
 
-    def second(self) -> Costs:
+    def periodic_work(self) -> Costs:
         """Do what is done each second."""
         state = self.state
-        yield from demand.measure(state)
+        yield from demand.update_rates(state)
         yield from health.judge(state)
         yield TABLE_COST_US * len(state.tables)
-        load.weigh_foreign_load(state)
+        load.update_foreign_load(state)
         yield TABLE_COST_US * len(state.tables)
-        state.forget_gone_servers()
+        state.forget_removed_servers()
         placement.evacuate(state)
         if state.shared_table:  # of all open servers, by quota in steps
-            state.shared_table.wanted = {
+            state.shared_table.desired = {
                 server: max(1, round(quota / SHARED_WEIGHT_UNIT)) for server, quota in state.quotas().items()
             }
-        elif state.now_ns >= self._first_run_ns:
-            full = state.now_ns >= self._full_run_ns
+        elif state.now_ns >= self._first_placement_ns:
+            full = state.now_ns >= self._next_full_placement_ns
             if full:
-                self._full_run_ns = state.now_ns + FULL_RUN_EVERY_NS
+                self._next_full_placement_ns = state.now_ns + FULL_PLACEMENT_INTERVAL_NS
             yield from self.placement.run(full)
--- a/flintreach/pilot/records.py
+++ b/flintreach/pilot/records.py
@@ -14,10 +14,10 @@
     """What a server is to the decisions; the values stand in logs and figures."""
 
     UNKNOWN = "unknown"  # met in a report, not in a list
-    FIT = "fit"
+    HEALTHY = "fit"
     COLD = "cold"  # just started: it warms up
     TRIAL = "trial"  # back from an ejection, as if cold
-    OUT = "out"  # ejected for bad health
+    EJECTED = "out"  # ejected for bad health
     LEAVING = "leaving"  # drains, or is gone
 
 
@@ -34,8 +34,8 @@
     DUE = "due"
 
 
-CLOSED_MODES = (Mode.UNKNOWN, Mode.OUT, Mode.LEAVING)
-GUARDED_MODES = (Mode.COLD, Mode.TRIAL)
+UNAVAILABLE_MODES = (Mode.UNKNOWN, Mode.EJECTED, Mode.LEAVING)
+SLOW_START_MODES = (Mode.COLD, Mode.TRIAL)
 
 
 class ServerState:
@@ -49,16 +49,16 @@
         self.started_ns = 0
         self.answers = SlidingSums(RECENT_S + 2, 3)  # tries, unanswered, latency of all that succeeded
         self.reported_ns = 0
-        self.out_until_ns = 0
-        self.strikes = 0  # ejections since the last one was forgotten
+        self.ejected_until_ns = 0
+        self.recent_ejections = 0  # ejections since the last one was forgotten
         self.hold_until_ns = 0  # until then it gains nothing, or bears no less
-        self.gained = False  # a slice since the last run
+        self.gained_slice = False  # a slice since the last run
         self.idle = False  # nothing waits, by its own report
         self.lateness = 1.0  # mean latency when last known, in parts of what strains a server
         self.unanswered_share = 0.0
         self.probed_ns = 0
-        self.silent_ns = 0  # when a probe got no answer
-        self.moved_ns = 0  # when it gained or lost slices
+        self.probe_failed_ns = 0  # when a probe got no answer
+        self.slices_changed_ns = 0  # when it gained or lost slices
         self.load: float | None = None  # by its own report, of 1
         self.foreign_load = 0.0  # beyond what our slices explain, in parts of its quota
         self.host_load = 0.0  # by its host's report, of 1
@@ -66,14 +66,14 @@
         self.admission_level = 1.0  # part of the cheapest operation that it lets in
 
     @property
-    def closed(self) -> bool:
+    def unavailable(self) -> bool:
         """Whether it may serve no slice."""
-        return self.mode in CLOSED_MODES
+        return self.mode in UNAVAILABLE_MODES
 
     @property
-    def guarded(self) -> bool:
+    def in_slow_start(self) -> bool:
         """Whether it gains one slice a run at the most."""
-        return self.mode in GUARDED_MODES
+        return self.mode in SLOW_START_MODES
 
 
 Weights = dict[ServerState, float]
@@ -94,7 +94,7 @@
         self.replicas = 1
         self.surplus_runs = 0  # runs that found a replica too many
         self.admission_level = 1.0  # as ordered
-        self.wanted: Weights = {}  # weights that it shall have
+        self.desired: Weights = {}  # weights that it shall have
         self.ordered: Weights = {}  # weights that have been ordered
 
 
--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -3,17 +3,17 @@
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND, EntryState, ProbeStatus, ServerListKind
 from flintreach.pilot.records import RECENT_S, Cause, Mode, ServerState
-from flintreach.pilot.state import LEAST_WEIGHT, REPORT_CYCLE_NS, FleetState
+from flintreach.pilot.state import MIN_WEIGHT, REPORT_CYCLE_NS, FleetState
 from flintreach.policy.window import SlidingSums
 
-STORM_SHARE = 0.2  # part of a line unanswered: it holds repeats
+RETRY_STORM_SHARE = 0.2  # part of a line unanswered: it holds repeats
 SUSPECT_SHARE = 0.3  # part of a line unanswered, and two at least: its server may be dead
-JAMMED_LATENCY = 0.5  # part of the latency objective that empties a cold server
+OVERLOAD_LATENCY_SHARE = 0.5  # part of the latency objective that empties a cold server
 # Reports below which late answers are not a server's own load.
 IDLE_BELOW = {interface.LOAD_QUEUE: 1, interface.LOAD_UTILISATION: 0.8}
-PROBE_PAUSE_NS = SECOND
+PROBE_INTERVAL_NS = SECOND
 SPAN_SMOOTHING = 50  # reports by which the learned span follows
-SILENT_STATUSES = (ProbeStatus.CONNECT_FAILED, ProbeStatus.TIMEOUT, ProbeStatus.RESET)
+NO_ANSWER_STATUSES = (ProbeStatus.CONNECT_FAILED, ProbeStatus.TIMEOUT, ProbeStatus.RESET)
 
 
 def classify(line: interface.DemandReport | interface.ServerReport, objective_ns: int) -> tuple[bool, ...]:
@@ -23,21 +23,21 @@
         Of demand, (a storm of repeats); of a server, (suspect, jammed, nothing waits).
     """
     if isinstance(line, interface.DemandReport):
-        return (line.unanswered > STORM_SHARE * line.tries,)
+        return (line.unanswered > RETRY_STORM_SHARE * line.tries,)
     idle_signs = [value < IDLE_BELOW[name] for name, value in line.load.items() if name in IDLE_BELOW]
-    late = line.latency > JAMMED_LATENCY * objective_ns
-    jammed = late and line.tries - line.unanswered > 1  # retries feed a jam
-    suspect = line.unanswered > max(1, SUSPECT_SHARE * line.tries)
-    return suspect, jammed, bool(idle_signs) and all(idle_signs)
+    late = line.latency > OVERLOAD_LATENCY_SHARE * objective_ns
+    overloaded = late and line.tries - line.unanswered > 1  # retries feed a jam
+    suspected = line.unanswered > max(1, SUSPECT_SHARE * line.tries)
+    return suspected, overloaded, bool(idle_signs) and all(idle_signs)
 
 
-def on_roster(state: FleetState, event: interface.ServerList) -> None:
+def on_server_list(state: FleetState, event: interface.ServerList) -> None:
     """Take a list of servers; where it could not be had, ask again."""
     if event.kind == ServerListKind.FAILED:
         state.orders.append(interface.WatchServers(True))
         return
     for entry in event.entries:
-        _on_entry(state, entry)
+        _on_server_entry(state, entry)
     if event.kind == ServerListKind.DELTA:
         return
     listed = {entry.server for entry in event.entries}
@@ -45,14 +45,14 @@
         state.transition(server, Cause.LEAVE, "gone from the list")
 
 
-def _on_entry(state: FleetState, entry: interface.ServerEntry) -> None:
+def _on_server_entry(state: FleetState, entry: interface.ServerEntry) -> None:
     server = state.server(entry.server)
-    server.weight = max(entry.weight, LEAST_WEIGHT)
+    server.weight = max(entry.weight, MIN_WEIGHT)
     restarted = entry.started > server.started_ns
     server.started_ns = max(entry.started, server.started_ns)
     if entry.state != EntryState.READY:
         state.transition(server, Cause.LEAVE, entry.state)
-    elif restarted and state.warm_share(server) < 1:  # its old load may still be there
+    elif restarted and state.available_share(server) < 1:  # its old load may still be there
         server.answers = SlidingSums(RECENT_S + 2, 3)
         server.host_load = 0.0
         age_s = (state.now_ns - server.started_ns) / 1e9
@@ -61,7 +61,7 @@
         state.transition(server, Cause.READY)
 
 
-def on_heard(state: FleetState, event: interface.ServerReport) -> None:
+def on_server_report(state: FleetState, event: interface.ServerReport) -> None:
     """Take what proxies met at a server; one that may be dead is probed, a cold one that jams relieved."""
     server = state.server(event.server)
     answered = max(0, event.tries - event.unanswered)
@@ -69,32 +69,32 @@
     of_this_process = state.now_ns - event.span - REPORT_CYCLE_NS > server.started_ns
     lost = event.unanswered if of_this_process else 0
     server.answers.add(state.now_ns, event.span, answered + lost, lost, answered * event.latency)
-    suspect, jammed, server.idle = event.kind or classify(event, state.cheapest.objective)
+    suspected, overloaded, server.idle = event.kind or classify(event, state.cheapest.objective)
     server.reported_ns = state.now_ns
     state.report_span_ns += (event.span - state.report_span_ns) // SPAN_SMOOTHING
     server.load = event.load.get(interface.LOAD_UTILISATION, server.load)
-    if lost and suspect:
+    if lost and suspected:
         _probe(state, server)
-    if jammed and not server.idle:
+    if overloaded and not server.idle:
         state.transition(server, Cause.STRAINED)
 
 
 def _probe(state: FleetState, server: ServerState) -> None:
     """The sums of a death come late and by halves: a probe tells at once."""
-    if server.closed or state.now_ns <= server.probed_ns + PROBE_PAUSE_NS:
+    if server.unavailable or state.now_ns <= server.probed_ns + PROBE_INTERVAL_NS:
         return
     server.probed_ns = state.now_ns
     if state.settings.probes:
         state.orders.append(interface.Probe(server.server))
 
 
-def on_measured(state: FleetState, event: interface.HostLoad) -> None:
+def on_host_load(state: FleetState, event: interface.HostLoad) -> None:
     """Take a host's load: it only adds to a report, and stands through silence, which frees nobody."""
     if event.age < REPORT_CYCLE_NS and event.server in state.servers:
         state.servers[event.server].host_load = event.busy
 
 
-def on_probed(state: FleetState, event: interface.ProbeResult) -> None:
-    """Note a probe without an answer; `health.check_silent` judges it."""
-    if event.status in SILENT_STATUSES:
-        state.server(event.server).silent_ns = state.now_ns
+def on_probe_result(state: FleetState, event: interface.ProbeResult) -> None:
+    """Note a probe without an answer; `health.check_failed_probes` judges it."""
+    if event.status in NO_ANSWER_STATUSES:
+        state.server(event.server).probe_failed_ns = state.now_ns
--- a/flintreach/pilot/state.py
+++ b/flintreach/pilot/state.py
@@ -8,27 +8,27 @@
 from flintreach.pilot.records import Cause, Mode, ServerState, SliceTable
 
 REPORT_CYCLE_NS = 3 * SECOND  # sums of a large fleet come by turns: silence for so long is no lack of demand
-HOLD_NS = 2 * SECOND  # how long a relieved cold server gains nothing
+RELIEF_HOLD_NS = 2 * SECOND  # how long a relieved cold server gains nothing
 FIRST_EJECTION_NS = 8 * SECOND  # doubled by each failed trial
-EJECTION_DOUBLINGS = 3  # at the most
-STRIKES_KEPT_NS = 60 * SECOND  # after an ejection; then strikes are forgotten
-LEAST_WEIGHT = 1e-6
-LEAST_TOTAL = 1e-9  # in place of a sum that is 0 and would divide
+MAX_EJECTION_DOUBLINGS = 3  # at the most
+EJECTION_MEMORY_NS = 60 * SECOND  # after an ejection; then strikes are forgotten
+MIN_WEIGHT = 1e-6
+MIN_DIVISOR = 1e-9  # in place of a sum that is 0 and would divide
 
 ANY_MODE = "any"
 # The mode that a cause leads to from a mode; any other pair changes nothing.
 TRANSITIONS: dict[tuple[str, Cause], Mode] = {
     (ANY_MODE, Cause.LEAVE): Mode.LEAVING,
     (ANY_MODE, Cause.STARTED): Mode.COLD,
-    (Mode.UNKNOWN, Cause.READY): Mode.FIT,
-    (Mode.LEAVING, Cause.READY): Mode.FIT,
-    (Mode.COLD, Cause.WARM): Mode.FIT,
+    (Mode.UNKNOWN, Cause.READY): Mode.HEALTHY,
+    (Mode.LEAVING, Cause.READY): Mode.HEALTHY,
+    (Mode.COLD, Cause.WARM): Mode.HEALTHY,
     (Mode.COLD, Cause.STRAINED): Mode.COLD,
-    (Mode.FIT, Cause.FAILING): Mode.OUT,
-    (Mode.COLD, Cause.FAILING): Mode.OUT,
-    (Mode.TRIAL, Cause.FAILING): Mode.OUT,
-    (Mode.TRIAL, Cause.SOUND): Mode.FIT,
-    (Mode.OUT, Cause.DUE): Mode.TRIAL,
+    (Mode.HEALTHY, Cause.FAILING): Mode.EJECTED,
+    (Mode.COLD, Cause.FAILING): Mode.EJECTED,
+    (Mode.TRIAL, Cause.FAILING): Mode.EJECTED,
+    (Mode.TRIAL, Cause.SOUND): Mode.HEALTHY,
+    (Mode.EJECTED, Cause.DUE): Mode.TRIAL,
 }
 
 
@@ -47,10 +47,10 @@
         if not settings.slices:
             self.shared_table = SliceTable(interface.Slice(0), True)
             self.tables[self.shared_table.slice] = self.shared_table
-        self.shut_out: dict[ServerState, None] = {}  # withdrawn at all proxies, in order
+        self.withdrawn: dict[ServerState, None] = {}  # withdrawn at all proxies, in order
         self.report_span_ns = SECOND  # that reports cover, smoothed
-        self.typical_server = ServerState(None)  # as late as the middle one
-        self.proven_rate = 0.0  # most answers a second seen for a hundredth of a mean server
+        self.median_server = ServerState(None)  # as late as the middle one
+        self.proven_capacity = 0.0  # most answers a second seen for a hundredth of a mean server
         self.operations = sorted(settings.operations, key=lambda operation: operation.billed_value)
         self._owned_tables: list[SliceTable] | None = None
 
@@ -87,25 +87,25 @@
             self.orders.append(interface.Log(text))
         server.mode = mode
         if mode == Mode.COLD:  # it has started, or is strained
-            self._relieve(server)
-        elif mode == Mode.OUT:
-            self._strike(server)
+            self._remove_slices(server)
+        elif mode == Mode.EJECTED:
+            self._record_ejection(server)
 
-    def _relieve(self, server: ServerState) -> None:
+    def _remove_slices(self, server: ServerState) -> None:
         """Take its slices away: its old load would push a cold server over."""
         for table in self.owned_tables():
-            table.wanted.pop(server, None)
-        server.gained = True
-        server.hold_until_ns = self.now_ns + HOLD_NS
-
-    def _strike(self, server: ServerState) -> None:
-        if self.now_ns >= server.out_until_ns + STRIKES_KEPT_NS:
-            server.strikes = 0
-        server.strikes += 1
-        doublings = min(server.strikes - 1, EJECTION_DOUBLINGS)
-        server.out_until_ns = self.now_ns + FIRST_EJECTION_NS * 2**doublings
-
-    def warm_share(self, server: ServerState) -> float:
+            table.desired.pop(server, None)
+        server.gained_slice = True
+        server.hold_until_ns = self.now_ns + RELIEF_HOLD_NS
+
+    def _record_ejection(self, server: ServerState) -> None:
+        if self.now_ns >= server.ejected_until_ns + EJECTION_MEMORY_NS:
+            server.recent_ejections = 0
+        server.recent_ejections += 1
+        doublings = min(server.recent_ejections - 1, MAX_EJECTION_DOUBLINGS)
+        server.ejected_until_ns = self.now_ns + FIRST_EJECTION_NS * 2**doublings
+
+    def available_share(self, server: ServerState) -> float:
         """The part of its capacity that a server surely has: evenly from the cold share to all of it."""
         warm_up = self.settings.warm_up
         if not warm_up:
@@ -123,18 +123,18 @@
     def quotas(self) -> dict[ServerState, float]:
         """What each open server shall bear, by weight and state, in hundredths of a mean one."""
         shares = {
-            server: server.weight * server.capacity_share * self.warm_share(server)
+            server: server.weight * server.capacity_share * self.available_share(server)
             for server in self.servers.values()
-            if not server.closed and server not in self.shut_out
+            if not server.unavailable and server not in self.withdrawn
         }
-        scale = 100 * len(shares) / max(sum(shares.values()), LEAST_TOTAL)
+        scale = 100 * len(shares) / max(sum(shares.values()), MIN_DIVISOR)
         return {server: share * scale for server, share in shares.items()}
 
-    def forget_gone_servers(self) -> None:
+    def forget_removed_servers(self) -> None:
         """With new ids all day, what is gone must leave nothing behind; named again, it is unknown."""
         absent = (Mode.UNKNOWN, Mode.LEAVING)
-        gone = {server for server in self.servers.values() if server.mode in absent} - self.shut_out.keys()
+        gone = {server for server in self.servers.values() if server.mode in absent} - self.withdrawn.keys()
         if gone:
             for table in self.tables.values():
-                gone.difference_update(table.ordered, table.wanted)
+                gone.difference_update(table.ordered, table.desired)
         self.servers = {name: server for name, server in self.servers.items() if server not in gone}
--- a/flintreach/policy/partition.py
+++ b/flintreach/policy/partition.py
@@ -8,13 +8,13 @@
 from bisect import bisect_left, insort
 from dataclasses import dataclass
 
-GUARDED_DEVIATION = 50  # of a guarded target whose demand exceeds its quota by as much again
-FILL = 0.25  # part of a guarded target's quota that a newcomer may fill beyond it
+SLOW_START_DEVIATION = 50  # of a guarded target whose demand exceeds its quota by as much again
+MAX_FILL_SHARE = 0.25  # part of a guarded target's quota that a newcomer may fill beyond it
 NO_UNIT = -1  # in a swap: nothing moves in this direction
 PAIRED_ENDS = 3  # targets at each end of a ranking that are paired
-LEAST_BENEFIT = 1e-9  # a swap that gains less is rounding
+MIN_BENEFIT = 1e-9  # a swap that gains less is rounding
 
-Figures = tuple[float, float, float, float]  # sum, difference of the gaps; the demand's; the deviation
+Metrics = tuple[float, float, float, float]  # sum, difference of the gaps; the demand's; the deviation
 Swap = tuple[float, int, int]  # benefit; the unit that leaves x for y; the one that leaves y for x
 
 
@@ -39,8 +39,8 @@
         self.placements = self.original
         self.shared = {*range(len(self.original))}  # targets whose set belongs to a map that is kept
         self.distance = 0  # placements that differ from the original
-        self.examined = 0  # swaps looked at: what the work cost
-        self.figures = [self._figures_of(target) for target in range(len(self.original))]
+        self.swaps_examined = 0  # swaps looked at: what the work cost
+        self.figures = [self._metrics_of(target) for target in range(len(self.original))]
         self.rankings = [
             sorted((value, target) for target, value in enumerate(column)) for column in zip(*self.figures)
         ]
@@ -62,7 +62,7 @@
         """The largest deviation of any target from its quota."""
         return self.rankings[3][-1][0]
 
-    def _figures_of(self, target: int) -> Figures:
+    def _metrics_of(self, target: int) -> Metrics:
         quota = self.slow_start_quotas.get(target)
         # A target that may gain no more must not stand for the emptiest: it would hide those with room.
         may_gain_no_more = target in self.slow_start_quotas and self.gains[target]
@@ -72,36 +72,36 @@
         if quota is None:
             deviation = max(memory, demand)
         elif self.placements[target]:
-            deviation = GUARDED_DEVIATION * demand / quota
+            deviation = SLOW_START_DEVIATION * demand / quota
         else:
             deviation = self.empty_deviation * (floor < 0)
         return memory + demand, memory - demand, demand, deviation
 
     def add(self, unit: int, target: int) -> None:
         """Place a replica of a unit on a target."""
-        self._own(target).add(unit)
-        self._changed(unit, target, 1)
+        self._writable_placement(target).add(unit)
+        self._update_metrics(unit, target, 1)
 
     def remove(self, unit: int, target: int) -> None:
         """Take a unit's replica from a target."""
-        self._own(target).discard(unit)
-        self._changed(unit, target, -1)
+        self._writable_placement(target).discard(unit)
+        self._update_metrics(unit, target, -1)
 
-    def _own(self, target: int) -> set[int]:
+    def _writable_placement(self, target: int) -> set[int]:
         """The target's set, copied first if a kept map shares it."""
         if target in self.shared:
             self.shared.remove(target)
             self.placements[target] = {*self.placements[target]}
         return self.placements[target]
 
-    def _changed(self, unit: int, target: int, sign: int) -> None:
+    def _update_metrics(self, unit: int, target: int, sign: int) -> None:
         if unit not in self.original[target]:
             self.distance += sign
             self.gains[target] += sign
         self.memory_gaps[target] += sign * self.unit_memory
         self.demand_gaps[target] += sign * self.demands[unit][target in self.slow_start_quotas]
         before = self.figures[target]
-        self.figures[target] = self._figures_of(target)
+        self.figures[target] = self._metrics_of(target)
         for ranking, old, new in zip(self.rankings, before, self.figures[target]):
             del ranking[bisect_left(ranking, (old, target))]
             insort(ranking, (new, target))
@@ -128,7 +128,7 @@
         if target not in self.slow_start_quotas or unit in self.original[target]:
             return True
         quota = self.slow_start_quotas[target]
-        room = min(quota, FILL * quota - self.demand_gaps[target])  # a hot slice grows on
+        room = min(quota, MAX_FILL_SHARE * quota - self.demand_gaps[target])  # a hot slice grows on
         return self.gains[target] < 1 and self.demands[unit][True] <= room
 
     def excluded_targets(self, unit: int) -> list[int]:
@@ -153,10 +153,10 @@
         answers = [(unit, load, swapped) for unit, load in coming] + [(NO_UNIT, 0.0, moved_away)]
         rows = [(unit, load, answers) for unit, load in leaving]
         rows.append((NO_UNIT, 0.0, [(unit, load, moved_back) for unit, load in coming]))
-        self.examined += len(rows) * len(answers)
+        self.swaps_examined += len(rows) * len(answers)
         return [
             (benefit, p, q)
             for p, away, row_answers in rows
             for q, back, memory_gap in row_answers
-            if (benefit := before - abs(demand - 2 * (away - back)) - memory_gap) > LEAST_BENEFIT
+            if (benefit := before - abs(demand - 2 * (away - back)) - memory_gap) > MIN_BENEFIT
         ]
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -15,9 +15,9 @@
 
 DEVIATION_STEP = 1 / 2  # of the permitted deviation: candidates within one step are alike
 CANDIDATES = 20  # a run
-SURE_CANDIDATES = 2  # of these, whose moves are the best ones and not drawn
-LEAST_ATTEMPTS = 20  # moves a candidate at least
-DRAW_SPREAD = 20  # hundredths of a mean target: how far a draw outweighs room, for a new replica
+GREEDY_CANDIDATES = 2  # of these, whose moves are the best ones and not drawn
+MIN_ATTEMPTS = 20  # moves a candidate at least
+RANDOM_SPREAD = 20  # hundredths of a mean target: how far a draw outweighs room, for a new replica
 TURN_BUDGET_US = 6000  # of a second's work in one turn: about microseconds of a core
 MOVE_COST_US = 150  # of a move or swap, likewise
 CANDIDATE_COST_US = 2  # a target
@@ -53,7 +53,7 @@
         """The draw, from 0 to 1, that is so many ahead; the counter stays."""
         return zlib.crc32(b"%d %d" % (self.seed, self.counter + ahead)) / 2**32
 
-    def _chance(self, row: Row) -> float:
+    def _random_key(self, row: Row) -> float:
         """A random key: the larger a row's first value, the likelier it wins.
 
         Source: Efraimidis and Spirakis, "Weighted random sampling with a reservoir" (2006).
@@ -74,22 +74,22 @@
             for unit, targets, replicas in self.changed:
                 yield MOVE_COST_US
                 self._adjust_replicas(candidate, unit, targets, replicas)
-            yield from self._improve_candidate(candidate, number < SURE_CANDIDATES)
+            yield from self._improve_candidate(candidate, number < GREEDY_CANDIDATES)
 
-    def _improve_candidate(self, candidate: Partition, sure: bool) -> Costs:
+    def _improve_candidate(self, candidate: Partition, greedy: bool) -> Costs:
         """Move until it fits the permitted deviation or nothing helps; keep it where it is the best yet."""
         size = len(self.start.original)
         step = self.deviation * DEVIATION_STEP
-        for _ in range(max(LEAST_ATTEMPTS, size) + 1):
+        for _ in range(max(MIN_ATTEMPTS, size) + 1):
             deviation = max(self.deviation, step * math.ceil(candidate.max_deviation / step))
             cost = deviation, candidate.distance
             if self.best is None or cost < self.best.cost:
                 self.best = Solution(cost, candidate.placements[:])
                 candidate.shared = {*range(size)}
-            if deviation <= self.deviation or not self._improve(candidate, sure):
+            if deviation <= self.deviation or not self._improve(candidate, greedy):
                 return
-            yield MOVE_COST_US + candidate.examined // 4  # as the last one was
-            candidate.examined = 0
+            yield MOVE_COST_US + candidate.swaps_examined // 4  # as the last one was
+            candidate.swaps_examined = 0
 
     def _adjust_replicas(self, candidate: Partition, unit: int, targets: list[int], replicas: int) -> None:
         """Place further replicas where load is least, or take some from where it is most.
@@ -107,14 +107,14 @@
                 break
             if target not in barred:
                 draw = self._draw(target - bisect_left(barred, target) + 1)
-                insort(chosen, (least + DRAW_SPREAD * draw, target))
+                insort(chosen, (least + RANDOM_SPREAD * draw, target))
         self.counter += len(load) - len(barred)
         for _, target in chosen[: max(0, missing)]:
             candidate.add(unit, target)
 
-    def _improve(self, candidate: Partition, sure: bool) -> bool:
+    def _improve(self, candidate: Partition, greedy: bool) -> bool:
         """Make one move or swap, if any: the best of the widest pair, or drawn by deviation and benefit."""
-        key: Callable[[Row], float] = itemgetter(0) if sure else self._chance
+        key: Callable[[Row], float] = itemgetter(0) if greedy else self._random_key
         for _, x, y in sorted(candidate.pairs(), key=key, reverse=True):
             swaps = candidate.swaps(x, y)
             if not swaps:  # a guarded target is soon full, and its pairs have none
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -114,7 +114,7 @@
 
     def run_pending_work(self, due: int) -> None:
         """A second's work goes on in turns."""
-        while self.pilot.work and self.now + self.settings.tick < due:
+        while self.pilot.pending_work and self.now + self.settings.tick < due:
             self.now += self.settings.tick
             self.handle(interface.TimerFired(0))
 
@@ -164,7 +164,7 @@
     fleet.run(8)
     fleet.handle(fleet.server_list(s1=("ready", fleet.now)))
     for piece in fleet.slices[4:6]:
-        fleet.pilot.state.tables[piece].wanted = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
+        fleet.pilot.state.tables[piece].desired = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
     fleet.run(1)
     assert len(fleet.slices_of(fleet.servers[1])) >= 2
     return fleet, fleet.servers[1]
--- a/tests/pilot/test_dispatch.py
+++ b/tests/pilot/test_dispatch.py
@@ -30,7 +30,7 @@
     fleet = Fleet(messages_most=4)
     fleet.run(3)
     table = fleet.pilot.state.tables[fleet.slices[1]]
-    table.wanted = {fleet.pilot.state.server(fleet.servers[2]): 1.0}
+    table.desired = {fleet.pilot.state.server(fleet.servers[2]): 1.0}
     fleet.pilot.dispatcher.sent_ns = fleet.now - 4 * SECOND
     fleet.handle(fleet.server_list(s1="draining"))
     assert not fleet.slices_of(fleet.servers[1])
--- a/tests/pilot/test_health.py
+++ b/tests/pilot/test_health.py
@@ -17,7 +17,7 @@
         fleet = Fleet(servers=5, slices=20)
         fleet.load = told
         fleet.run(6)
-        proven.append(fleet.pilot.state.proven_rate)
+        proven.append(fleet.pilot.state.proven_capacity)
     assert abs(proven[0] / proven[1] - part) < 0.02
 
 
@@ -66,7 +66,7 @@
     fleet.failing = {fleet.servers[1]: 1.0}
     fleet.run(120)
     state = fleet.pilot.state.server(fleet.servers[1])
-    assert 3 <= state.strikes <= 6
+    assert 3 <= state.recent_ejections <= 6
 
 
 def test_where_many_are_mute_at_once_the_pilot_is_cut_off_and_condemns_nobody():
--- a/tests/pilot/test_state.py
+++ b/tests/pilot/test_state.py
@@ -30,7 +30,7 @@
     assert (
         len(fleet.pilot.state.servers) <= 8
         and len(fleet.withdrawn) <= 2
-        and len(fleet.pilot.state.shut_out) <= 2
+        and len(fleet.pilot.state.withdrawn) <= 2
     )
     assert all(set(table) <= set(fleet.servers) for table in fleet.tables.values())
 
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -29,7 +29,7 @@
         if any(isinstance(order, interface.RunSearch) for order in fleet.replies[-1][1]) or deep(fleet.pilot):
             return fleet
         for _ in range(200):
-            if not fleet.pilot.work:
+            if not fleet.pilot.pending_work:
                 break
             fleet.now += 1_000_000
             fleet.handle(interface.TimerFired(0))
@@ -42,7 +42,7 @@
 
 def deep(pilot):
     """Whether the work in hand stands within the steps of a search."""
-    inner = pilot.work
+    inner = pilot.pending_work
     while inner is not None:
         if inner.gi_code.co_name == "steps":
             return True
@@ -61,7 +61,7 @@
     orders = drain(fleet, 7)
     assert interface.Withdraw(fleet.servers[7], True) in orders and deep(fleet.pilot)
     assert not fleet.slices_of(fleet.servers[7])
-    while fleet.pilot.work:
+    while fleet.pilot.pending_work:
         fleet.now += 1_000_000
         fleet.handle(interface.TimerFired(0))
     fleet.run(4)
@@ -92,12 +92,12 @@
             interface.SliceAssignment(moved.slice, True),
             interface.SliceReplica(moved.slice, fleet.servers[3], 1.0),
         )
-    before = {piece: dict(unit.wanted) for piece, unit in fleet.pilot.state.tables.items()}
+    before = {piece: dict(unit.desired) for piece, unit in fleet.pilot.state.tables.items()}
     fleet.handle(interface.SearchResult(search, search.best, search.counter))
-    while fleet.pilot.work:
+    while fleet.pilot.pending_work:
         fleet.now += 1_000_000
         fleet.handle(interface.TimerFired(0))
-    after = {piece: unit.wanted for piece, unit in fleet.pilot.state.tables.items()}
+    after = {piece: unit.desired for piece, unit in fleet.pilot.state.tables.items()}
     changed = [piece for piece in before if before[piece].keys() != after[piece].keys()]
     assert changed  # the rest of the answer counts
     if change in ("drain", "restart"):
@@ -117,14 +117,14 @@
 
 def test_no_turn_takes_more_than_its_budget_or_one_part():
     fleet, seen = Fleet(**WIDE), []
-    steps = logic.Pilot.second
+    steps = logic.Pilot.periodic_work
 
     def counted(pilot):
         for cost in steps(pilot):
             seen[-1].append(cost)
             yield cost
 
-    fleet.pilot.second = counted.__get__(fleet.pilot)
+    fleet.pilot.periodic_work = counted.__get__(fleet.pilot)
     say = fleet.handle
 
     def turn(*events):
@@ -150,7 +150,7 @@
             fleet.now += SECOND // 4 - fleet.now % (SECOND // 4)
             fleet.handle(interface.TimerFired(0), *(fleet.reports() if fleet.now % SECOND == 0 else []))
             waits = 5 if answer == "late" else 0
-            while fleet.pilot.work:
+            while fleet.pilot.pending_work:
                 asked = [
                     order.search for order in fleet.replies[-1][1] if isinstance(order, interface.RunSearch)
                 ]
