--- a/flintreach/pilot/__init__.py
+++ b/flintreach/pilot/__init__.py
@@ -1,1 +1,1 @@
-"""The pilot in service: its decisions, and what they take and give."""
+"""The pilot: its decisions, and the interface of events and orders around them."""
--- a/flintreach/pilot/health.py
+++ b/flintreach/pilot/health.py
@@ -1,4 +1,7 @@
-"""Which servers are healthy: judged by their answers against peers of the same time.  Pure."""
+"""Health of servers, evaluated from their recent responses relative to their peers'.
+
+Does no input or output.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,29 +12,36 @@
 from flintreach.pilot.state import REPORT_CYCLE_NS, FleetState
 from flintreach.policy.search import Costs
 
-TICK_NS = SECOND // 4  # between looks at the clock
-FAILURE_WINDOW_S = 2  # of answers by which a death is judged
-MIN_TRIES = 6  # with fewer nobody is judged
-FAILING_UNANSWERED_SHARE = 0.7  # part unanswered of a failing server
-MAX_EJECTED_SHARE = 0.25  # of the fit servers
-HIGH_LATENCY_SHARE = 0.4  # part of the latency objective that strains a server
-LATENESS_DECAY = 0.9  # of what is known, a second of silence
-MIN_UTILISATION = 0.3  # load below which answers prove no capacity
-EVALUATION_COST_US = 15  # of one server
+TICK_NS = SECOND // 4  # interval of the checks of timers and probes
+FAILURE_WINDOW_S = 2  # window over which a failure is detected
+MIN_TRIES = 6  # minimum number of tries for a server to be evaluated
+FAILING_UNANSWERED_SHARE = 0.7  # share of unanswered tries from which a server is failing
+MAX_EJECTED_SHARE = 0.25  # of the healthy servers
+HIGH_LATENCY_SHARE = 0.4  # mean latency that counts as high, as a share of the latency objective
+LATENESS_DECAY = 0.9  # per second without fresh responses
+MIN_UTILISATION = 0.3  # lower utilisations count as this one when capacity is derived from responses
+EVALUATION_COST_US = 15  # per server
 
 
 @dataclass(slots=True)
 class Evaluation:
-    """What a look at all servers has found."""
+    """Result of evaluating all servers.
+
+    Attributes:
+        unanswered: share of unanswered tries of each server with enough tries.
+        failing: failing servers, each with the reason.
+        answered: tries that all servers answered in the recent seconds.
+        loads: weighted load and weight of each healthy server that reports its load.
+    """
 
-    unanswered: dict[ServerState, float] = field(default_factory=dict)  # shares of those that can be judged
-    dead: dict[ServerState, str] = field(default_factory=dict)  # and why
-    answered: float = 0  # in the recent seconds, by all
-    loads: list[tuple[float, float]] = field(default_factory=list)  # of fit servers: weighted load, weight
+    unanswered: dict[ServerState, float] = field(default_factory=dict)
+    failing: dict[ServerState, str] = field(default_factory=dict)
+    answered: float = 0
+    loads: list[tuple[float, float]] = field(default_factory=list)
 
 
 def check_timers(state: FleetState) -> None:
-    """Servers that have warmed up are fit; the ejected have a trial when it is due."""
+    """Mark servers that have warmed up as healthy, and put ejected ones on trial when that is due."""
     for server in state.servers.values():
         if server.mode == Mode.COLD and state.available_share(server) >= 1:
             state.transition(server, Cause.WARM)
@@ -40,27 +50,39 @@
 
 
 def check_failed_probes(state: FleetState) -> None:
-    """Condemn servers that leave probes unanswered, after a beat: those of one cut fall silent together."""
-    silent = {
+    """Eject servers that leave probes unanswered.
+
+    The check waits one tick after the first failed probe: servers behind a partition fail together, and
+    `eject_failing` must see all of them to tell a partition from a failed server.
+    """
+    failing = {
         server: "no answer to a question"
         for server in state.servers.values()
         if server.probe_failed_ns > state.now_ns - SECOND and not server.unavailable
     }
-    if any(server.probe_failed_ns < state.now_ns - TICK_NS for server in silent):
-        eject_failing(state, silent)
+    if any(server.probe_failed_ns < state.now_ns - TICK_NS for server in failing):
+        eject_failing(state, failing)
+
+
+def eject_failing(state: FleetState, failing: dict[ServerState, str]) -> None:
+    """Eject failing servers, unless that would exceed the permitted share of ejected servers.
 
+    Where many fail at once, they are overloaded, partitioned from this pilot, or fail at one operation, and
+    ejecting them would not help.  A server on trial is ejected in any case.
 
-def eject_failing(state: FleetState, dead: dict[ServerState, str]) -> None:
-    """Eject the dead, each with why; many at once are crowded, cut off from us, or fail at one operation."""
+    Args:
+        state: of the fleet.
+        failing: reason by server.
+    """
     modes = [server.mode for server in state.servers.values()]
-    few = len(dead) + modes.count(Mode.EJECTED) <= MAX_EJECTED_SHARE * modes.count(Mode.HEALTHY)
-    for server, why in dead.items():
-        if few or server.mode == Mode.TRIAL:
-            state.transition(server, Cause.FAILING, f"{why}, {len(dead)} such")
+    may_eject = len(failing) + modes.count(Mode.EJECTED) <= MAX_EJECTED_SHARE * modes.count(Mode.HEALTHY)
+    for server, reason in failing.items():
+        if may_eject or server.mode == Mode.TRIAL:
+            state.transition(server, Cause.FAILING, f"{reason}, {len(failing)} such")
 
 
-def judge(state: FleetState) -> Costs:
-    """Judge all servers: eject the dead, end trials, and let the strained bear and let in less."""
+def evaluate(state: FleetState) -> Costs:
+    """Evaluate all servers: eject failing ones, end trials, and adjust capacity shares and admission."""
     evaluation = Evaluation()
     high_latency_ns = HIGH_LATENCY_SHARE * state.cheapest.objective
     for server in [*state.servers.values()]:
@@ -72,22 +94,23 @@
         server: max(share / HIGH_UNANSWERED_SHARE, server.lateness) for server, share in unanswered.items()
     }
     peer_pressure = sorted([*pressures.values(), 0.0])[(len(pressures) + 1) // 4]
-    eject_failing(state, evaluation.dead)
-    # Also those whose level leaves too little to judge by: they must not be kept at it.
+    eject_failing(state, evaluation.failing)
+    # Servers with too few tries are adjusted too: a low admission level may be what leaves so few, and it
+    # must be able to rise again.
     for server in state.servers.values():
         if server.mode == Mode.TRIAL and unanswered.get(server, 1) < HIGH_UNANSWERED_SHARE:
             state.transition(server, Cause.SOUND, f"{unanswered[server]:.2f} unanswered")
         admission.adjust(state, server, pressures.get(server, OVERLOAD_PRESSURE / 2), peer_pressure)
     lateness = [0.0, *(0.0 if server.idle else server.lateness for server in unanswered)]
-    typical = state.median_server
-    typical.lateness = sorted(lateness)[len(lateness) // 2]
-    admission.adjust(state, typical, typical.lateness if typical.lateness > 1 else 0, 0)
+    median = state.median_server
+    median.lateness = sorted(lateness)[len(lateness) // 2]
+    admission.adjust(state, median, median.lateness if median.lateness > 1 else 0, 0)
 
 
 def _evaluate_server(
     state: FleetState, server: ServerState, high_latency_ns: float, evaluation: Evaluation
 ) -> None:
-    """Take a server's recent answers into its lateness and the findings."""
+    """Update a server's lateness from its recent responses, and add the server to the evaluation."""
     tries, unanswered, latency = server.answers.total(server.reported_ns, RECENT_S)
     last_tries, last_unanswered, _ = server.answers.total(server.reported_ns, FAILURE_WINDOW_S)
     fresh = state.now_ns - server.reported_ns < REPORT_CYCLE_NS
@@ -104,17 +127,17 @@
         return
     server.unanswered_share = unanswered / tries
     evaluation.unanswered[server] = server.unanswered_share
-    # A jam comes with late answers first; what dies or hangs falls silent out of good health.
-    falls_silent = last_tries >= MIN_TRIES and last_unanswered >= FAILING_UNANSWERED_SHARE * last_tries
-    if falls_silent and server.lateness < 1:
-        evaluation.dead[server] = f"{last_unanswered / last_tries:.2f} unanswered"
+    # Overload shows as high latency first; a server that crashes or hangs stops responding without it.
+    stopped = last_tries >= MIN_TRIES and last_unanswered >= FAILING_UNANSWERED_SHARE * last_tries
+    if stopped and server.lateness < 1:
+        evaluation.failing[server] = f"{last_unanswered / last_tries:.2f} unanswered"
 
 
 def _update_proven_capacity(state: FleetState, evaluation: Evaluation) -> None:
-    """Learn from the answers, and the load at which they were given, what a server can answer."""
+    """Derive the capacity of servers from the responses so far and the utilisation at which they came."""
     owned_quota = sum(state.quotas().values()) * len(state.owned_tables()) / len(state.tables)
     weight = sum(weight for _, weight in evaluation.loads)
     utilisation = sum(load for load, _ in evaluation.loads) / (weight or 1) or 1
-    at_most = min(1, max(MIN_UTILISATION, utilisation))
-    rate = evaluation.answered / RECENT_S / max(owned_quota, 1) / at_most
-    state.proven_capacity = max(state.proven_capacity, rate)
+    bounded_utilisation = min(1, max(MIN_UTILISATION, utilisation))
+    capacity = evaluation.answered / RECENT_S / max(owned_quota, 1) / bounded_utilisation
+    state.proven_capacity = max(state.proven_capacity, capacity)
--- a/flintreach/pilot/interface.py
+++ b/flintreach/pilot/interface.py
@@ -1,7 +1,7 @@
-"""What passes between the decisions and whatever protocol carries them: events in, orders out.
+"""Interface between the pilot's decisions and the protocol that carries them: events in, orders out.
 
-All times are whole nanoseconds.  Servers, slices, proxies and operations are objects that
-the two sides share and compare by identity; their ids stay with the protocol.
+All times are whole nanoseconds.  Servers, slices, proxies and operations are objects that both sides share
+and compare by identity; only the protocol knows their ids.
 """
 
 from dataclasses import dataclass, field
@@ -9,23 +9,23 @@
 
 SECOND = 1_000_000_000  # in nanoseconds
 
-# Figures of load that the decisions read, by their names in `ServerReport.load`.
-LOAD_QUEUE = "queue"  # invocations that wait
-LOAD_UTILISATION = "util"  # of 1
-ADMITS_BY_SHARE = "share"  # of `Settings.admits_by`: a level is the part of an operation that is let in
+# Load metrics that the decisions use, by their names in `ServerReport.load`.
+LOAD_QUEUE = "queue"  # queued invocations
+LOAD_UTILISATION = "util"  # from 0 to 1
+ADMITS_BY_SHARE = "share"  # value of `Settings.admits_by`: a level is the share of invocations admitted
 
 
 class ServerListKind(StrEnum):
-    """What a roster is, as `ServerList.kind` holds it."""
+    """Kind of a server list, the values of `ServerList.kind`."""
 
-    DELTA = "delta"  # what has changed
+    DELTA = "delta"  # only the changes
     FULL = "full"
-    CACHED = "cached"  # the last full one, which may be old
-    FAILED = "failed"  # there is none
+    CACHED = "cached"  # the last full list, which may be stale
+    FAILED = "failed"  # the list could not be fetched
 
 
 class EntryState(StrEnum):
-    """What a roster says of a server, as `ServerEntry.state` holds it."""
+    """State of a listed server, the values of `ServerEntry.state`."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,7 +33,7 @@
 
 
 class ProbeStatus(StrEnum):
-    """How a probe ended, as `ProbeResult.status` holds it."""
+    """Outcome of a probe, the values of `ProbeResult.status`."""
 
     OK = "ok"
     ERROR = "error"
@@ -45,104 +45,104 @@
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
 class Server:
-    """A machine's process as the roster names it; it keeps its object over restarts."""
+    """A server process as the server list names it; its object stays the same over restarts."""
 
-    name: str  # for log lines alone
-    zone: int = 0  # failure domain, by its number
-    machine_type: int = 0  # its type, by its number
-    cell: int = 0  # its group, by its number
-    name_hash: int = 0  # a hash of what it is called, so the same at every pilot
+    name: str  # only for log lines
+    zone: int = 0  # failure domain, by number
+    machine_type: int = 0  # by number
+    cell: int = 0  # group of servers, by number
+    name_hash: int = 0  # hash of the name, the same at every pilot
 
 
 @dataclass(slots=True, eq=False)
 class Slice:
-    """A shard of the key space, which has one table: the servers that serve it, with their weights."""
+    """A shard of the key space, with one table of the servers that serve it and their weights."""
 
     number: int
 
 
 @dataclass(slots=True, eq=False)
 class Proxy:
-    """A proxy that has joined at least once; it holds the tables and sends invocations by them."""
+    """A proxy that has joined at least once; it holds the tables and routes invocations by them."""
 
     number: int
     zone: int = 0
-    rate: float = 0.0  # invocations a second that it usually gets
+    rate: float = 0.0  # usual rate of invocations per second
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """A kind of invocation; billed value, objective and effect are the operator's."""
+    """A class of invocations, as the operator has configured it."""
 
-    name: str  # for log lines alone
-    index: int  # its position among the operations of the settings
-    objective: int  # latency that it should keep
-    attempt_timeout: int  # after it no answer to an attempt comes
+    name: str  # only for log lines
+    index: int  # position among the operations of the settings
+    objective: int  # latency objective
+    attempt_timeout: int  # time after which an attempt can no longer be answered
     billed_value: float = 1.0
     effect: str = "idempotent"  # or "fingerprinted", "side-effecting"
-    group: str = "all"  # fingerprinted: who drops repeats: "all", "zone" or "cell"
-    window: int = 0  # fingerprinted: for how long
+    group: str = "all"  # fingerprinted: servers that drop duplicates: "all", "zone" or "cell"
+    window: int = 0  # fingerprinted: for how long duplicates are dropped
     writes: bool = False
-    home_only: bool = False  # goes only to servers in the proxy's zone
+    home_only: bool = False  # whether it is routed only to servers in the proxy's zone
 
 
 @dataclass(slots=True)
 class Settings:
-    """What an instance is told at its start."""
+    """Start-up settings of an instance."""
 
     seed: int = 0  # of all random draws
-    number: int = 0  # of this pilot
-    pilots: int = 1  # among which the slices are divided
+    number: int = 0  # index of this pilot
+    pilots: int = 1  # number of pilots among which the slices are divided
     zone: int = 0  # of this pilot
     zones: int = 1
     proxies: int = 1
     operations: list[Operation] = field(default_factory=list)
     slices: list[Slice] = field(default_factory=list)
-    exclusive: bool = False  # a slice has one replica at the most
-    server_list_on_request: bool = False  # the roster comes only when asked for
+    exclusive: bool = False  # whether a slice has at most one replica
+    server_list_on_request: bool = False  # whether server lists come only when requested
     ask_within: int = 10 * SECOND
-    weights: str = "none"  # what a listed weight holds: "none", "nominal", "rough" or "live"
-    cold_share: float = 1.0  # a process starts at this part of its capacity, or more
-    warm_up: int = 0  # time until it has all of its capacity
+    weights: str = "none"  # meaning of a listed weight: "none", "nominal", "rough" or "live"
+    cold_share: float = 1.0  # minimum share of its capacity that a process has when it starts
+    warm_up: int = 0  # time after which a process has its full capacity
     drain_grace: int = SECOND
     fall_multiple: float = 3.0
     fall_window: int = 2 * SECOND
     only_draining_binds: bool = False
     bare_limit: int = 5 * SECOND
-    tick: int = 1_000_000  # how long events gather before a turn takes them
-    channel_pace: float = 1000.0  # lines a second
-    channel_limit: float = 1000.0  # lines that may wait
-    message_head: float = 8.0  # lines that a message costs besides its own
-    messages_most: int = 0  # to one proxy within messages_window; 0: no limit
+    tick: int = 1_000_000  # time for which events are collected before they are handled in one turn
+    channel_pace: float = 1000.0  # lines per second
+    channel_limit: float = 1000.0  # lines that may be queued
+    message_head: float = 8.0  # overhead of a message, in lines
+    messages_most: int = 0  # maximum number to one proxy within messages_window; 0: no limit
     messages_window: int = 10 * SECOND
     transit: int = 0
     transit_most: int = 0
-    period: int = SECOND  # of the sums
-    sums_pace: float = 100.0  # lines of sums a second at most
+    period: int = SECOND  # interval of reports
+    sums_pace: float = 100.0  # maximum number of report lines per second
     admits_by: str = "share"  # "share", "rate" or "none"
     choice: str = "weighted"  # "weighted", "round" or "two"
     load_fields: tuple[str, ...] = ()  # "inflight", "queue", "util", "latency_ms", "qps", "eps"
     probes: bool = False
     tells: bool = False
-    offload_search: bool = False  # searches are to be done beside the decisions: RunSearch, then SearchResult
+    offload_search: bool = False  # whether another process does searches: RunSearch, then SearchResult
 
 
-# Events, in the order in which they came.
+# Events, handled in the order in which they arrived.
 
 
 @dataclass(slots=True)
 class ServerEntry:
-    """One server of a roster."""
+    """One server of a server list."""
 
     server: Server
     state: str  # of EntryState
     weight: float
-    started: int  # 0: long ago
+    started: int  # start time of the process; 0: long ago
 
 
 @dataclass(slots=True)
 class ServerList:
-    """A list of servers, or what has changed in it."""
+    """A list of servers, or the changes in it."""
 
     kind: str  # of ServerListKind
     entries: list[ServerEntry]
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True)
 class ProxyJoined:
-    """A proxy has joined; nothing that was sent to it before is outstanding any more."""
+    """A proxy has joined; no message that was sent to it before will be confirmed."""
 
     proxy: Proxy
     fresh: bool
@@ -158,14 +158,14 @@
 
 @dataclass(slots=True)
 class ProxyLeft:
-    """A proxy has gone."""
+    """A proxy has left."""
 
     proxy: Proxy
 
 
 @dataclass(slots=True)
 class SliceAssignment:
-    """A slice is now ours, or another pilot's."""
+    """A slice has been assigned to this pilot, or to another one."""
 
     slice: Slice
     owned: bool
@@ -173,7 +173,7 @@
 
 @dataclass(slots=True)
 class SliceReplica:
-    """A line of the store's table of a slice just given."""
+    """A server in the stored table of a slice that has just been assigned to this pilot."""
 
     slice: Slice
     server: Server
@@ -182,30 +182,30 @@
 
 @dataclass(slots=True)
 class ServerReport:
-    """What joined proxies of a zone met at a server, summed up over `span`."""
+    """Tries that the proxies of a zone have sent to a server within `span`, with their outcomes."""
 
     zone: int
     server: Server
     tries: int
     unanswered: int
-    latency: int  # mean of those that succeeded; 0: none did
+    latency: int  # mean of the answered tries; 0: there were none
     span: int
     load: dict[str, float]
-    kind: tuple[bool, ...] | None = None  # of the lines that it sums up, by the decisions; None: one line
+    kind: tuple[bool, ...] | None = None  # class of the reports that it adds up; None: it is a single one
 
 
 @dataclass(slots=True)
 class HostLoad:
-    """What a server's host says of itself, by others' means: the part of its processors that works."""
+    """CPU utilisation of a server's host, from a monitoring system."""
 
     server: Server
-    busy: float
-    age: int  # since it was true
+    busy: float  # from 0 to 1
+    age: int  # time since the measurement
 
 
 @dataclass(slots=True)
 class DemandReport:
-    """Invocations that came for a slice within `span`; without slices, to a proxy."""
+    """Invocations that arrived for a slice within `span`; without slices, at a proxy."""
 
     slice: Slice | None
     proxy: Proxy | None
@@ -214,7 +214,7 @@
     unanswered: int
     span: int
     kind: tuple[bool, ...] | None = None  # as in ServerReport
-    lines: int = 1  # that it sums up
+    lines: int = 1  # number of reports that it adds up
 
 
 @dataclass(slots=True)
@@ -228,7 +228,7 @@
 
 @dataclass(slots=True)
 class ProbeResult:
-    """The answer to a `Probe`, or that there was none."""
+    """The result of a `Probe`, which may be that there was no answer."""
 
     server: Server
     status: str  # of ProbeStatus
@@ -238,7 +238,7 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """A search that was done elsewhere, to its end; `best` None: nobody did it, and the decisions must."""
+    """The result of an offloaded search; `best` is None where it was not done, so the pilot must do it."""
 
     search: object
     best: tuple | None
@@ -260,21 +260,21 @@
     label: int
 
 
-# Orders.  What is ordered in one reply reaches each proxy as one message.
+# Orders.  The orders of one reply reach each proxy as one message.
 
 
 @dataclass(slots=True)
 class SetWeight:
-    """Give a server a weight in a slice's table."""
+    """Set the weight of a server in a slice's table."""
 
     slice: Slice
     server: Server
-    weight: float  # 0 removes the line
+    weight: float  # 0 removes the server from the table
 
 
 @dataclass(slots=True)
 class BindProxy:
-    """Without slices: put a proxy on a table, for all operations or for some."""
+    """Without slices: make a proxy use a table, for all operations or for some."""
 
     slice: Slice
     proxy: Proxy
@@ -290,7 +290,7 @@
 
 @dataclass(slots=True)
 class Withdraw:
-    """Shut a server out of all tables at every proxy, or open it again."""
+    """Withdraw a server from all tables at every proxy, or restore it."""
 
     server: Server
     out: bool
@@ -298,17 +298,17 @@
 
 @dataclass(slots=True)
 class SetAdmission:
-    """Let in a part of some operations, and say how often a failed attempt may be repeated."""
+    """Limit the admission of some operations, and the retries of a failed attempt."""
 
     slice: Slice | None  # None: every table
     operations: tuple[Operation, ...]
     level: float
-    resend: int  # 0: never; 1: once, on proof that it never ran; 2: once after any failure; 3: twice
+    resend: int  # 0: no retry; 1: one, if the attempt surely never ran; 2: one after any failure; 3: two
 
 
 @dataclass(slots=True)
 class Mark:
-    """Ask each proxy for `OrdersApplied` once it has applied all orders so far."""
+    """Request an `OrdersApplied` event from each proxy once it has applied all orders so far."""
 
     number: int
     everyone: bool = False
@@ -316,7 +316,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a turn at a time, and not earlier."""
+    """Request a `TimerFired` event at a time, and not earlier."""
 
     at: int
     label: int = 0
@@ -324,26 +324,26 @@
 
 @dataclass(slots=True)
 class WatchServers:
-    """Ask for the roster and its changes from then on, or for no more of them."""
+    """Subscribe to the server list and its changes, or cancel the subscription."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchServerList:
-    """Ask for the whole roster once more."""
+    """Request the full server list again."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its health and load; the answer comes as `ProbeResult`."""
+    """Request the health and load of a server; the answer arrives as `ProbeResult`."""
 
     server: Server
 
 
 @dataclass(slots=True)
 class SendToPilot:
-    """Send a message to another pilot, or to all."""
+    """Send a message to another pilot, or to all of them."""
 
     pilot: int | None  # None: all
     data: bytes
@@ -351,13 +351,13 @@
 
 @dataclass(slots=True)
 class RunSearch:
-    """A search that may be done elsewhere: it can be copied, and `for _ in search.steps(): pass` does it."""
+    """Offload a search: it can be copied to another process, which iterates over `search.steps()`."""
 
     search: object
 
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the log."""
+    """Write a log line."""
 
     text: str
--- a/flintreach/pilot/load.py
+++ b/flintreach/pilot/load.py
@@ -1,29 +1,36 @@
-"""Load of servers against their quotas: what our slices bring, and what others' do.  Pure."""
+"""Load of servers relative to their quotas: from this pilot's slices, and from elsewhere (foreign load).
+
+Does no input or output.
+"""
 
 from flintreach.pilot.admission import HIGH_UNANSWERED_SHARE
 from flintreach.pilot.records import Mode, ServerState, SliceTable
 from flintreach.pilot.state import MIN_DIVISOR, REPORT_CYCLE_NS, FleetState
 
-FULL_EFFECT_SLACK = 0.4  # room of all servers from which foreign loads count in full
-MAX_FOREIGN_LOAD = 1.0  # of a quota
-FOREIGN_LOAD_DECAY = 0.9  # a second of silence
+FULL_EFFECT_SLACK = 0.4  # spare capacity of the fleet from which foreign load counts in full
+MAX_FOREIGN_LOAD = 1.0  # in either direction, as a share of a quota
+FOREIGN_LOAD_DECAY = 0.9  # per second without reports
 
-Demands = dict[SliceTable, tuple[float, float]]  # by table: at a usual server, at a guarded one
-Gaps = dict[ServerState, float]  # by server: load less quota
+Demands = dict[SliceTable, tuple[float, float]]  # by table: on a normal server, on one in slow start
+Gaps = dict[ServerState, float]  # by server: its load minus its quota
 
 
 def owned_quota_share(state: FleetState, server: ServerState, share: float) -> float:
-    """Our part of a server's quota; it is `share` where the server isn't cold.
+    """This pilot's share of a server's quota: `share`, unless the server is cold.
 
-    Shares of a cold server's quota hold no slice: one pilot fills it all, and the others leave it.
+    A fraction of a cold server's quota is too small for any slice, so one pilot, chosen by the hash of the
+    server's name, uses all of it and the others none.
     """
     if server.mode != Mode.COLD:
         return share
     return float(server.server.name_hash % state.settings.pilots == state.settings.number)
 
 
-def loads(state: FleetState, quotas: dict[ServerState, float]) -> tuple[Demands, Gaps]:
-    """Our slices' demands and the servers' gaps, in hundredths of a mean server; others' as reported."""
+def demands_and_gaps(state: FleetState, quotas: dict[ServerState, float]) -> tuple[Demands, Gaps]:
+    """Compute the demands of this pilot's slices and the gaps of servers, in hundredths of a mean server.
+
+    Foreign load counts as last estimated from reports.
+    """
     tables = state.owned_tables()
     share = len(tables) / max(1, len(state.tables))
     scale = sum(quotas.values()) * share / max(sum(table.rate for table in tables), MIN_DIVISOR)
@@ -31,7 +38,8 @@
         server: quota * (server.foreign_load - owned_quota_share(state, server, share))
         for server, quota in quotas.items()
     }
-    # A slice may grow hot before its smoothed demand tells, and a storm's repeats fell a cold server too.
+    # In slow start, the recent rate counts: a slice may become hot before its smoothed rate shows it, and
+    # the repeats of a retry storm overload a cold server too.
     proven_capacity = state.proven_capacity or 1 / max(scale, MIN_DIVISOR)
     demands = {table: (table.rate * scale, table.recent_rate / proven_capacity) for table in tables}
     for table, (normal, in_slow_start) in demands.items():
@@ -43,10 +51,13 @@
 
 
 def update_foreign_load(state: FleetState) -> None:
-    """Learn what loads servers beyond our slices; each pilot mends its share, lest all mend it twice."""
+    """Estimate the load of servers beyond that of this pilot's slices.
+
+    Each pilot compensates for its share only; otherwise several would correct the same imbalance.
+    """
     quotas = state.quotas()
     share = len(state.owned_tables()) / len(state.tables)
-    gaps = loads(state, quotas)[1]
+    gaps = demands_and_gaps(state, quotas)[1]
     reported = {
         server: max(server.load, server.host_load)
         for server in quotas
@@ -54,19 +65,16 @@
     }
     total = sum(load * quotas[server] for server, load in reported.items())
     mean = total / max(1, sum(quotas[server] for server in reported))
-    slack = min(
-        1.0, max(0.0, 1 - mean) / FULL_EFFECT_SLACK
-    )  # where all are full, what sets them apart is noise
+    # Where all servers are fully loaded, the differences between them are noise.
+    slack = min(1.0, max(0.0, 1 - mean) / FULL_EFFECT_SLACK)
     for server, quota in quotas.items():
         if server not in reported:
             server.foreign_load *= FOREIGN_LOAD_DECAY
-        elif (
-            state.now_ns > server.slices_changed_ns + REPORT_CYCLE_NS
-        ):  # else the report is of before the move
+        elif state.now_ns > server.slices_changed_ns + REPORT_CYCLE_NS:  # the report is of after the change
             explained = mean * (1 + gaps[server] / quota - server.foreign_load)
-            beyond = share * slack * (reported[server] - explained)
-            # What fails at once, or has just started, only seems to have room.
-            fails = server.unanswered_share > HIGH_UNANSWERED_SHARE / 2
-            least = 0.0 if server.in_slow_start or fails else -MAX_FOREIGN_LOAD
-            bounded = max(least, min(MAX_FOREIGN_LOAD, beyond))
+            unexplained = share * slack * (reported[server] - explained)
+            # A server that fails fast, or has just started, reports a low load but has no room.
+            failing = server.unanswered_share > HIGH_UNANSWERED_SHARE / 2
+            min_load = 0.0 if server.in_slow_start or failing else -MAX_FOREIGN_LOAD
+            bounded = max(min_load, min(MAX_FOREIGN_LOAD, unexplained))
             server.foreign_load += (bounded - server.foreign_load) / 2
--- a/flintreach/pilot/logic.py
+++ b/flintreach/pilot/logic.py
@@ -1,7 +1,8 @@
 """The coordinator of the pilot's decisions.
 
-A host makes one `Pilot(settings)` an instance; `handle(now, events)` replies with orders, as `interface.py`
-has them.  Pure: the same events give the same orders.  The mechanism is FLEX's; see `docs/design.md`.
+A host creates one `Pilot(settings)` per instance and calls `handle(now, events)`, which returns orders; both
+are defined in `interface.py`.  The code does no input or output and is deterministic: the same events give
+the same orders.  The mechanism is FLEX's; see `docs/design.md`.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,23 +18,23 @@
 from flintreach.policy.search import TURN_BUDGET_US, Costs
 
 FULL_PLACEMENT_INTERVAL_NS = 10 * SECOND
-FIRST_PLACEMENT_DELAY_NS = 4 * SECOND  # after the start
-PAUSE_NS_PER_US = 500  # of a turn's budget: the pause is half as long as the turn
+FIRST_PLACEMENT_DELAY_NS = 4 * SECOND  # from the first call
+PAUSE_NS_PER_US = 500  # pause per microsecond of a turn's budget: half as long as the turn
 TABLE_COST_US = 2
-SHARED_WEIGHT_UNIT = 10  # hundredths of a mean server a step of weight in the shared table
+SHARED_WEIGHT_UNIT = 10  # one step of weight in the shared table, in hundredths of a mean server
 
 
 class Pilot:
-    """Takes events to the parts that know them, and lets each part act when it is due."""
+    """Dispatches events to their handlers and runs the periodic work."""
 
     def __init__(self, settings: interface.Settings) -> None:
-        """Begin with an instance's settings; the first `handle` starts its clocks."""
+        """Create the state of an instance; its timers start with the first call of `handle`."""
         self.state = FleetState(settings)
         self.placement = Placement(self.state)
         self.dispatcher = Dispatcher(self.state)
-        self.pending_work: Costs | None = None  # this second's, while it lasts
-        self._resume_work_ns = 0  # when it goes on
-        self._next_cost_us = 0  # what its next part costs
+        self.pending_work: Costs | None = None  # the periodic work that is not yet finished
+        self._resume_work_ns = 0
+        self._next_cost_us = 0  # cost of the next step of the pending work
         self._next_tick_ns = 0
         self._next_evaluation_ns = 0
         self._first_placement_ns = 0
@@ -53,14 +54,14 @@
         }
 
     def handle(self, now: int, events: Iterable[object]) -> list[object]:
-        """Take events, in the order in which they came, and decide.
+        """Process events in the order in which they arrived, and decide.
 
         Args:
-            now: steady clock, in nanoseconds.
-            events: of `interface`; those that concern no part are passed over.
+            now: monotonic clock, in nanoseconds.
+            events: as defined in `interface`; those without a handler are ignored.
 
         Returns:
-            Orders; those of one reply reach each proxy as one message.
+            Orders; those returned by one call reach each proxy as one message.
         """
         state = self.state
         state.now_ns = now
@@ -74,7 +75,7 @@
         if now >= self._next_tick_ns:
             self._tick()
         elif self.pending_work and now >= self._resume_work_ns:
-            urgent = state.orders_due or state.orders  # what was ordered must not wait for work
+            urgent = state.orders_due or state.orders  # pending work must not delay orders
             self._run_pending_work(0 if urgent else TURN_BUDGET_US)
         if state.orders_due:
             state.orders_due = False
@@ -99,7 +100,7 @@
         table.replicas = max(1, len(table.desired))
 
     def _tick(self) -> None:
-        """Look at the clock: timers, silence, and once a second the second's work."""
+        """Check timers and failed probes, and start the periodic work once a second."""
         state = self.state
         self._next_tick_ns = state.now_ns + health.TICK_NS
         state.orders.append(interface.SetTimer(self._next_tick_ns))
@@ -112,9 +113,9 @@
         state.orders_due = True
 
     def _run_pending_work(self, budget_us: int) -> None:
-        """Do some of the second's work, one part at least unless the budget is 0.
+        """Run pending work within a budget: at least one step, unless the budget is 0.
 
-        The work grows with the fleet, so all else has its turn between.
+        The work grows with the fleet, so it is spread over turns and other events are handled in between.
         """
         state = self.state
         spent_us = 0
@@ -127,21 +128,22 @@
                 state.orders_due = True
                 return
             self._next_cost_us = next_cost_us
-        # A call takes several passes of its host's loop, so half as long is enough for others.
+        # One call spans several iterations of the host's event loop, so a pause of half a turn is enough
+        # for other events.
         self._resume_work_ns = state.now_ns + TURN_BUDGET_US * PAUSE_NS_PER_US
         state.orders.append(interface.SetTimer(self._resume_work_ns))
 
     def periodic_work(self) -> Costs:
-        """Do what is done each second."""
+        """Run what is due each second: rates, health, foreign load and placement."""
         state = self.state
         yield from demand.update_rates(state)
-        yield from health.judge(state)
+        yield from health.evaluate(state)
         yield TABLE_COST_US * len(state.tables)
         load.update_foreign_load(state)
         yield TABLE_COST_US * len(state.tables)
         state.forget_removed_servers()
         placement.evacuate(state)
-        if state.shared_table:  # of all open servers, by quota in steps
+        if state.shared_table:  # all available servers, weighted by quota
             state.shared_table.desired = {
                 server: max(1, round(quota / SHARED_WEIGHT_UNIT)) for server, quota in state.quotas().items()
             }
--- a/flintreach/pilot/placement.py
+++ b/flintreach/pilot/placement.py
@@ -1,52 +1,64 @@
-"""Which server has which slice: empty tables are filled at once, the map is improved by a search.  Pure."""
+"""Placement of slices on servers.
+
+A slice without a server gets one at once; the placement as a whole is improved by a search.  Does no input
+or output.
+"""
 
 from dataclasses import dataclass
 
 from flintreach.pilot import interface
-from flintreach.pilot.load import Demands, Gaps, loads, owned_quota_share
+from flintreach.pilot.load import Demands, Gaps, demands_and_gaps, owned_quota_share
 from flintreach.pilot.records import SLOW_START_MODES, Mode, ServerState, SliceTable
 from flintreach.pilot.state import FleetState
 from flintreach.policy.partition import Partition
 from flintreach.policy.replicas import replica_count
 from flintreach.policy.search import DEVIATION_STEP, Costs, Search
 
-PERMITTED_DEVIATION = 30.0  # permitted to one pilot, in hundredths of a mean server
-FLEET_PERMITTED_DEVIATION = 70.0  # permitted to all pilots
-DEVIATION_SLACK = 1 / 3  # beyond the permitted one, before a run begins
-MEMORY_WEIGHT = 0.25  # of memory against demand
+PERMITTED_DEVIATION = 30.0  # of a load from its quota, for one pilot, in hundredths of a mean server
+FLEET_PERMITTED_DEVIATION = 70.0  # the same for all pilots together
+DEVIATION_SLACK = 1 / 3  # excess over the permitted deviation that starts a search, as a part of it
+MEMORY_WEIGHT = 0.25  # of memory relative to demand
 TABLE_COST_US = 2
 SERVER_COST_US = 2
-APPLY_COST_US = 3  # of one table
+APPLY_COST_US = 3  # per table
 
 
 @dataclass(slots=True)
 class SearchRun:
-    """A search and what stood when it began; positions in the search are those in these lists."""
+    """A search and the state in which it began.
+
+    Attributes:
+        search: units and targets in it are indices into `tables` and `servers`.
+        tables: tables of this pilot's slices.
+        servers: servers that may have slices.
+        before: servers of each table.
+        modes: of each server, its mode and whether it had gained a slice.
+    """
 
     search: Search
     tables: list[SliceTable]
     servers: list[ServerState]
-    before: list[list[ServerState]]  # the servers of each table
-    modes: list[tuple[Mode, bool]]  # of each server: mode, and whether it had gained
+    before: list[list[ServerState]]
+    modes: list[tuple[Mode, bool]]
 
 
 def evacuate(state: FleetState) -> None:
-    """Slices leave dead, draining and ejected servers at once; no table stays empty if it can be."""
-    closed = {server for server in state.servers.values() if server.unavailable}
+    """Move slices off unavailable servers at once; a table without a server gets one where there is any."""
+    unavailable = {server for server in state.servers.values() if server.unavailable}
     for table in state.owned_tables():
-        if not closed.isdisjoint(table.desired):
+        if not unavailable.isdisjoint(table.desired):
             table.desired = {
-                server: weight for server, weight in table.desired.items() if server not in closed
+                server: weight for server, weight in table.desired.items() if server not in unavailable
             }
     empty = [table for table in state.owned_tables() if not table.desired]
     if not empty:
         return
-    demands, gaps = loads(state, state.quotas())
+    demands, gaps = demands_and_gaps(state, state.quotas())
     if not gaps:
         return
     for table in empty:
         normal, in_slow_start = demands[table]
-        # Many slices, or a hot one, would push a cold server over: one a run, and within its quota.
+        # Many slices, or a hot one, would overload a cold server: it gains one per run, within its quota.
         able = [
             server
             for server in gaps
@@ -59,16 +71,19 @@
 
 
 class Placement:
-    """Runs that bring load nearer to quotas with few moves, and what they remember of each other."""
+    """Placement runs, which bring loads closer to quotas with few moves, and the state kept between them."""
 
     def __init__(self, state: FleetState) -> None:
-        """Begin with the deviation that one pilot is permitted."""
+        """Create the state kept between runs, with the deviation that one pilot is permitted."""
         self._state = state
         self._deviation = PERMITTED_DEVIATION  # that the last run reached
-        self._search_counter = 0  # of all runs
+        self._search_counter = 0  # random draws of all runs
 
     def run(self, full: bool) -> Costs:
-        """Search for a better map, and take it over; a full run also tries empty servers that warm up."""
+        """Search for a better placement and apply it.
+
+        A full run also counts empty servers in slow start as deviating, so that they get slices.
+        """
         state = self._state
         yield TABLE_COST_US * len(state.tables) + SERVER_COST_US * len(state.servers)
         tables = state.owned_tables()
@@ -78,13 +93,14 @@
             server.gained_slice = server.mode == Mode.COLD and (
                 on_hold or not owned_quota_share(state, server, 1)
             )
-        demands, gaps = loads(state, quotas)
+        demands, gaps = demands_and_gaps(state, quotas)
         if len(quotas) < 2 or not sum(normal for normal, _ in demands.values()):
             return
-        most = 1 if state.settings.exclusive else len(quotas)
+        max_replicas = 1 if state.settings.exclusive else len(quotas)
         for table, (normal, _) in demands.items():
-            count = replica_count(table.replicas, table.surplus_runs, normal / 100, most, full)
-            table.replicas, table.surplus_runs = count
+            table.replicas, table.surplus_runs = replica_count(
+                table.replicas, table.surplus_runs, normal / 100, max_replicas, full
+            )
         yield TABLE_COST_US * len(tables)
         run = self._prepare(quotas, demands, gaps, full)
         search = run.search
@@ -102,7 +118,7 @@
     def _prepare(
         self, quotas: dict[ServerState, float], demands: Demands, gaps: Gaps, full: bool
     ) -> SearchRun:
-        """Describe the map that stands, and the search for a better one, by positions alone."""
+        """Describe the current placement, and the search for a better one, by indices alone."""
         state = self._state
         tables = list(demands)
         servers = list(quotas)
@@ -141,9 +157,8 @@
             [server.gained_slice for server in servers],
             2 * PERMITTED_DEVIATION if full else 0.0,
         )
-        permitted = min(
-            PERMITTED_DEVIATION, FLEET_PERMITTED_DEVIATION * share
-        )  # the pilots' deviations add up
+        # The deviations that several pilots leave add up.
+        permitted = min(PERMITTED_DEVIATION, FLEET_PERMITTED_DEVIATION * share)
         self._deviation = max(permitted, self._deviation - permitted * DEVIATION_STEP)
         settings = state.settings
         search = Search(
@@ -153,7 +168,7 @@
         return SearchRun(search, tables, servers, [[*table.desired] for table in tables], modes)
 
     def _apply(self, run: SearchRun) -> None:
-        """Take the outcome over; what has gone, or has been moved, while the search ran stays so."""
+        """Apply the result, except for tables and servers that have changed while the search ran."""
         state = self._state
         search = run.search
         (self._deviation, moves), placements = search.best
@@ -173,12 +188,12 @@
             before = run.before[unit]
             if unit not in moved and len(targets) == len(before):
                 continue
-            stands = state.tables.get(table.slice) is table and [*table.desired] == before
-            if stands and targets and all(eligible[target] for target in targets):
+            unchanged = state.tables.get(table.slice) is table and [*table.desired] == before
+            if unchanged and targets and all(eligible[target] for target in targets):
                 table.desired = {run.servers[target]: 1.0 for target in targets}
 
     def _eligible(self, run: SearchRun) -> list[bool]:
-        """Whether each server may still gain what the search gave it."""
+        """Whether each server may still gain the slices that the search gave it."""
         quotas = self._state.quotas()
         eligible = []
         for server, (mode, had_gained_slice) in zip(run.servers, run.modes):
@@ -188,7 +203,7 @@
 
 
 def on_search_result(event: interface.SearchResult) -> None:
-    """Take the answer of a search that was done elsewhere; its run goes on."""
+    """Store the result of a search that another process has done, so that its run continues."""
     event.search.offloaded = False
     event.search.best = event.best
     event.search.counter = event.counter
--- a/flintreach/pilot/records.py
+++ b/flintreach/pilot/records.py
@@ -1,4 +1,4 @@
-"""Records of the pilot's state: what is known of a server and of a slice's table.  They decide nothing."""
+"""Records of the pilot's state: of servers and of the tables of slices."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -6,23 +6,23 @@
 from flintreach.pilot import interface
 from flintreach.policy.window import SlidingSums
 
-SMOOTHING_S = 10  # of demand that a slice's rate covers
-RECENT_S = 3  # of answers that health is judged by, and of demand for its recent rate
+SMOOTHING_S = 10  # window of a slice's smoothed rate
+RECENT_S = 3  # window of the responses that health is evaluated from, and of a slice's recent rate
 
 
 class Mode(StrEnum):
-    """What a server is to the decisions; the values stand in logs and figures."""
+    """Mode of a server; the values stand in log lines and in names of metrics."""
 
-    UNKNOWN = "unknown"  # met in a report, not in a list
+    UNKNOWN = "unknown"  # named in a report, but in no list
     HEALTHY = "fit"
-    COLD = "cold"  # just started: it warms up
-    TRIAL = "trial"  # back from an ejection, as if cold
-    EJECTED = "out"  # ejected for bad health
-    LEAVING = "leaving"  # drains, or is gone
+    COLD = "cold"  # recently started, or overloaded while warming up
+    TRIAL = "trial"  # back from an ejection, with the capacity of a cold server
+    EJECTED = "out"
+    LEAVING = "leaving"  # draining, or gone
 
 
 class Cause(StrEnum):
-    """What makes a server change its mode."""
+    """Cause of a change of mode; the values stand in log lines."""
 
     LEAVE = "leave"
     STARTED = "started"
@@ -39,31 +39,31 @@
 
 
 class ServerState:
-    """What is known of one server; times in nanoseconds, 0 for never."""
+    """State of one server; times are in nanoseconds, 0 for never."""
 
     def __init__(self, server: interface.Server | None) -> None:
-        """Begin with a server of which nothing is known; None for the one that stands for the fleet."""
+        """Create the state of an unknown server, or with None of the one that stands for the fleet."""
         self.server = server
         self.mode = Mode.UNKNOWN
         self.weight = 1.0  # as listed
         self.started_ns = 0
-        self.answers = SlidingSums(RECENT_S + 2, 3)  # tries, unanswered, latency of all that succeeded
+        self.answers = SlidingSums(RECENT_S + 2, 3)  # tries, unanswered tries, sum of the answers' latency
         self.reported_ns = 0
         self.ejected_until_ns = 0
-        self.recent_ejections = 0  # ejections since the last one was forgotten
-        self.hold_until_ns = 0  # until then it gains nothing, or bears no less
-        self.gained_slice = False  # a slice since the last run
-        self.idle = False  # nothing waits, by its own report
-        self.lateness = 1.0  # mean latency when last known, in parts of what strains a server
+        self.recent_ejections = 0
+        self.hold_until_ns = 0  # until then it gains no slice, or its capacity share is not decreased
+        self.gained_slice = False  # whether it gained a slice since the last run
+        self.idle = False  # by its own report
+        self.lateness = 1.0  # last known mean latency, relative to the one that counts as high
         self.unanswered_share = 0.0
         self.probed_ns = 0
-        self.probe_failed_ns = 0  # when a probe got no answer
-        self.slices_changed_ns = 0  # when it gained or lost slices
-        self.load: float | None = None  # by its own report, of 1
-        self.foreign_load = 0.0  # beyond what our slices explain, in parts of its quota
-        self.host_load = 0.0  # by its host's report, of 1
-        self.capacity_share = 1.0  # part of its weight that it bears
-        self.admission_level = 1.0  # part of the cheapest operation that it lets in
+        self.probe_failed_ns = 0  # when a probe last went unanswered
+        self.slices_changed_ns = 0  # when it last gained or lost slices
+        self.load: float | None = None  # utilisation by its own report, from 0 to 1
+        self.foreign_load = 0.0  # not explained by this pilot's slices, relative to its quota
+        self.host_load = 0.0  # utilisation by its host's report, from 0 to 1
+        self.capacity_share = 1.0  # share of its weight that counts for its quota
+        self.admission_level = 1.0  # share of the cheapest operation that is admitted
 
     @property
     def unavailable(self) -> bool:
@@ -72,7 +72,7 @@
 
     @property
     def in_slow_start(self) -> bool:
-        """Whether it gains one slice a run at the most."""
+        """Whether it gains at most one slice per run."""
         return self.mode in SLOW_START_MODES
 
 
@@ -80,26 +80,26 @@
 
 
 class SliceTable:
-    """One slice: its demand, and the servers that serve it with their weights."""
+    """Demand of one slice, and the weights of the servers that serve it."""
 
-    def __init__(self, slice_: interface.Slice, owned: bool = False, given_ns: int = 0) -> None:
-        """Begin an empty table, of a slice that this pilot has (`owned`) or another."""
+    def __init__(self, slice_: interface.Slice, owned: bool = False, assigned_ns: int = 0) -> None:
+        """Create an empty table, of a slice that this pilot (`owned`) or another one is responsible for."""
         self.slice = slice_
         self.owned = owned
-        self.given_ns = given_ns
+        self.assigned_ns = assigned_ns
         self.reported_ns = 0
-        self.arrivals = SlidingSums(SMOOTHING_S + RECENT_S, 2)  # invocations without storms; all
-        self.rate = 0.0  # invocations a second, smoothed, without storms
-        self.recent_rate = 0.0  # the same of late, with storms
+        self.arrivals = SlidingSums(SMOOTHING_S + RECENT_S, 2)  # invocations without retry storms, and all
+        self.rate = 0.0  # invocations per second, smoothed, without retry storms
+        self.recent_rate = 0.0  # recent invocations per second, with retry storms
         self.replicas = 1
-        self.surplus_runs = 0  # runs that found a replica too many
+        self.surplus_runs = 0  # consecutive runs that found one replica too many
         self.admission_level = 1.0  # as ordered
-        self.desired: Weights = {}  # weights that it shall have
-        self.ordered: Weights = {}  # weights that have been ordered
+        self.desired: Weights = {}
+        self.ordered: Weights = {}
 
 
 class Unconfirmed(NamedTuple):
-    """A message that a proxy has not answered."""
+    """A message that a proxy has not confirmed."""
 
     number: int  # of its mark
     lines: float
--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -1,4 +1,7 @@
-"""What lists, reports and probes tell of servers, taken into the state.  Pure."""
+"""Handlers of server lists, reports and probe results, which update the state of servers.
+
+Does no input or output.
+"""
 
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND, EntryState, ProbeStatus, ServerListKind
@@ -6,33 +9,34 @@
 from flintreach.pilot.state import MIN_WEIGHT, REPORT_CYCLE_NS, FleetState
 from flintreach.policy.window import SlidingSums
 
-RETRY_STORM_SHARE = 0.2  # part of a line unanswered: it holds repeats
-SUSPECT_SHARE = 0.3  # part of a line unanswered, and two at least: its server may be dead
-OVERLOAD_LATENCY_SHARE = 0.5  # part of the latency objective that empties a cold server
-# Reports below which late answers are not a server's own load.
+RETRY_STORM_SHARE = 0.2  # unanswered share of a demand report from which its tries include retries
+SUSPECT_SHARE = 0.3  # unanswered share, of at least two, from which a server may have failed
+OVERLOAD_LATENCY_SHARE = 0.5  # mean latency at which a cold server loses its slices, of the objective
+# Reported loads below which high latency is not caused by the server's own load.
 IDLE_BELOW = {interface.LOAD_QUEUE: 1, interface.LOAD_UTILISATION: 0.8}
 PROBE_INTERVAL_NS = SECOND
-SPAN_SMOOTHING = 50  # reports by which the learned span follows
+SPAN_SMOOTHING = 50  # reports over which the span that reports cover is smoothed
 NO_ANSWER_STATUSES = (ProbeStatus.CONNECT_FAILED, ProbeStatus.TIMEOUT, ProbeStatus.RESET)
 
 
 def classify(line: interface.DemandReport | interface.ServerReport, objective_ns: int) -> tuple[bool, ...]:
-    """What a line is judged by alone: lines of one kind may be summed up.
+    """Classify one report by itself; reports of one class may be added up without changing any decision.
 
     Returns:
-        Of demand, (a storm of repeats); of a server, (suspect, jammed, nothing waits).
+        For demand, whether it is a retry storm; for a server, whether it may have failed, whether it is
+        overloaded, and whether it is idle by its own report.
     """
     if isinstance(line, interface.DemandReport):
         return (line.unanswered > RETRY_STORM_SHARE * line.tries,)
     idle_signs = [value < IDLE_BELOW[name] for name, value in line.load.items() if name in IDLE_BELOW]
     late = line.latency > OVERLOAD_LATENCY_SHARE * objective_ns
-    overloaded = late and line.tries - line.unanswered > 1  # retries feed a jam
+    overloaded = late and line.tries - line.unanswered > 1  # retries would sustain the overload
     suspected = line.unanswered > max(1, SUSPECT_SHARE * line.tries)
     return suspected, overloaded, bool(idle_signs) and all(idle_signs)
 
 
 def on_server_list(state: FleetState, event: interface.ServerList) -> None:
-    """Take a list of servers; where it could not be had, ask again."""
+    """Update the servers from a list; if it could not be fetched, request it again."""
     if event.kind == ServerListKind.FAILED:
         state.orders.append(interface.WatchServers(True))
         return
@@ -52,7 +56,7 @@
     server.started_ns = max(entry.started, server.started_ns)
     if entry.state != EntryState.READY:
         state.transition(server, Cause.LEAVE, entry.state)
-    elif restarted and state.available_share(server) < 1:  # its old load may still be there
+    elif restarted and state.available_share(server) < 1:  # slices of before the restart may still be on it
         server.answers = SlidingSums(RECENT_S + 2, 3)
         server.host_load = 0.0
         age_s = (state.now_ns - server.started_ns) / 1e9
@@ -62,12 +66,12 @@
 
 
 def on_server_report(state: FleetState, event: interface.ServerReport) -> None:
-    """Take what proxies met at a server; one that may be dead is probed, a cold one that jams relieved."""
+    """Add what proxies report of a server; probe one that may have failed, relieve an overloaded cold one."""
     server = state.server(event.server)
     answered = max(0, event.tries - event.unanswered)
-    # A dead process's sums come late, and must not condemn the one that follows it.
-    of_this_process = state.now_ns - event.span - REPORT_CYCLE_NS > server.started_ns
-    lost = event.unanswered if of_this_process else 0
+    # Reports on a process that failed arrive late and must not count against its successor.
+    is_current_process = state.now_ns - event.span - REPORT_CYCLE_NS > server.started_ns
+    lost = event.unanswered if is_current_process else 0
     server.answers.add(state.now_ns, event.span, answered + lost, lost, answered * event.latency)
     suspected, overloaded, server.idle = event.kind or classify(event, state.cheapest.objective)
     server.reported_ns = state.now_ns
@@ -80,7 +84,7 @@
 
 
 def _probe(state: FleetState, server: ServerState) -> None:
-    """The sums of a death come late and by halves: a probe tells at once."""
+    """Probe a server that may have failed: reports of a failure arrive late and in parts."""
     if server.unavailable or state.now_ns <= server.probed_ns + PROBE_INTERVAL_NS:
         return
     server.probed_ns = state.now_ns
@@ -89,12 +93,16 @@
 
 
 def on_host_load(state: FleetState, event: interface.HostLoad) -> None:
-    """Take a host's load: it only adds to a report, and stands through silence, which frees nobody."""
+    """Store a host's load, unless it is old.
+
+    The load only ever raises that of a server's own reports, and is kept where no more arrive: missing data
+    must not make a server seem idle.
+    """
     if event.age < REPORT_CYCLE_NS and event.server in state.servers:
         state.servers[event.server].host_load = event.busy
 
 
 def on_probe_result(state: FleetState, event: interface.ProbeResult) -> None:
-    """Note a probe without an answer; `health.check_failed_probes` judges it."""
+    """Store the time of a probe without an answer; `health.check_failed_probes` evaluates it."""
     if event.status in NO_ANSWER_STATUSES:
         state.server(event.server).probe_failed_ns = state.now_ns
--- a/flintreach/pilot/settings.py
+++ b/flintreach/pilot/settings.py
@@ -1,4 +1,4 @@
-"""The start-up settings, read the same for every protocol from pairs of a path and a text."""
+"""Start-up settings, which every protocol passes as pairs of a path and a string."""
 
 from collections.abc import Callable, Iterator
 from decimal import Decimal
@@ -7,7 +7,7 @@
 from flintreach.pilot import interface
 
 ABSENT = "-"
-# The configuration's texts, and what the decisions call the same.
+# Names in the configuration, and the decisions' names for the same.
 EFFECTS = {"read_like": "idempotent", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
 LOAD_FIELDS = {
     "active": "inflight",
@@ -20,11 +20,11 @@
 
 
 def nanoseconds(text: str) -> int:
-    """Read seconds written out, as whole nanoseconds; "-" is 0.
+    """Convert a decimal number of seconds to whole nanoseconds; "-" is 0.
 
     Raises:
-        ValueError: it is not finite.
-        decimal.InvalidOperation: it is no number.
+        ValueError: the number is not finite.
+        decimal.InvalidOperation: the string is not a number.
 
     >>> nanoseconds("8.41225"), nanoseconds("12"), nanoseconds("-")
     (8412250000, 12000000000, 0)
@@ -33,12 +33,12 @@
         return 0
     value = Decimal(text)
     if not value.is_finite():
-        raise ValueError("not a time")
+        raise ValueError(f"not a finite number of seconds: {text:.60}")
     return int(value.scaleb(9))
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Turn settings in nested JSON into pairs of a path and a text.
+    """Flatten nested settings from JSON into pairs of a path and a string.
 
     >>> dict(flatten({"me": 1, "areas": ["a b", "c"], "ops": [{"x": 0.5}], "on": True}))
     {'me': '1', 'areas': 'a_b,c', 'ops.count': '1', 'ops.0.x': '0.5', 'on': 'true'}
@@ -48,8 +48,8 @@
             yield from flatten(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list) and value and isinstance(value[0], dict):
         yield f"{path}.count", str(len(value))
-        for place, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{place}")
+        for index, inner in enumerate(value):
+            yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
         yield path, ",".join(text for inner in value for _, text in flatten(inner)) or ABSENT
     else:
@@ -62,38 +62,38 @@
     return ABSENT if value is None else str(value)
 
 
-Config = dict[str, str]  # texts by their paths
-Fields = tuple[tuple[str, str, Callable[[str], Any]], ...]  # name in `Settings`, path, its reader
+Config = dict[str, str]  # strings by path
+Fields = tuple[tuple[str, str, Callable[[str], Any]], ...]  # name in `Settings`, path, parser
 
 
-def _truth(text: str) -> bool:
+def _boolean(text: str) -> bool:
     return text in ("true", "1")
 
 
-def _whole(text: str) -> int:
+def _integer(text: str) -> int:
     return int(float(text))
 
 
 FIELDS: Fields = (
-    ("number", "me", _whole),
-    ("pilots", "balancers", _whole),
-    ("zone", "az", _whole),
+    ("number", "me", _integer),
+    ("pilots", "balancers", _integer),
+    ("zone", "az", _integer),
     ("weights", "weights", str),
     ("tick", "tick", nanoseconds),
-    ("proxies", "specifics.proxies", _whole),
-    ("exclusive", "specifics.exclusive", _truth),
+    ("proxies", "specifics.proxies", _integer),
+    ("exclusive", "specifics.exclusive", _boolean),
     ("ask_within", "invariants.ask_within", nanoseconds),
     ("cold_share", "invariants.cold_from", float),
     ("warm_up", "invariants.warm_up", nanoseconds),
     ("drain_grace", "invariants.drain_grace", nanoseconds),
     ("fall_multiple", "invariants.fall_multiple", float),
     ("fall_window", "invariants.tip_after", nanoseconds),
-    ("only_draining_binds", "invariants.drain_binds_alone", _truth),
+    ("only_draining_binds", "invariants.drain_binds_alone", _boolean),
     ("bare_limit", "specifics.bare", nanoseconds),
     ("channel_pace", "specifics.channel_rate", float),
     ("channel_limit", "specifics.backlog", float),
     ("message_head", "specifics.overhead", float),
-    ("messages_most", "specifics.messages_most", _whole),
+    ("messages_most", "specifics.messages_most", _integer),
     ("messages_window", "specifics.update_window", nanoseconds),
     ("transit", "specifics.propagation", nanoseconds),
     ("transit_most", "specifics.transit_max", nanoseconds),
@@ -101,25 +101,25 @@
     ("sums_pace", "specifics.reports_per_s", float),
     ("admits_by", "specifics.admission", str),
     ("choice", "specifics.choice", str),
-    ("probes", "policy_limits.probes", _truth),
-    ("tells", "policy_limits.may_tell", _truth),
+    ("probes", "policy_limits.probes", _boolean),
+    ("tells", "policy_limits.may_tell", _boolean),
 )
 
 
 def read(seed: int, config: Config) -> interface.Settings:
-    """Read the start-up settings; keys that are not known are passed over, absent ones keep their defaults.
+    """Parse the start-up settings; unknown keys are ignored, and absent ones keep their defaults.
 
     Args:
         seed: of the decisions' random draws.
-        config: texts by their paths, as `flatten` gives them; "-" stands for absent.
+        config: strings by path, as `flatten` returns them; "-" stands for absent.
 
     Returns:
-        The settings that an instance begins with.
+        The start-up settings of an instance.
 
     Raises:
-        ValueError: a text that is no number where one is expected.
-        OverflowError: an infinite number where a whole one is expected.
-        decimal.InvalidOperation: a text that is no time where one is expected.
+        ValueError: a string that is not a number where one is expected.
+        OverflowError: an infinite number where an integer is expected.
+        decimal.InvalidOperation: a string that is not a number of seconds where one is expected.
     """
     settings = interface.Settings(seed=seed)
     for name, path, reader in FIELDS:
@@ -129,14 +129,14 @@
     settings.server_list_on_request = config.get("discovery") == "on_request"
     settings.load_fields = _load_fields(config)
     settings.slices = [
-        interface.Slice(number) for number in range(_whole(config.get("specifics.ranges", "0")))
+        interface.Slice(number) for number in range(_integer(config.get("specifics.ranges", "0")))
     ]
     settings.operations = _operations(config)
     return settings
 
 
 def _load_fields(config: Config) -> tuple[str, ...]:
-    """Which figures servers report, by the decisions' names for them."""
+    """The load metrics that servers report, by the decisions' names for them."""
     text = config.get("report.fields", ABSENT)
     if text in (ABSENT, ""):
         return ()
@@ -147,27 +147,27 @@
     writes = config.get("specifics.writers", "").split(",")
     home_only = config.get("specifics.home_only", "").split(",")
     operations = []
-    for place in range(_whole(config.get("request_classes.count", "0"))):
-        operation = _operation(config, place)
-        operation.writes = _marked(writes, place)
-        operation.home_only = _marked(home_only, place)
+    for index in range(_integer(config.get("request_classes.count", "0"))):
+        operation = _operation(config, index)
+        operation.writes = _flag_at(writes, index)
+        operation.home_only = _flag_at(home_only, index)
         operations.append(operation)
     return operations
 
 
-def _marked(marks: list[str], place: int) -> bool:
-    return place < len(marks) and _truth(marks[place])
+def _flag_at(flags: list[str], index: int) -> bool:
+    return index < len(flags) and _boolean(flags[index])
 
 
-def _operation(config: Config, place: int) -> interface.Operation:
-    """Read one operation, by its position."""
+def _operation(config: Config, index: int) -> interface.Operation:
+    """Parse one operation, by its index."""
 
     def text(key: str, default: str) -> str:
-        return config.get(f"request_classes.{place}.{key}", default)
+        return config.get(f"request_classes.{index}.{key}", default)
 
     return interface.Operation(
-        name=text("name", str(place)),
-        index=place,
+        name=text("name", str(index)),
+        index=index,
         objective=nanoseconds(text("objective", "1")),
         attempt_timeout=nanoseconds(text("hard_limit", "4")),
         billed_value=float(text("worth", "1")),
