--- a/flintreach/policy/__init__.py
+++ b/flintreach/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that the pilot in service and the system share."""
+"""Placement algorithms that the pilot and the controllers share."""
--- a/flintreach/policy/replicas.py
+++ b/flintreach/policy/replicas.py
@@ -1,23 +1,23 @@
-"""The number of replicas that a slice's demand calls for.  Pure."""
+"""The number of replicas that a slice needs for its demand.  Does no input or output."""
 
-REPLICA_DEMAND = 0.7  # of a mean server's demand: above it, per replica, a slice gets one more
-SURPLUS_RUNS = 3  # full runs with a replica too many before one is given up
+REPLICA_DEMAND = 0.7  # demand per replica above which a slice gets another one, in mean servers
+SURPLUS_RUNS = 3  # consecutive full runs with a surplus replica before one is removed
 
 
 def replica_count(
     replicas: int, surplus_runs: int, demand: float, most: int, full_run: bool
 ) -> tuple[int, int]:
-    """Apply the replica rule: more at once, one fewer only after several runs with too many.
+    """Add replicas at once, but remove one only after several runs with a surplus.
 
     Args:
-        replicas: how many the slice has.
-        surplus_runs: runs in a row that found one too many, as the last call returned it.
+        replicas: current number of replicas.
+        surplus_runs: consecutive runs with a surplus replica, as the previous call returned it.
         demand: of the whole slice, in mean servers.
-        most: permitted replicas.
+        most: maximum number of replicas.
         full_run: whether this run counts for `surplus_runs`.
 
     Returns:
-        The number of replicas to have, and the new `surplus_runs`.
+        The desired number of replicas, and the new `surplus_runs`.
     """
     while replicas < most and demand / replicas > REPLICA_DEMAND:
         replicas += 1
--- a/flintreach/policy/search.py
+++ b/flintreach/policy/search.py
@@ -1,4 +1,6 @@
-"""The search for a better map of units to targets, near the old one.  Pure, and random only by its seed.
+"""Randomized local search for a better placement of units on targets that is close to the current one.
+
+The same seed and counter give the same result.  Does no input or output.
 
 Source: L. Cherkasova, S. Ponnekanti, HPL-2000-27 (FLEX: closest repartitioning); docs/design.md.
 """
@@ -13,48 +15,58 @@
 
 from flintreach.policy.partition import NO_UNIT, Partition
 
-DEVIATION_STEP = 1 / 2  # of the permitted deviation: candidates within one step are alike
-CANDIDATES = 20  # a run
-GREEDY_CANDIDATES = 2  # of these, whose moves are the best ones and not drawn
-MIN_ATTEMPTS = 20  # moves a candidate at least
-RANDOM_SPREAD = 20  # hundredths of a mean target: how far a draw outweighs room, for a new replica
-TURN_BUDGET_US = 6000  # of a second's work in one turn: about microseconds of a core
-MOVE_COST_US = 150  # of a move or swap, likewise
-CANDIDATE_COST_US = 2  # a target
+DEVIATION_STEP = 1 / 2  # of the permitted deviation: candidates within one step count as equal
+CANDIDATES = 20  # per run
+GREEDY_CANDIDATES = 2  # candidates that take the best moves instead of random ones
+MIN_ATTEMPTS = 20  # lower bound of the limit on moves per candidate
+RANDOM_SPREAD = 20  # range of the random term when a new replica is placed, in hundredths of a mean target
+TURN_BUDGET_US = 6000  # of the periodic work in one turn, in approximate microseconds of a core
+MOVE_COST_US = 150  # per move or swap
+CANDIDATE_COST_US = 2  # per target
 
-Costs = Iterator[int]  # what the next part of some work costs, in about microseconds of a core
-Row = tuple[float, int, int]  # a pair or a swap, by what it is drawn by
+Costs = Iterator[int]  # cost of each next step of some work, in approximate microseconds of a core
+Row = tuple[float, int, int]  # a pair or a swap; the first value is its weight in a random choice
 
 
 class Solution(NamedTuple):
-    """A map that a search found, and what it is judged by."""
+    """A placement that a search found, and its cost."""
 
-    cost: tuple[float, int]  # deviation, in steps; placements that differ from the old map
+    cost: tuple[float, int]  # deviation, rounded up to steps; placements that differ from the original
     placements: list[set[int]]  # the units of each target
 
 
 @dataclass(eq=False)
 class Search:
-    """One run: it knows positions and figures alone, so that another process can do it on a copy."""
+    """One run of the search, which holds only numbers, so that another process can do it on a copy.
+
+    Attributes:
+        seed: of the random draws.
+        counter: number of draws so far, over all runs, so that no two runs use the same ones.
+        start: the current placement.
+        changed: units whose number of targets differs from the desired one: the unit, its targets, and the
+            desired number of replicas.
+        deviation: permitted deviation, in hundredths of a mean target.
+        offloaded: whether another process does the search; until it has answered, `steps` waits.
+    """
 
     seed: int
-    counter: int  # draws made before, so that no two runs repeat them
-    start: Partition  # the map that stands
-    changed: list[tuple[int, list[int], int]]  # unit, its targets, wanted replicas: where these differ
-    deviation: float  # that is permitted, in hundredths of a mean target
-    offloaded: bool = False  # another process takes the steps; till it has answered, `steps` waits
+    counter: int
+    start: Partition
+    changed: list[tuple[int, list[int], int]]
+    deviation: float
+    offloaded: bool = False
 
     def __post_init__(self) -> None:
-        """Begin with nothing found; `steps` searches."""
+        """Start without a solution; `steps` does the search."""
         self.best: Solution | None = None
         self.initial_deviation = self.start.max_deviation
 
     def _draw(self, ahead: int = 1) -> float:
-        """The draw, from 0 to 1, that is so many ahead; the counter stays."""
+        """A draw from [0, 1) that is `ahead` of the counter, which does not change."""
         return zlib.crc32(b"%d %d" % (self.seed, self.counter + ahead)) / 2**32
 
     def _random_key(self, row: Row) -> float:
-        """A random key: the larger a row's first value, the likelier it wins.
+        """A random key of a row: the larger its weight, the more likely its key is the largest.
 
         Source: Efraimidis and Spirakis, "Weighted random sampling with a reservoir" (2006).
         """
@@ -62,7 +74,7 @@
         return self._draw(0) ** (1 / row[0])
 
     def steps(self) -> Costs:
-        """Do the search: who fits a smaller deviation is `best`, then who has fewer changed placements."""
+        """Run the search; `best` has the smallest deviation, and among equals the fewest changes."""
         while self.offloaded:
             yield TURN_BUDGET_US
         if self.best:
@@ -77,7 +89,7 @@
             yield from self._improve_candidate(candidate, number < GREEDY_CANDIDATES)
 
     def _improve_candidate(self, candidate: Partition, greedy: bool) -> Costs:
-        """Move until it fits the permitted deviation or nothing helps; keep it where it is the best yet."""
+        """Move units until the deviation is permitted or no move helps; keep the candidate if it is best."""
         size = len(self.start.original)
         step = self.deviation * DEVIATION_STEP
         for _ in range(max(MIN_ATTEMPTS, size) + 1):
@@ -88,36 +100,41 @@
                 candidate.shared = {*range(size)}
             if deviation <= self.deviation or not self._improve(candidate, greedy):
                 return
-            yield MOVE_COST_US + candidate.swaps_examined // 4  # as the last one was
+            # The next move is assumed to cost as much as the last one.
+            yield MOVE_COST_US + candidate.swaps_examined // 4
             candidate.swaps_examined = 0
 
     def _adjust_replicas(self, candidate: Partition, unit: int, targets: list[int], replicas: int) -> None:
-        """Place further replicas where load is least, or take some from where it is most.
+        """Add replicas on the least loaded targets, or remove them from the most loaded ones.
 
-        Targets are met by their load: once even the best draw can't win, the rest needs no draw.
+        Targets are visited in the order of their load: once even the best draw could not make a target one
+        of those chosen, the remaining ones need no draw.
         """
         load = candidate.demand_gaps
         missing = replicas - len(targets)
         for target in sorted(targets, key=load.__getitem__)[replicas:]:
             candidate.remove(unit, target)
-        barred = sorted({*targets, *candidate.excluded_targets(unit)})
+        excluded = sorted({*targets, *candidate.excluded_targets(unit)})
         chosen: list[tuple[float, int]] = []
         for least, target in candidate.rankings[2]:
             if len(chosen) >= missing and (missing <= 0 or least > chosen[missing - 1][0]):
                 break
-            if target not in barred:
-                draw = self._draw(target - bisect_left(barred, target) + 1)
+            if target not in excluded:
+                draw = self._draw(target - bisect_left(excluded, target) + 1)
                 insort(chosen, (least + RANDOM_SPREAD * draw, target))
-        self.counter += len(load) - len(barred)
+        self.counter += len(load) - len(excluded)
         for _, target in chosen[: max(0, missing)]:
             candidate.add(unit, target)
 
     def _improve(self, candidate: Partition, greedy: bool) -> bool:
-        """Make one move or swap, if any: the best of the widest pair, or drawn by deviation and benefit."""
+        """Make one move or swap, if any helps.
+
+        It is the best of the most distant pair, or a random one weighted by distance and benefit.
+        """
         key: Callable[[Row], float] = itemgetter(0) if greedy else self._random_key
         for _, x, y in sorted(candidate.pairs(), key=key, reverse=True):
             swaps = candidate.swaps(x, y)
-            if not swaps:  # a guarded target is soon full, and its pairs have none
+            if not swaps:  # as with a target in slow start that may gain no more units
                 continue
             _, leaving, coming = max(swaps, key=key)
             for unit, source, target in ((leaving, x, y), (coming, y, x)):
--- a/flintreach/policy/window.py
+++ b/flintreach/policy/window.py
@@ -1,28 +1,28 @@
-"""Sums over a sliding window of time.  They decide nothing."""
+"""Sums over a sliding time window."""
 
 from flintreach.pilot.interface import SECOND
 
 
 class SlidingSums:
-    """Sums of several columns over the last seconds, in buckets of one second that are used again."""
+    """Sums of several columns over the last seconds, in a ring of one-second buckets."""
 
     def __init__(self, seconds: int, columns: int) -> None:
-        """Make an empty window.
+        """Create an empty window.
 
         Args:
-            seconds: buckets, and so the longest window that `total` can give.
-            columns: values that each `add` brings.
+            seconds: number of buckets, and so the longest window for `total`.
+            columns: number of values per `add`.
         """
-        self._bucket_seconds = [-1] * seconds  # the second that each bucket now holds
+        self._bucket_seconds = [-1] * seconds  # the second that each bucket holds now
         self._sums: list[list[float]] = [[0] * columns for _ in range(seconds)]
 
     def add(self, now_ns: int, span_ns: int, *values: float) -> None:
-        """Add values, spread evenly over the time that they cover: what covers seconds is no burst.
+        """Add values, spread evenly over the span that they cover, so that they do not look like a burst.
 
         Args:
-            now_ns: end of that time, in nanoseconds.
-            span_ns: its length, in nanoseconds; less than a second counts as one.
-            values: one a column.
+            now_ns: end of the span, in nanoseconds.
+            span_ns: length of the span, in nanoseconds; less than a second counts as one second.
+            values: one per column.
         """
         size = len(self._bucket_seconds)
         last_second = now_ns // SECOND
@@ -37,7 +37,7 @@
             self._sums[bucket] = [total + value / seconds for total, value in zip(previous, values)]
 
     def total(self, now_ns: int, seconds: int) -> list[float]:
-        """Sum each column over the `seconds` that end with that of `now_ns`."""
+        """Sum each column over the last `seconds` up to and including that of `now_ns`."""
         last_second = now_ns // SECOND
         recent = [
             sums
