--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: a small fleet around the decisions, and the service with no sockets."""
+"""Shared by tests: a small simulated fleet around the decisions, and fakes for a service without sockets."""
 
 import json
 from typing import Any
@@ -9,28 +9,28 @@
 
 
 class Fleet:
-    """A fleet round a `Pilot`: it keeps the tables as ordered and answers marks, with no bench."""
+    """A fleet around a `Pilot`, which applies its orders to tables and confirms its marks."""
 
     def __init__(
         self, servers: int = 4, slices: int = 8, proxies: int = 3, demand: float = 4, **settings: Any
     ) -> None:
-        """Begin with every server ready, and a slice's table at each in turn.
+        """Create a fleet with every server ready, and the slices assigned to the servers in turn.
 
         Args:
-            servers: how many.
-            slices: how many, all of them given to the pilot.
-            proxies: how many, all joined.
-            demand: of each slice, invocations a second.
-            settings: of the pilot, where they differ from those here.
+            servers: number of servers.
+            slices: number of slices, all assigned to the pilot.
+            proxies: number of proxies, all joined.
+            demand: of each slice, in invocations per second.
+            settings: of the pilot, where they differ from the defaults here.
         """
-        self.ops = [
+        self.operations = [
             interface.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
             interface.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
         ]
         defaults = {
             "seed": 7,
             "proxies": proxies,
-            "operations": self.ops,
+            "operations": self.operations,
             "cold_share": 0.2,
             "slices": [interface.Slice(n) for n in range(slices)],
             "warm_up": 10 * SECOND,
@@ -38,61 +38,66 @@
         }
         self.settings = interface.Settings(**(defaults | settings))
         self.slices = self.settings.slices
-        self.now = 100 * SECOND  # steady clock, in nanoseconds
+        self.now = 100 * SECOND  # monotonic clock, in nanoseconds
         self.log: list[str] = []
-        self.replies: list[tuple[int, list]] = []  # orders, and when
+        self.replies: list[tuple[int, list]] = []  # time and orders of each reply
         self.servers = [interface.Server(f"s{n}", zone=n % self.settings.zones) for n in range(servers)]
         self.proxies = [interface.Proxy(n) for n in range(proxies)]
-        self.tables = {piece: {} for piece in self.slices}
+        self.tables = {slice_: {} for slice_ in self.slices}
         self.rates = dict.fromkeys(self.slices, demand)
-        self.failing: dict[interface.Server, float] = {}  # parts unanswered
+        self.failing: dict[interface.Server, float] = {}  # share of unanswered tries
         self.levels: dict[tuple, float] = {}  # as ordered, by slice and operation
         self.latency = SECOND // 5
-        self.slow: dict[interface.Server, int] = {}  # latencies of their own
-        self.load: dict[str, float] = {}  # that every server reports
-        self.withdrawn: set[interface.Server] = set()  # withdrawn
-        self.marks: list[int] = []  # not yet answered
+        self.slow: dict[interface.Server, int] = {}  # latency of servers that differ from the others
+        self.load: dict[str, float] = {}  # reported by every server
+        self.withdrawn: set[interface.Server] = set()
+        self.marks: list[int] = []  # not yet confirmed
         self.pilot = Pilot(self.settings)
         self.handle(
             self.server_list("cached"), *[interface.ProxyJoined(proxy, True) for proxy in self.proxies]
         )
-        for n, piece in enumerate(self.slices):
-            self.tables[piece] = {self.servers[n % servers]: 1.0}
+        for n, slice_ in enumerate(self.slices):
+            self.tables[slice_] = {self.servers[n % servers]: 1.0}
             self.handle(
-                interface.SliceAssignment(piece, True),
-                interface.SliceReplica(piece, self.servers[n % servers], 1.0),
+                interface.SliceAssignment(slice_, True),
+                interface.SliceReplica(slice_, self.servers[n % servers], 1.0),
             )
 
-    def server_list(self, how: str = "delta", **states: Any) -> interface.ServerList:
-        """server_list(s1="gone", s2=("ready", started)); a list that is no delta holds all the others too."""
-        rows = {server.name: "ready" for server in self.servers if how != "delta"} | states
+    def server_list(self, kind: str = "delta", **states: Any) -> interface.ServerList:
+        """A server list from keywords such as s1="gone", s2=("ready", started).
+
+        A list that is not a delta also holds all the other servers, as ready.
+        """
+        states_by_name = {server.name: "ready" for server in self.servers if kind != "delta"} | states
         entries = []
         for server in self.servers:
-            if server.name in rows:
-                state, started = rows[server.name], 0
+            if server.name in states_by_name:
+                state, started = states_by_name[server.name], 0
                 if isinstance(state, tuple):
                     state, started = state
                 entries.append(interface.ServerEntry(server, state, 1.0, started))
-        return interface.ServerList(how, entries)
+        return interface.ServerList(kind, entries)
 
     def handle(self, *events: object) -> list:
-        """Hand events to the pilot and carry its orders out; repeated or idle orders fail the test."""
+        """Pass events to the pilot and apply its orders; orders that change nothing fail the test."""
         orders = self.pilot.handle(self.now, list(events))
         self.replies.append((self.now, orders))
         for order in orders:
             match order:
-                case interface.SetWeight(piece, server, weight):
-                    table = self.tables.setdefault(piece, {})
-                    assert weight > 0 or server in table, "an absent line was removed"
-                    assert table.get(server) != weight, "a standing value was repeated"
+                case interface.SetWeight(slice_, server, weight):
+                    table = self.tables.setdefault(slice_, {})
+                    assert weight > 0 or server in table, "an absent server was removed"
+                    assert table.get(server) != weight, "a weight in force was set again"
                     table.pop(server, None)
                     if weight > 0:
                         table[server] = weight
-                case interface.SetAdmission(piece, operations, level, resend):
-                    assert resend <= 1 or all(op.effect != "side-effecting" for op in operations)
-                    self.levels |= {(piece, op): level for op in operations}
+                case interface.SetAdmission(slice_, operations, level, resend):
+                    assert resend <= 1 or all(
+                        operation.effect != "side-effecting" for operation in operations
+                    )
+                    self.levels |= {(slice_, operation): level for operation in operations}
                 case interface.Withdraw(server, out):
-                    assert out != (server in self.withdrawn), "a standing withdrawal was repeated"
+                    assert out != (server in self.withdrawn), "a withdrawal in force was repeated"
                     (self.withdrawn.add if out else self.withdrawn.discard)(server)
                 case interface.Mark(number):
                     self.marks.append(number)
@@ -101,8 +106,8 @@
         return orders
 
     def run(self, seconds: int, sums: bool = True) -> None:
-        """Beats of a quarter second; the marks of each reply are answered in the next."""
-        for beat in range(4 * seconds):
+        """Run in steps of a quarter second; the marks of each reply are confirmed in the next step."""
+        for step in range(4 * seconds):
             due = self.now + SECOND // 4
             self.run_pending_work(due)
             self.now = due
@@ -110,22 +115,22 @@
                 interface.OrdersApplied(proxy, mark, 0) for mark in self.marks for proxy in self.proxies
             ]
             self.marks = []
-            self.handle(*events, interface.TimerFired(0), *(self.reports() if sums and beat % 4 == 0 else []))
+            self.handle(*events, interface.TimerFired(0), *(self.reports() if sums and step % 4 == 0 else []))
 
     def run_pending_work(self, due: int) -> None:
-        """A second's work goes on in turns."""
+        """Run the pilot's pending work in turns, until a time."""
         while self.pilot.pending_work and self.now + self.settings.tick < due:
             self.now += self.settings.tick
             self.handle(interface.TimerFired(0))
 
     def reports(self) -> list:
-        """What the proxies report of the last second, by rates, tables and faults."""
-        came: dict[interface.Server, float] = {}
-        for piece, rate in self.rates.items():
-            lines = {server: weight for server, weight in self.tables[piece].items() if weight >= 1}
+        """The proxies' reports on the last second, from rates, tables and faults."""
+        arrivals: dict[interface.Server, float] = {}
+        for slice_, rate in self.rates.items():
+            lines = {server: weight for server, weight in self.tables[slice_].items() if weight >= 1}
             for server in lines:
-                came[server] = came.get(server, 0) + rate / len(lines)
-        heard = [
+                arrivals[server] = arrivals.get(server, 0) + rate / len(lines)
+        reports = [
             interface.ServerReport(
                 server.zone,
                 server,
@@ -135,63 +140,69 @@
                 SECOND,
                 self.load,
             )
-            for server, tries in came.items()
+            for server, tries in arrivals.items()
             if round(tries)
         ]
-        return heard + [
-            interface.DemandReport(piece, None, self.ops[0], rate, 0, SECOND)
-            for piece, rate in self.rates.items()
+        return reports + [
+            interface.DemandReport(slice_, None, self.operations[0], rate, 0, SECOND)
+            for slice_, rate in self.rates.items()
         ]
 
     def slices_of(self, server: interface.Server) -> list[interface.Slice]:
-        """The slices that a server serves."""
+        """Slices that a server serves."""
         return [
-            piece for piece, table in self.tables.items() if server in table and server not in self.withdrawn
+            slice_
+            for slice_, table in self.tables.items()
+            if server in table and server not in self.withdrawn
         ]
 
-    def full_weight_servers(self, piece: interface.Slice) -> list[interface.Server]:
-        """The servers that serve a slice with a full weight."""
+    def full_weight_servers(self, slice_: interface.Slice) -> list[interface.Server]:
+        """Servers that serve a slice with full weight."""
         return [
             server
-            for server, weight in self.tables[piece].items()
+            for server, weight in self.tables[slice_].items()
             if weight >= 1 and server not in self.withdrawn
         ]
 
 
 def cold_server_with_slices() -> tuple[Fleet, interface.Server]:
-    """A fleet, and a server of it that has just started and yet has slices."""
+    """A fleet, and one of its servers that has just started but already has slices."""
     fleet = Fleet(servers=6, slices=48)
     fleet.run(8)
     fleet.handle(fleet.server_list(s1=("ready", fleet.now)))
-    for piece in fleet.slices[4:6]:
-        fleet.pilot.state.tables[piece].desired = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
+    for slice_ in fleet.slices[4:6]:
+        fleet.pilot.state.tables[slice_].desired = {fleet.pilot.state.server(fleet.servers[1]): 1.0}
     fleet.run(1)
     assert len(fleet.slices_of(fleet.servers[1])) >= 2
     return fleet, fleet.servers[1]
 
 
-def report(fleet: Fleet, number: int, tries: int, unanswered: int, **load: float) -> interface.ServerReport:
-    """What proxies met at a server of the fleet within a second."""
+def server_report(
+    fleet: Fleet, number: int, tries: int, unanswered: int, **load: float
+) -> interface.ServerReport:
+    """A report on a server of the fleet that covers one second."""
     return interface.ServerReport(0, fleet.servers[number], tries, unanswered, fleet.latency, SECOND, load)
 
 
-# The service with no sockets: time by hand, connections by hand, decisions that only record.
+# A service without sockets: the test controls the clock and the connections, and decisions are only recorded.
 
 
 class FakeTimerHandle:
-    def __init__(self, at, do):
-        self.at, self.do, self.off = at, do, False
+    def __init__(self, at, callback):
+        self.at, self.callback, self.off = at, callback, False
 
     def cancel(self):
         self.off = True
 
 
 class FakeLoop:
+    """An event loop whose clock moves only in `run`."""
+
     def __init__(self):
         self.now, self.due, self.stopped = 0.0, [], False
 
-    def call_later(self, wait, do):
-        self.due.append(FakeTimerHandle(self.now + wait, do))
+    def call_later(self, delay, callback):
+        self.due.append(FakeTimerHandle(self.now + delay, callback))
         return self.due[-1]
 
     def run(self, seconds):
@@ -201,7 +212,7 @@
             self.due.remove(handle)
             self.now = handle.at
             if not handle.off:
-                handle.do()
+                handle.callback()
         self.now = end
 
     def set_exception_handler(self, handler):
@@ -212,7 +223,7 @@
 
 
 class FakeConnection:
-    """In place of an HTTP connection: the test says how its calls end."""
+    """Replaces an HTTP connection; the test decides how its calls end."""
 
     created = []
 
@@ -238,6 +249,8 @@
 
 
 class RecordingPilot:
+    """Records the events that it gets, and replies with the orders that the test has set."""
+
     def __init__(self):
         self.seen, self.orders = [], []
 
@@ -258,7 +271,7 @@
 
 
 class FakeTransport:
-    """In place of a client's transport."""
+    """Replaces a client's transport."""
 
     def __init__(self):
         self.written, self.closed, self.reading = b"", False, True
--- a/tests/pilot/test_admission.py
+++ b/tests/pilot/test_admission.py
@@ -39,7 +39,9 @@
     assert not fleet.levels
     fleet.failing, fleet.latency = {}, SECOND
     fleet.run(8)
-    assert fleet.levels and all(op is fleet.ops[0] and level < 0.7 for (_, op), level in fleet.levels.items())
+    assert fleet.levels and all(
+        op is fleet.operations[0] and level < 0.7 for (_, op), level in fleet.levels.items()
+    )
     fleet.latency = SECOND // 5
     fleet.run(20)
     assert all(level == 1 for level in fleet.levels.values())
@@ -51,7 +53,7 @@
     fleet = Fleet(servers=4, slices=8)
     fleet.run(8)
     state = fleet.pilot.state.server(fleet.servers[1])
-    fleet.rates = {piece: rate if fleet.servers[1] in fleet.tables[piece] else 4 for piece in fleet.slices}
+    fleet.rates = {slice_: rate if fleet.servers[1] in fleet.tables[slice_] else 4 for slice_ in fleet.slices}
     fleet.run(4)
     state.admission_level, state.lateness = 0.05, 5.0
     fleet.run(30)
@@ -64,7 +66,7 @@
     fleet.run(5)
     fleet.latency = SECOND
     fleet.run(5)
-    assert fleet.levels[None, fleet.ops[0]] < 0.7 and len(fleet.levels) == 1
+    assert fleet.levels[None, fleet.operations[0]] < 0.7 and len(fleet.levels) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/pilot/test_demand.py
+++ b/tests/pilot/test_demand.py
@@ -15,7 +15,7 @@
     for _ in range(5):
         fleet.now += SECOND
         fleet.handle(
-            interface.DemandReport(fleet.slices[3], None, fleet.ops[0], 90, 80, SECOND),
+            interface.DemandReport(fleet.slices[3], None, fleet.operations[0], 90, 80, SECOND),
             interface.TimerFired(0),
         )
     assert table.rate <= 1.2 * before and table.recent_rate > 10 * before
@@ -27,14 +27,14 @@
     Without any invocation no line ever comes, so it is for a while."""
     fleet = Fleet(servers=5, slices=40)
     taken = fleet.slices[20:]
-    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in taken])
+    fleet.handle(*[interface.SliceAssignment(slice_, False) for slice_ in taken])
     fleet.run(12)
-    for piece in taken:
-        fleet.tables[piece] = {fleet.servers[0]: 1.0}
+    for slice_ in taken:
+        fleet.tables[slice_] = {fleet.servers[0]: 1.0}
         fleet.handle(
-            interface.SliceAssignment(piece, True), interface.SliceReplica(piece, fleet.servers[0], 1.0)
+            interface.SliceAssignment(slice_, True), interface.SliceReplica(slice_, fleet.servers[0], 1.0)
         )
-    fleet.rates = {piece: rate for piece, rate in fleet.rates.items() if piece not in taken}
+    fleet.rates = {slice_: rate for slice_, rate in fleet.rates.items() if slice_ not in taken}
     fleet.run(after)
-    rates = [fleet.pilot.state.tables[piece].rate for piece in taken]
+    rates = [fleet.pilot.state.tables[slice_].rate for slice_ in taken]
     assert all(abs(rate - 4 * part) < 0.2 for rate in rates)
--- a/tests/pilot/test_dispatch.py
+++ b/tests/pilot/test_dispatch.py
@@ -22,7 +22,7 @@
     fleet.run(5)
     fleet.handle(fleet.server_list(s1=state))
     assert not fleet.slices_of(fleet.servers[1])
-    assert all(fleet.full_weight_servers(piece) for piece in fleet.slices)
+    assert all(fleet.full_weight_servers(slice_) for slice_ in fleet.slices)
 
 
 def test_a_waiting_change_that_names_a_leaving_server_becomes_urgent():
@@ -99,11 +99,11 @@
     fleet = Fleet(slices=24)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
-    piece = fleet.slices[0]
+    slice_ = fleet.slices[0]
     fleet.handle(
         fleet.server_list(s1="ready"),
-        interface.SliceAssignment(piece, True),
-        interface.SliceReplica(piece, fleet.servers[1], 1.0),
+        interface.SliceAssignment(slice_, True),
+        interface.SliceReplica(slice_, fleet.servers[1], 1.0),
     )
     fleet.run(2)
     assert not fleet.withdrawn
--- a/tests/pilot/test_health.py
+++ b/tests/pilot/test_health.py
@@ -4,7 +4,7 @@
 
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
-from tests.helpers import Fleet, report
+from tests.helpers import Fleet, server_report
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     fleet = Fleet(servers=6, slices=24, probes=True)
     fleet.run(5)
     for number in range(3):
-        fleet.handle(report(fleet, number, 10, 8))
+        fleet.handle(server_report(fleet, number, 10, 8))
         fleet.handle(interface.ProbeResult(fleet.servers[number], "timeout", 0, {}))
     fleet.run(1, sums=False)
     assert all(fleet.slices_of(server) for server in fleet.servers)
--- a/tests/pilot/test_load.py
+++ b/tests/pilot/test_load.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.helpers import Fleet, report
+from tests.helpers import Fleet, server_report
 
 
 @pytest.mark.parametrize(
@@ -16,7 +16,7 @@
     before = [len(fleet.slices_of(server)) for server in fleet.servers]
     for _ in range(25):
         fleet.run(1)
-        fleet.handle(*[report(fleet, number, 2, 0, util=fill[number]) for number in range(6)])
+        fleet.handle(*[server_report(fleet, number, 2, 0, util=fill[number]) for number in range(6)])
     after = [len(fleet.slices_of(server)) for server in fleet.servers]
     assert (after[0] > before[0] and after[5] < before[5]) == moved and sum(after) == sum(before)
 
@@ -29,5 +29,7 @@
     fleet.failing = {fleet.servers[0]: 0.5}
     for _ in range(25):
         fleet.run(1)
-        fleet.handle(*[report(fleet, number, 2, number == 0, util=0.9 * (number > 0)) for number in range(6)])
+        fleet.handle(
+            *[server_report(fleet, number, 2, number == 0, util=0.9 * (number > 0)) for number in range(6)]
+        )
     assert len(fleet.slices_of(fleet.servers[0])) <= before
--- a/tests/pilot/test_placement.py
+++ b/tests/pilot/test_placement.py
@@ -13,8 +13,8 @@
     for server, lot in zip(fleet.servers[6:], lots):
         server.name_hash = lot
     fleet.handle(fleet.server_list(s6="gone", s7="gone", s8="gone"))
-    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in fleet.slices[18:]])
-    fleet.tables = {piece: table for piece, table in fleet.tables.items() if piece in fleet.slices[:18]}
+    fleet.handle(*[interface.SliceAssignment(slice_, False) for slice_ in fleet.slices[18:]])
+    fleet.tables = {slice_: table for slice_, table in fleet.tables.items() if slice_ in fleet.slices[:18]}
     fleet.rates = dict.fromkeys(fleet.slices[:18], 4)
     fleet.run(8)
     for name in ("s6", "s7", "s8"):
@@ -50,7 +50,8 @@
     for _ in range(2):
         fleet.now += SECOND
         hot = [
-            interface.DemandReport(piece, None, fleet.ops[0], 60, 55, SECOND) for piece in fleet.slices[4:6]
+            interface.DemandReport(slice_, None, fleet.operations[0], 60, 55, SECOND)
+            for slice_ in fleet.slices[4:6]
         ]
         fleet.handle(*hot, interface.TimerFired(0))
         fleet.run_pending_work(fleet.now + SECOND // 5)
@@ -78,8 +79,8 @@
     servers, each = 10, 12 * (1 + others)  # slices
     fleet = Fleet(servers=servers, slices=servers * each, pilots=1 + others, demand=2)
     keep = fleet.slices[: 12 * servers]
-    fleet.handle(*[interface.SliceAssignment(piece, False) for piece in fleet.slices[len(keep) :]])
-    fleet.tables = {piece: {fleet.servers[n % servers]: 1.0} for n, piece in enumerate(keep)}
-    fleet.rates = {piece: most if n % servers == 3 else 2.0 for n, piece in enumerate(keep)}
+    fleet.handle(*[interface.SliceAssignment(slice_, False) for slice_ in fleet.slices[len(keep) :]])
+    fleet.tables = {slice_: {fleet.servers[n % servers]: 1.0} for n, slice_ in enumerate(keep)}
+    fleet.rates = {slice_: most if n % servers == 3 else 2.0 for n, slice_ in enumerate(keep)}
     fleet.run(14)
     assert (len(fleet.slices_of(fleet.servers[3])) < 12) == mended
--- a/tests/pilot/test_reports.py
+++ b/tests/pilot/test_reports.py
@@ -4,7 +4,7 @@
 
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
-from tests.helpers import Fleet, cold_server_with_slices, report
+from tests.helpers import Fleet, cold_server_with_slices, server_report
 
 
 def test_a_fast_restart_is_relieved_of_its_old_load():
@@ -50,7 +50,7 @@
     """Sums tell of a death by halves and seconds late; proxies went on calling dead servers for four."""
     fleet = Fleet(slices=24, probes=True)
     fleet.run(5)
-    orders = fleet.handle(report(fleet, 1, 10, unanswered))
+    orders = fleet.handle(server_report(fleet, 1, 10, unanswered))
     assert (interface.Probe(fleet.servers[1]) in orders) == (unanswered > 3)
     fleet.handle(
         interface.ProbeResult(fleet.servers[1], status, 0, {}) if unanswered > 3 else interface.TimerFired(0)
@@ -62,7 +62,9 @@
 def test_without_leave_to_ask_nobody_is_asked():
     fleet = Fleet(slices=24)
     fleet.run(5)
-    assert not any(isinstance(order, interface.Probe) for order in fleet.handle(report(fleet, 1, 10, 8)))
+    assert not any(
+        isinstance(order, interface.Probe) for order in fleet.handle(server_report(fleet, 1, 10, 8))
+    )
 
 
 def test_a_dead_process_s_sums_do_not_condemn_the_one_that_follows_it():
@@ -71,11 +73,11 @@
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
     fleet.run(2)
-    fleet.handle(report(fleet, 1, 40, 40))
-    fleet.handle(fleet.server_list(s1=("ready", fleet.now - 2 * SECOND)), report(fleet, 1, 40, 40))
+    fleet.handle(server_report(fleet, 1, 40, 40))
+    fleet.handle(fleet.server_list(s1=("ready", fleet.now - 2 * SECOND)), server_report(fleet, 1, 40, 40))
     fleet.run(2)
     assert fleet.pilot.state.server(fleet.servers[1]).mode == "cold"
     fleet.now += 4 * SECOND
-    fleet.handle(report(fleet, 1, 40, 40))
+    fleet.handle(server_report(fleet, 1, 40, 40))
     fleet.run(1, sums=False)
     assert fleet.pilot.state.server(fleet.servers[1]).mode == "out"
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -21,7 +21,7 @@
     """A fleet with uneven demand, in the midst of its first search."""
     fleet = Fleet(**(WIDE | changes))
     rnd = random.Random(11)
-    fleet.rates = {piece: rnd.randrange(1, 40) for piece in fleet.slices}
+    fleet.rates = {slice_: rnd.randrange(1, 40) for slice_ in fleet.slices}
     fleet.run(3)
     for _ in range(8):
         fleet.now += SECOND // 4
@@ -66,7 +66,7 @@
         fleet.handle(interface.TimerFired(0))
     fleet.run(4)
     assert not fleet.slices_of(fleet.servers[7])
-    assert all(fleet.full_weight_servers(piece) for piece in fleet.slices)
+    assert all(fleet.full_weight_servers(slice_) for slice_ in fleet.slices)
 
 
 @pytest.mark.parametrize("change", ["drain", "restart", "lost", "given anew"])
@@ -92,17 +92,17 @@
             interface.SliceAssignment(moved.slice, True),
             interface.SliceReplica(moved.slice, fleet.servers[3], 1.0),
         )
-    before = {piece: dict(unit.desired) for piece, unit in fleet.pilot.state.tables.items()}
+    before = {slice_: dict(unit.desired) for slice_, unit in fleet.pilot.state.tables.items()}
     fleet.handle(interface.SearchResult(search, search.best, search.counter))
     while fleet.pilot.pending_work:
         fleet.now += 1_000_000
         fleet.handle(interface.TimerFired(0))
-    after = {piece: unit.desired for piece, unit in fleet.pilot.state.tables.items()}
-    changed = [piece for piece in before if before[piece].keys() != after[piece].keys()]
+    after = {slice_: unit.desired for slice_, unit in fleet.pilot.state.tables.items()}
+    changed = [slice_ for slice_ in before if before[slice_].keys() != after[slice_].keys()]
     assert changed  # the rest of the answer counts
     if change in ("drain", "restart"):
         tgt = fleet.pilot.state.servers[server]
-        assert not any(tgt in after[piece] for piece in changed)
+        assert not any(tgt in after[slice_] for slice_ in changed)
     else:
         assert moved.slice not in changed
 
@@ -144,7 +144,7 @@
     def play(elsewhere):
         fleet = Fleet(**WIDE, offload_search=elsewhere)
         rnd = random.Random(11)
-        fleet.rates = {piece: rnd.randrange(1, 40) for piece in fleet.slices}
+        fleet.rates = {slice_: rnd.randrange(1, 40) for slice_ in fleet.slices}
         searches = 0
         for _ in range(32):
             fleet.now += SECOND // 4 - fleet.now % (SECOND // 4)
@@ -217,14 +217,14 @@
     most = service.limits.turn
     pieces = [interface.Slice(n) for n in range(most)]
     server = interface.Server("s")
-    sums = [interface.DemandReport(piece, None, None, 1, 0, SECOND) for piece in pieces]
+    sums = [interface.DemandReport(slice_, None, None, 1, 0, SECOND) for slice_ in pieces]
     news = [
         event
-        for piece in pieces
+        for slice_ in pieces
         for event in (
-            interface.SliceAssignment(piece, True),
-            interface.SliceReplica(piece, server, 1.0),
-            interface.SliceReplica(piece, server, 1.0),
+            interface.SliceAssignment(slice_, True),
+            interface.SliceReplica(slice_, server, 1.0),
+            interface.SliceReplica(slice_, server, 1.0),
         )
     ]
     drained = interface.ServerList("delta", [])
