--- a/tests/pilot/test_admission.py
+++ b/tests/pilot/test_admission.py
@@ -1,4 +1,4 @@
-"""Quotas of crowded servers, and levels of the cheapest operation."""
+"""Capacity shares of overloaded servers, and admission levels of the cheapest operation."""
 
 import pytest
 
@@ -8,21 +8,24 @@
 
 
 @pytest.mark.parametrize("span, falls", [(1, 4), (6, 2)])
-def test_a_quota_falls_again_once_sums_of_after_the_first_fall_have_come(span, falls):
-    """With hundreds of servers a line covers seconds: levels fell to nothing before one told of the first."""
+def test_a_capacity_share_decreases_again_only_after_reports_on_the_first_decrease(span, falls):
+    """In a large fleet a report covers several seconds.
+
+    Shares would decrease to the minimum before any report reflected the first decrease.
+    """
     fleet = Fleet(servers=4, slices=24)
     fleet.pilot.state.report_span_ns = span * SECOND
-    state, told, now = fleet.pilot.state.server(fleet.servers[1]), [], 200
+    state, shares, now = fleet.pilot.state.server(fleet.servers[1]), [], 200
     state.lateness = 2.0
     for second in range(8):
         fleet.pilot.state.now_ns = (now + second) * SECOND
         admission.adjust(fleet.pilot.state, state, 2.0, 0.0)
-        told.append(state.capacity_share)
-    assert len(set(told)) == falls
+        shares.append(state.capacity_share)
+    assert len(set(shares)) == falls
 
 
 @pytest.mark.parametrize("late, level", [(0.9, 1.0), (1.25, 0.8), (5.0, 0.4)])
-def test_one_fall_of_a_level_goes_by_lateness_and_not_to_nothing(late, level):
+def test_one_decrease_of_a_level_is_proportional_to_lateness_and_bounded(late, level):
     fleet = Fleet(servers=4, slices=24)
     state = fleet.pilot.state.server(fleet.servers[1])
     state.lateness, fleet.pilot.state.now_ns = late, 200 * SECOND
@@ -30,8 +33,8 @@
     assert state.admission_level == level
 
 
-def test_late_answers_lower_the_cheapest_operation_and_silence_does_not():
-    """An operation that fails on many servers leaves invocations unanswered; letting in less helps nobody."""
+def test_high_latency_limits_the_cheapest_operation_and_unanswered_invocations_do_not():
+    """Where an operation fails on many servers, admitting fewer invocations of it does not help."""
     fleet = Fleet(servers=4, slices=24)
     fleet.run(5)
     fleet.failing = dict.fromkeys(fleet.servers, 0.5)
@@ -48,8 +51,11 @@
 
 
 @pytest.mark.parametrize("rate", [0, 0.1])
-def test_a_level_that_leaves_too_little_to_judge_by_rises_again(rate):
-    """Five in a hundred were let in for good at idle servers: fewer than six answers told of them."""
+def test_a_level_rises_again_where_it_leaves_too_few_tries_for_an_evaluation(rate):
+    """At the minimum level an idle server gets fewer tries than an evaluation needs.
+
+    The level would stay there for good if only evaluated servers were adjusted.
+    """
     fleet = Fleet(servers=4, slices=8)
     fleet.run(8)
     state = fleet.pilot.state.server(fleet.servers[1])
@@ -60,8 +66,8 @@
     assert state.admission_level == 1 and all(level == 1 for level in fleet.levels.values())
 
 
-def test_where_all_are_late_one_line_a_proxy_lowers_all_tables():
-    """Hundreds of slices' own levels filled the channel, and the fall came half a minute late."""
+def test_one_line_per_proxy_limits_all_tables_where_all_servers_are_late():
+    """Levels of hundreds of slices would fill the channel and take effect half a minute late."""
     fleet = Fleet(servers=8, slices=200, proxies=40)
     fleet.run(5)
     fleet.latency = SECOND
@@ -81,20 +87,20 @@
         ({"util": 0.3, "queue": 4.0}, True),
     ],
 )
-def test_late_answers_of_idle_servers_lower_nothing(load, lowered):
-    """Far from some proxies: the way is long, and letting in less shortens it for nobody."""
+def test_high_latency_of_idle_servers_limits_nothing(load, lowered):
+    """The latency comes from the distance to some proxies; admitting less does not reduce it."""
     fleet = Fleet(servers=4, slices=24)
     fleet.load, fleet.latency = load, SECOND
     fleet.run(8)
     assert bool(fleet.levels) == lowered
 
 
-def test_a_server_worse_off_than_its_peers_bears_less():
-    """Slow, or far from some proxies: it answers, but more than half as late as its peers at their best."""
+def test_a_server_that_is_slower_than_its_peers_gets_fewer_slices():
+    """A server may be slow, or far from some proxies, without failing."""
     fleet = Fleet(servers=6, slices=48)
     fleet.run(12)
-    held = len(fleet.slices_of(fleet.servers[2]))
+    before = len(fleet.slices_of(fleet.servers[2]))
     fleet.slow = {fleet.servers[2]: SECOND * 35 // 100}
     fleet.run(20)
     assert fleet.pilot.state.server(fleet.servers[2]).capacity_share < 0.7
-    assert len(fleet.slices_of(fleet.servers[2])) < held and not fleet.levels
+    assert len(fleet.slices_of(fleet.servers[2])) < before and not fleet.levels
--- a/tests/pilot/test_demand.py
+++ b/tests/pilot/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand of slices, from sums to rates."""
+"""Request rates of slices, from demand reports."""
 
 import pytest
 
@@ -22,9 +22,11 @@
 
 
 @pytest.mark.parametrize("after, part", [(1, 1.0), (7, 1.0), (12, 0.0)])
-def test_slices_just_taken_over_count_as_usual_ones_until_their_sums_could_have_come(after, part):
-    """Counted as idle, they made the known ones look heavy: a takeover moved slices about.
-    Without any invocation no line ever comes, so it is for a while."""
+def test_slices_just_taken_over_count_with_the_mean_rate_until_reports_are_due(after, part):
+    """Counted as idle, they would make the known slices look heavy, and a takeover would move slices.
+
+    An idle slice never gets a report, so the mean rate counts only for a limited time.
+    """
     fleet = Fleet(servers=5, slices=40)
     taken = fleet.slices[20:]
     fleet.handle(*[interface.SliceAssignment(slice_, False) for slice_ in taken])
--- a/tests/pilot/test_dispatch.py
+++ b/tests/pilot/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Orders to the proxies: what goes first, and what the channel takes."""
+"""Orders to the proxies: their priorities, and the limits of the channel."""
 
 import pytest
 
@@ -25,8 +25,8 @@
     assert all(fleet.full_weight_servers(slice_) for slice_ in fleet.slices)
 
 
-def test_a_waiting_change_that_names_a_leaving_server_becomes_urgent():
-    """The ordinary change was held back by the pace when the server began to drain."""
+def test_a_deferred_change_becomes_urgent_when_its_server_drains():
+    """The change was deferred by the limit on messages when the server began to drain."""
     fleet = Fleet(messages_most=4)
     fleet.run(3)
     table = fleet.pilot.state.tables[fleet.slices[1]]
@@ -36,28 +36,31 @@
     assert not fleet.slices_of(fleet.servers[1])
 
 
-def test_ordinary_orders_flow_without_a_message_limit():
+def test_deferrable_orders_are_sent_without_a_message_limit():
     fleet = Fleet(messages_most=0)
     fleet.rates[fleet.slices[0]] = 40
     fleet.run(15)
     assert len(fleet.full_weight_servers(fleet.slices[0])) > 1
 
 
-def test_drains_leave_before_other_urgent_orders():
-    """Where the channel has no room for all, slices of a condemned server may wait, a drained one's not."""
+def test_drains_are_sent_before_other_urgent_orders():
+    """If the channel lacks room, slices of an ejected server may wait, those of a drained one may not."""
     fleet = Fleet(slices=24, proxies=10, channel_limit=400.0, demand=8)
     fleet.run(5)
-    out, drained = fleet.pilot.state.server(fleet.servers[0]), fleet.servers[1]
-    before = [fleet.slices_of(server) for server in (out.server, drained)]
-    fleet.pilot.state.transition(out, Cause.FAILING)
+    ejected, drained = fleet.pilot.state.server(fleet.servers[0]), fleet.servers[1]
+    before = [fleet.slices_of(server) for server in (ejected.server, drained)]
+    fleet.pilot.state.transition(ejected, Cause.FAILING)
     fleet.handle(fleet.server_list(s1="draining"))
     assert all(map(fleet.full_weight_servers, before[1])) and not all(
         map(fleet.full_weight_servers, before[0])
     )
 
 
-def test_what_stands_is_replaced_before_what_is_dead_is_removed():
-    """A crash of a fifth filled the channel for six seconds, half of it with lines to servers shut out."""
+def test_replacements_are_sent_before_withdrawn_servers_are_removed_from_tables():
+    """A crash of a fifth of the servers occupied the channel for six seconds.
+
+    Half of the lines only removed servers that were already withdrawn.
+    """
     fleet = Fleet(servers=8, slices=48, proxies=10, channel_limit=500.0)
     fleet.run(5)
     fleet.pilot.state.transition(fleet.pilot.state.server(fleet.servers[0]), Cause.FAILING)
@@ -68,8 +71,11 @@
     assert not any(server in table for table in fleet.tables.values() for server in fleet.servers[:2])
 
 
-def test_a_drain_does_not_wait_for_room_in_the_channel():
-    """A zone's slices filled it past the grace, and proxies went on sending to servers that were gone."""
+def test_a_drained_server_is_withdrawn_even_if_the_channel_is_full():
+    """Moving a zone's slices fills the channel beyond the drain grace period.
+
+    Without the withdrawal, proxies would keep sending to servers that are gone.
+    """
     fleet = Fleet(slices=60, proxies=10, channel_limit=220.0)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
@@ -82,8 +88,8 @@
     assert not fleet.withdrawn
 
 
-def test_answers_lost_with_the_news_do_not_hold_the_channel_for_ever():
-    """The last marks stayed unanswered, so the lines of their orders seemed to wait and no order had room."""
+def test_lost_confirmations_do_not_occupy_the_channel_for_ever():
+    """The lines of unconfirmed orders count as queued, which would leave no room for further orders."""
     fleet = Fleet(slices=60, proxies=10, channel_limit=220.0)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
@@ -94,8 +100,11 @@
     assert all(map(fleet.full_weight_servers, fleet.slices))
 
 
-def test_a_slice_taken_over_opens_the_server_that_it_is_on():
-    """Another pilot had put it on a server that came back; still shut out here, the slice would be bare."""
+def test_a_server_is_restored_when_a_slice_that_it_serves_is_taken_over():
+    """Another pilot placed the slice on a server that came back after this pilot had withdrawn it.
+
+    If the server stayed withdrawn, the slice would have no server.
+    """
     fleet = Fleet(slices=24)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
@@ -124,14 +133,14 @@
         assert sum(now - 10 * SECOND < other <= now for other in sent) <= 6
 
 
-def test_an_answer_to_no_mark_confirms_nothing():
+def test_a_confirmation_of_an_unknown_mark_is_ignored():
     fleet = Fleet(slices=24)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
     waiting = fleet.pilot.dispatcher.unconfirmed[fleet.proxies[0]]
-    held = len(waiting)
+    before = len(waiting)
     for number in (0, 65535, 10**12):
         fleet.handle(interface.OrdersApplied(fleet.proxies[0], number, 0))
-    assert held == len(waiting) > 0
+    assert before == len(waiting) > 0
     fleet.handle(interface.OrdersApplied(fleet.proxies[0], fleet.marks[-1], 0))
     assert not waiting
--- a/tests/pilot/test_health.py
+++ b/tests/pilot/test_health.py
@@ -1,4 +1,4 @@
-"""Which servers are condemned, and which are not."""
+"""Which servers are ejected, and which are not."""
 
 import pytest
 
@@ -10,18 +10,21 @@
 @pytest.mark.parametrize(
     "load, part", [({}, 1.0), ({"util": 0.5}, 0.5), ({"util": 0.01}, 0.3), ({"util": 2.0}, 1.0)]
 )
-def test_what_a_server_could_answer_is_read_from_its_load(load, part):
-    """Measured by what a half idle fleet answered, each slice looked too large for any cold server."""
-    proven = []
-    for told in ({}, load):
+def test_the_proven_capacity_takes_the_utilisation_into_account(load, part):
+    """Responses alone give a half idle fleet too low a capacity.
+
+    Each slice would then look too large for any cold server.
+    """
+    capacities = []
+    for reported in ({}, load):
         fleet = Fleet(servers=5, slices=20)
-        fleet.load = told
+        fleet.load = reported
         fleet.run(6)
-        proven.append(fleet.pilot.state.proven_capacity)
-    assert abs(proven[0] / proven[1] - part) < 0.02
+        capacities.append(fleet.pilot.state.proven_capacity)
+    assert abs(capacities[0] / capacities[1] - part) < 0.02
 
 
-def test_a_jam_is_told_from_a_death_by_the_late_answers_before_it():
+def test_an_overloaded_server_is_told_from_a_failed_one_by_the_high_latency_before():
     fleet = Fleet(demand=8)
     fleet.run(5)
     fleet.latency = SECOND
@@ -32,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    "failing, condemned",
+    "failing, ejected",
     [
         ({1: 1.0}, [1]),
         ({1: 0.1}, []),
@@ -40,18 +43,18 @@
         (dict.fromkeys(range(4), 1.0), []),
     ],
 )
-def test_health_is_judged_against_peers(failing, condemned):
+def test_health_is_evaluated_relative_to_peers(failing, ejected):
     fleet = Fleet(demand=8)
     fleet.run(5)
     fleet.failing = {fleet.servers[n]: share for n, share in failing.items()}
     fleet.run(5)
-    out = [n for n, server in enumerate(fleet.servers) if fleet.pilot.state.server(server).mode == "out"]
-    assert out == condemned
-    assert all(not fleet.slices_of(fleet.servers[n]) for n in condemned)
+    found = [n for n, server in enumerate(fleet.servers) if fleet.pilot.state.server(server).mode == "out"]
+    assert found == ejected
+    assert all(not fleet.slices_of(fleet.servers[n]) for n in ejected)
 
 
-def test_the_last_warm_servers_of_a_release_are_not_condemned():
-    """Crowded with all slices they answered nothing; taken out, the cold ones got everything and fell."""
+def test_the_last_warm_servers_during_a_release_are_not_ejected():
+    """They are overloaded by all the slices; ejecting them would overload the cold servers too."""
     fleet = Fleet(servers=6, slices=24)
     fleet.run(5)
     fleet.handle(fleet.server_list(**{f"s{n}": ("ready", fleet.now) for n in range(2, 6)}))
@@ -60,7 +63,7 @@
     assert fleet.pilot.state.server(fleet.servers[0]).mode == "fit"
 
 
-def test_a_flapping_server_stays_out_longer_each_time():
+def test_a_flapping_server_is_ejected_for_longer_each_time():
     fleet = Fleet(slices=24, demand=8)
     fleet.run(5)
     fleet.failing = {fleet.servers[1]: 1.0}
@@ -69,7 +72,8 @@
     assert 3 <= state.recent_ejections <= 6
 
 
-def test_where_many_are_mute_at_once_the_pilot_is_cut_off_and_condemns_nobody():
+def test_no_server_is_ejected_where_many_fail_to_answer_probes_at_once():
+    """The pilot is then partitioned from them."""
     fleet = Fleet(servers=6, slices=24, probes=True)
     fleet.run(5)
     for number in range(3):
--- a/tests/pilot/test_load.py
+++ b/tests/pilot/test_load.py
@@ -1,4 +1,4 @@
-"""Load beyond what our slices explain."""
+"""Load of servers that this pilot's slices do not explain."""
 
 import pytest
 
@@ -8,9 +8,11 @@
 @pytest.mark.parametrize(
     "fill, moved", [((0.1, 0.5, 0.5, 0.5, 0.5, 1.0), True), ((0.7, 1.1, 1.1, 1.1, 1.1, 1.6), False)]
 )
-def test_a_server_that_others_fill_gets_less_of_ours_and_an_idle_one_more(fill, moved):
-    """Two pilots spread their slices without a look at each other's: some servers jammed, others idled.
-    Where all are full, what sets them apart is noise, and moves cost more than they mend."""
+def test_foreign_load_moves_slices_from_full_to_idle_servers(fill, moved):
+    """Pilots that ignore each other's slices would overload some servers and leave others idle.
+
+    Where all servers are full, the differences are noise, and moves cost more than they gain.
+    """
     fleet = Fleet(servers=6, slices=48)
     fleet.run(12)
     before = [len(fleet.slices_of(server)) for server in fleet.servers]
@@ -21,8 +23,8 @@
     assert (after[0] > before[0] and after[5] < before[5]) == moved and sum(after) == sum(before)
 
 
-def test_a_server_that_fails_at_once_only_seems_to_have_room():
-    """Its errors cost it nothing, so it reports to be idle; more slices would all be lost."""
+def test_a_server_that_fails_fast_gains_no_slices():
+    """Its errors cost it no work, so it reports a low load; more slices on it would fail too."""
     fleet = Fleet(servers=6, slices=48)
     fleet.run(12)
     before = len(fleet.slices_of(fleet.servers[0]))
--- a/tests/pilot/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -1,9 +1,9 @@
-"""The coordinator: the shared table, and the same orders for the same events."""
+"""The coordinator: the shared table, and determinism."""
 
 from tests.helpers import Fleet
 
 
-def test_without_slices_all_open_servers_share_one_table():
+def test_without_slices_all_available_servers_share_one_table():
     fleet = Fleet(slices=0)
     fleet.run(1)
     (table,) = [table for table in fleet.tables.values() if table]
@@ -14,7 +14,7 @@
 
 
 def test_the_same_events_give_the_same_orders():
-    def day():
+    def run():
         fleet = Fleet(servers=5, slices=20)
         fleet.rates[fleet.slices[3]] = 60
         fleet.run(15)
@@ -26,4 +26,4 @@
             for order in orders
         ]
 
-    assert day() == day()
+    assert run() == run()
--- a/tests/pilot/test_operator_file.py
+++ b/tests/pilot/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's own file by cases."""
+"""The operator's configuration file."""
 
 import json
 import os
@@ -43,7 +43,7 @@
         (None, "No such file or directory"),
     ],
 )
-def test_one_line_names_block_field_and_what_was_expected(tmp_path, text, error):
+def test_an_error_is_one_line_that_names_block_field_and_expected_values(tmp_path, text, error):
     path = tmp_path / "own.hcl"
     if text is not None:
         path.write_bytes(text.encode("utf-8", "surrogateescape"))
@@ -56,7 +56,7 @@
     assert str(raised.value).startswith(str(path))
 
 
-def test_values_come_in_the_units_of_the_program(tmp_path):
+def test_values_are_converted_to_internal_units(tmp_path):
     path = tmp_path / "own.hcl"
     path.write_text('cores {\n workers = 3\n hang = "1.5s"\n share = 0.5\n}\n')
     cores = operator_file.load(None, {"FLINTREACH_OPERATOR": str(path)}).block("cores")
@@ -64,7 +64,7 @@
     assert operator_file.load(None, {}) is None
 
 
-def test_what_the_shipped_file_shows_can_be_switched_on(tmp_path):
+def test_the_example_blocks_of_the_shipped_file_are_valid(tmp_path):
     shown = Path("deploy/flintreach.hcl").read_text()
     path = tmp_path / "own.hcl"
     lines = shown[shown.index("# cores") :].splitlines()
@@ -83,7 +83,7 @@
         ("serve", "40", 2),
     ],
 )
-def test_the_command_line_reads_it_before_anything_starts(tmp_path, command, workers, status):
+def test_the_command_line_validates_the_file_before_anything_starts(tmp_path, command, workers, status):
     path = tmp_path / "own.hcl"
     path.write_text(f"cores {{\n workers = {workers}\n}}\n")
     (tmp_path / "config.json").write_text(json.dumps(told()))
--- a/tests/pilot/test_recorded.py
+++ b/tests/pilot/test_recorded.py
@@ -1,6 +1,7 @@
-"""Recorded streams: what should change no order changes none, byte for byte, a second's work being one turn.
+"""Digests of all orders in recorded simulations, which detect any unintended change of a decision.
 
-The digests are of the decisions as they stand; who changes these takes them anew and says in the commit why.
+The periodic work runs in one turn here.  A change that is meant to alter decisions records new digests and
+gives the reason in its commit.
 """
 
 import pytest
@@ -25,21 +26,21 @@
 
 
 @pytest.mark.parametrize("size, seconds, digest", RECORDED)
-def test_orders_are_those_recorded(size, seconds, digest):
+def test_orders_match_the_recorded_digest(size, seconds, digest):
     assert SimulatedFleet(logic.Pilot, *size).run(seconds) == digest
 
 
 @pytest.mark.parametrize("busy, age", [(0.0, 0), (1.0, 300 * SECOND), (0.5, 3 * SECOND)])
-def test_hosts_that_seem_idle_or_figures_of_then_change_no_order(busy, age):
-    """As in an outage of five minutes, and in the burst that ends it."""
+def test_idle_hosts_and_old_host_loads_change_no_order(busy, age):
+    """As in an outage of the monitoring system of five minutes, and in the burst of data after it."""
     size, seconds, digest = RECORDED[1]
     fleet = SimulatedFleet(logic.Pilot, *size)
     handle = fleet.pilot.handle
 
-    def told(now, events):
+    def handle_with_loads(now, events):
         return handle(now, [interface.HostLoad(server, busy, age) for server in fleet.servers] + events)
 
-    fleet.pilot.handle = told
+    fleet.pilot.handle = handle_with_loads
     assert fleet.run(seconds) == digest
 
 
--- a/tests/pilot/test_reports.py
+++ b/tests/pilot/test_reports.py
@@ -1,4 +1,4 @@
-"""What reports, lists and probes change at once."""
+"""Immediate effects of reports, server lists and probes."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 from tests.helpers import Fleet, cold_server_with_slices, server_report
 
 
-def test_a_fast_restart_is_relieved_of_its_old_load():
-    """No list showed it gone: only the new start time tells that it is cold."""
+def test_a_server_that_restarts_quickly_loses_its_slices():
+    """No list showed it as gone; only the new start time shows that it is cold."""
     fleet = Fleet(servers=4, slices=24)
     fleet.run(5)
-    held = len(fleet.slices_of(fleet.servers[1]))
+    before = len(fleet.slices_of(fleet.servers[1]))
     fleet.handle(fleet.server_list(s1=("ready", fleet.now - SECOND)))
-    assert held > 4 and len(fleet.slices_of(fleet.servers[1])) <= 1
+    assert before > 4 and len(fleet.slices_of(fleet.servers[1])) <= 1
     fleet.run(3)
     assert len(fleet.slices_of(fleet.servers[1])) <= 2
 
 
-def test_spans_of_lines_are_learned():
+def test_the_span_of_reports_is_smoothed():
     fleet = Fleet(servers=4, slices=24)
     for _ in range(300):
         fleet.handle(interface.ServerReport(0, fleet.servers[0], 8, 0, SECOND // 5, 6 * SECOND, {}))
@@ -26,8 +26,11 @@
 
 
 @pytest.mark.parametrize("tries, load, emptied", [(30, {}, True), (2, {}, True), (2, {"queue": 0.0}, False)])
-def test_a_cold_server_with_late_answers_is_emptied(tries, load, emptied):
-    """Its jam fed on the retries that it caused; with two pilots neither heard enough to judge by."""
+def test_a_cold_server_with_high_latency_loses_its_slices(tries, load, emptied):
+    """Its retries would sustain the overload.
+
+    With two pilots, neither may get enough tries in its reports for an evaluation.
+    """
     fleet, cold = cold_server_with_slices()
     fleet.handle(interface.ServerReport(0, cold, tries, 0, SECOND, SECOND, load))
     fleet.run(2)
@@ -35,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, unanswered, out",
+    "status, unanswered, ejected",
     [
         ("connect_failed", 4, True),
         ("timeout", 4, True),
@@ -46,8 +49,13 @@
         ("connect_failed", 1, False),
     ],
 )
-def test_a_server_that_leaves_tries_unanswered_is_asked_and_its_silence_condemns_it(status, unanswered, out):
-    """Sums tell of a death by halves and seconds late; proxies went on calling dead servers for four."""
+def test_a_server_that_leaves_tries_unanswered_is_probed_and_ejected_without_an_answer(
+    status, unanswered, ejected
+):
+    """Reports on a failure arrive in parts and seconds late.
+
+    Without probes, proxies would go on calling a failed server for four seconds.
+    """
     fleet = Fleet(slices=24, probes=True)
     fleet.run(5)
     orders = fleet.handle(server_report(fleet, 1, 10, unanswered))
@@ -56,10 +64,10 @@
         interface.ProbeResult(fleet.servers[1], status, 0, {}) if unanswered > 3 else interface.TimerFired(0)
     )
     fleet.run(1, sums=False)
-    assert bool(fleet.slices_of(fleet.servers[1])) != out
+    assert bool(fleet.slices_of(fleet.servers[1])) != ejected
 
 
-def test_without_leave_to_ask_nobody_is_asked():
+def test_no_server_is_probed_where_probes_are_off():
     fleet = Fleet(slices=24)
     fleet.run(5)
     assert not any(
@@ -67,8 +75,8 @@
     )
 
 
-def test_a_dead_process_s_sums_do_not_condemn_the_one_that_follows_it():
-    """They come late: four servers went out a second after their return, for eight more."""
+def test_reports_on_a_failed_process_do_not_count_against_its_successor():
+    """They arrive late; servers were ejected for eight seconds, one second after their return."""
     fleet = Fleet(servers=8, slices=24, demand=8)
     fleet.run(5)
     fleet.handle(fleet.server_list(s1="gone"))
--- a/tests/pilot/test_state.py
+++ b/tests/pilot/test_state.py
@@ -1,4 +1,4 @@
-"""Modes of servers, and what is forgotten."""
+"""Modes of servers, and removal of their states."""
 
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
@@ -6,7 +6,7 @@
 from tests.helpers import Fleet
 
 
-def test_servers_that_come_and_go_all_day_leave_nothing_behind():
+def test_servers_that_come_and_go_leave_no_state_behind():
     fleet = Fleet(servers=6, slices=24, warm_up=2 * SECOND)
     fleet.run(5)
     for n in range(300):
@@ -35,7 +35,7 @@
     assert all(set(table) <= set(fleet.servers) for table in fleet.tables.values())
 
 
-def test_each_mode_answers_or_refuses_each_input():
+def test_transitions_cover_all_modes_and_failures_of_serving_ones():
     modes = {mode for mode, _ in TRANSITIONS} | {*TRANSITIONS.values()}
     assert modes == {"any", "unknown", "fit", "cold", "trial", "out", "leaving"}
     assert all((mode, "failing") in TRANSITIONS for mode in ("fit", "cold", "trial"))
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -1,4 +1,4 @@
-"""A second's work in turns: what is urgent goes first, a late answer brings nothing back."""
+"""Periodic work that is spread over turns: urgent orders go first, and late search results undo nothing."""
 
 import json
 import pickle
@@ -14,34 +14,36 @@
 from flintreach.standins.platform import told
 from tests.helpers import FakeLoop, FakeTransport, Fleet, RecordingLog, RecordingPilot
 
-WIDE = {"servers": 120, "slices": 960, "proxies": 4, "channel_limit": 1e6}
+LARGE = {"servers": 120, "slices": 960, "proxies": 4, "channel_limit": 1e6}
 
 
-def busy(**changes):
-    """A fleet with uneven demand, in the midst of its first search."""
-    fleet = Fleet(**(WIDE | changes))
-    rnd = random.Random(11)
-    fleet.rates = {slice_: rnd.randrange(1, 40) for slice_ in fleet.slices}
+def fleet_in_search(**changes):
+    """A large fleet with uneven demand, in the middle of its first search."""
+    fleet = Fleet(**(LARGE | changes))
+    rng = random.Random(11)
+    fleet.rates = {slice_: rng.randrange(1, 40) for slice_ in fleet.slices}
     fleet.run(3)
     for _ in range(8):
         fleet.now += SECOND // 4
         fleet.handle(interface.TimerFired(0), *fleet.reports())
-        if any(isinstance(order, interface.RunSearch) for order in fleet.replies[-1][1]) or deep(fleet.pilot):
+        if any(isinstance(order, interface.RunSearch) for order in fleet.replies[-1][1]) or is_searching(
+            fleet.pilot
+        ):
             return fleet
         for _ in range(200):
             if not fleet.pilot.pending_work:
                 break
             fleet.now += 1_000_000
             fleet.handle(interface.TimerFired(0))
-            if deep(fleet.pilot) or any(
+            if is_searching(fleet.pilot) or any(
                 isinstance(order, interface.RunSearch) for order in fleet.replies[-1][1]
             ):
                 return fleet
     raise AssertionError("no search began")
 
 
-def deep(pilot):
-    """Whether the work in hand stands within the steps of a search."""
+def is_searching(pilot):
+    """Whether the pending work is suspended within the steps of a search."""
     inner = pilot.pending_work
     while inner is not None:
         if inner.gi_code.co_name == "steps":
@@ -55,11 +57,11 @@
     return fleet.handle(fleet.server_list(**{server.name: "draining"}))
 
 
-def test_a_drain_in_the_midst_of_a_search_leaves_at_once_and_is_not_taken_back():
-    fleet = busy()
+def test_a_drain_during_a_search_takes_effect_at_once_and_is_not_undone():
+    fleet = fleet_in_search()
     assert fleet.slices_of(fleet.servers[7])
     orders = drain(fleet, 7)
-    assert interface.Withdraw(fleet.servers[7], True) in orders and deep(fleet.pilot)
+    assert interface.Withdraw(fleet.servers[7], True) in orders and is_searching(fleet.pilot)
     assert not fleet.slices_of(fleet.servers[7])
     while fleet.pilot.pending_work:
         fleet.now += 1_000_000
@@ -69,17 +71,17 @@
     assert all(fleet.full_weight_servers(slice_) for slice_ in fleet.slices)
 
 
-@pytest.mark.parametrize("change", ["drain", "restart", "lost", "given anew"])
-def test_a_late_answer_counts_only_where_all_is_as_it_was(change):
-    """The search is answered after the map has moved on, with what it found before."""
-    fleet = busy(offload_search=True)
+@pytest.mark.parametrize("change", ["drain", "restart", "lost", "assigned again"])
+def test_a_late_search_result_is_applied_only_where_nothing_has_changed(change):
+    """The result of an offloaded search arrives after the placement has changed."""
+    fleet = fleet_in_search(offload_search=True)
     search = next(order.search for order in fleet.replies[-1][1] if isinstance(order, interface.RunSearch))
     for _ in search_steps(search):
         pass
-    maps = enumerate(zip(search.best[1], search.start.original))
-    gains = {x: held - was for x, (held, was) in maps if held - was}
+    placements = enumerate(zip(search.best[1], search.start.original))
+    gains = {x: after - before for x, (after, before) in placements if after - before}
     target = max(gains, key=lambda x: len(gains[x]))
-    server = [tgt.server for tgt in fleet.pilot.state.quotas()][target]
+    server = [state.server for state in fleet.pilot.state.quotas()][target]
     moved = fleet.pilot.state.owned_tables()[next(iter(gains[target]))]
     if change == "drain":
         fleet.handle(fleet.server_list(**{server.name: "draining"}))
@@ -92,151 +94,152 @@
             interface.SliceAssignment(moved.slice, True),
             interface.SliceReplica(moved.slice, fleet.servers[3], 1.0),
         )
-    before = {slice_: dict(unit.desired) for slice_, unit in fleet.pilot.state.tables.items()}
+    before = {slice_: dict(table.desired) for slice_, table in fleet.pilot.state.tables.items()}
     fleet.handle(interface.SearchResult(search, search.best, search.counter))
     while fleet.pilot.pending_work:
         fleet.now += 1_000_000
         fleet.handle(interface.TimerFired(0))
-    after = {slice_: unit.desired for slice_, unit in fleet.pilot.state.tables.items()}
+    after = {slice_: table.desired for slice_, table in fleet.pilot.state.tables.items()}
     changed = [slice_ for slice_ in before if before[slice_].keys() != after[slice_].keys()]
-    assert changed  # the rest of the answer counts
+    assert changed  # the rest of the result is applied
     if change in ("drain", "restart"):
-        tgt = fleet.pilot.state.servers[server]
-        assert not any(tgt in after[slice_] for slice_ in changed)
+        state = fleet.pilot.state.servers[server]
+        assert not any(state in after[slice_] for slice_ in changed)
     else:
         assert moved.slice not in changed
 
 
 def search_steps(search):
-    """As another process does it: on a copy, which is then read back into the object."""
+    """Run a search as another process does: on a copy, whose result is then stored in the original."""
     copy = pickle.loads(pickle.dumps(search))
     copy.offloaded = False
     yield from copy.steps()
     search.best, search.counter = copy.best, copy.counter
 
 
-def test_no_turn_takes_more_than_its_budget_or_one_part():
-    fleet, seen = Fleet(**WIDE), []
+def test_no_turn_exceeds_its_budget_or_one_step():
+    fleet, costs_by_turn = Fleet(**LARGE), []
     steps = logic.Pilot.periodic_work
 
     def counted(pilot):
         for cost in steps(pilot):
-            seen[-1].append(cost)
+            costs_by_turn[-1].append(cost)
             yield cost
 
     fleet.pilot.periodic_work = counted.__get__(fleet.pilot)
-    say = fleet.handle
+    handle = fleet.handle
 
     def turn(*events):
-        seen.append([])
-        return say(*events)
+        costs_by_turn.append([])
+        return handle(*events)
 
     fleet.handle = turn
     fleet.run(12)
-    turns = [costs for costs in seen if costs]
+    turns = [costs for costs in costs_by_turn if costs]
     assert len(turns) > 20
-    # The last cost is of the part that was not begun.
+    # The last cost is that of the step that was not begun.
     assert all(sum(costs[:-1]) <= max(logic.TURN_BUDGET_US, max(costs[:-1], default=0)) for costs in turns)
 
 
-@pytest.mark.parametrize("answer", ["found", "nobody", "late"])
-def test_a_search_elsewhere_finds_what_it_finds_here(answer):
-    def play(elsewhere):
-        fleet = Fleet(**WIDE, offload_search=elsewhere)
-        rnd = random.Random(11)
-        fleet.rates = {slice_: rnd.randrange(1, 40) for slice_ in fleet.slices}
+@pytest.mark.parametrize("answer", ["found", "not done", "late"])
+def test_an_offloaded_search_gives_the_same_result(answer):
+    def play(offload):
+        fleet = Fleet(**LARGE, offload_search=offload)
+        rng = random.Random(11)
+        fleet.rates = {slice_: rng.randrange(1, 40) for slice_ in fleet.slices}
         searches = 0
         for _ in range(32):
             fleet.now += SECOND // 4 - fleet.now % (SECOND // 4)
             fleet.handle(interface.TimerFired(0), *(fleet.reports() if fleet.now % SECOND == 0 else []))
             waits = 5 if answer == "late" else 0
             while fleet.pilot.pending_work:
-                asked = [
+                requested = [
                     order.search for order in fleet.replies[-1][1] if isinstance(order, interface.RunSearch)
                 ]
-                for search in asked:
+                for search in requested:
                     searches += 1
-                    held = search
-                if elsewhere and searches and held.offloaded and not (waits := waits - 1) > 0:
-                    copy = pickle.loads(pickle.dumps(held))
+                    current = search
+                if offload and searches and current.offloaded and not (waits := waits - 1) > 0:
+                    copy = pickle.loads(pickle.dumps(current))
                     copy.offloaded = False
-                    for _ in copy.steps() if answer != "nobody" else ():
+                    for _ in copy.steps() if answer != "not done" else ():
                         pass
-                    fleet.handle(interface.SearchResult(held, copy.best, copy.counter))
+                    fleet.handle(interface.SearchResult(current, copy.best, copy.counter))
                 fleet.now += 1_000_000
                 fleet.handle(interface.TimerFired(0))
         return fleet, searches
 
-    (here, none), (there, some) = play(False), play(True)
-    assert none == 0 and some > 0
+    (local, no_searches), (offloaded, searches) = play(False), play(True)
+    assert no_searches == 0 and searches > 0
     tables = [
         [sorted(server.name for server in table) for table in fleet.tables.values()]
-        for fleet in (here, there)
+        for fleet in (local, offloaded)
     ]
     assert tables[0] == tables[1]
-    lines = [[line for line in fleet.log if "placement search" in line] for fleet in (here, there)]
+    lines = [[line for line in fleet.log if "placement search" in line] for fleet in (local, offloaded)]
     assert lines[0] == lines[1]
 
 
-# The transport.
+# The service's turns.
 
 
 @pytest.fixture
 def service(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told(slices=40)))
-    made = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
-    made.pilot = RecordingPilot()
-    made.listed = made.roster.read(made.config.known, "cached")
-    return made
+    service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
+    service.pilot = RecordingPilot()
+    service.listed = service.roster.read(service.config.known, "cached")
+    return service
 
 
 def client(service):
-    made = Client(service.clients)
-    made.connection_made(FakeTransport())
-    made.data_received(b'{"msg":"agent","site":"north"}\n')
-    return made
+    client = Client(service.clients)
+    client.connection_made(FakeTransport())
+    client.data_received(b'{"msg":"agent","site":"north"}\n')
+    return client
 
 
 HOT = b'{"msg":"hot","range":3,"lane":"look","count":4,"fail":0,"over":1000.0}\n'
 
 
-def test_one_that_has_much_to_say_is_read_in_portions(service):
-    loud, quiet = client(service), client(service)
+def test_a_client_that_sends_many_lines_is_read_in_portions(service):
+    busy, other = client(service), client(service)
     most = service.limits.portion
-    loud.data_received(HOT * (2 * most + 10) + HOT[:20])
-    assert len(service.gathered) == most and not loud.transport.reading
-    quiet.data_received(HOT)
+    busy.data_received(HOT * (2 * most + 10) + HOT[:20])
+    assert len(service.gathered) == most and not busy.transport.reading
+    other.data_received(HOT)
     assert len(service.gathered) == most + 1
-    service.loop.run(10.0)  # longer than half a line may wait: what waits for us is no fault of its own
+    # Longer than the time-out for an incomplete line, which does not run while lines wait to be read.
+    service.loop.run(10.0)
     assert sum(isinstance(event, interface.DemandReport) for event in service.pilot.seen) == 2 * most + 11
-    assert loud.state == "dropped" and quiet.transport.reading  # the rest of its last line never came
+    assert busy.state == "dropped" and other.transport.reading  # the last line was never completed
 
 
-def test_a_full_turn_takes_what_is_urgent_first_and_parts_no_slice_from_its_lines(service):
+def test_a_full_turn_takes_urgent_events_first_and_keeps_a_slice_with_its_replicas(service):
     most = service.limits.turn
-    pieces = [interface.Slice(n) for n in range(most)]
+    slices = [interface.Slice(n) for n in range(most)]
     server = interface.Server("s")
-    sums = [interface.DemandReport(slice_, None, None, 1, 0, SECOND) for slice_ in pieces]
-    news = [
+    reports = [interface.DemandReport(slice_, None, None, 1, 0, SECOND) for slice_ in slices]
+    assignments = [
         event
-        for slice_ in pieces
+        for slice_ in slices
         for event in (
             interface.SliceAssignment(slice_, True),
             interface.SliceReplica(slice_, server, 1.0),
             interface.SliceReplica(slice_, server, 1.0),
         )
     ]
-    drained = interface.ServerList("delta", [])
-    service.gathered = [*sums, drained]
+    server_list = interface.ServerList("delta", [])
+    service.gathered = [*reports, server_list]
     service.turn()
-    assert service.pilot.seen[0] is drained and len(service.pilot.seen) == most
+    assert service.pilot.seen[0] is server_list and len(service.pilot.seen) == most
     service.pilot.seen.clear()
-    service.gathered = [*sums, *news]
+    service.gathered = [*reports, *assignments]
     while service.gathered:
         before = len(service.pilot.seen)
         service.turn()
         turn = service.pilot.seen[before:]
         assert len(turn) <= most + 2 and not isinstance(turn[0], interface.SliceReplica)
-    assert len(service.pilot.seen) == len(sums) + len(news)
-    assert [event for event in service.pilot.seen if event in news] == news
+    assert len(service.pilot.seen) == len(reports) + len(assignments)
+    assert [event for event in service.pilot.seen if event in assignments] == assignments
