--- a/flintreach/pilot/health.py
+++ b/flintreach/pilot/health.py
@@ -46,7 +46,7 @@
         if server.mode == Mode.COLD and state.available_share(server) >= 1:
             state.transition(server, Cause.WARM)
         elif server.mode == Mode.EJECTED and state.now_ns >= server.ejected_until_ns:
-            state.transition(server, Cause.DUE)
+            state.transition(server, Cause.TRIAL_DUE)
 
 
 def check_failed_probes(state: FleetState) -> None:
@@ -78,7 +78,7 @@
     may_eject = len(failing) + modes.count(Mode.EJECTED) <= MAX_EJECTED_SHARE * modes.count(Mode.HEALTHY)
     for server, reason in failing.items():
         if may_eject or server.mode == Mode.TRIAL:
-            state.transition(server, Cause.FAILING, f"{reason}, {len(failing)} failing")
+            state.transition(server, Cause.FAILING, f"{reason}, {len(failing)} servers failing")
 
 
 def evaluate(state: FleetState) -> Costs:
@@ -99,7 +99,7 @@
     # must be able to rise again.
     for server in state.servers.values():
         if server.mode == Mode.TRIAL and unanswered.get(server, 1) < HIGH_UNANSWERED_SHARE:
-            state.transition(server, Cause.SOUND, f"{unanswered[server]:.2f} unanswered")
+            state.transition(server, Cause.RECOVERED, f"{unanswered[server]:.2f} unanswered")
         admission.adjust(state, server, pressures.get(server, OVERLOAD_PRESSURE / 2), peer_pressure)
     lateness = [0.0, *(0.0 if server.idle else server.lateness for server in unanswered)]
     median = state.median_server
--- a/flintreach/pilot/records.py
+++ b/flintreach/pilot/records.py
@@ -28,10 +28,10 @@
     STARTED = "started"
     READY = "ready"
     WARM = "warm"
-    STRAINED = "strained"
+    OVERLOADED = "strained"
     FAILING = "failing"
-    SOUND = "sound"
-    DUE = "due"
+    RECOVERED = "sound"
+    TRIAL_DUE = "due"
 
 
 UNAVAILABLE_MODES = (Mode.UNKNOWN, Mode.EJECTED, Mode.LEAVING)
--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -30,7 +30,7 @@
         return (line.unanswered > RETRY_STORM_SHARE * line.tries,)
     idle_signs = [value < IDLE_BELOW[name] for name, value in line.load.items() if name in IDLE_BELOW]
     late = line.latency > OVERLOAD_LATENCY_SHARE * objective_ns
-    overloaded = late and line.tries - line.unanswered > 1  # retries would sustain the overload
+    overloaded = late and line.tries - line.unanswered > 1  # two answers suffice: retries sustain overload
     suspected = line.unanswered > max(1, SUSPECT_SHARE * line.tries)
     return suspected, overloaded, bool(idle_signs) and all(idle_signs)
 
@@ -80,7 +80,7 @@
     if lost and suspected:
         _probe(state, server)
     if overloaded and not server.idle:
-        state.transition(server, Cause.STRAINED)
+        state.transition(server, Cause.OVERLOADED)
 
 
 def _probe(state: FleetState, server: ServerState) -> None:
--- a/flintreach/pilot/state.py
+++ b/flintreach/pilot/state.py
@@ -24,12 +24,12 @@
     (Mode.UNKNOWN, Cause.READY): Mode.HEALTHY,
     (Mode.LEAVING, Cause.READY): Mode.HEALTHY,
     (Mode.COLD, Cause.WARM): Mode.HEALTHY,
-    (Mode.COLD, Cause.STRAINED): Mode.COLD,
+    (Mode.COLD, Cause.OVERLOADED): Mode.COLD,
     (Mode.HEALTHY, Cause.FAILING): Mode.EJECTED,
     (Mode.COLD, Cause.FAILING): Mode.EJECTED,
     (Mode.TRIAL, Cause.FAILING): Mode.EJECTED,
-    (Mode.TRIAL, Cause.SOUND): Mode.HEALTHY,
-    (Mode.EJECTED, Cause.DUE): Mode.TRIAL,
+    (Mode.TRIAL, Cause.RECOVERED): Mode.HEALTHY,
+    (Mode.EJECTED, Cause.TRIAL_DUE): Mode.TRIAL,
 }
 
 
@@ -81,20 +81,20 @@
             self._owned_tables = [table for table in owned if table is not self.shared_table]
         return self._owned_tables
 
-    def transition(self, server: ServerState, cause: Cause, figures: str = "") -> None:
+    def transition(self, server: ServerState, cause: Cause, details: str = "") -> None:
         """Change a server's mode according to `TRANSITIONS`, log the change, and run the mode's entry action.
 
         Args:
             server: whose mode changes.
             cause: of the change.
-            figures: details for the log line.
+            details: for the log line.
         """
         self.orders_due = True
         mode = TRANSITIONS.get((server.mode, cause)) or TRANSITIONS.get((ANY_MODE, cause))
         if mode is None:
             return
         if mode != server.mode and server.mode != Mode.UNKNOWN:
-            text = f"server {server.server.name}: {server.mode} to {mode}: {cause} {figures}"
+            text = f"server {server.server.name}: {server.mode} to {mode}: {cause} {details}"
             self.orders.append(interface.Log(text))
         server.mode = mode
         if mode == Mode.COLD:  # it has started, or is overloaded
@@ -117,7 +117,7 @@
         server.ejected_until_ns = self.now_ns + FIRST_EJECTION_NS * 2**doublings
 
     def available_share(self, server: ServerState) -> float:
-        """The share of its capacity that a server has; it grows linearly over the warm-up time."""
+        """The minimum share of its capacity that a server has; it grows linearly over the warm-up time."""
         warm_up = self.settings.warm_up
         if not warm_up:
             return 1.0
