--- a/flintreach/pilot/reports.py
+++ b/flintreach/pilot/reports.py
@@ -9,9 +9,9 @@
 from flintreach.pilot.state import MIN_WEIGHT, REPORT_CYCLE_NS, FleetState
 from flintreach.policy.window import SlidingSums
 
-RETRY_STORM_SHARE = 0.2  # unanswered share of a demand report from which its tries include retries
-SUSPECT_SHARE = 0.3  # unanswered share, of at least two, from which a server may have failed
-OVERLOAD_LATENCY_SHARE = 0.5  # mean latency at which a cold server loses its slices, of the objective
+RETRY_STORM_SHARE = 0.2  # unanswered share of a demand report above which its tries include retries
+SUSPECT_SHARE = 0.3  # unanswered share, of at least two, above which a server may have failed
+OVERLOAD_LATENCY_SHARE = 0.5  # mean latency above which a cold server loses its slices, of the objective
 # Reported loads below which high latency is not caused by the server's own load.
 IDLE_BELOW = {interface.LOAD_QUEUE: 1, interface.LOAD_UTILISATION: 0.8}
 PROBE_INTERVAL_NS = SECOND
@@ -20,7 +20,7 @@
 
 
 def classify(line: interface.DemandReport | interface.ServerReport, objective_ns: int) -> tuple[bool, ...]:
-    """Classify one report by itself; reports of one class may be added up without changing any decision.
+    """Classify one report by itself; reports of one class may be added up.
 
     Returns:
         For demand, whether it is a retry storm; for a server, whether it may have failed, whether it is
