--- a/flintreach/pilot/health.py
+++ b/flintreach/pilot/health.py
@@ -78,7 +78,7 @@
     may_eject = len(failing) + modes.count(Mode.EJECTED) <= MAX_EJECTED_SHARE * modes.count(Mode.HEALTHY)
     for server, reason in failing.items():
         if may_eject or server.mode == Mode.TRIAL:
-            state.transition(server, Cause.FAILING, f"{reason}, {len(failing)} servers failing")
+            state.transition(server, Cause.FAILING, f"{reason}, servers failing: {len(failing)}")
 
 
 def evaluate(state: FleetState) -> Costs:
--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -22,8 +22,8 @@
     interface.WatchServers: "Observe",
 }
 RECORDED_TEXTS = (
-    (r"probe unanswered(?=, \d+ servers failing$)", "no answer to a question"),
-    (r"(?<=, )(\d+) servers failing$", r"\1 such"),
+    (r"probe unanswered(?=, servers failing: \d+$)", "no answer to a question"),
+    (r"(?<=, )servers failing: (\d+)$", r"\1 such"),
     (r"not in server list$", "gone from the list"),
     (
         r"^placement search: deviation (\d+) -> (\d+), (\d+) placements changed$",
