--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -24,7 +24,6 @@
 RECORDED_TEXTS = (
     (r"probe unanswered(?=, servers failing: \d+$)", "no answer to a question"),
     (r"(?<=, )servers failing: (\d+)$", r"\1 such"),
-    (r"not in server list$", "gone from the list"),
     (
         r"^placement search: deviation (\d+) -> (\d+), (\d+) placements changed$",
         r"run: gap \1, dev \2, \3 placements",
