--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -2,14 +2,12 @@
 
 import hashlib
 import random
-import re
 
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
 TICK_NS = SECOND // 4
-# Names of orders, and texts of log lines, at the time when the digests in `tests/pilot/test_recorded.py` were
-# recorded.
+# Names of orders at the time when the digests in `tests/pilot/test_recorded.py` were recorded.
 RECORDED_NAMES = {
     interface.BindProxy: "Bind",
     interface.ClearTable: "Clear",
@@ -21,21 +19,6 @@
     interface.SetWeight: "SetLine",
     interface.WatchServers: "Observe",
 }
-RECORDED_TEXTS = (
-    (r"probe unanswered(?=, servers failing: \d+$)", "no answer to a question"),
-    (r"(?<=, )servers failing: (\d+)$", r"\1 such"),
-    (
-        r"^placement search: deviation (\d+) -> (\d+), (\d+) placements changed$",
-        r"run: gap \1, dev \2, \3 placements",
-    ),
-)
-
-
-def recorded_text(text: str) -> str:
-    """The text of a log line as it was recorded."""
-    for pattern, recorded in RECORDED_TEXTS:
-        text = re.sub(pattern, recorded, text)
-    return text
 
 
 def recorded_form(order) -> tuple:
@@ -45,8 +28,6 @@
         value = getattr(order, name)
         if isinstance(value, tuple):
             value = tuple(operation.name for operation in value)
-        elif isinstance(order, interface.Log):
-            value = recorded_text(value)
         fields.append((name, getattr(value, "number", getattr(value, "name", value))))
     return RECORDED_NAMES.get(type(order), type(order).__name__), *fields
 
