--- a/tests/pilot/test_recorded.py
+++ b/tests/pilot/test_recorded.py
@@ -1,13 +1,14 @@
-"""Recorded streams: what should change no order changes none, byte for byte, a second's work being one turn.
+"""Digests of all orders in recorded simulations, which detect any unintended change of a decision.
 
-The digests are of the decisions as they stand; who changes these takes them anew and says in the commit why.
+The periodic work runs in one turn here.  A change that is meant to alter decisions records new digests and
+gives the reason in its commit.
 """
 
 import pytest
 
 from flintreach.pilot import interface, logic
 from flintreach.pilot.interface import SECOND
-from flintreach.standins.worlds import World
+from flintreach.standins.worlds import SimulatedFleet
 
 RECORDED = [
     ((1, 5, 3, 20), 40, "b3283d7e159d9b3f"),
@@ -25,29 +26,29 @@
 
 
 @pytest.mark.parametrize("size, seconds, digest", RECORDED)
-def test_orders_are_those_recorded(size, seconds, digest):
-    assert World(logic.Pilot, *size).play(seconds) == digest
+def test_orders_match_the_recorded_digest(size, seconds, digest):
+    assert SimulatedFleet(logic.Pilot, *size).run(seconds) == digest
 
 
 @pytest.mark.parametrize("busy, age", [(0.0, 0), (1.0, 300 * SECOND), (0.5, 3 * SECOND)])
-def test_hosts_that_seem_idle_or_figures_of_then_change_no_order(busy, age):
-    """As in an outage of five minutes, and in the burst that ends it."""
+def test_idle_hosts_and_old_host_loads_change_no_order(busy, age):
+    """As in an outage of the monitoring system of five minutes, and in the burst of data after it."""
     size, seconds, digest = RECORDED[1]
-    world = World(logic.Pilot, *size)
-    handle = world.pilot.handle
+    fleet = SimulatedFleet(logic.Pilot, *size)
+    handle = fleet.pilot.handle
 
-    def told(now, events):
-        return handle(now, [interface.HostLoad(server, busy, age) for server in world.servers] + events)
+    def handle_with_loads(now, events):
+        return handle(now, [interface.HostLoad(server, busy, age) for server in fleet.servers] + events)
 
-    world.pilot.handle = told
-    assert world.play(seconds) == digest
+    fleet.pilot.handle = handle_with_loads
+    assert fleet.run(seconds) == digest
 
 
 def test_a_busy_host_changes_orders():
     size, seconds, digest = RECORDED[1]
-    world = World(logic.Pilot, *size)
-    handle = world.pilot.handle
-    world.pilot.handle = lambda now, events: handle(
-        now, [*events, interface.HostLoad(world.servers[0], 1.0, 0)]
+    fleet = SimulatedFleet(logic.Pilot, *size)
+    handle = fleet.pilot.handle
+    fleet.pilot.handle = lambda now, events: handle(
+        now, [*events, interface.HostLoad(fleet.servers[0], 1.0, 0)]
     )
-    assert world.play(seconds) != digest
+    assert fleet.run(seconds) != digest
