--- a/flintreach/endpoints/__init__.py
+++ b/flintreach/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints by their heartbeats: serving, draining, silent or gone."""
+"""Endpoint registry: lifecycle state of every endpoint, derived from its heartbeats."""
--- a/flintreach/endpoints/registry.py
+++ b/flintreach/endpoints/registry.py
@@ -1,13 +1,18 @@
-"""What one controller knows of every endpoint by its heartbeats; a state machine without input or output.
+"""Registry of the endpoints that one controller knows from heartbeats: a state machine without I/O.
 
-What is known of one incarnation of an endpoint has a version, `[rank, sequence, liveness]`, compared as a
-list.  The rank is how far the endpoint says that it has gone in its graceful shutdown.  It never falls,
-however late or by whatever way a message arrives.  The sequence is the endpoint's own count of its calls.
-The liveness is the controllers' verdict on its silence, which its next heartbeat takes back.  Records of one
-id are merged field by field, so that controllers that heard the same messages in any order know the same.
+The record of one incarnation of an endpoint has a version, `[rank, sequence, liveness]`, compared
+lexicographically:
 
-`controller.endpoint_service` has the input and output: calls, peers, disk.  All times are nanoseconds of the
-steady clock of this process, unless a name says otherwise.
+- The rank is the stage of graceful shutdown that the endpoint itself reported. It is monotonic, whatever the
+  order and path by which messages arrive.
+- The sequence is the endpoint's own message counter.
+- The liveness is the failure detector's state. The next heartbeat resets it.
+
+Records with the same id are merged field by field, so controllers that received the same messages converge
+regardless of the order.
+
+`controller.endpoint_service` does the I/O: requests, peers and disk. All times are nanoseconds of this
+process's monotonic clock unless a name says otherwise.
 """
 
 from dataclasses import dataclass
@@ -20,26 +25,26 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-HORIZON_NS = TOMBSTONE_HORIZON_S * NS_PER_S
-# Silence, in times of the report interval, from which an endpoint counts as missing or as lost.
-MISSING_AFTER_REPORTS = 2.7
-LOST_AFTER_REPORTS = 12
-# A slow start that ends by so much later than what was known is worth an update to others.
+TOMBSTONE_RETENTION_NS = TOMBSTONE_HORIZON_S * NS_PER_S
+# Time without a heartbeat, in report intervals, after which an endpoint is suspected or declared dead.
+SUSPECTED_AFTER_INTERVALS = 2.7
+DEAD_AFTER_INTERVALS = 12
+# An extension of a slow start by no more than this is not published.
 SLOW_START_TOLERANCE_NS = 200 * NS_PER_MS
-NOT_STORED = -1  # below every rank
+NOT_STORED = -1  # less than every rank
 
 
 class EndpointState(StrEnum):
-    """State of an endpoint, as it is sent, stored and shown to operators."""
+    """State of an endpoint, derived from its rank and liveness. The values are sent, stored and displayed."""
 
     READY = "ready"
-    DRAINING = "closing"  # draining
+    DRAINING = "closing"
     SILENT = "silent"
     GONE = "gone"
 
 
 class DrainRank(IntEnum):
-    """How far an endpoint has gone in its graceful shutdown, by its own messages; it never falls."""
+    """Stage of graceful shutdown that an endpoint reported; it never decreases."""
 
     SERVING = 0
     DRAINING = 1
@@ -47,7 +52,7 @@
 
 
 class Liveness(IntEnum):
-    """The controllers' verdict on an endpoint's silence."""
+    """Failure detector's state of an endpoint."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -55,17 +60,17 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A heartbeat as the wire has it; the wire's field names are those of the published interface.
+    """A heartbeat message, with the field names of the published interface on the wire.
 
     Attributes:
-        service: the service that the endpoint belongs to.
-        address: "ip:port" on which it takes requests.
-        zone: its zone (failure domain).
-        capacity: requests that it serves at a time.
+        service: name of the service that the endpoint belongs to.
+        address: "ip:port" on which the endpoint accepts requests.
+        zone: failure domain of the endpoint.
+        capacity: number of requests that the endpoint serves concurrently.
         state: "ready" or "closing".
-        sequence: the endpoint's count of its calls; a lower one is a late arrival.
-        software_version: what the endpoint runs.
-        warming_up_left_ms: how much of its slow start is left, counted from the arrival of this heartbeat.
+        sequence: the endpoint's message counter; a lower one marks a reordered message.
+        software_version: software version that the endpoint runs.
+        warming_up_left_ms: remaining time of the slow start, from the arrival of this heartbeat.
     """
 
     service: str = msgspec.field(name="line")
@@ -79,20 +84,20 @@
 
     @property
     def rank(self) -> DrainRank:
-        """The rank that this heartbeat tells."""
+        """Rank that corresponds to the reported state."""
         return DrainRank.DRAINING if self.state == EndpointState.DRAINING else DrainRank.SERVING
 
 
 class EndpointRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """An endpoint's record as it is stored and sent to other controllers: an array in this order.
+    """Endpoint record as stored and sent to other controllers: an array with the fields in this order.
 
-    Times in it are relative, as the steady clocks of two processes have nothing in common.
+    Times are durations, because monotonic clocks of different processes are not comparable.
 
     Attributes:
-        warming_up_left_ns: what is left of the slow start.
-        rank: None in rows of earlier releases, which have ten fields and tell the rank by the state alone.
-        gone_for_ns: how long ago the endpoint was first known to be gone; of one that isn't gone the value
-            has no meaning, see `EndpointRecord.row`.
+        warming_up_left_ns: remaining time of the slow start.
+        rank: None in rows of earlier releases, which have ten fields and imply the rank by the state.
+        gone_for_ns: time since the endpoint was first known to be gone; meaningless if it is not gone, see
+            `EndpointRecord.row`.
     """
 
     id: str
@@ -110,7 +115,7 @@
 
     @property
     def known_rank(self) -> int:
-        """The rank, or what the state tells of it in a row of an earlier release."""
+        """The rank; in a row of an earlier release, the rank implied by the state."""
         if self.rank is not None:
             return self.rank
         if self.state == EndpointState.DRAINING:
@@ -125,15 +130,16 @@
     """One incarnation of an endpoint.
 
     Attributes:
-        rank: a `DrainRank`; a plain number where it comes from a peer or a disk.
-        sequence: the highest that was heard.
-        liveness: a `Liveness`; a plain number where it comes from a peer or a disk.
-        last_heartbeat_ns: when its last heartbeat came; None where only its end is known.
-        warming_up_until_ns: end of its slow start, 0 when it is warm.
-        gone_at_ns: when it was first known to be gone.
-        stored_rank: the highest rank that this process's disk holds for sure; `NOT_STORED`: none.
-        durable_rank: the highest rank that the disks of a quorum hold for sure; `NOT_STORED`: none.
-            Neither of the two is sent to others: they are what this process was answered itself.
+        rank: a `DrainRank`; a plain integer if received from a peer or read from disk.
+        sequence: highest sequence number received.
+        liveness: a `Liveness`; a plain integer if received from a peer or read from disk.
+        last_heartbeat_ns: time of the last heartbeat, or since when its absence counts; None if only the
+            deregistration is known.
+        warming_up_until_ns: end of the slow start; 0 if there is none.
+        gone_at_ns: when the endpoint was first known to be gone.
+        stored_rank: highest rank known to be on this process's disk, or `NOT_STORED`.
+        durable_rank: highest rank known to be on the disks of a quorum, or `NOT_STORED`. Like `stored_rank`
+            it is never sent: both reflect only acknowledgements that this process received itself.
     """
 
     id: str
@@ -153,7 +159,7 @@
 
     @property
     def state(self) -> EndpointState:
-        """The state that rank and liveness make together."""
+        """State that follows from rank and liveness."""
         if self.rank == DrainRank.ENDED or self.liveness == Liveness.DEAD:
             return EndpointState.GONE
         if self.rank == DrainRank.DRAINING:
@@ -164,15 +170,15 @@
 
     @property
     def version(self) -> list[int]:
-        """`[rank, sequence, liveness]`: a list of numbers, as versions from the wire are compared with it."""
+        """`[rank, sequence, liveness]`, as plain integers so that it compares with decoded versions."""
         return [int(self.rank), self.sequence, int(self.liveness)]
 
     def update_value(self, now_ns: int) -> dict[str, Any]:
-        """What other processes are sent of it: its facts, and what is left of its slow start, in ms."""
+        """Value published to other processes: `published_fields` and the remaining slow start in ms."""
         return self.published_fields() | {"cold": max(0, self.warming_up_until_ns - now_ns) // NS_PER_MS}
 
     def published_fields(self) -> dict[str, Any]:
-        """What is an update for others when it changes, under the names that the wire has."""
+        """Fields whose change is published, under their wire names."""
         return {
             "line": self.service,
             "addr": self.address,
@@ -183,7 +189,7 @@
         }
 
     def row(self, now_ns: int) -> EndpointRow:
-        """The record as it is stored and sent to other controllers."""
+        """Convert to the row that is stored and sent to other controllers."""
         return EndpointRow(
             id=self.id,
             service=self.service,
@@ -196,14 +202,14 @@
             liveness=int(self.liveness),
             warming_up_left_ns=max(0, self.warming_up_until_ns - now_ns),
             rank=int(self.rank),
-            # Of one that isn't gone this is the clock itself: no reader uses it, but earlier releases wrote
-            # these bytes, and what this release writes is compared with them.
+            # The bare clock reading if the endpoint is not gone. Readers ignore it then, but earlier releases
+            # wrote these bytes, and the rows of this release are compared with them.
             gone_for_ns=max(0, now_ns - (self.gone_at_ns or 0)),
         )
 
     @classmethod
     def from_row(cls, row: EndpointRow, now_ns: int) -> "EndpointRecord":
-        """The record that a disk or another controller has; its silence counts from now on."""
+        """Convert from a stored or received row; the failure timeouts start now."""
         warming_up_left_ns = row.warming_up_left_ns
         return cls(
             id=row.id,
@@ -214,7 +220,7 @@
             software_version=row.software_version,
             rank=row.known_rank,
             sequence=row.sequence,
-            # Earlier releases had one liveness more, for endpoints that had ended.
+            # Earlier releases had one more value, for endpoints that had deregistered.
             liveness=min(row.liveness, Liveness.DEAD),
             last_heartbeat_ns=now_ns,
             warming_up_until_ns=now_ns + warming_up_left_ns if warming_up_left_ns else 0,
@@ -225,14 +231,14 @@
     def from_update(
         cls, id: str, version: list[int], value: dict[str, Any], now_ns: int, age_ns: int
     ) -> "EndpointRecord":
-        """The record that an update of another controller tells.
+        """Convert from an update published by another controller.
 
         Args:
-            id: the endpoint.
-            version: as `version` gives it.
-            value: as `update_value` gives it.
-            now_ns: steady clock of this process.
-            age_ns: how long ago the endpoint was first known to be gone.
+            id: endpoint id.
+            version: as returned by `version`.
+            value: as returned by `update_value`.
+            now_ns: monotonic clock of this process.
+            age_ns: time since the endpoint was first known to be gone.
         """
         rank, sequence, liveness = version
         warming_up_left_ms = value["cold"]
@@ -251,8 +257,8 @@
             gone_at_ns=now_ns - age_ns,
         )
 
-    def note_heard(self, at_ns: int) -> None:
-        """Move the time of the last heartbeat on, never back."""
+    def advance_last_heartbeat(self, at_ns: int) -> None:
+        """Set the time of the last heartbeat unless a later one is recorded."""
         self.last_heartbeat_ns = (
             at_ns if self.last_heartbeat_ns is None else max(self.last_heartbeat_ns, at_ns)
         )
@@ -261,53 +267,52 @@
 class EndpointRegistry:
     """All endpoints that one controller knows.
 
-    `record_heartbeat`, `deregister` and `tick` return the ids of the records of which other controllers must
-    hear.
+    `record_heartbeat`, `deregister` and `tick` return the ids of the records that must be published.
 
     Attributes:
-        records: endpoint id -> its record.
-        ids_by_address: address -> ids of the records there that are not gone.
+        records: records by endpoint id.
+        ids_by_address: ids of the endpoints that are not gone, by address.
     """
 
     def __init__(self, report_ms: float) -> None:
-        """Start with no endpoints.
+        """Create an empty registry.
 
         Args:
-            report_ms: interval at which endpoints send heartbeats, in milliseconds.
+            report_ms: heartbeat interval of the endpoints, in milliseconds.
         """
-        self.report_ns = int(report_ms * NS_PER_MS)
+        self.report_interval_ns = int(report_ms * NS_PER_MS)
         self.records: dict[str, EndpointRecord] = {}
         self.ids_by_address: dict[str, set[str]] = {}
 
     def record_heartbeat(self, id: str, heartbeat: Heartbeat, now_ns: int, age_ns: int = 0) -> list[str]:
-        """Take in a heartbeat that came `age_ns` ago, to this controller or to another.
+        """Apply a heartbeat that arrived `age_ns` ago, at this controller or another.
 
         Returns:
-            Ids of the records that changed for others: the endpoint's own, and rivals for its address.
+            Ids of the records to publish: the endpoint itself if changed, and others with the same address.
         """
         known = self.records.get(id)
         if known is not None and (known.rank == DrainRank.ENDED or heartbeat.sequence <= known.sequence):
             return self.record_late_heartbeat(known, heartbeat)
         record = known or self.records.setdefault(id, EndpointRecord(id))
-        facts_before = None if known is None else known.published_fields()
+        fields_before = None if known is None else known.published_fields()
         warming_up_before_ns = record.warming_up_until_ns
-        self.unclaim(record)
+        self.unindex_address(record)
         self.apply_heartbeat(record, heartbeat, now_ns - age_ns)
-        rivals = self.end_claims_of_rivals(heartbeat.address, now_ns)
-        self.claim(record)
-        # A slow start that only runs off is no update; one that begins anew, or is longer, is.
-        slow_start_grew = (
+        conflicting_ids = self.mark_address_conflicts_dead(heartbeat.address, now_ns)
+        self.index_address(record)
+        # A slow start that merely elapses is not published, but one that restarts or is extended is.
+        slow_start_extended = (
             record.warming_up_until_ns > max(warming_up_before_ns, now_ns) + SLOW_START_TOLERANCE_NS
         )
-        if record.published_fields() != facts_before or slow_start_grew:
-            return [id, *rivals]
-        return rivals
+        if record.published_fields() != fields_before or slow_start_extended:
+            return [id, *conflicting_ids]
+        return conflicting_ids
 
     def record_late_heartbeat(self, record: EndpointRecord, heartbeat: Heartbeat) -> list[str]:
-        """Take in a heartbeat that a later one, or the endpoint's end, has overtaken.
+        """Apply a heartbeat that arrives after a newer one or after deregistration.
 
-        It changes nothing but the rank.  That the endpoint drains has been said, and whoever is acknowledged
-        counts on it from then on: an order of arrival that others did not see must not take it back.
+        It can only raise the rank. Whoever got an acknowledgement of the drain relies on it, so message
+        reordering at this controller must not discard it.
         """
         if record.rank >= heartbeat.rank:
             return []
@@ -315,7 +320,7 @@
         return [record.id]
 
     def apply_heartbeat(self, record: EndpointRecord, heartbeat: Heartbeat, arrived_at_ns: int) -> None:
-        """Set a record's fields by a heartbeat that is newer than what it had."""
+        """Update a record from a heartbeat that is newer than the record."""
         record.service = heartbeat.service
         record.address = heartbeat.address
         record.zone = heartbeat.zone
@@ -324,65 +329,65 @@
         record.rank = max(record.rank, heartbeat.rank)
         record.sequence = heartbeat.sequence
         record.liveness = Liveness.ALIVE
-        record.note_heard(arrived_at_ns)
+        record.advance_last_heartbeat(arrived_at_ns)
         record.warming_up_until_ns = 0
         if heartbeat.warming_up_left_ms > 0:
             record.warming_up_until_ns = arrived_at_ns + int(heartbeat.warming_up_left_ms * NS_PER_MS)
 
-    def end_claims_of_rivals(self, address: str, now_ns: int) -> list[str]:
-        """Count those as lost that claim the address of an endpoint which was just heard; their ids.
+    def mark_address_conflicts_dead(self, address: str, now_ns: int) -> list[str]:
+        """Mark the other endpoints at a heartbeat's address dead, and return their ids.
 
-        Two that are alive can't have one address: it belongs to the one that was heard last, until the other
-        is heard again.  Only the liveness says so, not the rank, as this may be a late call of an older
-        incarnation.
+        Two live endpoints cannot share an address: it belongs to the one whose heartbeat came last. Only the
+        liveness changes, not the rank, because the heartbeat may be a delayed one of an older incarnation;
+        the next heartbeat of an endpoint that was marked wrongly reverts it.
         """
-        rivals = sorted(self.ids_by_address.get(address, ()))
-        for rival in rivals:
-            self.set_liveness(self.records[rival], Liveness.DEAD, now_ns)
-        return rivals
+        conflicting_ids = sorted(self.ids_by_address.get(address, ()))
+        for other_id in conflicting_ids:
+            self.set_liveness(self.records[other_id], Liveness.DEAD, now_ns)
+        return conflicting_ids
 
-    def claim(self, record: EndpointRecord) -> None:
-        """Note that a record has its address, unless it is gone."""
+    def index_address(self, record: EndpointRecord) -> None:
+        """Add a record to the address index unless the endpoint is gone."""
         if record.state != EndpointState.GONE:
             self.ids_by_address.setdefault(record.address, set()).add(record.id)
 
-    def unclaim(self, record: EndpointRecord) -> None:
-        """Note that a record no longer has its address; called before the address or the state changes."""
+    def unindex_address(self, record: EndpointRecord) -> None:
+        """Remove a record from the address index; call this before its address or state changes."""
         ids = self.ids_by_address.get(record.address, set())
         ids.discard(record.id)
         if not ids:
             self.ids_by_address.pop(record.address, None)
 
     def set_liveness(self, record: EndpointRecord, liveness: Liveness, now_ns: int) -> None:
-        """Give a verdict on a record's silence."""
+        """Set the liveness; a dead endpoint leaves the address index."""
         record.liveness = liveness
         if liveness == Liveness.DEAD:
-            self.unclaim(record)
+            self.unindex_address(record)
             record.gone_at_ns = now_ns
 
     def deregister(self, id: str, now_ns: int) -> list[str]:
-        """Take in that an endpoint has ended by its own word.
+        """Apply the deregistration of an endpoint.
 
-        An id that was never heard of gets a record too: its heartbeats may still be on their way.
+        An unknown id gets a record too, because its heartbeats may still arrive.
 
         Returns:
-            Its id, unless its end was known.
+            The id, or nothing if the endpoint was already deregistered.
         """
         record = self.records.setdefault(id, EndpointRecord(id))
         if record.rank == DrainRank.ENDED:
             return []
-        self.unclaim(record)
+        self.unindex_address(record)
         record.rank = DrainRank.ENDED
         record.gone_at_ns = now_ns
         return [id]
 
     def merge(self, incoming: EndpointRecord, now_ns: int) -> None:
-        """Take in what a disk or another controller knows; of each field the later value stands."""
+        """Merge a record from disk or another controller; the later value of each field wins."""
         known = self.records.get(incoming.id)
         if known is None:
             self.add(incoming, now_ns)
             return
-        self.unclaim(known)
+        self.unindex_address(known)
         was_gone = known.state == EndpointState.GONE
         if (incoming.sequence, incoming.liveness) > (known.sequence, known.liveness):
             self.apply_later_record(known, incoming)
@@ -391,17 +396,17 @@
             was_gone = False
         if known.state == EndpointState.GONE and not was_gone:
             known.gone_at_ns = incoming.gone_at_ns
-        self.claim(known)
+        self.index_address(known)
 
     def add(self, incoming: EndpointRecord, now_ns: int) -> None:
-        """Take in a record of an id that isn't known, unless others are about to forget it."""
-        if incoming.state == EndpointState.GONE and now_ns - incoming.gone_at_ns >= HORIZON_NS:
+        """Add a record with an unknown id, unless its tombstone has expired."""
+        if incoming.state == EndpointState.GONE and now_ns - incoming.gone_at_ns >= TOMBSTONE_RETENTION_NS:
             return
         self.records[incoming.id] = incoming
-        self.claim(incoming)
+        self.index_address(incoming)
 
     def apply_later_record(self, known: EndpointRecord, incoming: EndpointRecord) -> None:
-        """Set the fields that go with sequence and liveness by a record that has later ones."""
+        """Copy the fields versioned by sequence and liveness from a later record."""
         known.service = incoming.service
         known.address = incoming.address
         known.zone = incoming.zone
@@ -409,21 +414,21 @@
         known.software_version = incoming.software_version
         known.warming_up_until_ns = incoming.warming_up_until_ns
         if incoming.sequence > known.sequence and incoming.last_heartbeat_ns is not None:
-            known.note_heard(incoming.last_heartbeat_ns)
+            known.advance_last_heartbeat(incoming.last_heartbeat_ns)
         known.sequence = incoming.sequence
         known.liveness = incoming.liveness
 
     def restart_failure_timeouts(self, now_ns: int) -> None:
-        """Count every endpoint's silence from now on: this process could not hear for a while."""
+        """Restart all failure timeouts, for when this process could not receive heartbeats for a while."""
         for record in self.records.values():
-            record.note_heard(now_ns)
+            record.advance_last_heartbeat(now_ns)
 
     def forget(self, id: str) -> None:
-        """Drop an endpoint's record."""
-        self.unclaim(self.records.pop(id))
+        """Delete an endpoint's record."""
+        self.unindex_address(self.records.pop(id))
 
     def tick(self, now_ns: int) -> list[str]:
-        """Give verdicts on those that have fallen silent, and forget those that are long gone.
+        """Run the failure detector, and delete expired tombstones.
 
         Returns:
             Ids of the records whose liveness changed.
@@ -432,12 +437,15 @@
         for record in [*self.records.values()]:
             silence_ns = 0 if record.last_heartbeat_ns is None else now_ns - record.last_heartbeat_ns
             if record.state == EndpointState.GONE:
-                if now_ns - record.gone_at_ns >= HORIZON_NS:
+                if now_ns - record.gone_at_ns >= TOMBSTONE_RETENTION_NS:
                     self.forget(record.id)
-            elif silence_ns > LOST_AFTER_REPORTS * self.report_ns:
+            elif silence_ns > DEAD_AFTER_INTERVALS * self.report_interval_ns:
                 self.set_liveness(record, Liveness.DEAD, now_ns)
                 changed.append(record.id)
-            elif silence_ns > MISSING_AFTER_REPORTS * self.report_ns and record.state == EndpointState.READY:
+            elif (
+                silence_ns > SUSPECTED_AFTER_INTERVALS * self.report_interval_ns
+                and record.state == EndpointState.READY
+            ):
                 self.set_liveness(record, Liveness.SUSPECTED, now_ns)
                 changed.append(record.id)
         return changed
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -1,4 +1,4 @@
-"""Endpoints by their heartbeats."""
+"""Endpoint registry: state transitions, merging, address conflicts and stored rows."""
 
 import unittest
 
@@ -24,23 +24,23 @@
     warming_up_left_ms: float = 0,
     address: str = "10.0.0.9:80",
 ) -> Heartbeat:
-    """A heartbeat of an endpoint of the service "desk"."""
+    """A heartbeat of an endpoint of service "desk"."""
     return Heartbeat("desk", address, "north", 2, state, sequence, "v1", warming_up_left_ms)
 
 
-class HeartbeatsTest(unittest.TestCase):
-    def test_states_over_time(self) -> None:
-        """Rows: message, time in milliseconds, ids that others must hear of, state after it."""
+class EndpointStateTest(unittest.TestCase):
+    def test_state_transitions(self) -> None:
+        """Rows: message, time in milliseconds, ids to publish, resulting state."""
         trace = [
             (("heartbeat", 1, EndpointState.READY), 0, ["e"], EndpointState.READY),
             (("heartbeat", 2, EndpointState.READY), 1500, [], EndpointState.READY),
-            (("heartbeat", 1, EndpointState.READY), 1600, [], EndpointState.READY),  # late by its sequence
+            (("heartbeat", 1, EndpointState.READY), 1600, [], EndpointState.READY),  # reordered
             (("tick",), 4000, [], EndpointState.READY),
             (("tick",), 5600, ["e"], EndpointState.SILENT),
             (("tick",), 5900, [], EndpointState.SILENT),
             (("heartbeat", 3, EndpointState.READY), 6000, ["e"], EndpointState.READY),
             (("heartbeat", 4, "closing"), 7000, ["e"], EndpointState.DRAINING),
-            (("heartbeat", 5, EndpointState.READY), 7500, [], EndpointState.DRAINING),  # never back
+            (("heartbeat", 5, EndpointState.READY), 7500, [], EndpointState.DRAINING),  # draining is final
             (("deregister",), 8000, ["e"], EndpointState.GONE),
             (("heartbeat", 9, EndpointState.READY), 8100, [], EndpointState.GONE),
         ]
@@ -55,38 +55,38 @@
                 changed = registry.deregister("e", now_ns)
             self.assertEqual((changed, registry.records["e"].state), (expected_ids, expected_state), message)
 
-    def test_a_late_call_that_says_that_the_endpoint_drains_counts(self) -> None:
-        """It is acknowledged, and from then on counts as known, whoever heard what first."""
-        ready, closing = (5, EndpointState.READY), (4, "closing")
-        for order in (ready, closing), (closing, ready):
+    def test_a_reordered_draining_heartbeat_raises_the_rank(self) -> None:
+        """The drain was acknowledged, so it must not be lost if a newer heartbeat arrives first."""
+        ready, draining = (5, EndpointState.READY), (4, "closing")
+        for order in (ready, draining), (draining, ready):
             registry = EndpointRegistry(REPORT_MS)
             changed = [registry.record_heartbeat("e", heartbeat(*call), 0) for call in order]
             self.assertEqual(changed, [["e"], ["e"] if order[0][0] == 5 else []])
             self.assertEqual(registry.records["e"].state, EndpointState.DRAINING)
             self.assertEqual(registry.records["e"].version, [DrainRank.DRAINING, 5, 0])
 
-    def test_a_slow_start_that_runs_off_is_no_update_and_one_that_begins_is(self) -> None:
+    def test_only_a_restarted_slow_start_is_published(self) -> None:
         registry = EndpointRegistry(REPORT_MS)
         registry.record_heartbeat("e", heartbeat(1, warming_up_left_ms=3000), 0)
         later = heartbeat(2, warming_up_left_ms=1500)
         self.assertEqual(registry.record_heartbeat("e", later, 1500 * NS_PER_MS), [])
-        anew = heartbeat(3, warming_up_left_ms=3000)
-        self.assertEqual(registry.record_heartbeat("e", anew, 3000 * NS_PER_MS), ["e"])
+        restarted = heartbeat(3, warming_up_left_ms=3000)
+        self.assertEqual(registry.record_heartbeat("e", restarted, 3000 * NS_PER_MS), ["e"])
 
 
-class AddressClaimsTest(unittest.TestCase):
+class AddressConflictTest(unittest.TestCase):
     def states(self, registry: EndpointRegistry) -> list[EndpointState]:
-        """States of the two endpoints that claim one address."""
+        """States of the two endpoints with the same address."""
         return [registry.records[id].state for id in ("old", "new")]
 
-    def test_an_address_belongs_to_the_endpoint_that_was_heard_last(self) -> None:
+    def test_an_address_belongs_to_the_endpoint_of_the_last_heartbeat(self) -> None:
         registry = EndpointRegistry(REPORT_MS)
         registry.record_heartbeat("old", heartbeat(5), 0)
         self.assertEqual(registry.record_heartbeat("new", heartbeat(1), 10 * NS_PER_MS), ["new", "old"])
         old = registry.records["old"]
         self.assertEqual((old.state, old.rank), (EndpointState.GONE, DrainRank.SERVING))
         late = registry.record_heartbeat("old", heartbeat(5), 20 * NS_PER_MS)
-        self.assertEqual(late, [], "a late call takes nothing back")
+        self.assertEqual(late, [], "a reordered heartbeat does not take the address back")
         self.assertEqual(registry.record_heartbeat("old", heartbeat(6), 30 * NS_PER_MS), ["old", "new"])
         self.assertEqual(self.states(registry), [EndpointState.READY, EndpointState.GONE])
         self.assertEqual(registry.deregister("old", 40 * NS_PER_MS), ["old"])
@@ -95,8 +95,8 @@
         self.assertEqual(self.states(registry), [EndpointState.GONE, EndpointState.READY])
 
 
-class ForgettingTest(unittest.TestCase):
-    def test_what_has_ended_is_forgotten_after_the_horizon(self) -> None:
+class TombstoneExpiryTest(unittest.TestCase):
+    def test_gone_endpoints_are_forgotten_after_the_tombstone_retention(self) -> None:
         registry = EndpointRegistry(REPORT_MS)
         registry.record_heartbeat("deregistered", heartbeat(1), 0)
         registry.record_heartbeat("crashed", heartbeat(1, address="10.0.0.8:80"), 0)
@@ -113,12 +113,12 @@
 
 
 class StoredRowsTest(unittest.TestCase):
-    def test_a_restart_knows_what_was_known_before(self) -> None:
+    def test_stored_rows_restore_the_state_after_a_restart(self) -> None:
         registry = EndpointRegistry(REPORT_MS)
         registry.record_heartbeat("e", heartbeat(4, EndpointState.DRAINING), 0)
         restarted = EndpointRegistry(REPORT_MS)
         restarted.merge(EndpointRecord.from_row(registry.records["e"].row(0), 0), 0)
-        # Rows of earlier releases, with ten fields.
+        # Rows of earlier releases have ten fields.
         ready = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", "ready", 3, 0, 0]
         restarted.merge(EndpointRecord.from_row(msgspec.convert(ready, EndpointRow), 0), 0)
         self.assertEqual(restarted.records["e"].state, EndpointState.DRAINING)
