--- a/flintreach/sharding/__init__.py
+++ b/flintreach/sharding/__init__.py
@@ -1,1 +1,1 @@
-"""Owners of key ranges: leases, assignment, load by key, affinity to regions."""
+"""Key ranges of sharded services: leases, assignment, load by key, region affinity."""
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -1,19 +1,21 @@
-"""Leases on the key ranges of one sharded service, as a state machine without input or output.
+"""Leases on the key ranges of one sharded service: a state machine without I/O.
 
-There are two kinds of terms.  The lease owner is the process that stands in the register's allocation: it may
-grant ranges to endpoints for `OWNER_LEASE_S` after the beginning of its last change there.  An endpoint holds
-a range for the lease that the last grant gave it.  Three bounds keep two endpoints from one key:
+There are two kinds of leases. The lease owner is the process recorded in the allocation in the register; it
+may grant ranges to endpoints for `OWNER_LEASE_S` from the start of its last write there. An endpoint holds a
+range for the duration given by the last grant. Three bounds prevent two endpoints from holding the same key:
 
-- Send bound: an owner that was suspended looks at its clock right before a grant is sent, and finds that it
-  may not send: another may have become the owner, and given the keys away.
-- Takeover time: another process becomes the owner only after it saw the register unchanged for
-  `TAKEOVER_TIMEOUT_S`, which is longer than the send bound; else two owners would grant at a time.
-- Network bound: what the old owner sent may arrive for `MAX_MESSAGE_DELAY_S` more; until then the new one
-  moves no range.  Else an endpoint could get an old grant of keys that have just become free.
+- Owner lease: the owner checks its clock immediately before it sends a grant. One that was suspended finds
+  that its lease has expired and sends nothing, because another process may own the leases by now and have
+  reassigned the keys.
+- Takeover timeout: another process becomes the owner only after the register was unchanged for
+  `TAKEOVER_TIMEOUT_S`, which is longer than the owner lease. Otherwise two owners could grant concurrently.
+- Message delay: messages of the previous owner may arrive for up to `MAX_MESSAGE_DELAY_S`, and the new owner
+  reassigns nothing until then. Otherwise an endpoint could receive an old grant of keys that have just been
+  freed.
 
-All times are seconds of the steady clock of this process.
+All times are seconds of this process's monotonic clock.
 
-Source: C. Gray, D. Cheriton, "Leases" (1989): the term, and the allowance for clocks.
+See C. Gray, D. Cheriton, "Leases" (1989), also for the allowance for clock drift.
 """
 
 from collections.abc import Callable
@@ -25,63 +27,66 @@
 OWNER_LEASE_S = 1.0
 MAX_MESSAGE_DELAY_S = 1.0
 TAKEOVER_TIMEOUT_S = 1.8
-MAX_LEASE_S = 5.0  # longer than it takes another owner to renew what a dead one granted
-LEASE_PART_OF_BOUND = 0.9  # of the longest lease that the settings permit
-CLOCK_DRIFT_FACTOR = 1.03  # an endpoint's clock may run slow by so much
-EXPIRY_MARGIN_S = 0.2  # what a lease's end is waited for beyond that
-RENEW_INTERVAL_S = 1.2  # between grants of one range
-MAX_TRIES = 2  # calls without an answer before an endpoint gets no more keys; twice as many: it loses its own
-RETRY_AFTER_S = 6.0  # after the last call without an answer an endpoint is tried again
-
-# In place of the status of an answer.
+MAX_LEASE_S = 5.0  # longer than a new owner needs to renew the grants of a failed one
+LEASE_FRACTION_OF_LIMIT = 0.9  # of the longest lease that the settings allow
+CLOCK_DRIFT_FACTOR = 1.03  # allowance for endpoint clocks that run slow
+EXPIRY_MARGIN_S = 0.2  # added to the lease duration before its range is freed
+RENEW_INTERVAL_S = 1.2  # between grants of the same range
+# Consecutive failed calls after which an endpoint is assigned no more keys; after twice as many its keys are
+# revoked.
+MAX_FAILED_CALLS = 2
+RETRY_AFTER_S = 6.0  # after its last failed call an endpoint is eligible again
+
+# Call results: HTTP statuses, and the values for calls without one.
 STATUS_OK = 200
 NO_ANSWER = 0
-NOT_SENT = None  # the send bound had passed
+NOT_SENT = None  # the owner lease had expired
 
 RangeIdentity = tuple[int, int, int]  # `Range.identity`
 
 
 class CallKind(StrEnum):
-    """What an endpoint is asked for a range."""
+    """Kind of call to the holder of a range."""
 
     GRANT = "grant"
     RELEASE = "release"
 
 
 class RangeLeases:
-    """One process's part in the leases of one service: as the owner, or as the one to take over.
+    """State of one process for the leases of one service, as the owner or on standby.
 
     Attributes:
-        name: this process, as it stands in the register when it is the owner.
-        lease_s: the lease that it grants to endpoints.
-        allocation: what this process last committed as the owner.
-        send_until: end of the send bound; 0 where this process isn't the owner.
-        epoch: of this process as the owner; -1: it has not been.
-        seen: (epoch, renewals) that the register last showed, to tell whether another owner is at work.
-        seen_at: when they were first seen.
-        last_grant_sent: fencing token -> when a grant may last have been sent, by this process or an owner
-            before it.  The parts of a range that was split share the token.
-        in_flight: fencing tokens of ranges with a call under way.
-        last_grant_acked: range -> when its last grant was acknowledged.
-        handovers: range -> the handover that its holder gave with the release.
-        failed_calls: endpoint -> (calls in a row without an answer, when the last of them ended).
-        moves_blocked_until: end of the network bound after a takeover; until then no range changes hands.
+        name: name of this process, recorded in the register while it is the owner.
+        lease_s: duration of the leases that it grants to endpoints.
+        allocation: the allocation that this process last committed as the owner.
+        send_until: end of the owner lease; 0 if this process is not the owner.
+        epoch: epoch of this process's last ownership; -1 if it has never been the owner.
+        register_version: (epoch, renewals) last read from the register; it changes while an owner is active.
+        register_version_at: when `register_version` was first read.
+        last_grant_sent: latest time when a grant may have been sent, by this process or an earlier owner, by
+            fencing token. The parts of a split range share the token.
+        in_flight: fencing tokens of ranges with a call in flight.
+        last_grant_acked: when the last grant was acknowledged, by range.
+        handovers: handover data from the holder's answer to a release, by range.
+        failed_calls: number of consecutive failed calls and the end of the last one, by endpoint.
+        moves_blocked_until: no range is reassigned before this time, because messages of the previous owner
+            may still arrive.
     """
 
     def __init__(self, name: str, max_lease_s: float) -> None:
-        """Start as a process that isn't the owner.
+        """Start on standby.
 
         Args:
-            name: this process.
-            max_lease_s: the longest lease that the settings permit.
+            name: name of this process.
+            max_lease_s: the longest lease that the settings allow.
         """
         self.name = name
-        self.lease_s = min(MAX_LEASE_S, LEASE_PART_OF_BOUND * max_lease_s)
+        self.lease_s = min(MAX_LEASE_S, LEASE_FRACTION_OF_LIMIT * max_lease_s)
         self.allocation = Allocation()
         self.send_until = 0.0
         self.epoch = -1
-        self.seen: tuple[int, int] | None = None
-        self.seen_at = 0.0
+        self.register_version: tuple[int, int] | None = None
+        self.register_version_at = 0.0
         self.last_grant_sent: dict[int, float] = {}
         self.in_flight: set[int] = set()
         self.last_grant_acked: dict[RangeIdentity, float] = {}
@@ -90,12 +95,12 @@
         self.moves_blocked_until = 0.0
 
     def should_update(self, stored: Allocation, now: float) -> bool:
-        """Whether this process is to change the register: as the owner, or as the next one."""
+        """Whether this process should write the allocation, as the owner or to take over."""
         version = stored.epoch, stored.renewals
-        if version != self.seen:
-            self.seen = version
-            self.seen_at = now
-        if stored.owner not in ("", self.name) and now - self.seen_at < TAKEOVER_TIMEOUT_S:
+        if version != self.register_version:
+            self.register_version = version
+            self.register_version_at = now
+        if stored.owner not in ("", self.name) and now - self.register_version_at < TAKEOVER_TIMEOUT_S:
             self.send_until = 0.0
             return False
         return True
@@ -103,41 +108,44 @@
     def update_allocation(
         self,
         stored: Allocation,
-        began: float,
+        started_at: float,
         eligible: dict[str, tuple[float, str]],
         ended: Callable[[str], bool],
         load: LoadDistribution,
         busy: set[str],
     ) -> bool:
-        """Make the next change of what stands in the register.
+        """Compute the next allocation to write to the register.
 
-        It may run several times before one change is committed, so it leaves this process's own state alone.
+        Called once for each attempt of a compare-and-set write, so it does not modify this process's state.
 
         Args:
-            stored: the allocation in the register, changed in place.
-            began: when this change began.
-            eligible: endpoint -> (weight, address), of those that may be given keys.
-            ended: whether an endpoint is surely down, so that it holds nothing.
-            load: where the service's load lies.
-            busy: endpoints that have little capacity left.
+            stored: allocation in the register, modified in place.
+            started_at: start time of the write.
+            eligible: weight and address of each endpoint that may be assigned keys.
+            ended: whether an endpoint is known to have terminated, so that it holds no keys.
+            load: distribution of the service's load over the keys.
+            busy: endpoints with little spare capacity.
 
         Returns:
-            False where another owner is at work: nothing may be committed.
+            False if another owner is active, and nothing may be written.
         """
         is_owner = stored.owner == self.name and stored.epoch == self.epoch
         if not is_owner:
-            if stored.owner not in ("", self.name) and (stored.epoch, stored.renewals) != self.seen:
+            if (
+                stored.owner not in ("", self.name)
+                and (stored.epoch, stored.renewals) != self.register_version
+            ):
                 return False
             stored.owner = self.name
             stored.epoch += 1
-        # The leases of its owners may differ, by their settings or releases: the longest is waited for.
+        # Owners may grant leases of different duration, by settings or release. The longest one counts.
         stored.lease_s = max(stored.lease_s, self.lease_s)
         stored.renewals += 1
-        if is_owner and began >= self.moves_blocked_until:
-            self.move_ranges(stored, began, eligible, ended, load, busy)
+        if is_owner and started_at >= self.moves_blocked_until:
+            self.reassign_ranges(stored, started_at, eligible, ended, load, busy)
         return True
 
-    def move_ranges(
+    def reassign_ranges(
         self,
         stored: Allocation,
         now: float,
@@ -146,28 +154,31 @@
         load: LoadDistribution,
         busy: set[str],
     ) -> None:
-        """Free, take away, give and balance ranges; arguments as of `update_allocation`."""
+        """Free, revoke, assign and rebalance ranges; the arguments are those of `update_allocation`."""
         self.free_expired(stored, now, ended)
         lost_holders = {
             key_range.holder
             for key_range in stored.ranges
-            if key_range.holder not in eligible or self.is_failing(key_range.holder, 2 * MAX_TRIES, now)
+            if key_range.holder not in eligible
+            or self.is_failing(key_range.holder, 2 * MAX_FAILED_CALLS, now)
         }
         range_assignment.evict(stored, lost_holders)
         weights = {
-            id: weight for id, (weight, _) in eligible.items() if not self.is_failing(id, MAX_TRIES, now)
+            id: weight
+            for id, (weight, _) in eligible.items()
+            if not self.is_failing(id, MAX_FAILED_CALLS, now)
         }
         addresses = {id: address for id, (_, address) in eligible.items()}
         range_assignment.assign_free_ranges(stored, weights, addresses, load)
         range_assignment.rebalance(stored, weights, load, busy)
 
-    def record_commit(self, stored: Allocation, began: float, now: float) -> bool:
-        """Take in that this process's change stands in the register.
+    def record_commit(self, stored: Allocation, started_at: float, now: float) -> bool:
+        """Record that this process's write was committed.
 
         Args:
-            stored: what stands there.
-            began: when the change began.  The send bound counts from then: the answer may be late.
-            now: the time of the answer.
+            stored: the committed allocation.
+            started_at: start time of the write. The owner lease counts from it, as the answer may be delayed.
+            now: time of the answer.
 
         Returns:
             Whether this process has just become the owner.
@@ -175,16 +186,16 @@
         took_over = stored.epoch != self.epoch
         if took_over:
             self.start_epoch(stored, now)
-        self.drop_stale_notes(stored, now)
+        self.discard_stale_entries(stored, now)
         self.allocation = stored
-        self.send_until = began + OWNER_LEASE_S
+        self.send_until = started_at + OWNER_LEASE_S
         return took_over
 
     def start_epoch(self, stored: Allocation, now: float) -> None:
-        """Begin as the owner.
+        """Become the owner.
 
-        What the owner before sent may still arrive: no range changes hands until it can't, and every holder
-        counts as granted until then.
+        Grants of the previous owner may still arrive. Until they cannot, no range is reassigned, and every
+        holder is assumed to have been sent a grant as late as the previous owner may have done.
         """
         self.epoch = stored.epoch
         self.moves_blocked_until = now + (OWNER_LEASE_S + MAX_MESSAGE_DELAY_S if stored.epoch > 1 else 0)
@@ -195,16 +206,16 @@
         self.failed_calls = {}
         self.handovers = {}
 
-    def drop_stale_notes(self, stored: Allocation, now: float) -> None:
-        """Forget notes on ranges and fencing tokens that no longer stand: no token is ever given again."""
-        leaving = {
+    def discard_stale_entries(self, stored: Allocation, now: float) -> None:
+        """Discard state of ranges and fencing tokens that no longer exist; tokens are never reused."""
+        revoking = {
             key_range.identity for key_range in stored.ranges if key_range.state == RangeState.REVOKING
         }
         identities = {key_range.identity for key_range in stored.ranges}
         fences = {key_range.fence for key_range in stored.ranges}
         holders = {key_range.holder for key_range in stored.ranges}
         self.handovers = {
-            identity: handover for identity, handover in self.handovers.items() if identity in leaving
+            identity: handover for identity, handover in self.handovers.items() if identity in revoking
         }
         self.last_grant_acked = {
             identity: at for identity, at in self.last_grant_acked.items() if identity in identities
@@ -217,21 +228,21 @@
         }
 
     def record_commit_failure(self) -> None:
-        """Take in that this process's change does not stand, as far as is known: it may send no grant."""
+        """Record that this process's write failed or its outcome is unknown, so that no grant may be sent."""
         self.send_until = 0.0
 
-    def is_failing(self, id: str, tries: int, now: float) -> bool:
-        """Whether so many calls in a row to an endpoint had no answer, and it isn't yet time to try again."""
+    def is_failing(self, id: str, min_failures: int, now: float) -> bool:
+        """Whether at least `min_failures` consecutive calls to an endpoint failed, the last one recently."""
         count, at = self.failed_calls.get(id, (0, 0.0))
-        return count >= tries and now - at < RETRY_AFTER_S
+        return count >= min_failures and now - at < RETRY_AFTER_S
 
     def free_expired(self, stored: Allocation, now: float, ended: Callable[[str], bool]) -> None:
-        """Free the leaving ranges that nobody can believe to hold any more."""
+        """Free the revoked ranges that no endpoint can still consider itself the holder of."""
         for key_range in stored.ranges:
             if key_range.state != RangeState.REVOKING:
                 continue
             handover = self.handovers.get(key_range.identity)
-            # Without a note nothing was sent: what earlier epochs may have sent has one from `start_epoch`.
+            # No entry means that no grant was sent; `start_epoch` adds entries for grants of earlier epochs.
             sent_at = self.last_grant_sent.get(key_range.fence, -stored.lease_s * 2)
             lease_over = (
                 now > sent_at + MAX_MESSAGE_DELAY_S + stored.lease_s * CLOCK_DRIFT_FACTOR + EXPIRY_MARGIN_S
@@ -240,7 +251,7 @@
                 key_range.free(handover or "")
 
     def due_calls(self, now: float) -> list[tuple[CallKind, Range]]:
-        """The calls that are to be made now; each is in flight until `record_result` hears of it."""
+        """Calls to make now; each is in flight until its result is passed to `record_result`."""
         calls = []
         for key_range in self.allocation.ranges:
             if key_range.fence in self.in_flight or not key_range.address:
@@ -252,21 +263,21 @@
         return calls
 
     def next_call(self, key_range: Range, now: float) -> CallKind | None:
-        """What the holder of a range is to be asked now; None: nothing."""
+        """Kind of the call to make to the holder of a range now, or None."""
         if key_range.state == RangeState.HELD:
             acked_at = self.last_grant_acked.get(key_range.identity, -RENEW_INTERVAL_S)
             if now - acked_at >= RENEW_INTERVAL_S:
                 return CallKind.GRANT
         elif key_range.state == RangeState.REVOKING and now >= self.moves_blocked_until:
-            if not self.is_failing(key_range.holder, MAX_TRIES, now):
+            if not self.is_failing(key_range.holder, MAX_FAILED_CALLS, now):
                 return CallKind.RELEASE
         return None
 
     def authorize_send(self, kind: CallKind, key_range: Range, now: float) -> bool:
-        """Whether a call may be sent, asked last, when the connection is up.  A grant is then noted as sent.
+        """Whether a call may be sent; if so, a grant is recorded as sent.
 
-        This process may have been suspended since it decided on a grant: another may be the owner by now, and
-        have given the keys away.
+        To be called last, when the connection is established: this process may have been suspended since it
+        decided on the grant, and another process may be the owner by now and have reassigned the keys.
         """
         if kind == CallKind.GRANT:
             if now >= self.send_until:
@@ -277,17 +288,17 @@
     def record_result(
         self, kind: CallKind, key_range: Range, status: int | None, handover: str, now: float
     ) -> bool:
-        """Take in how a call ended.
+        """Record the result of a call.
 
         Args:
-            kind: of the call.
-            key_range: of the call.
+            kind: kind of the call.
+            key_range: range that the call was about.
             status: HTTP status of the answer, or `NO_ANSWER`, or `NOT_SENT`.
-            handover: what came with the answer to a release, for the next holder.
-            now: the time of the answer.
+            handover: handover data in the answer to a release, for the next holder.
+            now: time of the answer.
 
         Returns:
-            Whether the next step should be taken soon, as a range has become free.
+            Whether the allocation should be updated soon because a range can be freed.
         """
         self.in_flight.discard(key_range.fence)
         if status is NOT_SENT:
