--- a/flintreach/sharding/range_assignment.py
+++ b/flintreach/sharding/range_assignment.py
@@ -1,11 +1,11 @@
-"""Which endpoint is to hold which keys of one sharded service: decisions without input or output.
+"""Assignment of the key ranges of one sharded service to endpoints: decisions without I/O.
 
-An `Allocation` is the value that stands in the register for a service.  It divides all keys into ranges.  A
-held range has a holder, its endpoint, and a fencing token that was never given before.  A range without a
-holder is free: nobody holds it, and nobody can still believe to hold it.  Between the two a range is leaving:
-it waits for its holder's release or for the end of its lease.
+An `Allocation` is the register's value for a service. It partitions the keys into ranges. A held range has a
+holder, which is an endpoint, and a fencing token that is never reused. A free range has no holder, and no
+endpoint can still consider itself the holder. In between, a range is being revoked: it waits for the holder
+to release it or for the lease to expire.
 
-`range_lease` decides who may change an allocation, and when a leaving range is free.
+`range_lease` decides which process may modify an allocation, and when a revoked range becomes free.
 """
 
 from bisect import bisect_right
@@ -16,21 +16,22 @@
 import msgspec
 
 KEYS = 65536
-BUCKET_KEYS = 64  # keys whose requests are counted together
-MIN_RANGE_KEYS = 8  # no fewer are cut off a range
-UNIFORM_PART = 0.3  # of the load: taken as even over all keys, whatever was counted
-CREDIBLE_REQUESTS = 200.0  # from so many requests on the counts are believed in full
-MAX_MOVED_PART = 0.125  # of all load, or of all keys: what changes hands at a time
-# Keys of an endpoint beyond so many times its due, plus this part of all keys, are given up even at rest.
+BUCKET_KEYS = 64  # keys that share a request counter
+MIN_RANGE_KEYS = 8  # minimum size of a range that is split off
+UNIFORM_SHARE = 0.3  # of the load: assumed uniform over the keys regardless of the counts
+FULL_CONFIDENCE_REQUESTS = 200.0  # with fewer, the counts get proportionally less weight
+MAX_MOVED_SHARE = 0.125  # of all load or all keys, per move
+# An endpoint is oversized if it holds more than the factor times its target share of all keys, plus the
+# margin. It then gives up keys even if it is idle.
 OVERSIZED_FACTOR = 2.0
-OVERSIZED_PART = 0.02
-UNDERLOADED_FACTOR = 0.5  # times its due of the load: less than that is short of load
-OVERLOADED_FACTOR = 1.5  # times its due of the load: more than that is too much
-MIN_MOVED_FACTOR = 0.04  # times the receiver's due: less is not worth a move
+OVERSIZED_MARGIN = 0.02
+UNDERLOADED_FACTOR = 0.5  # times the target share of the load, or less
+OVERLOADED_FACTOR = 1.5  # times the target share of the load, or more
+MIN_MOVED_FACTOR = 0.04  # times the receiver's target share: smaller moves are not worth it
 
 
 class RangeState(StrEnum):
-    """State of a range, as it is stored and sent."""
+    """State of a range. The values are stored and sent."""
 
     HELD = "held"
     REVOKING = "leaving"
@@ -38,7 +39,7 @@
 
 
 class RangeRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A range as it is stored in the register: an array in this order; the meanings are those of `Range`."""
+    """Range as stored in the register: an array with the fields in this order; see `Range`."""
 
     low: int
     high: int
@@ -50,9 +51,9 @@
 
 
 class AllocationRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """An allocation as it is stored in the register: an array in this order.
+    """Allocation as stored in the register: an array with the fields in this order; see `Allocation`.
 
-    The meanings are those of `Allocation`.  Earlier releases wrote it without `lease_s`.
+    Earlier releases wrote it without `lease_s`.
     """
 
     owner: str
@@ -65,15 +66,15 @@
 
 @dataclass(slots=True)
 class Range:
-    """Keys from `low` to `high`, both included.
+    """Keys from `low` to `high`, inclusive.
 
     Attributes:
-        holder: id of the endpoint that has them; "": none.
-        fence: fencing token, higher than that of any range given before; the parts of a range that is cut
-            share it.
+        holder: id of the endpoint that holds the range; "" if there is none.
+        fence: fencing token, higher than those of all earlier assignments; the parts of a split range share
+            it.
         state: a `RangeState`.
-        handover: what the last holder gave back with its release, for the next one.
-        address: "ip:port" of the holder; "" where there is none.
+        handover: data that the last holder returned on release, for the next holder.
+        address: "ip:port" of the holder; "" if there is none.
     """
 
     low: int
@@ -85,7 +86,7 @@
     address: str = ""
 
     def row(self) -> RangeRow:
-        """The range as it is stored."""
+        """Convert to the stored form."""
         return RangeRow(
             low=self.low,
             high=self.high,
@@ -98,21 +99,21 @@
 
     @classmethod
     def from_row(cls, row: RangeRow) -> "Range":
-        """The range that is stored."""
+        """Convert from the stored form."""
         return cls(row.low, row.high, row.holder, row.fence, row.state, row.handover, row.address)
 
     @property
     def size(self) -> int:
-        """How many keys it has."""
+        """Number of keys."""
         return self.high - self.low + 1
 
     @property
     def identity(self) -> tuple[int, int, int]:
-        """Its keys and fencing token: what a call to its holder was about."""
+        """Keys and fencing token, which identify the range that a call to its holder is about."""
         return self.low, self.high, self.fence
 
     def free(self, handover: str) -> None:
-        """Take it from its holder."""
+        """Remove the holder, and keep its handover data for the next one."""
         self.state = RangeState.FREE
         self.holder = ""
         self.handover = handover
@@ -121,15 +122,15 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """The division of a service's keys, with the lease owner that may change it.
+    """Partition of a service's keys, with the lease owner that may modify it.
 
     Attributes:
-        owner: name of the process that may act on it while its last renewal is fresh.
-        epoch: rises with each owner.
-        renewals: rises with each change by an owner.
-        fence: the highest fencing token ever given.
-        ranges: all keys, in order.
-        lease_s: the longest lease that any owner has granted to endpoints, in seconds.
+        owner: name of the process that may act on the allocation for the owner lease after its last renewal.
+        epoch: incremented with each change of the owner.
+        renewals: incremented with each write.
+        fence: highest fencing token issued so far.
+        ranges: ranges that cover all keys, in order.
+        lease_s: longest lease that any owner has granted to endpoints, in seconds.
     """
 
     owner: str = ""
@@ -140,7 +141,7 @@
     lease_s: float = 0.0
 
     def row(self) -> AllocationRow:
-        """The allocation as it is stored."""
+        """Convert to the stored form."""
         return AllocationRow(
             owner=self.owner,
             epoch=self.epoch,
@@ -152,82 +153,89 @@
 
     @classmethod
     def from_row(cls, row: AllocationRow | None) -> "Allocation":
-        """The allocation that is stored; None: none yet, all keys are free."""
+        """Convert from the stored form; None means that there is none yet and all keys are free."""
         if row is None:
             return cls(ranges=[Range(0, KEYS - 1)])
         ranges = [Range.from_row(range_row) for range_row in row.ranges]
         return cls(row.owner, row.epoch, row.renewals, row.fence, ranges, row.lease_s)
 
     def encode(self) -> bytes:
-        """The bytes that stand in the register."""
+        """Encode as the register's value."""
         return msgspec.msgpack.encode(self.row())
 
     @classmethod
     def decode(cls, value: bytes | None) -> "Allocation":
-        """The allocation that stands in the register; None or empty: none yet, all keys are free."""
+        """Decode the register's value; None or empty means that all keys are free."""
         return cls.from_row(msgspec.msgpack.decode(value, type=AllocationRow) if value else None)
 
 
 class LoadDistribution:
-    """Which part of a service's load falls on which keys.
+    """Distribution of a service's load over the keys.
 
-    Few counts tell little, and keys that nobody asked for of late may be next: a part is taken as even.
+    It blends the counts with a uniform distribution, because small samples are noisy and keys without recent
+    requests may be requested next.
+
+    Attributes:
+        cumulative: share of the load on all keys below each bucket.
     """
 
     def __init__(self, counts: dict[int, float] | None = None) -> None:
-        """Sum up the counts.
+        """Build the distribution from request counts.
 
         Args:
-            counts: requests of late, by bucket of `BUCKET_KEYS` keys.
+            counts: recent requests by bucket of `BUCKET_KEYS` keys.
         """
         counts = counts or {}
         total = sum(counts.values())
-        counted_part = (1 - UNIFORM_PART) * min(1.0, total / CREDIBLE_REQUESTS)
+        counted_share = (1 - UNIFORM_SHARE) * min(1.0, total / FULL_CONFIDENCE_REQUESTS)
         buckets = KEYS // BUCKET_KEYS
-        self.sums = [0.0]  # by bucket: the part of all load on the keys below it
+        self.cumulative = [0.0]
         for bucket in range(buckets):
-            counted = counted_part * counts.get(bucket, 0.0) / total if total else 0.0
-            self.sums.append(self.sums[-1] + (1 - counted_part) / buckets + counted)
+            counted = counted_share * counts.get(bucket, 0.0) / total if total else 0.0
+            self.cumulative.append(self.cumulative[-1] + (1 - counted_share) / buckets + counted)
 
-    def below(self, key: int) -> float:
-        """The part of all load on the keys below this one."""
+    def share_below(self, key: int) -> float:
+        """Share of the load on the keys below `key`."""
         bucket, rest = divmod(key, BUCKET_KEYS)
-        if bucket >= len(self.sums) - 1:
-            return self.sums[-1]
-        return self.sums[bucket] + (self.sums[bucket + 1] - self.sums[bucket]) * rest / BUCKET_KEYS
-
-    def part(self, low: int, high: int) -> float:
-        """The part of all load on these keys, both ends included."""
-        return self.below(high + 1) - self.below(low)
-
-    def size(self, low: int, part: float) -> int:
-        """How many keys from `low` on bear such a part of all load."""
-        end = self.below(low) + part
-        bucket = min(max(0, bisect_right(self.sums, end) - 1), len(self.sums) - 2)
-        inside = (end - self.sums[bucket]) / (self.sums[bucket + 1] - self.sums[bucket])
+        if bucket >= len(self.cumulative) - 1:
+            return self.cumulative[-1]
+        return (
+            self.cumulative[bucket]
+            + (self.cumulative[bucket + 1] - self.cumulative[bucket]) * rest / BUCKET_KEYS
+        )
+
+    def share(self, low: int, high: int) -> float:
+        """Share of the load on the keys from `low` to `high`, inclusive."""
+        return self.share_below(high + 1) - self.share_below(low)
+
+    def keys_for_share(self, low: int, share: float) -> int:
+        """Number of keys, starting at `low`, that carry a share of the load."""
+        end = self.share_below(low) + share
+        bucket = min(max(0, bisect_right(self.cumulative, end) - 1), len(self.cumulative) - 2)
+        inside = (end - self.cumulative[bucket]) / (self.cumulative[bucket + 1] - self.cumulative[bucket])
         return max(0, int((bucket + min(1.0, inside)) * BUCKET_KEYS) - low)
 
 
-EVEN_LOAD = LoadDistribution()
+UNIFORM_LOAD = LoadDistribution()
 
 
 def load_targets(weights: dict[str, float]) -> dict[str, float]:
-    """Endpoint -> the part of the load that it is to bear, by its weight."""
+    """Target share of the load of each endpoint, proportional to its weight."""
     total = sum(weights.values()) or 1.0
     return {id: weight / total for id, weight in weights.items()}
 
 
 def load_by_endpoint(allocation: Allocation, ids: Iterable[str], load: LoadDistribution) -> dict[str, float]:
-    """Endpoint -> the part of the load that it bears by the ranges that it holds."""
-    parts = dict.fromkeys(ids, 0.0)
+    """Share of the load of each endpoint, by the ranges that it holds."""
+    shares = dict.fromkeys(ids, 0.0)
     for key_range in allocation.ranges:
-        if key_range.holder in parts and key_range.state == RangeState.HELD:
-            parts[key_range.holder] += load.part(key_range.low, key_range.high)
-    return parts
+        if key_range.holder in shares and key_range.state == RangeState.HELD:
+            shares[key_range.holder] += load.share(key_range.low, key_range.high)
+    return shares
 
 
 def split(ranges: list[Range], index: int, size: int) -> None:
-    """Cut a range so that its first part has `size` keys; nothing happens where one part would be empty."""
+    """Split a range so that its first part has `size` keys; do nothing if a part would be empty."""
     first = ranges[index]
     if not 0 < size < first.size:
         return
@@ -247,13 +255,13 @@
 def assign_free_ranges(
     allocation: Allocation, weights: dict[str, float], addresses: dict[str, str], load: LoadDistribution
 ) -> bool:
-    """Give free ranges to the endpoints that are shortest of load.
+    """Assign free ranges to the endpoints furthest below their target shares.
 
     Args:
-        allocation: changed in place.
-        weights: endpoint -> weight, of those that may be given keys.
-        addresses: endpoint -> "ip:port", of these at least.
-        load: where the service's load lies.
+        allocation: modified in place.
+        weights: weight of each endpoint that may be assigned keys.
+        addresses: "ip:port" of at least these endpoints.
+        load: distribution of the service's load.
 
     Returns:
         Whether anything changed.
@@ -261,14 +269,14 @@
     if not weights:
         return False
     targets = load_targets(weights)
-    borne = load_by_endpoint(allocation, weights, load)
+    load_shares = load_by_endpoint(allocation, weights, load)
     changed = False
     index = 0
-    while index < len(allocation.ranges):  # a split adds ranges behind this one
+    while index < len(allocation.ranges):  # a split inserts a range after this one
         key_range = allocation.ranges[index]
         if key_range.state == RangeState.FREE:
-            holder = max(weights, key=lambda id: (targets[id] - borne[id], id))
-            wanted_keys = load.size(key_range.low, max(0.0, targets[holder] - borne[holder]))
+            holder = max(weights, key=lambda id: (targets[id] - load_shares[id], id))
+            wanted_keys = load.keys_for_share(key_range.low, max(0.0, targets[holder] - load_shares[holder]))
             if wanted_keys >= MIN_RANGE_KEYS and key_range.size - wanted_keys >= MIN_RANGE_KEYS:
                 split(allocation.ranges, index, wanted_keys)
             allocation.fence += 1
@@ -276,14 +284,14 @@
             key_range.fence = allocation.fence
             key_range.state = RangeState.HELD
             key_range.address = addresses[holder]
-            borne[holder] += load.part(key_range.low, key_range.high)
+            load_shares[holder] += load.share(key_range.low, key_range.high)
             changed = True
         index += 1
     return changed
 
 
-def evict(allocation: Allocation, holders: set[str]) -> list[Range]:
-    """Mark all held ranges of these endpoints as leaving; the ranges that were marked."""
+def revoke_held_ranges(allocation: Allocation, holders: set[str]) -> list[Range]:
+    """Start to revoke all held ranges of some endpoints; return these ranges."""
     marked = [
         key_range
         for key_range in allocation.ranges
@@ -297,16 +305,16 @@
 def rebalance(
     allocation: Allocation, weights: dict[str, float], load: LoadDistribution, busy: set[str]
 ) -> bool:
-    """Mark keys of an endpoint that bears far too much as leaving, for those that bear too little.
+    """Start to revoke keys of an overloaded endpoint, to be assigned to underloaded ones.
 
     Args:
-        allocation: changed in place, by one move of `MAX_MOVED_PART` at most.
-        weights: endpoint -> weight, of those that may be given keys.
-        load: where the service's load lies.
-        busy: endpoints that have little capacity left by what they say; none of the others needs relief.
+        allocation: modified in place, by one move of at most `MAX_MOVED_SHARE`.
+        weights: weight of each endpoint that may be assigned keys.
+        load: distribution of the service's load.
+        busy: endpoints that report little spare capacity; others are not overloaded.
 
     Returns:
-        Whether keys were marked.
+        Whether keys are being revoked.
     """
     if any(key_range.state != RangeState.HELD for key_range in allocation.ranges):
         return False  # one move at a time
@@ -317,52 +325,54 @@
 
 
 def _shrink_oversized(allocation: Allocation, targets: dict[str, float]) -> bool:
-    """Mark keys of one that should hold far fewer by its weight, as where another region gets them."""
-    keys = load_by_endpoint(allocation, targets, EVEN_LOAD)
+    """Revoke keys of an endpoint with far too many for its weight, as when keys move between regions."""
+    keys = load_by_endpoint(allocation, targets, UNIFORM_LOAD)
     largest = max(targets, key=lambda id: keys[id] - OVERSIZED_FACTOR * targets[id], default=None)
-    if largest is None or keys[largest] <= OVERSIZED_FACTOR * targets[largest] + OVERSIZED_PART:
+    if largest is None or keys[largest] <= OVERSIZED_FACTOR * targets[largest] + OVERSIZED_MARGIN:
         return False
     surplus = max(keys[largest] - targets[largest], 0.0)
-    return mark_part(allocation, largest, min(MAX_MOVED_PART, surplus), EVEN_LOAD)
+    return revoke_share(allocation, largest, min(MAX_MOVED_SHARE, surplus), UNIFORM_LOAD)
 
 
 def _relieve_overloaded(
     allocation: Allocation, targets: dict[str, float], load: LoadDistribution, busy: set[str]
 ) -> bool:
-    """Mark keys of the endpoint that is most above its due, where it has too much or one is short."""
+    """Revoke keys of the endpoint furthest above its target if it is overloaded or another underloaded."""
     if not targets:
         return False
-    borne = load_by_endpoint(allocation, targets, load)
-    lowest = min(targets, key=lambda id: borne[id] - targets[id])
-    highest = max(targets, key=lambda id: borne[id] - targets[id])
-    underloaded = borne[lowest] <= UNDERLOADED_FACTOR * targets[lowest]
-    overloaded = borne[highest] >= OVERLOADED_FACTOR * targets[highest] and highest in busy
+    load_shares = load_by_endpoint(allocation, targets, load)
+    lowest = min(targets, key=lambda id: load_shares[id] - targets[id])
+    highest = max(targets, key=lambda id: load_shares[id] - targets[id])
+    underloaded = load_shares[lowest] <= UNDERLOADED_FACTOR * targets[lowest]
+    overloaded = load_shares[highest] >= OVERLOADED_FACTOR * targets[highest] and highest in busy
     if not underloaded and not overloaded:
         return False
-    part = min(targets[lowest] - borne[lowest], borne[highest] - targets[highest], MAX_MOVED_PART)
-    if part < MIN_MOVED_FACTOR * targets[lowest]:
+    share = min(
+        targets[lowest] - load_shares[lowest], load_shares[highest] - targets[highest], MAX_MOVED_SHARE
+    )
+    if share < MIN_MOVED_FACTOR * targets[lowest]:
         return False
-    return mark_part(allocation, highest, part, load)
+    return revoke_share(allocation, highest, share, load)
 
 
-def mark_part(allocation: Allocation, holder: str, part: float, load: LoadDistribution) -> bool:
-    """Mark such a part of all load as leaving, on the endpoint's range with the most load; always True."""
+def revoke_share(allocation: Allocation, holder: str, share: float, load: LoadDistribution) -> bool:
+    """Revoke a share of the load from the holder's range with the most load; always True."""
     heaviest = max(
         (key_range for key_range in allocation.ranges if key_range.holder == holder),
-        key=lambda key_range: load.part(key_range.low, key_range.high),
+        key=lambda key_range: load.share(key_range.low, key_range.high),
     )
     index = allocation.ranges.index(heaviest)
-    range_part = load.part(heaviest.low, heaviest.high)
-    head_keys = load.size(heaviest.low, part)
-    tail_keys = heaviest.size - load.size(heaviest.low, range_part - part)
+    range_share = load.share(heaviest.low, heaviest.high)
+    head_keys = load.keys_for_share(heaviest.low, share)
+    tail_keys = heaviest.size - load.keys_for_share(heaviest.low, range_share - share)
     if min(head_keys, tail_keys) < MIN_RANGE_KEYS:
         head_keys = tail_keys = max(head_keys, tail_keys)
-    # The end that has its load on fewer keys goes.  What would leave too few keys goes whole.
-    leaving = heaviest
+    # Revoke the end that carries the share on fewer keys, or the whole range if too few keys would remain.
+    revoked = heaviest
     if head_keys <= tail_keys and heaviest.size - head_keys >= MIN_RANGE_KEYS:
         split(allocation.ranges, index, head_keys)
     elif tail_keys < head_keys and heaviest.size - tail_keys >= MIN_RANGE_KEYS:
         split(allocation.ranges, index, heaviest.size - tail_keys)
-        leaving = allocation.ranges[index + 1]
-    leaving.state = RangeState.REVOKING
+        revoked = allocation.ranges[index + 1]
+    revoked.state = RangeState.REVOKING
     return True
--- a/flintreach/sharding/range_lease.py
+++ b/flintreach/sharding/range_lease.py
@@ -162,7 +162,7 @@
             if key_range.holder not in eligible
             or self.is_failing(key_range.holder, 2 * MAX_FAILED_CALLS, now)
         }
-        range_assignment.evict(stored, lost_holders)
+        range_assignment.revoke_held_ranges(stored, lost_holders)
         weights = {
             id: weight
             for id, (weight, _) in eligible.items()
--- a/tests/sharding/test_key_load.py
+++ b/tests/sharding/test_key_load.py
@@ -17,7 +17,7 @@
         load, busy = receiving.load_of("s")
         self.assertEqual(busy, {"e1"})
         self.assertAlmostEqual(receiving.capacity_in_use({"e1": 2.0, "e2": 2.0, "e3": 2.0}), 3.3, 1)
-        self.assertGreater(load.part(320, 383), 0.5)
+        self.assertGreater(load.share(320, 383), 0.5)
         for _ in range(120):
             collecting.add_second(None)
         self.assertEqual(collecting.keys["s"], {})
--- a/tests/sharding/test_range_lease.py
+++ b/tests/sharding/test_range_lease.py
@@ -17,7 +17,7 @@
 from flintreach.controller.lease_owner import NO_ANSWER, LeaseOwner
 from flintreach.sharding import range_assignment, range_lease
 from flintreach.sharding.range_assignment import (
-    EVEN_LOAD,
+    UNIFORM_LOAD,
     Allocation,
     AllocationRow,
     LoadDistribution,
@@ -103,7 +103,7 @@
             return
         allocation = Allocation.decode(self.stored)
         if not leases.update_allocation(
-            allocation, started_at, self.eligible(), lambda id: False, EVEN_LOAD, set()
+            allocation, started_at, self.eligible(), lambda id: False, UNIFORM_LOAD, set()
         ):
             leases.record_commit_failure()
             return
@@ -228,11 +228,11 @@
         service.run(6)
         leases = service.lease_owners[0]
         allocation = Allocation.decode(service.stored)
-        range_assignment.evict(allocation, {"e1"})
-        leaving = next(key_range for key_range in allocation.ranges if key_range.holder == "e1")
+        range_assignment.revoke_held_ranges(allocation, {"e1"})
+        revoked = next(key_range for key_range in allocation.ranges if key_range.holder == "e1")
         service.stored = allocation.encode()
         leases.allocation = allocation
-        leases.record_result(CallKind.RELEASE, leaving, 200, "proof", service.now)
+        leases.record_result(CallKind.RELEASE, revoked, 200, "proof", service.now)
         for _ in range(2):  # as after a conflict with another writer
             again = Allocation.decode(service.stored)
             leases.update_allocation(
