--- a/flintreach/sharding/region_affinity.py
+++ b/flintreach/sharding/region_affinity.py
@@ -1,46 +1,47 @@
-"""In which region the keys of a service should lie, and clients of its hosts should arrive.
+"""Region affinity: in which region the keys of a service are held, and to which its clients are directed.
 
-A download whose keys lie in another region than its client's proxy crosses between the regions, however the
-keys are divided: each region's clients ask for all of them.  Where every route of a host is bound to keys or
-to a home region, its clients are sent to one region, and as many keys lie there as its endpoints bear.  Each
-request then takes one long way at most, as before, and its bytes cross on none of our links.
+A response crosses between regions if its key is held in another region than that of the client's proxy. No
+assignment of keys avoids this, because the clients of each region request all keys. So if every route of a
+host is bound to keys or to home regions, the host's clients are directed to one region, and as many keys are
+held there as its endpoints can serve. A request then still travels between regions at most once, but the
+response does not cross the links between our own processes.
 
-No input or output here.
+This module does no I/O.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_LINK_PART = 0.15  # of the links of a region's proxies: what the answers of one service may take up
-MAX_UTILIZATION = 0.45  # of a region's capacity: what the load may take up if all keys lie there
-MIN_SHARE_STEP = 0.2  # the least change of the share that is worth moving keys
-SMOOTHING = 0.2  # weight of a new figure, at each turn
-PASSES_OF_A_LINK = 2  # an answer passes a proxy's link on its way in and on its way out
+MAX_LINK_SHARE = 0.15  # of the bandwidth of a region's proxies, for the responses of one service
+MAX_UTILIZATION = 0.45  # of a region's capacity, with all keys held there
+MIN_SHARE_STEP = 0.2  # smaller changes of the share are not worth moving keys
+SMOOTHING = 0.2  # weight of a new value in the moving average
+LINK_TRAVERSALS = 2  # a response enters and leaves a proxy over the same link
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1e6
-MIN_CAPACITY = 1e-9  # in place of 0, to divide by
+MIN_CAPACITY = 1e-9  # avoids division by zero
 
 
 class Route(Protocol):
-    """What is used of a configuration's route."""
+    """Used part of a configured route."""
 
     homes: Iterable[str]
-    """Its home regions; none where its requests may end in any."""
+    """Home regions; none if its requests may be served in any region."""
     services: Iterable[tuple[str, float]]
-    """Its services and their weights."""
+    """Services with their weights."""
 
 
 def home_regions(routes: Sequence[Route], sharded: set[str]) -> set[str] | None:
-    """The regions in which all requests of a host end.
+    """Regions in which all requests of a host can be served.
 
     Args:
-        routes: the host's routes.
+        routes: routes of the host.
         sharded: services whose requests are bound to keys.
 
     Returns:
-        The home regions that all its routes with homes share, empty where all routes are bound to keys alone;
-        None where a route is bound to nothing, the routes share no home, or there are none.
+        Home regions common to all routes that have any; empty if all routes are bound to keys only. None if a
+        route is bound to neither, the routes have no home region in common, or there are no routes.
     """
     homes: list[set[str]] = []
     for route in routes:
@@ -54,52 +55,53 @@
 
 
 def links_can_carry(bytes_per_s: float | None, links_mbps: list[float]) -> bool:
-    """Whether a region's proxies can take all answers of a service.
+    """Whether the links of a region's proxies can carry all responses of a service.
 
     Args:
-        bytes_per_s: of its answers; None where that is not known yet.
-        links_mbps: of the region's proxies, in Mbit/s; 0 where the settings tell none: that is enough.
+        bytes_per_s: response bytes per second; None if not known yet.
+        links_mbps: link bandwidth of each proxy in the region, in Mbit/s; 0 if not configured, which
+            counts as sufficient.
     """
     if bytes_per_s is None or not links_mbps:
         return False
     if 0.0 in links_mbps:
         return True
-    needed_mbps = PASSES_OF_A_LINK * bytes_per_s * BITS_PER_BYTE / BITS_PER_MEGABIT
-    return needed_mbps <= MAX_LINK_PART * sum(links_mbps)
+    needed_mbps = LINK_TRAVERSALS * bytes_per_s * BITS_PER_BYTE / BITS_PER_MEGABIT
+    return needed_mbps <= MAX_LINK_SHARE * sum(links_mbps)
 
 
 def target_region(
-    homes: set[str] | None, key_parts: dict[str, float], capacities: dict[str, float]
+    homes: set[str] | None, key_shares: dict[str, float], capacities: dict[str, float]
 ) -> str | None:
-    """The region for a service's keys.
+    """Region in which a service's keys should be held.
 
     Args:
-        homes: as `home_regions` gives them.
-        key_parts: region -> the part of the keys that lies there.
-        capacities: region -> capacity of its endpoints that may hold keys.
+        homes: as returned by `home_regions`.
+        key_shares: share of the keys held in each region.
+        capacities: capacity of the endpoints that may hold keys, by region.
 
     Returns:
-        The region; None where the service's clients come from everywhere.
+        The region, or None if the service's clients are not directed to one.
     """
     if homes is None or not capacities:
         return None
     candidates = [region for region in sorted(capacities) if not homes or region in homes]
-    # Where the keys are they stay, unless homes say otherwise.
+    # Prefer the region that holds most keys, to avoid moving them.
     return max(
         candidates,
-        key=lambda region: (round(key_parts.get(region, 0.0), 1), capacities[region]),
+        key=lambda region: (round(key_shares.get(region, 0.0), 1), capacities[region]),
         default=None,
     )
 
 
 @dataclass(slots=True)
 class RegionBias:
-    """How much of a service's load is to lie in one region.
+    """Share of a service's load that is directed to one region.
 
     Attributes:
         region: the region.
-        share: the part of the load that is to lie there; None: as the capacities are.
-        in_use: capacity in use in all regions, smoothed.
+        share: target share of the load there; None if the load follows the capacities.
+        in_use: smoothed capacity in use in all regions.
     """
 
     region: str | None = None
@@ -109,12 +111,12 @@
     def weight_factors(
         self, region: str | None, capacities: dict[str, float], in_use: float | None
     ) -> dict[str, float]:
-        """Factors for the weights of each region's endpoints, at each turn of the lease owner.
+        """Factors for the weights of the endpoints, by region; called at each iteration of the lease owner.
 
         Args:
-            region: where the load is to lie; None: anywhere.
-            capacities: region -> capacity of its endpoints.
-            in_use: capacity in use in all regions; None where nothing was reported.
+            region: region to prefer, or None.
+            capacities: capacity of the endpoints, by region.
+            in_use: capacity in use in all regions; None if nothing was reported.
         """
         self.smooth_in_use(in_use)
         if region is None:
@@ -122,7 +124,7 @@
         no_bias = dict.fromkeys(capacities, 1.0)
         if region is None or not capacities.get(region):
             return no_bias
-        # A share that stands is kept up where for a while nothing is known, or other regions are away.
+        # An existing share is kept while there are no reports or no other regions.
         if self.share is None and (in_use is None or len(capacities) < 2):
             return no_bias
         local = capacities[region]
@@ -133,7 +135,7 @@
         return {name: 1.0 if name == region else factor_elsewhere for name in capacities}
 
     def smooth_in_use(self, in_use: float | None) -> None:
-        """Take in a new figure; it is smoothed only while a share stands."""
+        """Update the capacity in use; it is smoothed only while a share is set."""
         if in_use is None:
             return
         if self.share is None:
@@ -142,15 +144,17 @@
             self.in_use = (1 - SMOOTHING) * self.in_use + SMOOTHING * in_use
 
     def update_share(self, region: str, local: float, total: float) -> None:
-        """Set the share anew, unless the change is too small to be worth moving keys.
+        """Update the share, unless the change is too small to be worth moving keys.
 
         Args:
-            region: where the load is to lie.
-            local: its capacity.
-            total: the capacity of all regions.
+            region: preferred region.
+            local: capacity of this region.
+            total: capacity of all regions.
         """
-        wanted = max(local / total, min(1.0, MAX_UTILIZATION * local / max(self.in_use, MIN_CAPACITY)))
-        changed = self.share is None or region != self.region or abs(wanted - self.share) >= MIN_SHARE_STEP
-        if changed or wanted == 1.0:
-            self.share = wanted
+        target_share = max(local / total, min(1.0, MAX_UTILIZATION * local / max(self.in_use, MIN_CAPACITY)))
+        changed = (
+            self.share is None or region != self.region or abs(target_share - self.share) >= MIN_SHARE_STEP
+        )
+        if changed or target_share == 1.0:
+            self.share = target_share
         self.region = region
