--- a/flintreach/placement/__init__.py
+++ b/flintreach/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: which endpoints serve each slice, a route with one of its services."""
+"""Placement of slices, the pairs of a route and one of its services, on endpoints."""
--- a/flintreach/placement/placer.py
+++ b/flintreach/placement/placer.py
@@ -1,14 +1,14 @@
-"""Which endpoints serve each slice, by FLEX's closest repartitioning, on the search in `policy.search`.
+"""Placement of slices on endpoints, by FLEX's closest repartitioning with the search in `policy.search`.
 
-A slice is one route with one of its services; each of its replicas is an endpoint that serves it.  Per
-service a partition of its slices among its endpoints is sought whose endpoints' loads deviate little from
-their quotas, and which differs little from the one in force.  In it an endpoint's quota is its capacity,
-where 100 is the mean endpoint's, and a slice's demand is its part of the service's load on the same scale.
+A slice is a route with one of its services; each replica of it is an endpoint that serves it. For each
+service, the search looks for a partition of the slices among the endpoints in which the endpoints' loads
+deviate little from their quotas, and which differs little from the current one. An endpoint's quota is its
+capacity, scaled to a mean of 100. A slice's demand is its share of the service's load on the same scale.
 
-No input or output here.  Times are nanoseconds of the steady clock of this process, unless a name says
-otherwise; rates are requests a second.
+This module does no I/O. Times are nanoseconds of this process's monotonic clock unless a name says otherwise;
+rates are requests per second.
 
-Source: L. Cherkasova, S. Ponnekanti, HPL-2000-27; what was kept and changed stands in docs/design/system.md.
+See L. Cherkasova, S. Ponnekanti, HPL-2000-27; docs/design/system.md says what was kept and changed.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,32 +20,32 @@
 from flintreach.policy.window import SlidingSums
 
 NS_PER_S = 1_000_000_000
-SMOOTHING_S = 10  # of demand that a slice's rate covers
-FULL_RUN_INTERVAL_NS = 10 * NS_PER_S  # in between, only slices that lack endpoints are placed
-MIN_DEMAND_AGE_NS = 4 * NS_PER_S  # of demand, before a slice is placed
+SMOOTHING_S = 10  # window of a slice's request rate
+FULL_RUN_INTERVAL_NS = 10 * NS_PER_S  # other runs only place slices that lack endpoints
+MIN_DEMAND_AGE_NS = 4 * NS_PER_S  # time since the first request before a slice is placed
 MEAN_QUOTA = 100
 PERMITTED_DEVIATION = 5.0
-DEVIATION_SLACK = 10.0  # beyond the deviation that was reached before a full run searches anew
-MEMORY_WEIGHT = 0.25  # of the number of slices, beside the demand, in an endpoint's load
-# Background load of an endpoint counts in full while this part of the mean capacity is unused.
+DEVIATION_SLACK = 10.0  # a full run searches only if the last deviation is exceeded by more
+MEMORY_WEIGHT = 0.25  # weight of the number of slices in an endpoint's load, relative to the demand
+# Background load counts in full while at least this share of the mean capacity is unused.
 BACKGROUND_HEADROOM = 0.5
-MAX_BACKGROUND = 0.5  # background load at most, as a part of the quota
+MAX_BACKGROUND_SHARE = 0.5  # limit of the background load, as a share of the quota
 NEVER_RUN = 0
 
 
 @dataclass(slots=True, eq=False)
 class SliceState:
-    """One slice.
+    """State of one slice.
 
     Attributes:
-        service: the service of it.
-        homes: regions in which it may be served; none: any.
+        service: name of its service.
+        homes: regions in which it may be served; empty if in any.
         first_demand_ns: when the first request was reported.
-        arrivals: requests, by second.
+        arrivals: requests by second.
         endpoints: ids of the endpoints that serve it.
-        replicas: how many are to serve it.
-        surplus_runs: full runs in a row in which it had one more than it needs.
-        rate: smoothed requests a second.
+        replicas: target number of replicas.
+        surplus_runs: number of consecutive full runs with one replica more than needed.
+        rate: smoothed request rate.
     """
 
     name: str
@@ -59,13 +59,13 @@
     rate: float = 0.0
 
     def update_rate(self, now_ns: int) -> None:
-        """Smooth the demand of late over the time for which there was any."""
+        """Update the rate: the mean over the window, or since the first request if that is more recent."""
         requests = self.arrivals.total(now_ns, SMOOTHING_S)[0]
         age_s = max(1, (now_ns - self.first_demand_ns) / NS_PER_S)
         self.rate = requests / min(SMOOTHING_S, age_s)
 
     def is_due(self, service: str, now_ns: int) -> bool:
-        """Whether it belongs to a service, and has had demand for long enough to be placed."""
+        """Whether the slice belongs to `service`, and its first request is old enough for it to be placed."""
         if self.service != service or self.first_demand_ns is None:
             return False
         return now_ns - self.first_demand_ns >= MIN_DEMAND_AGE_NS
@@ -73,13 +73,13 @@
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """One endpoint that may serve.
+    """Endpoint that may be assigned slices.
 
     Attributes:
-        capacity: requests that it serves at a time.
+        capacity: number of requests that it serves concurrently.
         warming_up: whether it is in its slow start.
-        utilization: its reported load over its capacity; None where it reported none.
-        background: its load beyond what the slices explain, as a part of its quota.
+        utilization: ratio of reported load to capacity; None if nothing was reported.
+        background: load that its slices do not explain, as a share of its quota.
     """
 
     id: str
@@ -92,10 +92,10 @@
 
 
 class ConstrainedPartition(Partition):
-    """A partition in which some endpoints may not serve some slices.
+    """Partition in which some endpoints may not serve some slices.
 
     Attributes:
-        excluded: by the index of a slice, the indices of those endpoints.
+        excluded: indices of the endpoints that may not serve a slice, by slice index.
     """
 
     excluded: list[set[int]]
@@ -105,13 +105,13 @@
         return y not in self.excluded[p] and super().may_gain(p, y)
 
     def excluded_targets(self, p: int) -> set[int]:
-        """The endpoints that may not gain slice `p`."""
+        """Endpoints that may not gain slice `p`."""
         return {*super().excluded_targets(p), *self.excluded[p]}
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicaChange:
-    """A slice that has too many or too few replicas, by the indices that the search uses."""
+    """Slice with too many or too few replicas, by the indices of the search."""
 
     slice_index: int
     replicas: list[int]
@@ -120,17 +120,18 @@
 
 @dataclass(slots=True)
 class ServiceProblem:
-    """What is to be searched for one service.
+    """Placement problem of one service.
 
     Attributes:
-        slices: its slices; their index is that of the search.
-        candidates: its endpoints by id; their index is that of the search.
-        quotas: by endpoint.
+        slices: slices of the service, in the order of the search's indices.
+        candidates: endpoints of the service, sorted by id, in the order of the search's indices.
+        quotas: quota of each endpoint.
         full: whether this is a full run.
-        excluded: by slice, the endpoints outside its homes; one entry more for the search's empty slice.
-        demands: by slice, the demand that a replica brings, to a warm endpoint and to one in its slow start.
-        assigned: by endpoint, the slices that it serves now.
-        changes: slices whose number of replicas isn't the one wanted.
+        excluded: endpoints outside the homes of each slice, with an additional entry for the search's empty
+            slice.
+        demands: demand that a replica of each slice adds to a warm endpoint, and to one in its slow start.
+        assignment: slices currently served by each endpoint.
+        replica_changes: slices whose number of replicas differs from the target.
     """
 
     slices: list[SliceState]
@@ -139,27 +140,27 @@
     full: bool
     excluded: list[set[int]] = field(default_factory=list)
     demands: list[tuple[float, float]] = field(default_factory=list)
-    assigned: list[set[int]] = field(default_factory=list)
-    changes: list[ReplicaChange] = field(default_factory=list)
+    assignment: list[set[int]] = field(default_factory=list)
+    replica_changes: list[ReplicaChange] = field(default_factory=list)
 
 
 class Placer:
-    """Keeps the state of all slices, and searches for better placements of them.
+    """Keeps the state of all slices, and searches for better placements.
 
     Attributes:
-        seed: of the search's draws.
-        counter: how many draws were made.
-        slices: name -> its state.
-        deviations: service -> the deviation that the last search reached.
-        next_full_run_ns: when all services are looked at again.
-        changed: after `run`, name of a slice -> sorted ids of its endpoints, where they are new.
+        seed: seed of the search's random numbers.
+        counter: number of random numbers drawn.
+        slices: slice states by name.
+        deviations: deviation that the last search achieved, by service.
+        next_full_run_ns: time of the next full run.
+        changed: slices whose placement the last `run` changed, with sorted endpoint ids.
     """
 
     def __init__(self, seed: int) -> None:
-        """Start without slices.
+        """Create a placer without slices.
 
         Args:
-            seed: of the search's draws; each process has its own.
+            seed: seed of the search's random numbers; it differs between processes.
         """
         self.seed = seed
         self.counter = 0
@@ -169,13 +170,13 @@
         self.changed: dict[str, list[str]] = {}
 
     def configure(
-        self, configured: list[tuple[str, str, tuple[str, ...]]], in_force: dict[str, list[str]]
+        self, configured: list[tuple[str, str, tuple[str, ...]]], current: dict[str, list[str]]
     ) -> None:
-        """Take over the slices of the configuration in force, and the placement that stands.
+        """Apply the slices of the current configuration, and the current placement.
 
         Args:
             configured: name, service and home regions of each slice.
-            in_force: name of a slice -> ids of its endpoints.
+            current: endpoint ids by slice name.
         """
         slices = {}
         for name, service, homes in configured:
@@ -183,8 +184,8 @@
             slices[name] = state
             state.service = service
             state.homes = homes
-            if name in in_force:
-                state.endpoints = {*in_force[name]}
+            if name in current:
+                state.endpoints = {*current[name]}
                 if state.replicas == 1:
                     state.replicas = max(1, len(state.endpoints))
         self.slices = slices
@@ -194,7 +195,7 @@
         }
 
     def record_demand(self, counts: dict[str, int], now_ns: int) -> None:
-        """Take in the requests that came in the last second, by slice."""
+        """Add the requests of the last second, by slice."""
         for name, count in counts.items():
             state = self.slices.get(name)
             if state is None:
@@ -204,10 +205,10 @@
             state.arrivals.add(now_ns, NS_PER_S, count)
 
     def run(self, candidates: list[Candidate], now_ns: int) -> Iterator[int]:
-        """Search for better placements in small steps, so that others get their turn; fills `changed`.
+        """Search for better placements in small steps, so that other tasks can run in between; set `changed`.
 
         Yields:
-            The effort of a step, which is of no use here.
+            Cost of each search step; callers may ignore it.
         """
         self.changed = {}
         full = now_ns >= self.next_full_run_ns
@@ -215,12 +216,12 @@
             self.next_full_run_ns = now_ns + FULL_RUN_INTERVAL_NS
         for service in sorted({state.service for state in self.slices.values()}):
             slices = [state for state in self.slices.values() if state.is_due(service, now_ns)]
-            own = sorted(
+            service_candidates = sorted(
                 (candidate for candidate in candidates if candidate.service == service),
                 key=lambda candidate: candidate.id,
             )
-            if slices and len(own) > 1:
-                yield from self.place_service(service, slices, own, full, now_ns)
+            if slices and len(service_candidates) > 1:
+                yield from self.place_service(service, slices, service_candidates, full, now_ns)
 
     def place_service(
         self,
@@ -230,31 +231,31 @@
         full: bool,
         now_ns: int,
     ) -> Iterator[int]:
-        """Search for a better placement of one service's slices, where the one in force isn't good enough."""
+        """Search for a better placement of one service's slices if the current one is not good enough."""
         for state in slices:
             state.update_rate(now_ns)
         total_rate = sum(state.rate for state in slices)
         if not total_rate:
             return
-        problem = self.describe(slices, candidates, full, total_rate)
+        problem = self.build_problem(slices, candidates, full, total_rate)
         search = self.prepare_search(problem)
         ids = {candidate.id for candidate in candidates}
         lost_endpoints = any(not state.endpoints <= ids for state in slices)
-        if not problem.changes and not lost_endpoints:
-            reached = self.deviations.get(service, PERMITTED_DEVIATION)
-            if not full or search.initial_deviation <= reached + DEVIATION_SLACK:
+        if not problem.replica_changes and not lost_endpoints:
+            last_deviation = self.deviations.get(service, PERMITTED_DEVIATION)
+            if not full or search.initial_deviation <= last_deviation + DEVIATION_SLACK:
                 return
-        assigned = problem.assigned
-        if problem.changes or full:
+        assignment = problem.assignment
+        if problem.replica_changes or full:
             yield from search.steps()
-            (self.deviations[service], _), assigned = search.best
+            (self.deviations[service], _), assignment = search.best
             self.counter = search.counter
-        self.take_over(problem, assigned)
+        self.apply_assignment(problem, assignment)
 
-    def describe(
+    def build_problem(
         self, slices: list[SliceState], candidates: list[Candidate], full: bool, total_rate: float
     ) -> ServiceProblem:
-        """Decide how many replicas each slice is to have, and what the placement in force is."""
+        """Determine each slice's number of replicas and the current placement."""
         count = len(candidates)
         mean_capacity = sum(candidate.capacity for candidate in candidates) / count
         problem = ServiceProblem(
@@ -262,7 +263,7 @@
             candidates=candidates,
             quotas=[MEAN_QUOTA * candidate.capacity / mean_capacity for candidate in candidates],
             full=full,
-            assigned=[set() for _ in candidates],
+            assignment=[set() for _ in candidates],
         )
         problem.excluded = [excluded_endpoints(state, candidates) for state in slices]
         index_of = {candidate.id: index for index, candidate in enumerate(candidates)}
@@ -279,21 +280,21 @@
             present = (index_of[id] for id in state.endpoints if id in index_of)
             replicas = sorted(index for index in present if index not in excluded)
             for index in replicas:
-                problem.assigned[index].add(slice_index)
+                problem.assignment[index].add(slice_index)
             if len(replicas) != state.replicas:
-                problem.changes.append(ReplicaChange(slice_index, replicas, state.replicas))
+                problem.replica_changes.append(ReplicaChange(slice_index, replicas, state.replicas))
         problem.excluded.append(set())
         return problem
 
     def prepare_search(self, problem: ServiceProblem) -> Search:
-        """The search from the placement in force, with all loads on the scale of quotas."""
+        """Create the search from the current placement, with all loads on the scale of the quotas."""
         quotas = problem.quotas
-        assigned = problem.assigned
+        assignment = problem.assignment
         replicas = max(1, sum(state.replicas for state in problem.slices))
         memory = MEMORY_WEIGHT * MEAN_QUOTA * len(quotas) / replicas
         demand_gaps = [
             sum(problem.demands[slice_index][0] for slice_index in served) - quota
-            for served, quota in zip(assigned, quotas)
+            for served, quota in zip(assignment, quotas)
         ]
         estimate_background(problem.candidates, demand_gaps, quotas)
         demand_gaps = [
@@ -301,9 +302,9 @@
             for gap, candidate, quota in zip(demand_gaps, problem.candidates, quotas)
         ]
         start = ConstrainedPartition(
-            original=assigned,
+            original=assignment,
             memory_gaps=[
-                len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assigned, quotas)
+                len(served) * memory - MEMORY_WEIGHT * quota for served, quota in zip(assignment, quotas)
             ],
             demand_gaps=demand_gaps,
             demands=[*problem.demands, (0.0, 0.0)],  # the last is the search's empty slice
@@ -317,15 +318,17 @@
             empty_deviation=0.0,
         )
         start.excluded = problem.excluded
-        changes = [(change.slice_index, change.replicas, change.wanted) for change in problem.changes]
-        return Search(self.seed, self.counter, start, changed=changes, deviation=PERMITTED_DEVIATION)
+        replica_changes = [
+            (change.slice_index, change.replicas, change.wanted) for change in problem.replica_changes
+        ]
+        return Search(self.seed, self.counter, start, changed=replica_changes, deviation=PERMITTED_DEVIATION)
 
-    def take_over(self, problem: ServiceProblem, assigned: Sequence[set[int]]) -> None:
-        """Note the slices whose endpoints are new; one that would have none keeps those that it has."""
+    def apply_assignment(self, problem: ServiceProblem, assignment: Sequence[set[int]]) -> None:
+        """Record the slices with changed endpoints; a slice that would have none keeps its current ones."""
         for slice_index, state in enumerate(problem.slices):
             endpoints = {
                 candidate.id
-                for candidate, served in zip(problem.candidates, assigned)
+                for candidate, served in zip(problem.candidates, assignment)
                 if slice_index in served
             }
             if endpoints and endpoints != state.endpoints:
@@ -334,7 +337,7 @@
 
 
 def excluded_endpoints(state: SliceState, candidates: Sequence[Candidate]) -> set[int]:
-    """Indices of the endpoints that lie outside a slice's home regions."""
+    """Indices of the endpoints outside a slice's home regions."""
     if not state.homes:
         return set()
     return {index for index, candidate in enumerate(candidates) if candidate.region not in state.homes}
@@ -343,14 +346,14 @@
 def estimate_background(
     candidates: Sequence[Candidate], demand_gaps: Sequence[float], quotas: Sequence[float]
 ) -> None:
-    """Set each candidate's background load: what it reports beyond what its slices explain.
+    """Set each candidate's background load: the reported load that its slices do not explain.
 
-    Where all endpoints are full, what they report is noise, and none of it counts.
+    It counts less as the mean utilization approaches 1, where differences between reports are noise.
 
     Args:
-        candidates: changed in place.
-        demand_gaps: by candidate, the demand of its slices beyond its quota.
-        quotas: by candidate.
+        candidates: modified in place.
+        demand_gaps: demand of each candidate's slices minus its quota.
+        quotas: quota of each candidate.
     """
     reporting = [index for index, candidate in enumerate(candidates) if candidate.utilization is not None]
     if not reporting:
@@ -359,5 +362,5 @@
     weight = min(1.0, max(0.0, 1 - mean) / BACKGROUND_HEADROOM)
     for index in reporting:
         explained = mean * (1 + demand_gaps[index] / quotas[index])
-        beyond = weight * (candidates[index].utilization - explained)
-        candidates[index].background = max(-MAX_BACKGROUND, min(MAX_BACKGROUND, beyond))
+        unexplained = weight * (candidates[index].utilization - explained)
+        candidates[index].background = max(-MAX_BACKGROUND_SHARE, min(MAX_BACKGROUND_SHARE, unexplained))
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -24,8 +24,8 @@
     warming_up_left_ms: float = 0,
     address: str = "10.0.0.9:80",
 ) -> Heartbeat:
-    """A heartbeat of an endpoint of service "desk"."""
-    return Heartbeat("desk", address, "north", 2, state, sequence, "v1", warming_up_left_ms)
+    """A heartbeat of an endpoint of service "web"."""
+    return Heartbeat("web", address, "north", 2, state, sequence, "v1", warming_up_left_ms)
 
 
 class EndpointStateTest(unittest.TestCase):
@@ -119,7 +119,7 @@
         restarted = EndpointRegistry(REPORT_MS)
         restarted.merge(EndpointRecord.from_row(registry.records["e"].row(0), 0), 0)
         # Rows of earlier releases have ten fields.
-        ready = ["e", "desk", "10.0.0.9:80", "north", 2, "v1", "ready", 3, 0, 0]
+        ready = ["e", "web", "10.0.0.9:80", "north", 2, "v1", "ready", 3, 0, 0]
         restarted.merge(EndpointRecord.from_row(msgspec.convert(ready, EndpointRow), 0), 0)
         self.assertEqual(restarted.records["e"].state, EndpointState.DRAINING)
         ended = [*ready[:6], "gone", 1 << 62, 3, 0]
