--- a/flintreach/sharding/region_affinity.py
+++ b/flintreach/sharding/region_affinity.py
@@ -26,7 +26,7 @@
 class Route(Protocol):
     """Used part of a configured route."""
 
-    homes: Iterable[str]
+    home_regions: Iterable[str]
     """Home regions; none if its requests may be served in any region."""
     services: Iterable[tuple[str, float]]
     """Services with their weights."""
