--- a/flintreach/controller/__init__.py
+++ b/flintreach/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The control-plane process: control calls, the directory, and a replica of the register."""
+"""The controller process: control API, proxy discovery, and a replica of the register."""
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -1,7 +1,7 @@
-"""The control plane of one controller, without sockets of its own: it assembles the parts and starts them.
+"""Composition root of a controller's control plane: constructs the components and starts their loops.
 
-A program feeds it from real connections, a simulation from a clock and connections of its own: all that it
-takes from outside is its pool of peers with their runtime, its store and the list of members.
+It opens no sockets itself. The peer pool (with its runtime), the store and the member list are injected, so
+that the same code runs on real connections in `program` and on simulated ones under `flintreach.simulation`.
 """
 
 from collections.abc import Callable
@@ -36,17 +36,17 @@
 
 
 def do_nothing() -> None:
-    """Stand in for a callback that nobody wants."""
+    """Default for an optional callback."""
 
 
 class ControlPlane:
-    """The parts of one controller, and what they share.
+    """The components of one controller and the state they share.
 
     Attributes:
-        serving: whether callers may be answered: the start is over.
-        updates: what this controller disseminates.
-        routes: those of the configuration that stands; None before there is one.
-        refusals: calls that were not confirmed, by reason.
+        serving: whether API calls may be answered, i.e. start-up recovery is complete.
+        updates: the versioned state that this controller disseminates.
+        routes: routes of the current configuration; None until one is known.
+        refusals: calls answered with 503 because they could not be confirmed, by reason.
     """
 
     def __init__(
@@ -56,17 +56,17 @@
         store: Store | None,
         member_list: MemberList,
         seeds: Callable[[], list[Address]],
-        on_begin: Callable[[], None] = do_nothing,
+        on_serving: Callable[[], None] = do_nothing,
     ) -> None:
-        """Assemble the parts; nothing runs before `start`.
+        """Construct the components; nothing runs before `start`.
 
         Args:
             node: settings of this process.
             peer_pool: connections to the peers, and the runtime.
-            store: this process's disk; None where it has none.
-            member_list: the processes that are known.
-            seeds: returns the addresses to join by, as the settings name them now.
-            on_begin: called once, when callers may be answered.
+            store: durable storage of this process; None if it is stateless.
+            member_list: cluster members known from the membership protocol.
+            seeds: returns the seed addresses from the current settings.
+            on_serving: called once, when API calls may be answered.
         """
         self.node = node
         self.peer_pool = peer_pool
@@ -74,7 +74,7 @@
         self.store = store
         self.member_list = member_list
         self.seeds = seeds
-        self.on_begin = on_begin
+        self.on_serving = on_serving
         self.first_run = node.sender.first_run
         self.updates = VersionedStore(self.runtime.now)
         self.register = Register(peer_pool, Voters.from_facts(store.facts if store else {}), store)
@@ -92,10 +92,10 @@
         self.updates.watchers.append(self.on_update)
 
     def start(self) -> None:
-        """Start the loops of all parts."""
+        """Start the background loops of all components."""
         self.relay.start()
         for loop in (
-            self.watch_clock,
+            self.check_for_suspensions,
             self.repair.sweep,
             self.peer_exchange.run,
             self.endpoints.run,
@@ -105,81 +105,87 @@
             self.runtime.spawn(loop)
 
     def start_serving(self) -> bool:
-        """Let callers in, once what stands in the register is known here.
+        """Recover the endpoint registry from a quorum, then start answering API calls.
 
         Returns:
-            Whether what a quorum knows of endpoints is known here too; before that nobody may call.
+            Whether recovery succeeded; until it has, API calls are not accepted.
         """
         if not self.endpoints.recover():
             return False
         self.serving = True
-        self.on_begin()
+        self.on_serving()
         return True
 
-    # Who the others are.
+    # Peers.
 
     @property
-    def group(self) -> list[Address]:
+    def voter_addresses(self) -> list[Address]:
         """Return the addresses of the voters; empty until they are known."""
         return self.register.voter_addresses
 
     @property
     def registry(self) -> EndpointRegistry:
-        """Return the registry of endpoints."""
+        """Return the endpoint registry."""
         return self.endpoints.registry
 
     def peers(self) -> list[Address]:
-        """Return the addresses of the other controllers that are alive or vote."""
-        addresses = {member.address for member in self.member_list.alive(ROLE_CONTROLLER)} | set(self.group)
-        return sorted(addresses - {self.peer_pool.address})
+        """Return the addresses of the other controllers that are alive or are voters."""
+        alive = {member.address for member in self.member_list.alive(ROLE_CONTROLLER)}
+        return sorted({*alive, *self.voter_addresses} - {self.peer_pool.address})
 
-    def forget_left(self) -> None:
-        """Close connections to controllers that have left: a fleet may change all its machines in time."""
+    def close_departed_connections(self) -> None:
+        """Close connections to controllers that have left the cluster.
+
+        Without this, connections would accumulate as machines are replaced over the life of the process.
+        """
         known = {member.address for member in self.member_list.members.values()}
-        known |= {*self.group, *self.seeds()}
+        known |= {*self.voter_addresses, *self.seeds()}
         for address in sorted(self.peer_pool.locks.keys() - known):
             self.peer_pool.forget(address)
 
-    # How current this controller is.
+    # Staleness.
 
     def quorum_contact_age(self) -> float:
-        """Return the seconds since a time up to which all that was acknowledged is known here."""
+        """Return an upper bound on this controller's staleness, in seconds.
+
+        Every change that was acknowledged longer ago than that is known here.
+        """
         return self.quorum_contact.age(self.register.voters, self.runtime.now())
 
     def update_age(self) -> float:
-        """Return the age of the updates that this controller passes on, in seconds.
+        """Return the age of the updates that this controller disseminates, in seconds.
 
-        As `quorum_contact_age`; NEVER before its start is over, and while it catches up after a long time out
-        of contact.
+        Equals `quorum_contact_age` while it serves; NEVER during start-up, and while the endpoint registry is
+        resynchronized after a long loss of contact with the quorum.
         """
-        if not self.serving or self.endpoints.behind:
+        if not self.serving or self.endpoints.needs_resync:
             return NEVER
         return self.quorum_contact_age()
 
-    def watch_clock(self) -> None:
-        """Check the clock often enough to notice each suspension of this process."""
+    def check_for_suspensions(self) -> None:
+        """Poll the clock often enough for `SuspendDetector` to notice every suspension of this process."""
         while True:
             self.suspend_detector.is_current(self.runtime.now())
             self.runtime.sleep(MAX_CHECK_GAP_S / 4)
 
-    # What was published or refused.
+    # Published state and refusals.
 
     def on_update(self, key: str, version: object, value: bytes) -> None:
-        """Take a new configuration into force."""
+        """Apply a newly published configuration."""
         if key == CONFIGURATION_KEY:
             self.routes = Routes(msgspec.json.decode(value, type=Configuration))
 
     def evacuated_zones(self) -> set[str]:
-        """Return the zones that are evacuated."""
+        """Return the zones under evacuation."""
         zones = self.updates.get(EVACUATION_KEY) or {}
         return {zone for zone, is_evacuated in zones.items() if is_evacuated}
 
     def count_refusal(self, reason: str) -> None:
-        """Count a call that was not confirmed, for the operator to see."""
+        """Count a call that could not be confirmed, for the status view."""
         refusal = self.refusals.setdefault(reason, RefusalCount())
         refusal.count += 1
         refusal.last_at = self.runtime.now()
 
     def show(self, view: str) -> list[views.Row] | None:
-        """Return the rows of a view, as `flintreach show` prints them; None where there is no such view."""
+        """Return the rows of a view as `flintreach show` prints them; None if the view does not exist."""
         return views.show(self, view)
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -1,4 +1,4 @@
-"""Calls of endpoints, the operator and clients: one table of calls, as a WSGI application on gevent."""
+"""HTTP API of a controller for endpoints, operators and clients: a WSGI application served by gevent."""
 
 import socket
 from collections.abc import Callable, Iterable
@@ -21,22 +21,23 @@
 from flintreach.transport import peer_connection
 from flintreach.transport.runtime import Runtime
 
-# A configuration goes to peers inside a message that also has other keys: far below what ends a connection.
+# Half the message size limit: a configuration is sent to peers in one message with other keys, and a message
+# above the limit closes the connection.
 MAX_CONFIGURATION_BYTES = peer_connection.MAX_MESSAGE_BYTES // 2
-MAX_BODY_BYTES = 64 << 10  # of any other call
-RETRY_AFTER_S = "0.2"  # another controller may answer at once
+MAX_BODY_BYTES = 64 << 10  # for all other calls
+RETRY_AFTER_S = "0.2"  # short, as another controller may be able to answer immediately
 LISTEN_BACKLOG = 256
-# WSGI environ: a function that tells whether the caller went away.
+# WSGI environ key of a function that returns whether the caller closed its connection.
 ENVIRON_CALLER_DISCONNECTED = "flintreach.gone"
-# The phrase of RFC 9110, section 15.5.14; Python 3.11 has that of the RFC before it.
+# RFC 9110, section 15.5.14; Python 3.11 still has the reason phrase of RFC 7231.
 REASON_PHRASES = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large"}
 
 
 class CallName(StrEnum):
-    """Names of the calls that a controller answers, as the table of calls has them."""
+    """Calls that a controller answers, by their names in `api.calls.TABLE`."""
 
     HEARTBEAT = "beat"
-    LEAVE = "leave"
+    SIGN_OFF = "leave"
     PUT_CONFIGURATION = "put"
     GET_CONFIGURATION = "get"
     EVACUATE = "evacuate"
@@ -45,56 +46,59 @@
 
 
 class Refusal(StrEnum):
-    """Why a call is answered 503 though it may have been done; the texts are part of the answers."""
+    """Reason for which a call is answered with 503, though it may have taken effect.
 
-    SUSPENDED = "slept"  # this process was suspended, and the call may be old
+    The values are sent to callers and shown in the status view.
+    """
+
+    SUSPENDED = "slept"  # this process was just suspended, so the request may be stale
     NO_QUORUM_CONTACT = "out of touch"
-    TOO_LATE = "late"  # read so long ago that the caller has gone to another
+    TOO_LATE = "late"  # the caller will have timed out and retried on another controller
     CALLER_DISCONNECTED = "caller gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """A status, and a body that is sent as it is (bytes) or as JSON."""
+class Response:
+    """An HTTP status, and a body that is sent verbatim (bytes) or as JSON."""
 
     status: HTTPStatus
     body: bytes | dict[str, Any] = field(default_factory=dict)
 
     @classmethod
-    def fault(cls, status: HTTPStatus, text: str) -> "Answer":
-        """Return an answer whose body tells what is wrong."""
+    def error(cls, status: HTTPStatus, text: str) -> "Response":
+        """Return a response whose body describes the error."""
         return cls(status, {"fault": text})
 
 
-OK = Answer(HTTPStatus.OK)
-NO_MAJORITY = Answer.fault(HTTPStatus.SERVICE_UNAVAILABLE, "no majority in time")
-OUTCOME_ANSWERS = {
+OK = Response(HTTPStatus.OK)
+NO_QUORUM = Response.error(HTTPStatus.SERVICE_UNAVAILABLE, "no majority in time")
+OUTCOME_RESPONSES = {
     RequestOutcome.ACCEPTED: OK,
     RequestOutcome.REPEATED: OK,
     RequestOutcome.SUPERSEDED: OK,
-    RequestOutcome.CONFLICT: Answer.fault(
+    RequestOutcome.CONFLICT: Response.error(
         HTTPStatus.CONFLICT, "edition: another content was acknowledged under this number"
     ),
-    RequestOutcome.HISTORY_EXPIRED: Answer.fault(
+    RequestOutcome.HISTORY_EXPIRED: Response.error(
         HTTPStatus.SERVICE_UNAVAILABLE, "edition: too old to tell which content it had"
     ),
-    RequestOutcome.UNKNOWN: NO_MAJORITY,
-    RequestOutcome.ABANDONED: Answer.fault(
+    RequestOutcome.UNKNOWN: NO_QUORUM,
+    RequestOutcome.ABANDONED: Response.error(
         HTTPStatus.SERVICE_UNAVAILABLE, "given up before anything was changed"
     ),
 }
 
 
 class BodyTooLarge(Exception):
-    """A body beyond what its call takes; the rest of it is left unread."""
+    """The request body exceeds the limit of its call; the rest of it is left unread."""
 
 
 class BodyIncomplete(Exception):
-    """A body that ended before its length, or is not chunked as it should be."""
+    """The request body is shorter than its Content-Length, or its chunked encoding is malformed."""
 
 
 class ControlApiPlane(Protocol):
-    """What `ControlApi` takes of the control plane."""
+    """The part of the control plane that `ControlApi` uses."""
 
     runtime: Runtime
     suspend_detector: SuspendDetector
@@ -103,23 +107,23 @@
     load_placement: LoadPlacement
 
     def quorum_contact_age(self) -> float:
-        """Return the seconds since a time up to which all that was acknowledged is known here."""
+        """Return an upper bound on this controller's staleness, in seconds."""
 
     def count_refusal(self, reason: str) -> None:
-        """Count a call that was not confirmed, for the operator to see."""
+        """Count a call that could not be confirmed, for the status view."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call that was read whole.
+    """One call, read completely.
 
     Attributes:
-        name: of the table of calls.
-        segments: what stands in the path for the table's `{}`.
+        name: its name in the table of calls.
+        segments: path segments that match a `{}` of the table.
         query: the query string.
-        body: the body.
-        read_at: when it had been read, on the steady clock, in seconds.
-        caller_gone: tells whether its caller went away.
+        body: the request body.
+        read_at: monotonic time at which the request had been read, in seconds.
+        caller_disconnected: returns whether the caller closed its connection.
     """
 
     name: str
@@ -127,15 +131,15 @@
     query: str
     body: bytes
     read_at: float
-    caller_gone: Callable[[], bool]
+    caller_disconnected: Callable[[], bool]
 
 
 def read_body(environ: dict[str, Any], max_bytes: int) -> bytes:
-    """Read a request's body.
+    """Read a request body.
 
     Raises:
-        BodyTooLarge: as soon as that is known, by its length or by what has come.
-        BodyIncomplete: it ended early, or its chunks make no sense.
+        BodyTooLarge: the Content-Length or the bytes read so far exceed `max_bytes`.
+        BodyIncomplete: the body ended early, or its chunked encoding is malformed.
     """
     content_length = environ.get("CONTENT_LENGTH") or "0"
     if content_length.isdigit() and int(content_length) > max_bytes:
@@ -150,15 +154,15 @@
 
 
 class ControlApi:
-    """WSGI application for the calls of the table; `plane` has the state."""
+    """WSGI application that answers the control and directory calls from the state of `plane`."""
 
     def __init__(self, plane: ControlApiPlane, names: Iterable[str]) -> None:
-        """Answer the calls of these names only: each listener has its own."""
+        """Answer only the calls named in `names`; each listener has its own set."""
         self.plane = plane
         self.names = frozenset(names)
-        self.handlers: dict[str, Callable[[Call], Answer]] = {
+        self.handlers: dict[str, Callable[[Call], Response]] = {
             CallName.HEARTBEAT: self.record_heartbeat,
-            CallName.LEAVE: self.record_leave,
+            CallName.SIGN_OFF: self.record_sign_off,
             CallName.PUT_CONFIGURATION: self.put_configuration,
             CallName.GET_CONFIGURATION: self.get_configuration,
             CallName.EVACUATE: self.start_evacuation,
@@ -167,66 +171,66 @@
         }
 
     def __call__(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
-        """Answer one request, as PEP 3333 has it."""
-        answer = self.answer(environ)
-        body = answer.body if isinstance(answer.body, bytes) else msgspec.json.encode(answer.body)
+        """Answer one request (PEP 3333)."""
+        response = self.answer(environ)
+        body = response.body if isinstance(response.body, bytes) else msgspec.json.encode(response.body)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             headers.append(("Retry-After", RETRY_AFTER_S))
         request_input = environ["wsgi.input"]
         is_partly_unread = request_input.chunked_input or request_input.position < (
             request_input.content_length or 0
         )
-        if answer.status != HTTPStatus.OK and is_partly_unread:
-            # The server would read what is left of the body, however much, before it takes the next request.
+        if response.status != HTTPStatus.OK and is_partly_unread:
+            # Otherwise the server would read the rest of the body, of any size, before the next request.
             request_input.content_length = request_input.position
             request_input.chunked_input = False
             headers.append(("Connection", "close"))
-        phrase = REASON_PHRASES.get(answer.status, answer.status.phrase)
-        start_response(f"{answer.status.value} {phrase}", headers)
+        phrase = REASON_PHRASES.get(response.status, response.status.phrase)
+        start_response(f"{response.status.value} {phrase}", headers)
         return [body]
 
-    def answer(self, environ: dict[str, Any]) -> Answer:
-        """Read a call, do it, and answer it unless it may not be confirmed."""
+    def answer(self, environ: dict[str, Any]) -> Response:
+        """Read and execute a call, and answer with its result unless it can't be confirmed."""
         name, segments = calls.find(environ["REQUEST_METHOD"], environ["PATH_INFO"])
         if name not in self.names:
-            return Answer.fault(HTTPStatus.NOT_FOUND, "no such call")
+            return Response.error(HTTPStatus.NOT_FOUND, "no such call")
         max_bytes = MAX_CONFIGURATION_BYTES if name == CallName.PUT_CONFIGURATION else MAX_BODY_BYTES
         try:
             body = read_body(environ, max_bytes)
         except BodyTooLarge:
-            return Answer.fault(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body: at most {max_bytes} bytes")
+            return Response.error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body: at most {max_bytes} bytes")
         except BodyIncomplete as error:
-            return Answer.fault(HTTPStatus.BAD_REQUEST, f"body: {error}")
+            return Response.error(HTTPStatus.BAD_REQUEST, f"body: {error}")
         read_at = self.plane.runtime.now()
         call = Call(
             name, segments, environ["QUERY_STRING"], body, read_at, environ[ENVIRON_CALLER_DISCONNECTED]
         )
-        # Before anything is done, and again after the last wait: this process may be suspended in between.
-        refusal_before = self.refusal(call)
-        if refusal_before is not None:
-            return refusal_before
-        answer = self._handle(call)
-        return self.refusal(call) or answer
-
-    def _handle(self, call: Call) -> Answer:
+        # Checked before execution and again after it: this process may be suspended in between.
+        early_refusal = self.refusal(call)
+        if early_refusal is not None:
+            return early_refusal
+        response = self._handle(call)
+        return self.refusal(call) or response
+
+    def _handle(self, call: Call) -> Response:
         try:
             return self.handlers[call.name](call)
         except (msgspec.DecodeError, msgspec.ValidationError, ConfigError) as error:
-            return Answer.fault(HTTPStatus.BAD_REQUEST, str(error))
+            return Response.error(HTTPStatus.BAD_REQUEST, str(error))
 
-    # Whether a call may be confirmed.
+    # Checks before a call is confirmed.
 
-    def refusal(self, call: Call) -> Answer | None:
-        """Return the answer to a call that may not be confirmed, None where it may.
+    def refusal(self, call: Call) -> Response | None:
+        """Return the response to a call that can't be confirmed; None if it can be.
 
-        It says nothing clear, so that the caller goes on to another controller.
+        It is a 503, which leaves the outcome open, so that the caller retries on another controller.
         """
         reason = self._refusal_reason(call)
         if reason is None:
             return None
         self.plane.count_refusal(reason)
-        return Answer.fault(HTTPStatus.SERVICE_UNAVAILABLE, reason)
+        return Response.error(HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
     def _refusal_reason(self, call: Call) -> Refusal | None:
         now = self.plane.runtime.now()
@@ -239,78 +243,78 @@
             return None
         if now - call.read_at > max_call_age_s:
             return Refusal.TOO_LATE
-        if call.caller_gone():
+        if call.caller_disconnected():
             return Refusal.CALLER_DISCONNECTED
         return None
 
     def _may_proceed(self, call: Call) -> Callable[[], bool]:
         return lambda: self._refusal_reason(call) is None
 
-    # Handlers of the calls.
+    # Call handlers.
 
-    def record_heartbeat(self, call: Call) -> Answer:
-        """Take an endpoint's heartbeat."""
+    def record_heartbeat(self, call: Call) -> Response:
+        """Process the heartbeat of an endpoint."""
         heartbeat = msgspec.json.decode(call.body, type=Heartbeat)
-        return OK if self.plane.endpoints.record_heartbeat(call.segments[0], heartbeat) else NO_MAJORITY
+        return OK if self.plane.endpoints.record_heartbeat(call.segments[0], heartbeat) else NO_QUORUM
 
-    def record_leave(self, call: Call) -> Answer:
-        """Take an endpoint's sign-off."""
-        return OK if self.plane.endpoints.sign_off(call.segments[0]) else NO_MAJORITY
+    def record_sign_off(self, call: Call) -> Response:
+        """Process the sign-off of an endpoint."""
+        return OK if self.plane.endpoints.sign_off(call.segments[0]) else NO_QUORUM
 
-    def put_configuration(self, call: Call) -> Answer:
-        """Put a configuration under its number."""
+    def put_configuration(self, call: Call) -> Response:
+        """Store a configuration under the number it contains."""
         number = check(call.body).number
         outcome = self.plane.operator_requests.put(number, call.body, self._may_proceed(call))
         if outcome == RequestOutcome.CONFLICT:
             say("conflict", edition=f"{number:08x}")
-        return OUTCOME_ANSWERS[outcome]
+        return OUTCOME_RESPONSES[outcome]
 
-    def get_configuration(self, call: Call) -> Answer:
-        """Return the configuration that stands, as it was put."""
+    def get_configuration(self, call: Call) -> Response:
+        """Return the current configuration, as it was uploaded."""
         is_known, body = self.plane.operator_requests.get()
         if not is_known:
-            return NO_MAJORITY
+            return NO_QUORUM
         if body is None:
-            return Answer.fault(HTTPStatus.NOT_FOUND, "no configuration yet")
-        return Answer(HTTPStatus.OK, body)
+            return Response.error(HTTPStatus.NOT_FOUND, "no configuration yet")
+        return Response(HTTPStatus.OK, body)
 
-    def start_evacuation(self, call: Call) -> Answer:
-        """Begin to evacuate a zone."""
+    def start_evacuation(self, call: Call) -> Response:
+        """Start the evacuation of a zone."""
         return self._evacuate(call, True)
 
-    def end_evacuation(self, call: Call) -> Answer:
+    def end_evacuation(self, call: Call) -> Response:
         """End the evacuation of a zone."""
         return self._evacuate(call, False)
 
-    def _evacuate(self, call: Call, is_evacuated: bool) -> Answer:
+    def _evacuate(self, call: Call, is_evacuated: bool) -> Response:
         may_proceed = self._may_proceed(call)
         outcome = self.plane.operator_requests.evacuate(call.segments[0], is_evacuated, may_proceed)
-        return OUTCOME_ANSWERS[outcome]
+        return OUTCOME_RESPONSES[outcome]
 
-    def resolve(self, call: Call) -> Answer:
-        """Return the proxies to which a client of a host should connect."""
+    def resolve(self, call: Call) -> Response:
+        """Return the addresses of the proxies that a client of a host should connect to."""
         parameters = dict(pair.partition("=")[::2] for pair in call.query.split("&"))
-        directory = self.plane.load_placement
-        addresses = directory.proxy_addresses(
+        load_placement = self.plane.load_placement
+        addresses = load_placement.proxy_addresses(
             parameters.get("name", ""), parameters.get("region", ""), parameters.get("zone", "")
         )
         if not addresses:
-            return Answer.fault(HTTPStatus.SERVICE_UNAVAILABLE, "nobody is ready")
-        valid_s = round(directory.record_answer(self.plane.runtime.now()), 2)
-        return Answer(HTTPStatus.OK, {"post_addrs": addresses, "valid_s": valid_s})
+            return Response.error(HTTPStatus.SERVICE_UNAVAILABLE, "nobody is ready")
+        valid_s = round(load_placement.record_answer(self.plane.runtime.now()), 2)
+        return Response(HTTPStatus.OK, {"post_addrs": addresses, "valid_s": valid_s})
 
 
 class RequestHandler(pywsgi.WSGIHandler):
-    """Lets a call ask whether its caller went away: a request may outlive the patience of who sent it."""
+    """Request handler that lets a call detect that its caller has disconnected, e.g. after a time-out."""
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the WSGI environ, with that question."""
+        """Return the WSGI environ, with `caller_disconnected` added."""
         environ = super().get_environ()
-        environ[ENVIRON_CALLER_DISCONNECTED] = self.caller_gone
+        environ[ENVIRON_CALLER_DISCONNECTED] = self.caller_disconnected
         return environ
 
-    def caller_gone(self) -> bool:
-        """Return whether the caller closed its connection; bytes of a next request mean that it did not."""
+    def caller_disconnected(self) -> bool:
+        """Return whether the caller closed its connection; bytes of a next request mean that it is open."""
         try:
             return not self.socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -320,7 +324,7 @@
 
 
 def listen(address: tuple[str, int], plane: ControlApiPlane, names: Iterable[str]) -> pywsgi.WSGIServer:
-    """Return a server, yet to be started, that answers the calls of these names at an address."""
+    """Create, but do not start, a server for the named calls at an address."""
     return pywsgi.WSGIServer(
         address,
         ControlApi(plane, names),
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -1,4 +1,4 @@
-"""`flintreach controller`: the control plane as one process, on a machine with a disk."""
+"""The `flintreach controller` process: runs the control plane on real sockets and a disk."""
 
 import signal
 import sys
@@ -22,23 +22,23 @@
 from flintreach.transport.peer_connection import PeerConnection
 from flintreach.transport.peer_pool import PeerPool
 
-PEER_PORT_INDEX = 0  # of the spare ports, the one at which other processes reach this one
-SHOW_MESSAGE = "show"  # kind of the shell's question
+PEER_PORT_INDEX = 0  # index, among the spare ports, of the port for peer traffic
+SHOW_MESSAGE = "show"  # message kind of `flintreach show`
 CONTROL_CALLS = frozenset(CallName) - {CallName.RESOLVE}
 DIRECTORY_CALLS = frozenset({CallName.RESOLVE})
-# Listener in the settings, its calls.
+# Names of the listeners in the settings, with the calls that each answers.
 LISTENER_CALLS = (("control", CONTROL_CALLS), ("directory", DIRECTORY_CALLS))
-EXIT_UNUSABLE = 2  # settings or a disk that the process can't start with
+EXIT_UNUSABLE = 2  # the settings or the disk are unusable
 
 
 class ControllerProcess:
-    """The control plane on sockets and a disk."""
+    """A controller: the control plane with its sockets, disk and failure detector."""
 
     def __init__(self, node: settings.ProcessSettings) -> None:
-        """Open the disk and assemble the parts; nothing listens before `run`.
+        """Open the store and construct the components; nothing listens before `run`.
 
         Raises:
-            StoreError: the disk can't be used.
+            StoreError: the disk is unusable.
         """
         self.node = node
         sender = node.sender
@@ -58,22 +58,22 @@
         )
         self.failure_detector = FailureDetector(member, self.join_addresses)
         self.plane = ControlPlane(
-            node, self.peer_pool, store, self.failure_detector.member_list, self.seeds, self.begin
+            node, self.peer_pool, store, self.failure_detector.member_list, self.seeds, self.start_serving
         )
         self.peer_pool.handlers[SHOW_MESSAGE] = self.on_show
         self.servers: list[pywsgi.WSGIServer] = []
         self.stopping = Event()
 
     def seeds(self) -> list[Address]:
-        """Return the addresses to join by, as the settings name them now."""
+        """Return the seed addresses from the current settings."""
         return sorted({(ip, self.peer_pool.address[1]) for ip in self.node.seeds()})
 
     def join_addresses(self) -> list[Address]:
-        """Return where to join: the seeds may all have left, and the disk remembers who votes."""
+        """Return the addresses to join by: the seeds, and the stored voters in case all seeds have left."""
         return sorted({*self.seeds(), *self.plane.register.voters.members()})
 
-    def begin(self) -> None:
-        """Tell the others that this controller is ready, and answer callers."""
+    def start_serving(self) -> None:
+        """Announce this controller as ready and start the API listeners."""
         self.failure_detector.change(ready=True)
         for listener, names in LISTENER_CALLS:
             if listener in self.node.network.posts:
@@ -83,34 +83,34 @@
         say("ready", endpoints=len(self.plane.registry.records))
 
     def on_show(self, connection: PeerConnection, view: str) -> list[Row] | None:
-        """Answer `flintreach show`."""
+        """Answer a request of `flintreach show`."""
         return self.plane.show(view)
 
     def run(self) -> int:
-        """Run until SIGTERM; return the status to exit with."""
+        """Run until SIGTERM; return the exit status."""
         self.peer_pool.start()
         self.failure_detector.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
-        gevent.signal_handler(signal.SIGHUP, self.reread)
-        gevent.spawn(settings.watch, self.reread, gevent.sleep)
+        gevent.signal_handler(signal.SIGHUP, self.reload_settings)
+        gevent.spawn(settings.watch, self.reload_settings, gevent.sleep)
         self.plane.start()
         self.stopping.wait()
-        # Voting is handed over before the others hear that this process has left.
+        # Voting is handed over before the departure is announced to the other members.
         self.plane.repair.voter_manager.hand_over()
         self.failure_detector.change(state=LEFT)
         say("stopped")
         return 0
 
-    def reread(self) -> None:
-        """Read the settings anew; those that were good stay where the file can't be used."""
+    def reload_settings(self) -> None:
+        """Reload the settings; keep the current ones if the file is invalid."""
         node = settings.reload(self.node)
         self.node = node
         self.plane.node = node
 
 
 def main() -> None:
-    """Run a controller by the settings of this machine, and exit."""
-    # Addresses are numbers: threads that look names up would only cost memory.
+    """Run a controller with the settings of this machine."""
+    # All addresses are numeric, so the memory of a resolver thread pool would be wasted.
     gevent.config.resolver = "block"
     try:
         controller = ControllerProcess(settings.load())
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -1,6 +1,6 @@
-"""What `flintreach show` prints of a controller: one function a view, each returns rows.
+"""Views of a controller's state for `flintreach show`; each view is a function that returns rows.
 
-Names of views and keys of rows are what operators and their scripts read: they stay as they are.
+The names of views and the keys of rows are an operator interface that scripts depend on; don't change them.
 """
 
 from collections.abc import Callable, Mapping
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class RefusalCount:
-    """How many calls were refused for one reason, and when the last was, in seconds of the steady clock."""
+    """Number of calls refused for one reason, and the monotonic time of the last one in seconds."""
 
     count: int = 0
     last_at: float = 0.0
 
 
 class ViewedPlane(Protocol):
-    """What the views read of the control plane."""
+    """The part of the control plane that the views read."""
 
     runtime: Runtime
     node: ProcessSettings
@@ -50,22 +50,22 @@
     refusals: Mapping[str, RefusalCount]
 
     @property
-    def group(self) -> list[tuple[str, int]]:
+    def voter_addresses(self) -> list[tuple[str, int]]:
         """Return the addresses of the voters."""
 
     @property
     def registry(self) -> EndpointRegistry:
-        """Return the registry of endpoints."""
+        """Return the endpoint registry."""
 
     def quorum_contact_age(self) -> float:
-        """Return the seconds since a time up to which all that was acknowledged is known here."""
+        """Return an upper bound on this controller's staleness, in seconds."""
 
     def evacuated_zones(self) -> set[str]:
-        """Return the zones that are evacuated."""
+        """Return the zones under evacuation."""
 
 
 def member_rows(plane: ViewedPlane) -> list[Row]:
-    """Return a row for each process in the member list, by name."""
+    """Return a row for each cluster member, sorted by name."""
     members = sorted(plane.member_list.members.values(), key=lambda member: member.name)
     return [
         {
@@ -81,7 +81,7 @@
 
 
 def endpoint_rows(plane: ViewedPlane) -> list[Row]:
-    """Return a row for each endpoint, by service and id."""
+    """Return a row for each endpoint, sorted by service and id."""
     now_ns = plane.runtime.now_ns()
     records = sorted(plane.registry.records.values(), key=lambda record: (record.service, record.id))
     return [
@@ -102,7 +102,7 @@
 
 
 def assignment_rows(plane: ViewedPlane) -> list[Row]:
-    """Return a row for each shard of endpoints, by its name."""
+    """Return a row for each slice with its assigned endpoints, sorted by name."""
     return [
         {"slice": name, "endpoints": len(ids), "ids": " ".join(ids)}
         for name, ids in sorted(plane.updates.under(SLICE_KEY_PREFIX).items())
@@ -119,17 +119,17 @@
 
 
 def traffic_rows(plane: ViewedPlane) -> list[Row]:
-    """Return messages and bytes between processes, by kind."""
+    """Return message and byte counts of peer traffic, by message kind."""
     return plane.peer_pool.traffic()
 
 
 def voter_rows(plane: ViewedPlane) -> list[Row]:
-    """Return a row for each voter, and each disk that may become one."""
+    """Return a row for each voter and each candidate voter."""
     return plane.repair.voter_manager.rows()
 
 
 def status_rows(plane: ViewedPlane) -> list[Row]:
-    """Return one row of this controller's own state."""
+    """Return one row with the state of this controller."""
     now = plane.runtime.now()
     refusals = sorted(plane.refusals.items(), key=lambda entry: -entry[1].count)
     contacts = sorted(plane.quorum_contact.confirmed_at.items())
@@ -144,7 +144,7 @@
             ),
             "refused_by_disk": plane.register.failed_writes,
             "sleeps": plane.suspend_detector.suspensions,
-            "disks": len(plane.group),
+            "disks": len(plane.voter_addresses),
             "votes": plane.register.can_vote(),
             "contact_s": round(plane.quorum_contact_age(), 1),
             "contacts_s": " ".join(f"{ip} {now - asked_at:.1f}" for (ip, _), asked_at in contacts),
@@ -165,6 +165,6 @@
 
 
 def show(plane: ViewedPlane, view: str) -> list[Row] | None:
-    """Return the rows of a view, None where there is no such view."""
-    rows_of = VIEWS.get(view)
-    return None if rows_of is None else rows_of(plane)
+    """Return the rows of a view; None if it does not exist."""
+    make_rows = VIEWS.get(view)
+    return None if make_rows is None else make_rows(plane)
--- a/tests/controller/test_http_api.py
+++ b/tests/controller/test_http_api.py
@@ -1,4 +1,4 @@
-"""Calls of a controller: their bodies, their statuses, and when one must not be confirmed."""
+"""HTTP API of a controller: body limits, status codes, and calls that must not be confirmed."""
 
 import unittest
 from collections.abc import Callable, Iterator
@@ -56,7 +56,7 @@
 
         self.api = ControlApi(FakePlane(operator_requests=SimpleNamespace(put=put)), ALL_CALLS)
 
-    def test_a_body_too_large_for_a_connection_is_rejected_by_its_length_and_left_unread(self) -> None:
+    def test_a_body_above_the_limit_is_rejected_by_its_content_length_and_left_unread(self) -> None:
         self.assertLessEqual(2 * MAX_CONFIGURATION_BYTES, peer_connection.MAX_MESSAGE_BYTES)
         for path, max_bytes in (
             (PUT_PATH, MAX_CONFIGURATION_BYTES),
@@ -69,13 +69,13 @@
             self.assertEqual((status, read_bytes, headers["Connection"]), (413, 0, "close"), path)
             self.assertIn(str(max_bytes), answer["fault"])
 
-    def test_a_chunked_body_is_left_as_soon_as_it_passes_the_bound(self) -> None:
+    def test_reading_of_a_chunked_body_stops_when_it_exceeds_the_limit(self) -> None:
         chunk = b"10000\r\n" + b" " * 65536 + b"\r\n"
         status, _, _, read_bytes = call_api(self.api, "POST", PUT_PATH, chunk * 200, chunked=True)
         self.assertEqual(status, 413)
         self.assertLess(read_bytes, MAX_CONFIGURATION_BYTES + 70000)
 
-    def test_a_body_at_the_bound_is_read_whole(self) -> None:
+    def test_a_body_at_the_limit_is_read_completely(self) -> None:
         configuration = configuration_body(1)
         body = configuration + b" " * (MAX_CONFIGURATION_BYTES - len(configuration))
         self.assertEqual(call_api(self.api, "POST", PUT_PATH, body)[0], 200)
@@ -87,8 +87,8 @@
 
 
 class PutStatuses(unittest.TestCase):
-    def test_only_another_content_is_rejected(self) -> None:
-        """What can't be told has no clear answer, and when to ask again."""
+    def test_only_conflicting_content_is_rejected(self) -> None:
+        """An outcome that can't be determined is answered with 503 and Retry-After."""
         for outcome, expected_status in (
             (RequestOutcome.ACCEPTED, 200),
             (RequestOutcome.REPEATED, 200),
@@ -108,22 +108,22 @@
 
 
 class CallerConnection(unittest.TestCase):
-    def test_a_closed_connection_is_noticed_and_a_next_request_is_not_taken_for_one(self) -> None:
+    def test_a_closed_connection_is_detected_and_a_pipelined_request_is_not_mistaken_for_it(self) -> None:
         server_socket, caller_socket = gevent.socket.socketpair()
         handler = RequestHandler.__new__(RequestHandler)
         handler.socket = server_socket
-        self.assertFalse(handler.caller_gone())
-        caller_socket.sendall(b"GET ")  # the next request
-        self.assertFalse(handler.caller_gone())
+        self.assertFalse(handler.caller_disconnected())
+        caller_socket.sendall(b"GET ")  # a pipelined request
+        self.assertFalse(handler.caller_disconnected())
         server_socket.recv(4)
         caller_socket.close()
-        self.assertTrue(handler.caller_gone())
+        self.assertTrue(handler.caller_disconnected())
         server_socket.close()
-        self.assertTrue(handler.caller_gone())
+        self.assertTrue(handler.caller_disconnected())
 
 
 class QuorumContactBeforeAnswering(unittest.TestCase):
-    """Each call of the table: in contact, cut off, after a suspension, across a suspension."""
+    """Each call of the table: with and without quorum contact, after and during a suspension."""
 
     def setUp(self) -> None:
         self.handled: list[str] = []
@@ -132,9 +132,9 @@
         self.configuration: bytes | None = b"{}"
 
     def plane_and_api(self) -> tuple[FakePlane, ControlApi]:
-        """A controller whose calls take `handling_s`, and which may be suspended through them."""
+        """A controller whose calls take `handling_s`, during which it may be suspended."""
 
-        def handles(name: str, result: Any) -> Callable[..., Any]:
+        def handler_returning(name: str, result: Any) -> Callable[..., Any]:
             def handle(*args: Any) -> Any:
                 self.handled.append(name)
                 plane.pass_time(self.handling_s, self.suspended_while_handled)
@@ -144,93 +144,93 @@
 
         plane = FakePlane(
             operator_requests=SimpleNamespace(
-                put=handles("put", RequestOutcome.ACCEPTED),
-                evacuate=handles("evacuate", RequestOutcome.ACCEPTED),
-                get=handles("get", lambda: (True, self.configuration)),
+                put=handler_returning("put", RequestOutcome.ACCEPTED),
+                evacuate=handler_returning("evacuate", RequestOutcome.ACCEPTED),
+                get=handler_returning("get", lambda: (True, self.configuration)),
             ),
             endpoints=SimpleNamespace(
-                record_heartbeat=handles("beat", True), sign_off=handles("leave", True)
+                record_heartbeat=handler_returning("beat", True), sign_off=handler_returning("leave", True)
             ),
             load_placement=SimpleNamespace(
-                proxy_addresses=handles("resolve", ["10.1.0.1:80"]), record_answer=lambda now: 0.5
+                proxy_addresses=handler_returning("resolve", ["10.1.0.1:80"]), record_answer=lambda now: 0.5
             ),
         )
         return plane, ControlApi(plane, ALL_CALLS)
 
     def each_call(self) -> Iterator[tuple[str, FakePlane, Callable[[], tuple], float, float | None]]:
-        """Name, plane, a function that makes the call, bounds of contact and of the call's age."""
+        """Yield name, plane, a function that makes the call, and the limits of contact age and call age."""
         for name, (method, path, body) in REQUESTS.items():
             plane, api = self.plane_and_api()
             self.handled.clear()
 
-            def ask(
+            def make_call(
                 api: ControlApi = api, method: str = method, path: str = path, body: bytes = body
             ) -> tuple:
                 return call_api(api, method, path, body)[:3]
 
-            yield name, plane, ask, *calls.BOUNDS[name]
+            yield name, plane, make_call, *calls.BOUNDS[name]
 
-    def test_every_call_that_a_controller_answers_has_its_case_and_its_bound(self) -> None:
+    def test_every_call_has_a_test_request_and_limits(self) -> None:
         self.assertEqual({*REQUESTS}, ALL_CALLS)
         self.assertEqual({*REQUESTS} | {"ready"}, {*calls.BOUNDS})
         for name in REQUESTS:
             contact_s, call_age_s = calls.BOUNDS[name]
             self.assertTrue(contact_s <= 2.0 and (name == "resolve" or call_age_s < 1.0), name)
 
-    def test_in_contact_each_call_is_answered(self) -> None:
-        for name, plane, ask, contact_s, _ in self.each_call():
+    def test_each_call_is_answered_with_quorum_contact(self) -> None:
+        for name, plane, make_call, contact_s, _ in self.each_call():
             plane.pass_time(contact_s - 0.01)
-            self.assertEqual((ask()[0], len(self.handled)), (200, 1), name)
+            self.assertEqual((make_call()[0], len(self.handled)), (200, 1), name)
 
-    def test_cut_off_it_answers_at_once_that_it_does_not_know(self) -> None:
-        for name, plane, ask, contact_s, _ in self.each_call():
+    def test_each_call_is_refused_immediately_without_quorum_contact(self) -> None:
+        for name, plane, make_call, contact_s, _ in self.each_call():
             plane.pass_time(contact_s + 0.01)
-            asked_at = plane.time
-            status, answer, headers = ask()
+            called_at = plane.time
+            status, answer, headers = make_call()
             self.assertEqual(
                 (status, answer, plane.time, self.handled),
-                (503, {"fault": Refusal.NO_QUORUM_CONTACT}, asked_at, []),
+                (503, {"fault": Refusal.NO_QUORUM_CONTACT}, called_at, []),
                 name,
             )
             self.assertEqual((headers["Retry-After"], plane.refusals), ("0.2", [Refusal.NO_QUORUM_CONTACT]))
 
-    def test_before_its_first_contact_it_answers_no_call(self) -> None:
-        for name, plane, ask, _, _ in self.each_call():
+    def test_each_call_is_refused_before_the_first_quorum_contact(self) -> None:
+        for name, plane, make_call, _, _ in self.each_call():
             plane.quorum_contact = QuorumContact()
-            self.assertEqual(ask()[:2], (503, {"fault": Refusal.NO_QUORUM_CONTACT}), name)
+            self.assertEqual(make_call()[:2], (503, {"fault": Refusal.NO_QUORUM_CONTACT}), name)
 
-    def test_what_lay_unread_through_a_suspension_is_not_answered(self) -> None:
-        for name, plane, ask, _, call_age_s in self.each_call():
+    def test_a_request_that_was_unread_during_a_suspension_is_refused(self) -> None:
+        for name, plane, make_call, _, call_age_s in self.each_call():
             plane.pass_time(MAX_CHECK_GAP_S + 0.05, suspended=True)
-            status, answer, _ = ask()
+            status, answer, _ = make_call()
             if call_age_s:
                 self.assertEqual((status, answer), (503, {"fault": Refusal.SUSPENDED}), name)
             else:
-                self.assertEqual((status, answer), (200, ask()[1]), name)
+                self.assertEqual((status, answer), (200, make_call()[1]), name)
             plane.pass_time(RESUME_DELAY_S + 0.01)
             plane.make_contact()
-            self.assertEqual(ask()[0], 200, name)
+            self.assertEqual(make_call()[0], 200, name)
 
-    def test_a_suspension_between_the_last_wait_and_the_answer_confirms_nothing(self) -> None:
-        """Also no 4xx: what `get` found before the suspension does not say what stands now."""
+    def test_nothing_is_confirmed_after_a_suspension_between_execution_and_response(self) -> None:
+        """No 4xx either: what `get` read before the suspension may have changed since."""
         self.handling_s = 5.0
         self.suspended_while_handled = True
         for configuration in (b"{}", None):
             self.configuration = configuration
-            for name, _, ask, _, _ in self.each_call():
-                status, answer, _ = ask()
+            for name, _, make_call, _, _ in self.each_call():
+                status, answer, _ = make_call()
                 self.assertEqual((status, len(self.handled)), (503, 1), name)
                 self.assertIn(answer["fault"], (Refusal.SUSPENDED, Refusal.NO_QUORUM_CONTACT))
 
-    def test_what_took_longer_than_callers_wait_is_not_confirmed(self) -> None:
-        for name, plane, ask, _, call_age_s in self.each_call():
+    def test_a_call_that_took_longer_than_the_timeout_of_callers_is_not_confirmed(self) -> None:
+        for name, plane, make_call, _, call_age_s in self.each_call():
             if not call_age_s:
                 continue
             self.handling_s = call_age_s + 0.05
-            self.assertEqual(ask()[:2], (503, {"fault": Refusal.TOO_LATE}), name)
+            self.assertEqual(make_call()[:2], (503, {"fault": Refusal.TOO_LATE}), name)
             self.handling_s = call_age_s - 0.05
             plane.make_contact()
-            self.assertEqual(ask()[0], 200, name)
+            self.assertEqual(make_call()[0], 200, name)
 
 
 if __name__ == "__main__":
