--- a/tests/controller/test_views.py
+++ b/tests/controller/test_views.py
@@ -1,4 +1,4 @@
-"""Views of a controller that `flintreach show` prints."""
+"""Views of a controller for `flintreach show`."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 
 
 class Status(unittest.TestCase):
-    def test_an_operator_sees_how_old_contact_is_and_what_was_refused(self) -> None:
+    def test_status_shows_the_contact_age_and_the_refusals(self) -> None:
         clock = [100.0]
         runtime = SimpleNamespace(
             now=lambda: clock[0],
