--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -10,21 +10,21 @@
 import gevent
 
 from flintreach.dissemination.load_aggregate import LoadAggregate
-from flintreach.proxy.balancing import EJECTION_FULL_NS, idle_time_ns
+from flintreach.proxy.balancing import EJECTION_CONNECTION_LIMIT_NS, idle_timeout_ns
 from flintreach.proxy.connection import IDLE_LIMIT_NS
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.exchange import MISDIRECTED_REQUEST, ExchangeTerms, Outcome, exchange
-from flintreach.proxy.health_check import HealthChecker, announces_no_departure
+from flintreach.proxy.health_check import HealthChecker, confirms_presence
 from flintreach.proxy.metrics import (
-    ABANDONED,
     AT_CONNECTION_LIMIT,
-    LATE_ABANDON,
+    CANCELLED_ATTEMPTS,
+    LATE_CANCELLATION,
+    LEASE_NOT_RENEWED,
     RECALLED,
     SEND_TIME,
-    SENT_FOR_NOBODY,
-    UNCONFIRMED,
+    SENT_AFTER_DISCONNECT,
     VIEW_AGE,
-    WORK_FOR_NOBODY,
+    WORK_AFTER_DISCONNECT,
     Metrics,
 )
 from flintreach.proxy.outcome import OutcomeKind
@@ -57,7 +57,7 @@
         load_aggregate: where loads are reported upwards.
 
     Attributes:
-        usual_work_ns: service -> how long its requests take, smoothed.
+        average_latency_ns: service -> how long its requests take, smoothed.
     """
 
     def __init__(self, view: RoutingView, metrics: Metrics, load_aggregate: LoadAggregate) -> None:
@@ -65,7 +65,7 @@
         self.metrics = metrics
         self.load_aggregate = load_aggregate
         self.health_checker = HealthChecker(view, metrics)
-        self.usual_work_ns: dict[str, int] = {}
+        self.average_latency_ns: dict[str, int] = {}
 
     def attempt(self, request: Request, service: str, endpoint: EndpointView, deadline: int) -> Outcome:
         """Send a request to one endpoint.
@@ -79,8 +79,8 @@
         Raises:
             ClientLeft: its client has left before anything went out.
         """
-        if not self.health_checker.confirm(endpoint, deadline):
-            self.metrics.count(UNCONFIRMED)
+        if not self.health_checker.ensure_lease(endpoint, deadline):
+            self.metrics.count(LEASE_NOT_RENEWED)
             endpoint.record_failure(time.monotonic_ns(), self.view.is_sharded(service))
             return Outcome(OutcomeKind.UNSENT)
         began_at = time.monotonic_ns()
@@ -92,7 +92,7 @@
             outcome = self.send(request, service, endpoint, deadline, began_at)
             return outcome
         except gevent.GreenletExit:
-            self.metrics.count(ABANDONED)
+            self.metrics.count(CANCELLED_ATTEMPTS)
             raise
         finally:
             ended_at = time.monotonic_ns()
@@ -109,7 +109,7 @@
         request_id = request.by_name.get("x-try-id", "")
         terms = self.terms(request, service, endpoint, deadline, began_at)
         outcome = exchange(endpoint.pool, head, request.body, request_id, terms, request.connections)
-        if outcome.kind == OutcomeKind.ANSWERED and announces_no_departure(outcome.response):
+        if outcome.kind == OutcomeKind.ANSWERED and confirms_presence(outcome.response):
             endpoint.confirm_present(began_at)
         return outcome
 
@@ -120,7 +120,7 @@
         idle_limit_ns = IDLE_LIMIT_NS
         service_config = self.view.routes.service_configs.get(service)
         if service_config:
-            idle_limit_ns = idle_time_ns(
+            idle_limit_ns = idle_timeout_ns(
                 endpoint,
                 self.view.position,
                 service_config.connection_limit,
@@ -133,7 +133,7 @@
             idle_limit_ns,
             may_send=lambda: self.may_send(request, endpoint),
             on_written=lambda: self.record_written(request, endpoint, began_at),
-            arrive_by=lambda: self.view.arrive_by(endpoint),
+            arrive_by=lambda: self.view.arrival_deadline(endpoint),
         )
 
     def may_send(self, request: Request, endpoint: EndpointView) -> bool:
@@ -154,9 +154,9 @@
         if left_at is None or not request.idempotent:
             return
         wasted_ns = ended_at - max(began_at, left_at)
-        self.metrics.observe(WORK_FOR_NOBODY, wasted_ns)
+        self.metrics.observe(WORK_AFTER_DISCONNECT, wasted_ns)
         if wasted_ns > ABANDON_WITHIN_NS:
-            self.metrics.count(LATE_ABANDON)
+            self.metrics.count(LATE_CANCELLATION)
 
     def record_written(self, request: Request, endpoint: EndpointView, chosen_at: int) -> None:
         """Record that the kernel has taken a whole request to an endpoint that was chosen at `chosen_at`."""
@@ -164,7 +164,7 @@
         endpoint.written_at = now
         left_at = request.caller.left_at
         if left_at is not None and left_at < chosen_at:
-            self.metrics.count(SENT_FOR_NOBODY)
+            self.metrics.count(SENT_AFTER_DISCONNECT)
         self.metrics.observe(SEND_TIME, now - chosen_at)
         self.metrics.observe(VIEW_AGE, now - self.view.confirmed_at())
 
@@ -189,7 +189,7 @@
             self.metrics.count(RECALLED)
             endpoint.record_failure(now, self.view.is_sharded(service))
         elif outcome.at_connection_limit:
-            endpoint.eject_until(now + EJECTION_FULL_NS)
+            endpoint.eject_until(now + EJECTION_CONNECTION_LIMIT_NS)
             self.metrics.count(AT_CONNECTION_LIMIT)
         else:
             # A machine that gives no sign is left for long, even if it alone owns its keys.
@@ -204,7 +204,7 @@
         if len(counts) != 3 or None in counts:
             return
         running, waiting, _ = counts
-        endpoint.report_load(running, waiting, now)
+        endpoint.record_reported_load(running, waiting, now)
         self.load_aggregate.reported_load(endpoint.id, (running + waiting) / endpoint.concurrency_limit)
 
     def learn_success(self, endpoint: EndpointView, service: str, response: Response, took_ns: int) -> None:
@@ -212,5 +212,5 @@
         endpoint.record_success()
         if self.view.is_sharded(service):
             self.load_aggregate.answer(service, len(response.body))
-        usual_ns = self.usual_work_ns.get(service, took_ns)
-        self.usual_work_ns[service] = (7 * usual_ns + took_ns) // 8
+        usual_ns = self.average_latency_ns.get(service, took_ns)
+        self.average_latency_ns[service] = (7 * usual_ns + took_ns) // 8
--- a/flintreach/proxy/balancing.py
+++ b/flintreach/proxy/balancing.py
@@ -32,7 +32,7 @@
 RANDOM_SPREAD_STEP = 0.618
 
 # Out of use for so long: an endpoint that takes no further connection at present.
-EJECTION_FULL_NS = NS_PER_S // 20
+EJECTION_CONNECTION_LIMIT_NS = NS_PER_S // 20
 
 # Parts of the connections that an endpoint accepts: idle ones of all; of proxies with it in their subset.
 IDLE_PART = 0.6
@@ -47,10 +47,10 @@
 HEDGE_LATEST = 0.6
 
 # Part of the latency target for which a request waits for keys that are between two owners.
-KEY_MOVE_WAIT = 0.15
+KEY_MOVE_WAIT_FRACTION = 0.15
 
 # Part of the retry budget that may go to hedged requests.
-HEDGE_BUDGET_PART = 0.5
+HEDGE_BUDGET_FRACTION = 0.5
 
 
 class SubsetIndex(NamedTuple):
@@ -83,7 +83,7 @@
     zones: int = 1
 
 
-def warm_up_proxies(rate_per_s: float, excess: float, slack: float, proxies: int) -> int:
+def max_warm_up_senders(rate_per_s: float, excess: float, slack: float, proxies: int) -> int:
     """How many proxies may send to one endpoint that is warming up.
 
     In any second each of them sends at most one request beyond its share of the rate.
@@ -138,7 +138,7 @@
         rate_per_s: requests that it may get from all proxies together; 0 or less: no limit.
         last_sent_at: when this proxy last sent to it while it was warming up, None if never.
         now_ns: steady clock.
-        senders: how many proxies may (`warm_up_proxies`).
+        senders: how many proxies may (`max_warm_up_senders`).
     """
     if rate_per_s <= 0:
         return True
@@ -149,7 +149,7 @@
     return last_sent_at is None or now_ns - last_sent_at >= senders * NS_PER_S / rate_per_s
 
 
-def idle_time_ns(
+def idle_timeout_ns(
     endpoint: EndpointView,
     position: FleetPosition,
     connection_limit: int,
@@ -179,14 +179,18 @@
     return min(longest_ns, int(connections_each * endpoint.send_interval_ns))
 
 
-def hedging_delay_ns(latency_target_ns: int, usual_work_ns: int) -> int:
+def hedging_delay_ns(latency_target_ns: int, average_latency_ns: int) -> int:
     """How long an answer may take before a hedged request is sent, or the endpoint is doubted."""
-    latest_ns = min(HEDGE_LATEST * latency_target_ns, SLOW_AFTER_WORK * usual_work_ns)
+    latest_ns = min(HEDGE_LATEST * latency_target_ns, SLOW_AFTER_WORK * average_latency_ns)
     return int(max(HEDGE_EARLIEST * latency_target_ns, latest_ns))
 
 
 def cost_ns(
-    endpoint: EndpointView, position: FleetPosition, latency_target_ns: int, usual_work_ns: int, now_ns: int
+    endpoint: EndpointView,
+    position: FleetPosition,
+    latency_target_ns: int,
+    average_latency_ns: int,
+    now_ns: int,
 ) -> float:
     """What sending to an endpoint is expected to cost, in nanoseconds of waiting.
 
@@ -194,7 +198,7 @@
         endpoint: the endpoint.
         position: this proxy's.
         latency_target_ns: the route's.
-        usual_work_ns: how long the service's requests usually take.
+        average_latency_ns: how long the service's requests usually take.
         now_ns: steady clock.
     """
     cost: float = 0
@@ -208,15 +212,15 @@
     load = endpoint.load(now_ns)
     limit = endpoint.concurrency_limit
     queued = load + 1 - limit
-    queueing = queued / limit * usual_work_ns if queued > 0 else 0.0
-    return cost + queueing + LOAD_COST * usual_work_ns * load / limit
+    queueing = queued / limit * average_latency_ns if queued > 0 else 0.0
+    return cost + queueing + LOAD_COST * average_latency_ns * load / limit
 
 
 def choose_endpoint(
     endpoints: Iterable[EndpointView],
     position: FleetPosition,
     latency_target_ns: int,
-    usual_work_ns: int,
+    average_latency_ns: int,
     now_ns: int,
     warm_up_rate_per_s: float,
     warm_up_senders: int,
@@ -229,7 +233,7 @@
         endpoints: those that may serve the request.
         position: this proxy's.
         latency_target_ns: the route's.
-        usual_work_ns: how long the service's requests usually take.
+        average_latency_ns: how long the service's requests usually take.
         now_ns: steady clock.
         warm_up_rate_per_s: requests that an endpoint gets from all proxies while it is warming up.
         warm_up_senders: how many proxies may send to such an endpoint.
@@ -241,7 +245,7 @@
     """
     best: EndpointView | None = None
     lowest_cost = 0.0
-    silent_after_ns = 2 * hedging_delay_ns(latency_target_ns, usual_work_ns)
+    silent_after_ns = 2 * hedging_delay_ns(latency_target_ns, average_latency_ns)
     for place, endpoint in enumerate(endpoints):
         # Field by field: calls would count here, for each endpoint of each attempt.
         ejected_until = endpoint.ejected_until
@@ -254,10 +258,10 @@
                 position, endpoint.id, warm_up_rate_per_s, last_sent_at, now_ns, warm_up_senders
             ):
                 continue
-        cost = cost_ns(endpoint, position, latency_target_ns, usual_work_ns, now_ns)
+        cost = cost_ns(endpoint, position, latency_target_ns, average_latency_ns, now_ns)
         # A little chance keeps proxies that see the same from all doing the same.
         spread = (random_fraction * (place + RANDOM_SPREAD_START) * RANDOM_SPREAD_STEP) % 1
-        cost += RANDOM_COST * usual_work_ns * spread
+        cost += RANDOM_COST * average_latency_ns * spread
         if assigned and endpoint.id not in assigned:
             cost += OUTSIDE_ASSIGNMENT_COST * latency_target_ns
         unanswered_since = endpoint.unanswered_since
--- a/flintreach/proxy/endpoint.py
+++ b/flintreach/proxy/endpoint.py
@@ -105,7 +105,7 @@
             return self.own_requests + 0.0
         return self.own_requests + self.reported_requests * believed_part
 
-    def report_load(self, running: int, waiting: int, now_ns: int) -> None:
+    def record_reported_load(self, running: int, waiting: int, now_ns: int) -> None:
         """Take in the load that the endpoint reported: requests at work and in its queue, of all proxies."""
         self.reported_requests = max(0.0, running + waiting - self.own_requests)
         self.reported_at = now_ns
--- a/flintreach/proxy/exchange.py
+++ b/flintreach/proxy/exchange.py
@@ -69,13 +69,13 @@
     if status == MISDIRECTED_REQUEST or (is_refusal and status in REFUSAL_STATUSES):
         return OutcomeKind.NOT_RUN
     if is_refusal or status in BUSY_STATUSES or not 200 <= status <= 599:
-        return OutcomeKind.BROKEN
+        return OutcomeKind.NO_VALID_RESPONSE
     if status < 300 and response.get("x-postmark") is None:
-        return OutcomeKind.BROKEN
+        return OutcomeKind.NO_VALID_RESPONSE
     if (response.get("content-encoding") or "identity").lower() != "identity":
-        return OutcomeKind.BROKEN
+        return OutcomeKind.NO_VALID_RESPONSE
     if (response.get("transfer-encoding") or "chunked").lower() != "chunked":
-        return OutcomeKind.BROKEN
+        return OutcomeKind.NO_VALID_RESPONSE
     return OutcomeKind.ANSWERED
 
 
@@ -166,7 +166,7 @@
                     return outcome
             except OSError as error:
                 unreachable = error.errno in (errno.ETIMEDOUT, errno.EHOSTUNREACH)
-                return Outcome(OutcomeKind.BROKEN, unreachable=unreachable)
+                return Outcome(OutcomeKind.NO_VALID_RESPONSE, unreachable=unreachable)
 
     def next_limit_s(self) -> float:
         """Seconds until the next moment at which something must be decided."""
@@ -199,7 +199,7 @@
             self.received_bytes += len(data)
             if self.has_read_enough():
                 break
-        return Outcome(OutcomeKind.BROKEN)
+        return Outcome(OutcomeKind.NO_VALID_RESPONSE)
 
     def has_read_enough(self) -> bool:
         """Whether no response to the request is to be expected any more."""
@@ -212,7 +212,7 @@
         kind = classify_response(response)
         parser = self.parser
         is_alone = len(parser.complete) == 1 and not parser.surplus and not parser.parser_failed()
-        is_sound = parser.framed and kind != OutcomeKind.BROKEN
+        is_sound = parser.framed and kind != OutcomeKind.NO_VALID_RESPONSE
         self.reusable = response.keep_alive and is_alone and is_sound and self.request_id != ""
         return Outcome(kind, response)
 
@@ -225,7 +225,7 @@
         if self.has_arrived or now < self.terms.arrive_by():
             return None
         # A part of it may have arrived: then it may have run.
-        kind = OutcomeKind.BROKEN if self.has_begun else OutcomeKind.UNSENT
+        kind = OutcomeKind.NO_VALID_RESPONSE if self.has_begun else OutcomeKind.UNSENT
         return Outcome(kind, recalled=True)
 
 
--- a/flintreach/proxy/forwarding.py
+++ b/flintreach/proxy/forwarding.py
@@ -18,24 +18,24 @@
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.attempt import EndpointClient
 from flintreach.proxy.balancing import (
-    HEDGE_BUDGET_PART,
-    KEY_MOVE_WAIT,
+    HEDGE_BUDGET_FRACTION,
+    KEY_MOVE_WAIT_FRACTION,
     choose_endpoint,
     hedging_delay_ns,
-    warm_up_proxies,
+    max_warm_up_senders,
 )
 from flintreach.proxy.caller import Caller, ClientLeft
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.exchange import Outcome
 from flintreach.proxy.hedging import Hedge, HedgedOutcome
-from flintreach.proxy.link_admission import MAX_WAIT_PART, LinkAdmission
+from flintreach.proxy.link_admission import MAX_WAIT_FRACTION, LinkAdmission
 from flintreach.proxy.metrics import (
     BUDGET_EXHAUSTED,
-    CLIENT_LEFT,
+    CLIENT_DISCONNECTED,
     HEDGED_REQUESTS,
+    LINK_ADMISSION_TIMEOUT,
     NO_ENDPOINT,
     NO_ROUTE,
-    NO_TURN,
     RETRIES,
     Metrics,
 )
@@ -44,7 +44,7 @@
 from flintreach.proxy.response import parse_count
 from flintreach.proxy.retry_budget import RetryBudget
 from flintreach.proxy.retry_policy import decide_retry
-from flintreach.proxy.view import RoutingView, slice_of
+from flintreach.proxy.view import RoutingView, format_slice_name
 from flintreach.sharding.range_assignment import BUCKET_KEYS, KEYS
 
 NS_PER_MS = 1_000_000
@@ -176,7 +176,7 @@
         try:
             return self.forward_in_turn(self.routed(request, route))
         except ClientLeft:
-            self.metrics.count(CLIENT_LEFT)
+            self.metrics.count(CLIENT_DISCONNECTED)
             raise
 
     def routed(self, request: Request, route: Route) -> RoutedRequest:
@@ -186,7 +186,7 @@
         time_left_ms = parse_count(request.by_name.get("x-time-left-ms", ""))
         if time_left_ms is not None:
             time_left_ns = min(time_left_ns, time_left_ms * NS_PER_MS)
-        self.load_aggregate.request(slice_of(route, service))
+        self.load_aggregate.request(format_slice_name(route, service))
         budget = self.budget(service)
         budget.count_request(time.monotonic_ns())
         key = parse_count(request.by_name.get("x-shard-key", ""))
@@ -203,14 +203,16 @@
         size = self.link_admission.expected_size(route.name, route.kind == BULKY_KIND)
         if not size:
             return self.try_endpoints(routed)
-        longest_wait_ns = min(MAX_WAIT_PART * route.latency_target_ns, routed.deadline - time.monotonic_ns())
+        longest_wait_ns = min(
+            MAX_WAIT_FRACTION * route.latency_target_ns, routed.deadline - time.monotonic_ns()
+        )
         if not self.take_turn(routed.request.caller, size, longest_wait_ns):
-            self.metrics.count(NO_TURN)
+            self.metrics.count(LINK_ADMISSION_TIMEOUT)
             return final_answer(SERVICE_UNAVAILABLE)
         try:
             return self.try_endpoints(routed)
         finally:
-            self.link_admission.leave(size)
+            self.link_admission.release(size)
 
     def take_turn(self, caller: Caller, size: int, longest_wait_ns: float) -> bool:
         """Wait for the turn of a large answer; whether it has come in time.
@@ -221,10 +223,10 @@
         turn = Event()
         wake = turn.set
         with caller.waking(wake):
-            if self.link_admission.enter(size, wake):
+            if self.link_admission.acquire(size, wake):
                 return True
             turn.wait(longest_wait_ns / NS_PER_S)
-        if not self.link_admission.withdraw(wake):
+        if not self.link_admission.cancel(wake):
             return True
         caller.raise_if_left()
         return False
@@ -283,7 +285,7 @@
 
     def awaits_keys(self, routed: RoutedRequest, now: int) -> bool:
         """Whether the keys of a request may only be on their way from one owner to another."""
-        longest_wait_ns = int(KEY_MOVE_WAIT * routed.route.latency_target_ns)
+        longest_wait_ns = int(KEY_MOVE_WAIT_FRACTION * routed.route.latency_target_ns)
         return self.view.is_sharded(routed.service) and now < routed.request.received_at + longest_wait_ns
 
     def choose(self, routed: RoutedRequest, now: int) -> EndpointView | None:
@@ -296,7 +298,7 @@
         # Keys have one owner: all proxies must be able to reach it, even while it is warming up.
         senders = view.position.proxies
         if not view.is_sharded(service):
-            senders = warm_up_proxies(
+            senders = max_warm_up_senders(
                 warm_up_rate_per_s,
                 self.bounds.slow_start_excess,
                 self.bounds.slow_start_slack,
@@ -306,17 +308,17 @@
             view.candidates(route, service, routed.key, routed.attempted),
             view.position,
             route.latency_target_ns,
-            self.usual_work_ns(route, service),
+            self.average_latency_ns(route, service),
             now,
             warm_up_rate_per_s,
             senders,
             random.random(),
-            view.assignments.get(slice_of(route, service)),
+            view.assignments.get(format_slice_name(route, service)),
         )
 
-    def usual_work_ns(self, route: Route, service: str) -> int:
+    def average_latency_ns(self, route: Route, service: str) -> int:
         """How long the requests of a service usually take."""
-        return self.endpoint_client.usual_work_ns.get(
+        return self.endpoint_client.average_latency_ns.get(
             service, route.latency_target_ns // ASSUMED_WORK_DIVISOR
         )
 
@@ -330,7 +332,9 @@
         hedge = Hedge(request.caller, lambda chosen: self.attempt(request, service, chosen, routed.deadline))
         delay_s: float | None = None
         if routed.sent + 1 < route.attempts:
-            delay_s = hedging_delay_ns(route.latency_target_ns, self.usual_work_ns(route, service)) / NS_PER_S
+            delay_s = (
+                hedging_delay_ns(route.latency_target_ns, self.average_latency_ns(route, service)) / NS_PER_S
+            )
         return hedge.run(endpoint, lambda: self.choose_second(routed), delay_s)
 
     def choose_second(self, routed: RoutedRequest) -> EndpointView | None:
@@ -339,7 +343,7 @@
         endpoint = self.choose(routed, now)
         if endpoint is None:
             return None
-        if not routed.budget.allows(now, self.view.position.proxies, HEDGE_BUDGET_PART):
+        if not routed.budget.allows(now, self.view.position.proxies, HEDGE_BUDGET_FRACTION):
             return None
         routed.budget.spend(now)
         self.metrics.count(HEDGED_REQUESTS)
--- a/flintreach/proxy/health_check.py
+++ b/flintreach/proxy/health_check.py
@@ -23,7 +23,7 @@
 CONNECT_TIMEOUT_S = 0.3
 
 
-def announces_no_departure(response: Response) -> bool:
+def confirms_presence(response: Response) -> bool:
     """Whether a response shows that its endpoint had not begun to leave (RFC 9112, section 9.6)."""
     return "close" not in (response.get("connection") or "").lower()
 
@@ -37,7 +37,7 @@
         # Endpoint id -> set when its check is over.
         self.under_way: dict[str, Event] = {}
 
-    def confirm(self, endpoint: EndpointView, deadline: int) -> bool:
+    def ensure_lease(self, endpoint: EndpointView, deadline: int) -> bool:
         """Whether a request may be sent to an endpoint; it may be checked first.
 
         Args:
--- a/flintreach/proxy/hedging.py
+++ b/flintreach/proxy/hedging.py
@@ -99,7 +99,7 @@
 
     def run_attempt(self, endpoint: EndpointView) -> None:
         """Make an attempt and hand its outcome over, whatever happens: somebody waits for it."""
-        outcome = Outcome(OutcomeKind.BROKEN)
+        outcome = Outcome(OutcomeKind.NO_VALID_RESPONSE)
         try:
             outcome = self.attempt(endpoint)
         except ClientLeft:
--- a/flintreach/proxy/lease.py
+++ b/flintreach/proxy/lease.py
@@ -18,10 +18,10 @@
 NS_PER_MS = 1_000_000
 
 # Part of the allowed time during which a request may be sent after the last confirmation.
-SEND_PART = 0.5
+SEND_FRACTION = 0.5
 
 # Part of the allowed time after which bytes that have not arrived are taken back.
-ARRIVE_PART = 0.9
+ARRIVAL_FRACTION = 0.9
 
 # Stands for a departure whose acknowledgement nobody can date: so long ago that any lease on it is over.
 UNDATED_DEPARTURE_NS = -(1 << 62)
@@ -49,6 +49,6 @@
         Args:
             bound_ms: for how long the rules allow a request to arrive after the acknowledgement.
         """
-        send_for_ns = int(SEND_PART * bound_ms * NS_PER_MS)
-        arrive_for_ns = int(ARRIVE_PART * bound_ms * NS_PER_MS)
+        send_for_ns = int(SEND_FRACTION * bound_ms * NS_PER_MS)
+        arrive_for_ns = int(ARRIVAL_FRACTION * bound_ms * NS_PER_MS)
         return cls(send_for_ns, arrive_for_ns)
--- a/flintreach/proxy/link_admission.py
+++ b/flintreach/proxy/link_admission.py
@@ -13,7 +13,7 @@
 LINK_WINDOW_S = 0.5
 
 # Part of a route's latency target for which a request may wait for its turn.
-MAX_WAIT_PART = 0.5
+MAX_WAIT_FRACTION = 0.5
 
 # From so many bytes on an answer is large.
 LARGE_ANSWER_BYTES = 16384
@@ -71,7 +71,7 @@
         """Whether an answer may be under way beside the others; alone any may."""
         return not self.in_flight_bytes or self.in_flight_bytes + size <= self.window_bytes
 
-    def enter(self, size: int, wake: Callable[[], None]) -> bool:
+    def acquire(self, size: int, wake: Callable[[], None]) -> bool:
         """Whether an answer is admitted at once; else it waits, and `wake` is called when it is admitted."""
         if not self.queue and self.fits(size):
             self.in_flight_bytes += size
@@ -79,18 +79,18 @@
         self.queue.append(WaitingAnswer(size, wake))
         return False
 
-    def withdraw(self, wake: Callable[[], None]) -> bool:
+    def cancel(self, wake: Callable[[], None]) -> bool:
         """Stop waiting.
 
         Returns:
-            False where it was admitted meanwhile: then it must `leave`.
+            False where it was admitted meanwhile: then it must `release`.
         """
         remaining = deque(waiting for waiting in self.queue if waiting.wake is not wake)
         was_waiting = len(remaining) < len(self.queue)
         self.queue = remaining
         return was_waiting
 
-    def leave(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Give back what an answer was admitted with, and admit those that wait and now fit."""
         self.in_flight_bytes -= size
         while self.queue and self.fits(self.queue[0].size):
--- a/flintreach/proxy/metrics.py
+++ b/flintreach/proxy/metrics.py
@@ -18,19 +18,19 @@
 # Counters.  The kinds of outcomes (`outcome.OutcomeKind`) are counters too.
 
 # Must stay 0: a request went out when its endpoint's lease was over.
-VIOLATION = "sent after departure"
+SENT_AFTER_DEPARTURE = "sent after departure"
 # Must stay 0: a request went out though its client had left.
-SENT_FOR_NOBODY = "sent after client left"
+SENT_AFTER_DISCONNECT = "sent after client left"
 # Must stay 0: an idempotent request was not cancelled soon after its client had left.
-LATE_ABANDON = "worked on after client left"
+LATE_CANCELLATION = "worked on after client left"
 # Requests whose client left before the answer.
-CLIENT_LEFT = "client left"
+CLIENT_DISCONNECTED = "client left"
 # Attempts that were cancelled.
-ABANDONED = "abandoned"
+CANCELLED_ATTEMPTS = "abandoned"
 # Requests that no route matches.
 NO_ROUTE = "no_route"
 # Large answers that did not get their turn on the link in time.
-NO_TURN = "no turn"
+LINK_ADMISSION_TIMEOUT = "no turn"
 # Requests for which there was no endpoint (any more).
 NO_ENDPOINT = "nowhere"
 # Requests that were not retried because the budget was used up.
@@ -42,7 +42,7 @@
 # Health checks that were sent because a lease was over.
 HEALTH_CHECKS = "asked for presence"
 # Attempts that were not sent because the endpoint's lease was over and no health check renewed it.
-UNCONFIRMED = "unconfirmed"
+LEASE_NOT_RENEWED = "unconfirmed"
 # Attempts whose bytes were taken back, since they would have arrived too late.
 RECALLED = "recalled"
 # Attempts that found the endpoint with all the connections that it takes.
@@ -52,12 +52,14 @@
 VIEW_AGE = "view_age_at_send_seconds"
 SEND_TIME = "send_seconds"
 LATE_SEND = "send_after_departure_seconds"
-WORK_FOR_NOBODY = "work_after_client_left_seconds"
+WORK_AFTER_DISCONNECT = "work_after_client_left_seconds"
 HELP = {
     VIEW_AGE: "age of the routing view when a request went out",
     SEND_TIME: "time from the choice of an endpoint until the kernel had taken the whole request",
     LATE_SEND: "time by which a request may have gone out after its endpoint's acknowledged departure",
-    WORK_FOR_NOBODY: "time for which one try of a request was still under way after its client had left",
+    WORK_AFTER_DISCONNECT: (
+        "time for which one try of a request was still under way after its client had left"
+    ),
 }
 
 
--- a/flintreach/proxy/outcome.py
+++ b/flintreach/proxy/outcome.py
@@ -9,5 +9,5 @@
     ANSWERED = "answered"  # the endpoint's own answer, fit for the client
     UNSENT = "unsent"  # no byte of it went out
     NOT_RUN = "not run"  # the endpoint promised that it has not run the request and never will
-    BROKEN = "broken"  # it may have run, and there is no answer that can be used
+    NO_VALID_RESPONSE = "broken"  # it may have run, and there is no answer that can be used
     TIMEOUT = "timeout"  # it may be running; the client's deadline has passed
--- a/flintreach/proxy/retry_policy.py
+++ b/flintreach/proxy/retry_policy.py
@@ -27,13 +27,13 @@
 RETRY_IF_IDEMPOTENT: dict[OutcomeKind, RetryDecision] = {
     OutcomeKind.UNSENT: RetryDecision(True, 503),
     OutcomeKind.NOT_RUN: RetryDecision(True, 503),
-    OutcomeKind.BROKEN: RetryDecision(True, 502),
+    OutcomeKind.NO_VALID_RESPONSE: RetryDecision(True, 502),
     OutcomeKind.TIMEOUT: RetryDecision(False, 504),
 }
 RETRY_IF_NOT_IDEMPOTENT: dict[OutcomeKind, RetryDecision] = {
     OutcomeKind.UNSENT: RetryDecision(True, 503),
     OutcomeKind.NOT_RUN: RetryDecision(True, 503),
-    OutcomeKind.BROKEN: RetryDecision(False, 502),
+    OutcomeKind.NO_VALID_RESPONSE: RetryDecision(False, 502),
     OutcomeKind.TIMEOUT: RetryDecision(False, 504),
 }
 
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -27,7 +27,7 @@
 from flintreach.proxy.endpoint import EndpointState, EndpointView
 from flintreach.proxy.key_ranges import KeyRanges
 from flintreach.proxy.lease import UNDATED_DEPARTURE_NS, LeaseTerms
-from flintreach.proxy.metrics import LATE_SEND, VIOLATION, Metrics
+from flintreach.proxy.metrics import LATE_SEND, SENT_AFTER_DEPARTURE, Metrics
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
@@ -58,7 +58,7 @@
     warm_up_left_ms: int = msgspec.field(default=0, name="cold")
 
 
-def slice_of(route: Route, service: str) -> str:
+def format_slice_name(route: Route, service: str) -> str:
     """The name of a slice: one route and one of its services."""
     return f"{route.name} {service}"
 
@@ -204,7 +204,7 @@
             late_ns = endpoint.written_at - departed_at
         self.metrics.observe(LATE_SEND, max(0, late_ns))
         if late_ns > self.departure.arrive_for_ns:
-            self.metrics.count(VIOLATION)
+            self.metrics.count(SENT_AFTER_DEPARTURE)
 
     def add(self, endpoint_id: str, update: EndpointUpdate) -> EndpointView:
         """Begin to know an endpoint."""
@@ -262,7 +262,7 @@
         """Whether a request that is sent now still arrives within the bound on departures."""
         return now_ns < self.last_surely_present(endpoint) + self.departure.send_for_ns
 
-    def arrive_by(self, endpoint: EndpointView) -> int:
+    def arrival_deadline(self, endpoint: EndpointView) -> int:
         """The moment after which no byte of a request may arrive; it moves on with what confirms it."""
         limit = self.last_surely_present(endpoint) + self.departure.arrive_for_ns
         evacuated_at = self.evacuated_at.get(endpoint.zone)
--- a/flintreach/soak/checker.py
+++ b/flintreach/soak/checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, VIOLATION
+from flintreach.proxy.metrics import LATE_CANCELLATION, SENT_AFTER_DEPARTURE, SENT_AFTER_DISCONNECT
 from flintreach.soak.history import NS_PER_S, History, RequestKind, SentRequest
 from flintreach.standins.endpoint import Endpoint, Run, RunEnd
 
@@ -17,7 +17,8 @@
 LOSS_SLACK_S = 0.5  # the settings' default of 0.2, and what a fully loaded machine needs besides
 ABANDON_S = 0.5  # by the users' rule
 PROMISES = (408, 421, 429, 503)  # statuses that promise that the request has not run
-VIOLATIONS = (VIOLATION, SENT_FOR_NOBODY, LATE_ABANDON)  # counters of a proxy that must stay 0
+# counters of a proxy that must stay 0
+VIOLATIONS = (SENT_AFTER_DEPARTURE, SENT_AFTER_DISCONNECT, LATE_CANCELLATION)
 REPEATABLE = (RequestKind.LOOK, RequestKind.FETCH)
 
 
--- a/tests/proxy/test_balancing.py
+++ b/tests/proxy/test_balancing.py
@@ -9,9 +9,9 @@
     assign_subsets,
     choose_endpoint,
     hedging_delay_ns,
-    idle_time_ns,
+    idle_timeout_ns,
+    max_warm_up_senders,
     may_warm_up,
-    warm_up_proxies,
 )
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.endpoint import EndpointView
@@ -75,7 +75,7 @@
 class WarmUp(unittest.TestCase):
     def test_an_endpoint_that_warms_up_gets_no_more_than_it_bears_from_all_proxies_together(self) -> None:
         for proxies, rate, excess, slack in ((12, 3.6, 1.5, 5), (80, 5, 1.5, 8), (2, 19, 1, 2), (1, 1, 1, 0)):
-            senders = warm_up_proxies(rate, excess, slack, proxies)
+            senders = max_warm_up_senders(rate, excess, slack, proxies)
             names = [f"f{i}" for i in range(proxies)]
             ranks = dict(zip(names, range(proxies)))
             positions = [FleetPosition("a", "r", proxies, ranks, name) for name in names]
@@ -105,7 +105,7 @@
                 now += int(NS_PER_S / per_s)
                 endpoint.begin_request(now)
                 endpoint.end_request(True, now)
-            connections = proxies * per_s * idle_time_ns(endpoint, position, limit, longest) / NS_PER_S
+            connections = proxies * per_s * idle_timeout_ns(endpoint, position, limit, longest) / NS_PER_S
             self.assertLessEqual(connections, 0.65 * limit)
 
     def test_a_proxy_keeps_some_connections_to_the_endpoints_of_its_subset_most_in_its_own_zone(self) -> None:
@@ -113,14 +113,14 @@
         longest = 4 * NS_PER_S
         position = FleetPosition("a", "r", proxies=67, zones=6)
         near = endpoint_view("e", pool=ConnectionPool("10.0.0.1:80"))
-        self.assertEqual(idle_time_ns(near, position, limit, longest), longest)
-        self.assertLess(idle_time_ns(near, position, limit, longest, sole_owner=True), longest)
+        self.assertEqual(idle_timeout_ns(near, position, limit, longest), longest)
+        self.assertLess(idle_timeout_ns(near, position, limit, longest, sole_owner=True), longest)
         far = endpoint_view("e", zone="b", pool=ConnectionPool("10.0.0.1:80"))
         far.pool.idle = [None] * 2
-        self.assertEqual(idle_time_ns(near, position, limit, longest), longest)
-        self.assertEqual(idle_time_ns(far, position, limit, longest), 0)
+        self.assertEqual(idle_timeout_ns(near, position, limit, longest), longest)
+        self.assertEqual(idle_timeout_ns(far, position, limit, longest), 0)
         near.pool.idle = [None] * 15
-        self.assertEqual(idle_time_ns(near, position, limit, longest), 0)
+        self.assertEqual(idle_timeout_ns(near, position, limit, longest), 0)
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -15,8 +15,8 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.proxy.balancing import FleetPosition
 from flintreach.proxy.forwarding import Forwarder
-from flintreach.proxy.lease import ARRIVE_PART, SEND_PART
-from flintreach.proxy.metrics import VIOLATION, Metrics
+from flintreach.proxy.lease import ARRIVAL_FRACTION, SEND_FRACTION
+from flintreach.proxy.metrics import SENT_AFTER_DEPARTURE, Metrics
 from flintreach.proxy.request import Answer, Request
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import Adversary
@@ -112,21 +112,21 @@
 
     def test_a_departure_counts_from_the_last_confirmation_and_not_from_its_update(self) -> None:
         fixture = Fixture(sharded=True)
-        fixture.advance(LAST_CALL_MS * SEND_PART - 1, confirmed=False)
+        fixture.advance(LAST_CALL_MS * SEND_FRACTION - 1, confirmed=False)
         fixture.update("closing")
         self.assertTrue(fixture.may_send())
         fixture.advance(1)
         self.assertFalse(fixture.may_send())
 
     def test_a_request_sent_after_the_lease_is_counted_when_the_departure_is_known(self) -> None:
-        for part, counted in ((ARRIVE_PART - 0.01, 0), (ARRIVE_PART + 0.01, 1)):
+        for part, counted in ((ARRIVAL_FRACTION - 0.01, 0), (ARRIVAL_FRACTION + 0.01, 1)):
             fixture = Fixture()
             fixture.view.endpoints["e"].written_at = fixture.confirmed_at + int(
                 part * LAST_CALL_MS * NS_PER_MS
             )
             fixture.update("closing")
             fixture.update("gone")
-            self.assertEqual(fixture.view.metrics.counts.get(VIOLATION, 0), counted, part)
+            self.assertEqual(fixture.view.metrics.counts.get(SENT_AFTER_DEPARTURE, 0), counted, part)
 
 
 class LeasesByTraffic(unittest.TestCase):
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -22,7 +22,7 @@
 ANSWERED = OutcomeKind.ANSWERED
 UNSENT = OutcomeKind.UNSENT
 NOT_RUN = OutcomeKind.NOT_RUN
-BROKEN = OutcomeKind.BROKEN
+BROKEN = OutcomeKind.NO_VALID_RESPONSE
 TIMEOUT = OutcomeKind.TIMEOUT
 
 # In a script: the attempt waits until the test lets it go, and is broken then.
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -19,7 +19,7 @@
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.hedging import LOSER_GRACE_S
-from flintreach.proxy.metrics import LATE_ABANDON, SENT_FOR_NOBODY, Metrics
+from flintreach.proxy.metrics import LATE_CANCELLATION, SENT_AFTER_DISCONNECT, Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
 
@@ -179,7 +179,7 @@
 
     def tearDown(self) -> None:
         """The invariants that the code itself counts."""
-        for violation in (SENT_FOR_NOBODY, LATE_ABANDON):
+        for violation in (SENT_AFTER_DISCONNECT, LATE_CANCELLATION):
             self.assertEqual(self.site.metrics.counts.get(violation, 0), 0, violation)
 
     def settled(self) -> bool:
@@ -292,7 +292,7 @@
     def test_a_cancelled_attempt_tells_nothing_of_its_endpoint(self) -> None:
         """Nor of the usual work, nor does it use up a budget; the next client is served there."""
         self.site.script("late", "late")
-        work = dict(self.site.forwarder.endpoint_client.usual_work_ns)
+        work = dict(self.site.forwarder.endpoint_client.average_latency_ns)
         for _ in range(2):
             sock = self.site.connect()
             id = self.site.send(sock)
@@ -300,7 +300,7 @@
             sock.close()
             self.assertTrue(self.settled())
         self.assertTrue(self.endpoints_are_healthy())
-        self.assertEqual(self.site.forwarder.endpoint_client.usual_work_ns, work)
+        self.assertEqual(self.site.forwarder.endpoint_client.average_latency_ns, work)
         self.assertEqual(sum(self.site.forwarder.budget("desk").retries), 0)
         self.assertEqual(len(self.site.cancelled()), 2)
         for endpoint in self.site.endpoints:
@@ -370,7 +370,7 @@
         self.leave_while_waiting("/d/1")
         self.assertTrue(self.settled())
         self.assertEqual((len(admission.queue), admission.in_flight_bytes), (0, reserved))
-        admission.leave(reserved)
+        admission.release(reserved)
         gevent.sleep(0.05)
         self.assertEqual((self.site.arrived(), admission.in_flight_bytes), ([], 0))
 
--- a/tests/proxy/test_link_admission.py
+++ b/tests/proxy/test_link_admission.py
@@ -28,32 +28,32 @@
             if draw.random() < 0.55:
                 size = admission.expected_size("big", True)
                 wake = partial(woken.append, number)
-                if admission.enter(size, wake):
+                if admission.acquire(size, wake):
                     inside.append(size)
                 else:
                     waiting.append((number, size, wake))
             elif inside and draw.random() < 0.8:
-                admission.leave(inside.pop())
+                admission.release(inside.pop())
             elif waiting and draw.random() < 0.3:
                 number, size, wake = waiting.pop(draw.randrange(len(waiting)))
-                self.assertTrue(admission.withdraw(wake))
+                self.assertTrue(admission.cancel(wake))
             while woken:
                 first = waiting.pop(0)
                 self.assertEqual(first[0], woken.pop(0))
                 inside.append(first[1])
             self.assertEqual(admission.in_flight_bytes, sum(inside))
             self.assertTrue(admission.in_flight_bytes <= admission.window_bytes or len(inside) == 1)
-        self.assertFalse(admission.withdraw(lambda: None))
+        self.assertFalse(admission.cancel(lambda: None))
 
     def test_a_wide_link_or_one_that_is_not_told_of_makes_nobody_wait(self) -> None:
         self.assertEqual(LinkAdmission(0).expected_size("big", True), 0)
         wide = LinkAdmission(1000.0)
-        self.assertTrue(all(wide.enter(wide.expected_size("big", True), None) for _ in range(200)))
+        self.assertTrue(all(wide.acquire(wide.expected_size("big", True), None) for _ in range(200)))
 
     def test_a_request_that_gets_no_turn_is_rejected_with_a_time_to_come_back(self) -> None:
         view, _, _ = routing_view(configuration("outbound_post"), {"e0": "n"})
         forwarder = Forwarder(view, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
-        self.assertTrue(forwarder.link_admission.enter(DEFAULT_BULKY_BYTES, None))  # the link is taken
+        self.assertTrue(forwarder.link_admission.acquire(DEFAULT_BULKY_BYTES, None))  # the link is taken
         request = Request("GET", "/x/1", [], by_name={"host": "a"}, received_at=time.monotonic_ns())
         answer = forwarder.forward(request)
         self.assertEqual((answer.status, answer.headers), (503, [("Retry-After", "0.1")]))
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -7,7 +7,7 @@
 import gevent
 
 from flintreach.demo.cluster import CONTROLLER_ROLE, PROXY_ROLE
-from flintreach.proxy.lease import SEND_PART
+from flintreach.proxy.lease import SEND_FRACTION
 from flintreach.soak.checker import LAST_CALL_S, Verdict
 from flintreach.soak.clients import Client
 from flintreach.soak.run import Mix, Soak, SoakPlan
@@ -41,7 +41,7 @@
         soak.judge()
         verdict = soak.verdict
         self.assertEqual(verdict.broken, {}, verdict.line())
-        self.assertLess(verdict.latest_arrival_s, LAST_CALL_S * SEND_PART + 0.2)
+        self.assertLess(verdict.latest_arrival_s, LAST_CALL_S * SEND_FRACTION + 0.2)
         statuses = Counter(
             request.status for request in soak.history.sent.values() if request.machine is proxy
         )
