--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -1,8 +1,8 @@
-"""Which disks vote, as one controller sees to it.
+"""Management of the register's voter set by one controller.
 
-The first decision of voters, a new disk's catching up, changes that are due, and the handover before this
-process ends. What should follow one configuration is decided in `flintreach.consensus.voter_selection`; how
-it comes about, in `flintreach.consensus.reconfiguration`.
+Covers bootstrap of the first voter set, catch-up of disks that do not vote, membership changes, operators'
+replacement requests and the handover before this process ends. `flintreach.consensus.voter_selection` decides
+which configuration should follow the current one; `flintreach.consensus.reconfiguration` carries it out.
 """
 
 import dataclasses
@@ -26,40 +26,42 @@
 from flintreach.transport.peer_pool import PeerPool
 from flintreach.transport.runtime import Runtime
 
-# Message kinds, the role and the fact on disk keep the bytes that earlier releases wrote: a fleet is
-# exchanged process by process, and a disk outlives the release that wrote it.
-LEAVING_KIND = "leaving"  # [[ip, port] of a process that will end, seconds for which that holds]
-REPLACE_KIND = "replace"  # [[ip, port] to leave out or None, [ip, port] to take in or None]
-DISK_KIND = "disk"  # an epoch or None; answered by `Reconfiguration.on_disk`
+# Message kinds and the fact on disk keep the values of earlier releases: the processes of a fleet are upgraded
+# one by one, and a disk outlives the release that wrote it.
+LEAVING_KIND = "leaving"  # [[ip, port] of a process about to end, seconds for which the announcement holds]
+REPLACE_KIND = "replace"  # [[ip, port] to remove or None, [ip, port] to add or None]
+DISK_KIND = "disk"  # an epoch or None; answered by `Reconfiguration.on_disk_status`
 VOTERS_KIND = "voters"  # a configuration or None; answered by `Register.on_voters`
-FORCED_FACT = "forced"  # what an operator forced on the voters while this process was stopped
+FORCED_FACT = "forced"  # configuration that an operator forced while this process was stopped
 
-# Answers to an operator's order; any other text is a reason why it was rejected.
+# Answers to an operator's replacement request; any other text is the reason for a rejection.
 DONE = ""
 UNFINISHED = "begun, not finished"
 UNKNOWN = "not known yet: look at the voters"
 
 CHECK_INTERVAL_S = 0.25
-FIRST_CHECK_INTERVAL_S = 0.05  # while the first voters are decided, and while this process leaves
-CATCH_UP_INTERVAL_S = 2.0  # after a disk has caught up, until it does so again
-TURN_S = 1.5  # each further controller in the order waits so much longer: two at once would only duel
-UNMET_GRACE_S = 5.0  # after its start a controller takes a voter that nobody has met for one that is gone
-ASK_S = 0.3  # for the answers of other controllers
-TOLD_S = 0.5  # for a quorum of new voters to confirm that they know of it
-HANDOVER_S = 2.0  # a process that ends waits so long for a successor at least
-HANDOVER_RESERVE_S = 1.0  # what is left of the platform's grace period when that wait is over
+FAST_CHECK_INTERVAL_S = 0.05  # during bootstrap and during the handover
+CATCH_UP_INTERVAL_S = 2.0  # between two catch-ups of a disk that does not vote
+PROPOSER_STAGGER_S = 1.5  # extra delay per rank: proposers that start together preempt each other's ballots
+UNSEEN_VOTER_GRACE_S = (
+    5.0  # after a controller's start, until voters absent from the membership count as dead
+)
+QUERY_TIMEOUT_S = 0.3  # for the answers of other controllers
+ANNOUNCE_TIMEOUT_S = 0.5  # for a quorum of the new voters to confirm that they know the configuration
+MIN_HANDOVER_S = 2.0  # a process that ends waits at least this long for a successor
+HANDOVER_RESERVE_S = 1.0  # part of the platform's grace period that is left after that wait
 
 
 class EndpointCollection(Protocol):
-    """What `VoterManager` uses of `endpoint_service.EndpointService`."""
+    """The part of `endpoint_service.EndpointService` that `VoterManager` uses."""
 
     def sync_from_quorum(self) -> bool:
-        """Whether what a quorum knows of endpoints is on this disk."""
+        """Copy a quorum's endpoint records to this disk; return whether that succeeded."""
         ...
 
 
 class VoterPlane(Protocol):
-    """What `VoterManager` uses of `control_plane.ControlPlane`."""
+    """The part of `control_plane.ControlPlane` that `VoterManager` uses."""
 
     runtime: Runtime
     register: Register
@@ -70,31 +72,31 @@
     first_run: bool
 
     def seeds(self) -> list[Address]:
-        """Addresses to join by, as the settings name them now."""
+        """Return the seed addresses in the current settings."""
         ...
 
     def peers(self) -> list[Address]:
-        """Addresses of the other controllers that are known to be alive, or vote."""
+        """Return the addresses of the other controllers that are alive or vote."""
         ...
 
 
 class VoterManager:
-    """One controller's part in who votes.
+    """One controller's share in managing the voter set.
 
     Attributes:
         reconfiguration: carries out the changes.
-        leaving: address -> until when, on the steady clock, it counts as a process that will end.
-        alive_disks: addresses of the disks that were alive when they were last looked at.
-        alive_changed_at: when that set last changed, or could not be trusted.
+        leaving: address -> time on the monotonic clock until which the process counts as about to end.
+        alive_disks: addresses of the disks that were alive at the last check.
+        alive_changed_at: when that set last changed or was not reliable.
         due_epoch: the epoch after which a change is due; -1 while none is.
-        due_at: since when it is.
-        reported_epoch: of the voters that the log last told; -1 before any.
-        catch_up_at: when a disk that doesn't vote catches up next.
-        wish: the configuration that should follow, None where the one that stands is well.
+        due_at: since when the change has been due.
+        logged_epoch: epoch of the last configuration written to the log; -1 before the first.
+        catch_up_at: when a disk that does not vote catches up next.
+        target: the configuration that should follow; None if the current one needs no change.
     """
 
     def __init__(self, plane: VoterPlane) -> None:
-        """Answer the messages of other processes on voters from now on."""
+        """Register the message handlers of voter management."""
         self.plane = plane
         self.runtime = plane.runtime
         self.register = plane.register
@@ -107,39 +109,39 @@
         self.alive_changed_at = self.started_at
         self.due_epoch = -1
         self.due_at = self.started_at
-        self.reported_epoch = -1
+        self.logged_epoch = -1
         self.catch_up_at = 0.0
-        self.wish: Voters | None = None
+        self.target: Voters | None = None
         self.peer_pool.handlers |= {LEAVING_KIND: self.on_leaving, REPLACE_KIND: self.on_replace}
 
     def _collect_endpoints(self) -> bool:
-        """Whether what a quorum knows of endpoints is on this disk: needed before it may vote."""
+        """Copy a quorum's endpoint records to this disk, which is required before it may vote."""
         return self.plane.endpoints.sync_from_quorum()
 
     @property
     def losses(self) -> FailureTolerance:
-        """What may be lost at once with all that was acknowledged kept, as the settings say now."""
+        """Return the simultaneous losses that acknowledged data must survive, by the current settings."""
         settings = self.plane.node.rules.losses
         return FailureTolerance(settings.machines, settings.zones, settings.regions)
 
-    def _calm_s(self) -> float:
-        """Seconds since a disk came or went."""
+    def _stable_s(self) -> float:
+        """Return the seconds since the set of alive disks last changed."""
         return self.runtime.now() - self.alive_changed_at
 
-    # The disks that are known.
+    # Known disks.
 
     def disks(self) -> dict[Address, VoterCandidate]:
-        """Disks of the controllers that are members, and voters that are no members.
+        """Return the disks of the member controllers, and of voters that are not members.
 
-        Notes on the way when a disk came or went.
+        Also records changes of the set of alive disks.
         """
         now = self.runtime.now()
         disks = self._member_disks(now)
-        unmet = [address for address in self.register.voter_addresses if address not in disks]
-        if now - self.started_at > UNMET_GRACE_S:
-            disks |= {address: VoterCandidate(address, "?", "?", alive=False) for address in unmet}
-        elif unmet:
-            # No growth around a voter that may be gone: its place is for a successor.
+        unseen = [address for address in self.register.voter_addresses if address not in disks]
+        if now - self.started_at > UNSEEN_VOTER_GRACE_S:
+            disks |= {address: VoterCandidate(address, "?", "?", alive=False) for address in unseen}
+        elif unseen:
+            # Delays growth while a voter may be dead: a spare should replace that voter, not be added to it.
             self.alive_changed_at = now
         alive_disks = frozenset(address for address, disk in disks.items() if disk.alive)
         if alive_disks != self.alive_disks:
@@ -152,7 +154,7 @@
         for member in [*self.plane.member_list.members.values()]:
             if member.role != ROLE_CONTROLLER or not member.counted:
                 continue
-            # A successor may have the address of a member that is dead.
+            # A new process may have reused the address of a dead member.
             if member.state <= SUSPECTED or member.address not in disks:
                 disks[member.address] = self._member_disk(member, now)
         return disks
@@ -167,75 +169,75 @@
             leaving=announced or member.state == LEFT,
         )
 
-    def ask_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
-        """The disks, with what those that don't vote say of themselves under the epoch that stands.
+    def query_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
+        """Return the disks, updated with the status that non-voters report under the current epoch.
 
-        A voter that is reported dead is asked as well: the report may be wrong, and a voter that answers must
-        not be replaced.
+        Voters that the membership reports as dead are queried too: the report may be wrong, and a voter that
+        answers must not be replaced.
         """
         group = self.register.voter_addresses
-        asked = [
+        queried = [
             address
             for address, disk in disks.items()
             if not disk.leaving and disk.alive != (address in group)
         ]
-        return self._ask(disks, asked, self.register.voters.epoch)
+        return self._query(disks, queried, self.register.voters.epoch)
 
-    def ask_alive_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
-        """The disks, with what all that are alive say of themselves, under whichever epoch."""
-        asked = [address for address, disk in disks.items() if disk.alive and not disk.leaving]
-        return self._ask(disks, asked, None)
+    def query_alive_disks(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
+        """Return the disks, updated with the status that all alive ones report, under any epoch."""
+        queried = [address for address, disk in disks.items() if disk.alive and not disk.leaving]
+        return self._query(disks, queried, None)
 
-    def _ask(
-        self, disks: dict[Address, VoterCandidate], asked: list[Address], epoch: int | None
+    def _query(
+        self, disks: dict[Address, VoterCandidate], queried: list[Address], epoch: int | None
     ) -> list[VoterCandidate]:
         def all_answered(answers: list) -> bool:
-            return len(answers) == len(asked)
+            return len(answers) == len(queried)
 
-        gathered = self.register.gather(asked, DISK_KIND, epoch, all_answered, ASK_S)
+        gathered = self.register.gather(queried, DISK_KIND, epoch, all_answered, QUERY_TIMEOUT_S)
         answers = {address: answer for address, answer in gathered if answer}
-        answered_disks = []
+        updated_disks = []
         for address, disk in disks.items():
             if address in answers:
                 incarnation, caught_up = answers[address]
-                answered_disks.append(self._answered(disk, incarnation, caught_up))
+                updated_disks.append(self._with_status(disk, incarnation, caught_up))
             else:
-                answered_disks.append(disk)
-        return answered_disks
+                updated_disks.append(disk)
+        return updated_disks
 
     @staticmethod
-    def _answered(disk: VoterCandidate, incarnation: str, caught_up: bool) -> VoterCandidate:
+    def _with_status(disk: VoterCandidate, incarnation: str, caught_up: bool) -> VoterCandidate:
         return dataclasses.replace(disk, incarnation=incarnation, alive=True, caught_up=caught_up)
 
-    def as_if_caught_up(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
-        """The disks as if all that don't vote were alive and had caught up.
+    def assume_caught_up(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
+        """Return the disks as if all non-voters were alive and caught up.
 
-        They are asked for it only where something could come of it.
+        Tells whether a change may be due without querying the disks; they are queried only if one may be.
         """
         group = self.register.voter_addresses
         return [
-            disk if address in group else self._answered(disk, "", True) for address, disk in disks.items()
+            disk if address in group else self._with_status(disk, "", True) for address, disk in disks.items()
         ]
 
-    # A first start.
+    # Bootstrap.
 
     def discover(self) -> None:
-        """Learn which disks vote: from others, or at a first start by deciding it with them."""
-        self._keep_seeds()
+        """Learn the voter set from other controllers, or decide on the first one with them."""
+        self._persist_seeds()
         store = self.register.store
         forced = store.facts.get(FORCED_FACT) if store else None
         if forced:
             say("voters_forced", what=forced)
         may_decide = self.plane.first_run or (store is not None and self.register.promises_known)
         while not self.register.voters.epoch:
-            self.runtime.sleep(FIRST_CHECK_INTERVAL_S)
-            self._find_once(may_decide)
-        self.report()
+            self.runtime.sleep(FAST_CHECK_INTERVAL_S)
+            self._discover_once(may_decide)
+        self.log_voters()
 
-    def _keep_seeds(self) -> None:
-        """At a first start, store the seeds' disks as those that decide on the first voters.
+    def _persist_seeds(self) -> None:
+        """On the first start, persist the seeds as the acceptors that decide on the first voters.
 
-        After a kill the settings may name other seeds, and those must not decide a second time.
+        The settings may name other seeds after a restart, and those must not decide a second time.
         """
         register = self.register
         if not self.plane.first_run or register.voters.sets:
@@ -244,44 +246,44 @@
         while register.store and not register.store.persist({}, register.voters.to_facts()):
             self.runtime.sleep(CHECK_INTERVAL_S)
 
-    def _find_once(self, may_decide: bool) -> None:
-        """Take the latest voters that others know; where none does, decide them if that is due."""
+    def _discover_once(self, may_decide: bool) -> None:
+        """Adopt the latest voter set known to others; if there is none, decide on it once it is due."""
         disks = {address: disk for address, disk in self.disks().items() if disk.alive}
         others = [address for address in disks if address != self.address]
-        answers = self.peer_pool.gather(others, VOTERS_KIND, None, bool, ASK_S) if others else []
+        answers = self.peer_pool.gather(others, VOTERS_KIND, None, bool, QUERY_TIMEOUT_S) if others else []
         if answers:
             known = [Voters.from_row(row) for _, row in answers]
             self.register.adopt(max(known, key=lambda voters: voters.epoch))
             return
-        if not may_decide or not choose_initial_voters(disks.values(), self.losses, self._calm_s()):
+        if not may_decide or not choose_initial_voters(disks.values(), self.losses, self._stable_s()):
             return
-        # What an earlier process has decided stands: the disks of the seeds know it.
-        wish = choose_initial_voters(self.ask_alive_disks(disks), self.losses, self._calm_s())
-        if wish:
-            self.reconfiguration.propose(wish)
+        # An earlier decision prevails: the seeds' disks hold it, and `propose` adopts it.
+        target = choose_initial_voters(self.query_alive_disks(disks), self.losses, self._stable_s())
+        if target:
+            self.reconfiguration.propose(target)
 
-    def report(self) -> None:
-        """Log the voters that stand."""
+    def log_voters(self) -> None:
+        """Log the current voter set."""
         voters = self.register.voters
-        self.reported_epoch = voters.epoch
+        self.logged_epoch = voters.epoch
         addresses = [[f"{ip}:{port}" for ip, port in sorted(voter_set)] for voter_set in voters.sets]
         say("voters", epoch=voters.epoch, votes=self.register.can_vote(), sets=addresses)
 
-    # Later changes.
+    # Reconfiguration.
 
     def run(self) -> None:
-        """Catch up, or change the voters where that is due, for as long as the process lives."""
+        """Reconcile the voter set at every interval, for the life of the process."""
         while True:
             self.runtime.sleep(CHECK_INTERVAL_S)
             if not self.register.voters.epoch:
                 continue
             self.reconcile()
             voters = self.register.voters
-            if voters.epoch != self.reported_epoch and not voters.joint:
-                self.report()
+            if voters.epoch != self.logged_epoch and not voters.joint:
+                self.log_voters()
 
     def reconcile(self) -> None:
-        """One step: a disk that doesn't vote catches up, one that does changes the voters where it must."""
+        """Let a non-voter catch up, or a voter carry out the change that is due."""
         register = self.register
         now = self.runtime.now()
         voters = register.voters
@@ -290,28 +292,28 @@
                 caught_up = self.reconfiguration.catch_up()
                 self.catch_up_at = now + (CATCH_UP_INTERVAL_S if caught_up else 0.0)
             return
-        if register.can_vote() and self.is_due(voters):
-            self.advance(voters)
+        if register.can_vote() and self.is_change_due(voters):
+            self.apply_change(voters)
 
-    def is_due(self, voters: Voters) -> bool:
-        """Whether the voters should change, and it is this controller's turn to see to it."""
+    def is_change_due(self, voters: Voters) -> bool:
+        """Return whether a change of voters is due and it is this controller's turn to propose it."""
         disks = self.disks()
         now = self.runtime.now()
         if voters.joint:
-            self.wish = voters
+            self.target = voters
         else:
-            calm_s = now - self.alive_changed_at
-            self.wish = choose_next_voters(voters, self.as_if_caught_up(disks), self.losses, calm_s)
-        if self.wish is None:
+            stable_s = now - self.alive_changed_at
+            self.target = choose_next_voters(voters, self.assume_caught_up(disks), self.losses, stable_s)
+        if self.target is None:
             self.due_epoch = -1
             return False
         if self.due_epoch != voters.epoch:
             self.due_epoch = voters.epoch
             self.due_at = now
-        return now - self.due_at >= self._turn(disks) * TURN_S
+        return now - self.due_at >= self._proposer_rank(disks) * PROPOSER_STAGGER_S
 
-    def _turn(self, disks: dict[Address, VoterCandidate]) -> int:
-        """This controller's place in the order in which voters act; the last where it is not alive there."""
+    def _proposer_rank(self, disks: dict[Address, VoterCandidate]) -> int:
+        """Return this controller's rank among the alive voters; the last if it is not among them."""
         order = sorted(
             address
             for address in self.register.voter_addresses
@@ -319,33 +321,33 @@
         )
         return order.index(self.address) if self.address in order else len(order)
 
-    def advance(self, voters: Voters) -> None:
-        """Go on with a joint configuration, or begin the change that is wanted, if it still is."""
+    def apply_change(self, voters: Voters) -> None:
+        """Complete a joint configuration, or begin the change if it is still wanted after a query."""
         if voters.joint:
             self.reconfiguration.leave_joint()
             return
-        disks = self.ask_disks(self.disks())
-        wish = choose_next_voters(voters, disks, self.losses, self._calm_s())
-        if wish and self.reconfiguration.propose(wish):
+        disks = self.query_disks(self.disks())
+        target = choose_next_voters(voters, disks, self.losses, self._stable_s())
+        if target and self.reconfiguration.propose(target):
             self.reconfiguration.leave_joint()
 
-    # Leaving, and an operator's orders.
+    # Handover and operators' requests.
 
     def on_leaving(self, connection: PeerConnection | None, body: list) -> bool:
-        """Another process will end: [its address, seconds for which that holds]; answered True."""
+        """Record that a process is about to end: [its address, seconds for which that holds]."""
         address, seconds = body
         self.leaving[tuple(address)] = self.runtime.now() + seconds
         return True
 
     def hand_over(self) -> None:
-        """Before this process ends, wait until a spare has taken over, or until the others suffice.
+        """Announce the end of this process, and wait until the voter set no longer depends on it.
 
-        At most for as long as the platform lets it.
+        The wait is bounded by the platform's grace period.
         """
         if self.address not in self.register.voter_addresses:
             return
         now = self.runtime.now()
-        deadline = now + max(HANDOVER_S, self.plane.node.bounds.grace_s - HANDOVER_RESERVE_S)
+        deadline = now + max(MIN_HANDOVER_S, self.plane.node.bounds.grace_s - HANDOVER_RESERVE_S)
         leaving_until = deadline + HANDOVER_RESERVE_S
         self.leaving[self.address] = leaving_until
         peers = self.plane.peers()
@@ -354,56 +356,56 @@
             return len(answers) == len(peers)
 
         announcement = [list(self.address), leaving_until - now]
-        self.peer_pool.gather(peers, LEAVING_KIND, announcement, all_answered, ASK_S)
+        self.peer_pool.gather(peers, LEAVING_KIND, announcement, all_answered, QUERY_TIMEOUT_S)
         while self.runtime.now() < deadline and not self._handed_over():
-            self.runtime.sleep(FIRST_CHECK_INTERVAL_S)
+            self.runtime.sleep(FAST_CHECK_INTERVAL_S)
 
     def _handed_over(self) -> bool:
-        """Whether the voters get on without this process."""
+        """Return whether the voter set no longer depends on this process."""
         voters = self.register.voters
         if self.address not in self.register.voter_addresses:
-            return self.reconfiguration.announce(TOLD_S)
-        # While two sets stand both may need this voter: it stays until that is over. And a spare that has
-        # just started is still copying: a voter that ended at once would be missed until that is done.
+            return self.reconfiguration.announce(ANNOUNCE_TIMEOUT_S)
+        # Either set of a joint configuration may need this voter for its majority.
         if voters.joint:
             return False
-        return not choose_next_voters(voters, self.as_if_caught_up(self.disks()), self.losses, 0.0)
+        # A spare that has just started is still copying: until that is done, the set needs this voter.
+        return not choose_next_voters(voters, self.assume_caught_up(self.disks()), self.losses, 0.0)
 
     def on_replace(self, connection: PeerConnection | None, body: list) -> str:
-        """An operator's order: [address to leave out or None, address to take in or None].
+        """Carry out an operator's request: [address to remove or None, address to add or None].
 
         Returns:
-            `DONE`, `UNFINISHED`, `UNKNOWN`, or why the order was rejected.
+            `DONE`, `UNFINISHED`, `UNKNOWN`, or the reason why the request was rejected.
         """
-        leave_out, take_in = (tuple(address) if address else None for address in body)
-        voters = self.register.voters  # read first: an order is for those that stood when it came in
-        disks = self.ask_disks(self.disks())
-        wish, reason = plan_operator_change(voters, disks, self.losses, leave_out, take_in)
-        if wish is None:
+        removed, added = (tuple(address) if address else None for address in body)
+        voters = self.register.voters  # read first: the request applies to the set at its arrival
+        disks = self.query_disks(self.disks())
+        target, reason = plan_operator_change(voters, disks, self.losses, removed, added)
+        if target is None:
             return reason
-        if self.reconfiguration.propose(wish) and self.reconfiguration.leave_joint():
+        if self.reconfiguration.propose(target) and self.reconfiguration.leave_joint():
             return DONE
         return UNFINISHED if self.register.voters.joint else UNKNOWN
 
-    # What operators see.
+    # Operator view.
 
     def rows(self) -> list[dict]:
-        """The disks that vote or may, one a row, as `flintreach show voters` prints them."""
+        """Return one row for each disk that votes or may vote, as `flintreach show voters` prints them."""
         voters = self.register.voters
         disks = self.disks()
-        answered = {disk.address: disk for disk in self.ask_alive_disks(disks)}
+        answered = {disk.address: disk for disk in self.query_alive_disks(disks)}
         store = self.register.store
         shared = {
-            "wanted": self._wish_text(),
+            "wanted": self._target_text(),
             "forced": store.facts.get(FORCED_FACT, "") if store else "",
         }
         addresses = sorted({*voters.members(), *disks})
         return [self._row(voters, address, answered.get(address)) | shared for address in addresses]
 
-    def _wish_text(self) -> str:
-        if self.wish is None:
+    def _target_text(self) -> str:
+        if self.target is None:
             return ""
-        sets = [" ".join(sorted(f"{ip}:{port}" for ip, port in voter_set)) for voter_set in self.wish.sets]
+        sets = [" ".join(sorted(f"{ip}:{port}" for ip, port in voter_set)) for voter_set in self.target.sets]
         return " and ".join(sets)
 
     @classmethod
@@ -420,7 +422,10 @@
 
     @staticmethod
     def _set_text(voters: Voters, address: Address) -> str:
-        """In which of two sets an address votes, "votes" where one stands alone, "" where it doesn't vote."""
+        """Return the sets of a joint configuration in which an address votes.
+
+        In a configuration of a single set: "votes", or "" if the address does not vote.
+        """
         set_names = [
             name
             for name, voter_set in (("old", voters.old), ("new", voters.new))
