--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -135,7 +135,7 @@
                 lease_owner.tick()
 
     def _interval_s(self) -> float:
-        if any(lease_owner.soon for lease_owner in self.lease_owners.values()):
+        if any(lease_owner.keys_released for lease_owner in self.lease_owners.values()):
             return SOON_INTERVAL_S
         return INTERVAL_S
 
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -1,8 +1,8 @@
-"""The owner of one service's key ranges: a loop that grants them to endpoints, and asks for them back.
+"""The lease owner of one sharded service: grants leases on key ranges to endpoints, and revokes them.
 
-What is granted to whom, and when it is safe to, is decided in `flintreach.sharding.range_lease`, which does
-no I/O. This module carries it out: the allocation as a value of the register, each decision as a call to an
-endpoint over HTTP. `key_ranges` runs one `LeaseOwner` for each sharded service.
+`flintreach.sharding.range_lease` decides which ranges to grant, to whom and when, and does no I/O. This
+module carries out its decisions: the allocation is a value of the register, and each grant or release is an
+HTTP call to an endpoint. `key_ranges` runs one `LeaseOwner` for each sharded service.
 """
 
 from collections.abc import Callable
@@ -24,34 +24,31 @@
 from flintreach.sharding.range_lease import CallKind, RangeLeases
 from flintreach.transport.peer_connection import RESET, configure_socket
 
-# Prefix of a service's allocation in the register, and of its ranges among the published updates; as earlier
-# releases wrote it.
-
 PATHS = {CallKind.GRANT: calls.GRANT, CallKind.RELEASE: calls.RELEASE}
-CHANGE_S = 0.9  # for a change of the register
-CONNECT_S = 0.5
-READ_S = 0.9
-CALL_S = 0.95  # for a whole call
-UNACKNOWLEDGED_MS = 900  # the kernel drops a call that its receiver has not acknowledged for so long
+REGISTER_TIMEOUT_S = 0.9  # for a change of the register
+CONNECT_TIMEOUT_S = 0.5
+READ_TIMEOUT_S = 0.9
+CALL_TIMEOUT_S = 0.95  # for a whole call, including the connection set-up
+TCP_USER_TIMEOUT_MS = 900  # the kernel drops a call that the receiver has not acknowledged within this time
 
 
 class CallOutcome(Enum):
-    """What became of one call to an endpoint."""
+    """Outcome of one call to an endpoint."""
 
     ANSWERED = auto()
-    NO_ANSWER = auto()  # it may have arrived all the same
-    NOT_SENT = auto()  # decided too long ago: by now another owner may have given the keys away
+    NO_ANSWER = auto()  # the endpoint may have received the call nevertheless
+    NOT_SENT = auto()  # the decision had expired: another owner may have granted the keys since
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The outcome of a call.
+    """Result of one call to an endpoint.
 
     Attributes:
-        outcome: whether there was an answer.
-        status: of the answer, by HTTP; 0 where there was none.
-        handover: what the endpoint that released the keys leaves for their next holder, None where the
-            answer has none.
+        outcome: whether the call was sent, and answered.
+        status: HTTP status of the answer; 0 if there was none.
+        handover: data that the releasing endpoint leaves for the next holder of the keys; None if the answer
+            has none.
     """
 
     outcome: CallOutcome
@@ -60,7 +57,7 @@
 
     @property
     def lease_status(self) -> int | None:
-        """The status as `RangeLeases.record_result` takes it: None where the call was not sent."""
+        """Return the status as `RangeLeases.record_result` takes it: None if the call was not sent."""
         return None if self.outcome is CallOutcome.NOT_SENT else self.status
 
 
@@ -69,21 +66,24 @@
 
 
 def answered(status: int, handover: str | None) -> CallResult:
-    """The result of a call that an endpoint answered."""
+    """Return the result of a call that an endpoint answered."""
     return CallResult(CallOutcome.ANSWERED, status, handover)
 
 
 class LeaseExpiredError(OSError):
-    """This process may no longer act for the keys; an OSError, as the connection pool passes such on."""
+    """This process may no longer act as the lease owner.
+
+    Derived from OSError because the connection pool of geventhttpclient lets that pass.
+    """
 
 
 class LeaseOwner:
-    """This process's part in the keys of one service: owner, or ready to take over.
+    """This process as lease owner of one service, or as a standby for it.
 
     Attributes:
-        state: what this process may do, and what it has done, as a state machine.
-        published_rows: the ranges as they were last published, None before.
-        soon: keys were released since the last step: the next is to follow at once.
+        state: the state machine that decides what this process may do.
+        published_rows: the ranges as last published; None before the first publication.
+        keys_released: keys were released since the last step, so the next step should follow at once.
     """
 
     def __init__(
@@ -93,38 +93,38 @@
         register: Register,
         max_lease_ms: float,
         eligible: Callable[[], dict[str, tuple[float, str]]],
-        ended: Callable[[str], bool],
+        has_ended: Callable[[str], bool],
         publish: Callable[[list[int], list[list]], object],
         load: Callable[[], tuple[LoadDistribution, set[str]]],
     ) -> None:
-        """Take part in the keys of a service, from the next `tick` on.
+        """Prepare to own the leases of a service; the first `tick` may acquire them.
 
         Args:
             owner_name: name of this process.
-            service: whose keys are granted.
-            register: where the allocation stands.
-            max_lease_ms: the longest term of a lease that the settings allow, in milliseconds.
-            eligible: gives the endpoints that may be granted keys: their ids, with weight and address.
-            ended: whether the endpoint of an id has surely ended.
-            publish: tells proxies a version and the ranges that are held.
-            load: gives the load by key, and the ids of the endpoints that are busy.
+            service: the sharded service.
+            register: holds the allocation.
+            max_lease_ms: the longest lease that the settings allow, in milliseconds.
+            eligible: returns weight and address of each endpoint that may be granted keys, by id.
+            has_ended: returns whether the endpoint with an id has certainly ended.
+            publish: publishes a version and the ranges that are held, for proxies.
+            load: returns the load by key, and the ids of the endpoints that are busy.
         """
         self.key = f"{KEY_RANGES_PREFIX}{service}"
         self.service = service
         self.register = register
         self.runtime = register.runtime
         self.eligible = eligible
-        self.ended = ended
+        self.has_ended = has_ended
         self.publish = publish
         self.load = load
         self.state = RangeLeases(owner_name, max_lease_ms / 1000)
         self.published_rows: list[list] | None = None
-        self.soon = False
+        self.keys_released = False
 
     def tick(self) -> None:
-        """One step: renew the ownership, change the allocation where that is due, call endpoints.
+        """Renew the ownership, change the allocation if that is due, and make the calls that are due.
 
-        Nothing is done where another process owns the keys and is at work.
+        Does nothing while another process is the owner and active.
         """
         started_at = self.runtime.now()
         if not self.state.should_update(self._local_allocation(), started_at):
@@ -140,28 +140,32 @@
             self.runtime.spawn(self.call, kind, key_range)
 
     def _local_allocation(self) -> Allocation:
-        """The allocation as this process's disk has it."""
+        """Return the allocation on this process's disk."""
         acceptor = self.register.acceptor
         slot = acceptor.slots.get(self.key) if acceptor else None
         return Allocation.decode(slot.value if slot else None)
 
     def _change_allocation(self, started_at: float) -> Allocation | None:
-        """Change the allocation in the register; None where that is not known to stand, or not ours to do."""
+        """Change the allocation in the register.
+
+        Returns:
+            The new allocation; None if it is not known to be committed, or another process is the owner.
+        """
         eligible = self.eligible()
         load, busy_ids = self.load()
-        self.soon = False
+        self.keys_released = False
         changed = False
 
         def step(old_value: bytes | None) -> bytes | None:
-            # The register may call this several times before one value stands: the last call counts.
+            # The register may call this once for each attempt to commit: the last call counts.
             nonlocal changed
             allocation = Allocation.decode(old_value)
             changed = self.state.update_allocation(
-                allocation, started_at, eligible, self.ended, load, busy_ids
+                allocation, started_at, eligible, self.has_ended, load, busy_ids
             )
             return allocation.encode() if changed else None
 
-        done, value = self.register.change(self.key, step, CHANGE_S)
+        done, value = self.register.change(self.key, step, REGISTER_TIMEOUT_S)
         if not done or not changed:
             return None
         return Allocation.decode(value)
@@ -177,7 +181,7 @@
             self.publish([allocation.epoch, allocation.renewals], rows)
 
     def call(self, kind: str, key_range: Range) -> None:
-        """Make a call that is due, and note what became of it.
+        """Make a call that is due, and record its result.
 
         Args:
             kind: a `CallKind`.
@@ -187,42 +191,42 @@
         try:
             result = self.exchange(kind, key_range)
         finally:
-            # Also where the call failed in an unforeseen way: the range would stay busy for good.
-            self.soon |= self.state.record_result(
+            # Also after an unexpected exception: otherwise the range would stay marked as in flight forever.
+            self.keys_released |= self.state.record_result(
                 kind, key_range, result.lease_status, result.handover or "", self.runtime.now()
             )
 
     def exchange(self, kind: str, key_range: Range) -> CallResult:
-        """Call the endpoint that holds a range, once, over HTTP.
+        """Call the endpoint that holds a range over HTTP, without retries.
 
         Args:
             kind: a `CallKind`.
             key_range: the keys, with the endpoint's id and address.
 
         Returns:
-            What became of the call.
+            The result of the call.
         """
         client = HTTPClient(
             *parse_address(key_range.address),
-            connection_timeout=CONNECT_S,
-            network_timeout=READ_S,
+            connection_timeout=CONNECT_TIMEOUT_S,
+            network_timeout=READ_TIMEOUT_S,
             concurrency=1,
         )
 
-        def connected(connection: socket) -> None:
-            # Asked here and no sooner: this process may have slept while the connection came up. And where
-            # none comes up nothing was sent, so the time of a dead holder does not begin anew.
+        def check_and_configure(connection: socket) -> None:
+            # Checked only now, because this process may have been suspended while the connection was set up.
+            # If there is no connection, nothing was sent, so the lease of a dead holder is not extended.
             if not self.state.authorize_send(kind, key_range, self.runtime.now()):
                 raise LeaseExpiredError
-            # A call that was given up must not arrive later: after a close in order the kernel would send it
-            # for minutes.
-            configure_socket(connection, UNACKNOWLEDGED_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
+            # A call that timed out must not arrive later: after an orderly close the kernel would retransmit
+            # it for minutes, so the connection is reset on close.
+            configure_socket(connection, TCP_USER_TIMEOUT_MS).setsockopt(SOL_SOCKET, SO_LINGER, RESET)
 
-        client._connection_pool.after_connect = connected  # the pool's own hook, meant to be overridden
-        # The id guards against another endpoint that has the address by now.
+        client._connection_pool.after_connect = check_and_configure  # the pool's hook for this purpose
+        # The id guards against another endpoint that has taken over the address.
         headers = {"Content-Type": "application/json", "X-Expect-Endpoint": key_range.holder}
         try:
-            with gevent.Timeout(CALL_S):
+            with gevent.Timeout(CALL_TIMEOUT_S):
                 answer = client.request("POST", PATHS[kind], self._request_body(kind, key_range), headers)
                 answer.read()
                 return answered(answer.status_code, answer.get("x-handover"))
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -1,4 +1,4 @@
-"""The operator's requests at a controller: configuration and evacuations, as changes of the register."""
+"""Operators' requests to a controller: configuration and zone evacuations, as changes of the register."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -21,50 +21,50 @@
 
 PACK = msgspec.msgpack.encode
 UNPACK = msgspec.msgpack.decode
-REGISTER_TIMEOUT_S = 0.85  # callers give a controller up after a second
+REGISTER_TIMEOUT_S = 0.85  # below the one second after which callers time out
 
 MayProceed = Callable[[], bool]
 
 
 class RequestOutcome(StrEnum):
-    """What became of a request to change something."""
+    """Outcome of a request to change a key of the register."""
 
     ACCEPTED = PutOutcome.ACCEPTED
-    REPEATED = PutOutcome.REPEATED  # it stood already: acknowledged, and no change
-    SUPERSEDED = PutOutcome.SUPERSEDED  # a later version stands
-    CONFLICT = PutOutcome.CONFLICTING  # another content was acknowledged under this number
-    HISTORY_EXPIRED = PutOutcome.FORGOTTEN  # too old to tell which content the number had
-    UNKNOWN = "late"  # not known to stand within REGISTER_TIMEOUT_S: it may or may not
-    ABANDONED = "dropped"  # given up before anything was sent to acceptors
+    REPEATED = PutOutcome.REPEATED  # already in force: acknowledged without a change
+    SUPERSEDED = PutOutcome.SUPERSEDED  # a later version is in force
+    CONFLICT = PutOutcome.CONFLICTING  # other content was acknowledged under this version number
+    HISTORY_EXPIRED = PutOutcome.FORGOTTEN  # too old to tell which content the version number had
+    UNKNOWN = "late"  # no result within REGISTER_TIMEOUT_S: the change may or may not be committed
+    ABANDONED = "dropped"  # abandoned before anything was sent to acceptors
 
 
-Decision = tuple[str, bytes | None]  # an outcome's text, and the new value or None for no change
+Decision = tuple[str, bytes | None]  # text of an outcome, and the new value or None for no change
 
 
-class RegisterAndUpdates(Protocol):
-    """What `OperatorRequests` takes of the control plane."""
+class OperatorRequestsPlane(Protocol):
+    """The part of `control_plane.ControlPlane` that `OperatorRequests` uses."""
 
     register: Register
     updates: VersionedStore
 
 
-def always() -> bool:
-    """Let a request proceed at any time."""
+def unconditionally() -> bool:
+    """Let a request proceed unconditionally."""
     return True
 
 
 class OperatorRequests:
-    """Changes and reads the operator's keys of the register, and publishes what stands as updates."""
+    """Reads and changes the operators' keys of the register, and publishes committed values as updates."""
 
-    def __init__(self, plane: RegisterAndUpdates) -> None:
+    def __init__(self, plane: OperatorRequestsPlane) -> None:
         self.plane = plane
 
-    # What stands in the register goes out as updates.
+    # Publication of committed values.
 
     def publish(self, key: str, value: bytes | None) -> None:
-        """Offer a value that stands in the register to the updates; None: the key has none.
+        """Publish a committed value of the register as an update; None means that the key has no value.
 
-        A voter set is adopted by the register instead.
+        A voter set is not published but adopted by the register.
         """
         if value is None:
             return
@@ -84,18 +84,18 @@
         updates = self.plane.updates
         if not updates.offer(ASSIGNMENT_KEY, number, number):
             return
-        removed_routes = updates.under(SLICE_KEY_PREFIX).keys() - assignment.keys()
-        for name in sorted(removed_routes):
+        removed_slices = updates.under(SLICE_KEY_PREFIX).keys() - assignment.keys()
+        for name in sorted(removed_slices):
             updates.offer(f"{SLICE_KEY_PREFIX}{name}", number, None)
         changed = [
             (name, ids) for name, ids in assignment.items() if updates.get(f"{SLICE_KEY_PREFIX}{name}") != ids
         ]
-        # What shrinks goes first.
+        # Shorter assignments first, so that slices that shrink tend to precede those that grow.
         for name, ids in sorted(changed, key=lambda entry: len(entry[1])):
             updates.offer(f"{SLICE_KEY_PREFIX}{name}", number, ids)
 
     def is_published(self, key: str, value: bytes | None) -> bool:
-        """Return whether this controller's updates have a value of the register, or a later one."""
+        """Return whether this controller has published a value of the register, or a later one."""
         if value is None:
             return False
         if key == VOTERS_KEY:
@@ -109,45 +109,51 @@
 
     # Requests.
 
-    def put(self, number: int, body: bytes, may_proceed: MayProceed = always) -> RequestOutcome:
-        """Put a configuration under a number.
+    def put(self, number: int, body: bytes, may_proceed: MayProceed = unconditionally) -> RequestOutcome:
+        """Put a configuration under a version number.
 
         Args:
-            number: its version.
-            body: the configuration, as the operator wrote it.
-            may_proceed: asked right before anything is sent to acceptors, whether it may still be done.
+            number: version of the configuration.
+            body: the configuration as the operator submitted it.
+            may_proceed: returns whether the request is still valid; called before each proposal to acceptors.
         """
         return self._change(
-            CONFIGURATION_KEY, lambda standing: configuration_history.put(standing, number, body), may_proceed
+            CONFIGURATION_KEY, lambda current: configuration_history.put(current, number, body), may_proceed
         )
 
     def get(self) -> tuple[bool, bytes | None]:
-        """Read the configuration that stands.
+        """Read the current configuration.
 
         Returns:
-            Whether it is known what stands, and the configuration as it was put, None where there is none.
+            Whether a quorum confirmed the read, and the configuration as it was submitted; None if there is
+            none.
         """
         is_known, value = self.plane.register.read(CONFIGURATION_KEY, REGISTER_TIMEOUT_S)
         if value is None:
             return is_known, None
         return is_known, ConfigurationHistory.of(value).body
 
-    def evacuate(self, zone: str, is_evacuated: bool, may_proceed: MayProceed = always) -> RequestOutcome:
-        """Begin or end the evacuation of a zone: ACCEPTED or REPEATED, UNKNOWN or ABANDONED.
+    def evacuate(
+        self, zone: str, is_evacuated: bool, may_proceed: MayProceed = unconditionally
+    ) -> RequestOutcome:
+        """Begin or end the evacuation of a zone.
 
-        The request has no number, yet one that was delayed must not act after a later one.  Ballots see to
-        that from the prepares on, as a later request's are higher; `may_proceed` is for what comes before,
-        while the request lay unread.
+        The request has no version number, yet a delayed request must not take effect after a later one. From
+        the prepare phase on, ballots ensure this, since those of a later request are higher; `may_proceed`
+        covers the time before that, in which the request was waiting unread.
 
         Args:
-            zone: its name.
-            is_evacuated: whether it is to be evacuated from now on.
+            zone: name of the zone.
+            is_evacuated: True to begin the evacuation, False to end it.
             may_proceed: as for `put`.
+
+        Returns:
+            ACCEPTED, REPEATED, UNKNOWN or ABANDONED.
         """
 
-        def decide(standing: bytes | None) -> Decision:
-            number, zones = UNPACK(standing) if standing else (0, {})
-            if standing and bool(zones.get(zone)) == is_evacuated:
+        def decide(current: bytes | None) -> Decision:
+            number, zones = UNPACK(current) if current else (0, {})
+            if current and bool(zones.get(zone)) == is_evacuated:
                 return RequestOutcome.REPEATED, None
             return RequestOutcome.ACCEPTED, PACK([number + 1, {**zones, zone: is_evacuated}])
 
@@ -156,17 +162,17 @@
     def _change(
         self, key: str, decide: Callable[[bytes | None], Decision], may_proceed: MayProceed
     ) -> RequestOutcome:
-        """Change a key of the register by `decide(standing value)`, and publish what stands then."""
+        """Change a key of the register by `decide(current value)`, and publish the committed value."""
         outcome = RequestOutcome.UNKNOWN
         was_proposed = False
 
-        def step(standing: bytes | None) -> bytes | None:
+        def step(current: bytes | None) -> bytes | None:
             nonlocal outcome, was_proposed
             if not may_proceed():
-                # What an earlier attempt sent to acceptors may still come to stand.
+                # What an earlier attempt proposed to acceptors may still be committed.
                 outcome = RequestOutcome.UNKNOWN if was_proposed else RequestOutcome.ABANDONED
                 return None
-            decided, value = decide(standing)
+            decided, value = decide(current)
             outcome = RequestOutcome(decided)
             was_proposed = was_proposed or value is not None
             return value
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -12,7 +12,7 @@
 from flintreach.consensus.register import Register
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.operator_requests import REGISTER_TIMEOUT_S, OperatorRequests
-from flintreach.controller.quorum_contact import KEYS, NO_BALLOT, Ballot, QuorumContact
+from flintreach.controller.quorum_contact import NO_BALLOT, REPORTED_KEYS, Ballot, QuorumContact
 from flintreach.dissemination.relay import ASK_TIMEOUT_S, FRESHNESS_POLL_S, Subscription
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection
@@ -117,7 +117,7 @@
         if not register.can_vote():
             return None
         slots = register.acceptor.slots
-        return {key: list(slots[key].accepted) for key in KEYS if key in slots}
+        return {key: list(slots[key].accepted) for key in REPORTED_KEYS if key in slots}
 
     def record_ballots(
         self, address: Address, asked_at: float, ballots: Mapping[str, list[Any]] | None
@@ -134,7 +134,7 @@
         contact = self.plane.quorum_contact
         report = {key: tuple(ballot) for key, ballot in ballots.items()}
         contact.record_report(address, asked_at, report, self.runtime.now())
-        for key in KEYS:
+        for key in REPORTED_KEYS:
             if key not in self.resolving and contact.has_unknown(key):
                 self.resolving.add(key)
                 self.runtime.spawn(self.resolve_unknown, key)
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -1,16 +1,16 @@
-"""Read index of one controller: since when it surely knows all that was acknowledged.  Does no I/O.
+"""Read index of one controller: the time up to which it knows every acknowledged write. Does no I/O.
 
-A controller asks each peer for the ballots that the peer's disk has accepted of the replicated keys.  The
-question goes over the connection on which the peer sends its updates, so the answer arrives behind all
-updates sent before it.  What was acknowledged before the question stands on a quorum of disks; each quorum of
-reports shares a disk with that one, and so shows the ballot of the acknowledged value, if not a later one.  A
-report counts from the time of the QUESTION, because the answer may lie in a buffer while this process is
-frozen; and it counts only once every value that it points to is known here.
+A controller asks each peer for the ballots that the peer's disk has accepted for the replicated keys. The
+request uses the connection on which the peer sends its updates, so the response arrives after all updates
+sent before it. A write acknowledged before the request is on a quorum of disks; every quorum of reports
+shares a disk with that one, and so shows the ballot of the acknowledged value or a later one. A report counts
+from the time of the REQUEST, because the response may sit in a buffer while this process is suspended; and it
+counts only once every value that it refers to is known here.
 
-Times are seconds of this process's steady clock.
+Times are seconds of this process's monotonic clock.
 
-Source: D. Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 6.4 (read index); here the age of
-the last round is kept, in place of a round for each call.
+Source: D. Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 6.4 (read index). Here the age of
+the last round is kept, in place of one round for each call.
 """
 
 from collections.abc import Mapping
@@ -18,48 +18,57 @@
 from flintreach.common.keys import CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY
 from flintreach.consensus.quorum import Address, Voters
 
-KEYS = (CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY)  # reported: changed by requests, never all the time
+# Keys in the reports: they change on request only, not continuously.
+REPORTED_KEYS = (CONFIGURATION_KEY, EVACUATION_KEY, VOTERS_KEY)
 
 Ballot = tuple[int, str]
 
 NO_BALLOT: Ballot = (0, "")
-NEVER = 86400.0  # seconds: the age of a contact that there has not been
-MAX_PENDING_REPORTS = 16  # of one peer, that wait for values to become known here
-CHANGE_PATIENCE_S = 0.3  # for so long a ballot on a minority may be a change under way
-MAX_CHECK_GAP_S = 0.4  # a longer gap between two checks of the clock is a suspension
-RESUME_DELAY_S = 0.25  # after a suspension, for so long all that is read may be old
+NEVER = 86400.0  # seconds; stands for the age of a contact that has not happened
+MAX_PENDING_REPORTS = 16  # per peer, waiting for values to become known here
+CHANGE_GRACE_S = 0.3  # for this long, a ballot on a minority may belong to a change in progress
+MAX_CHECK_GAP_S = 0.4  # a longer gap between two checks of the clock counts as a suspension
+RESUME_DELAY_S = 0.25  # for this long after a suspension, input may have been sent before it
 
 
 class QuorumContact:
-    """Keeps the peers' reports, and computes since when this controller is up to date."""
+    """Tracks the peers' reports, and computes the time up to which this controller is current.
+
+    Attributes:
+        confirmed_at: peer -> request time of its last report whose values are all known.
+        reports: peer -> its last report.
+        pending: peer -> (request time, report) for each report with unknown values.
+        known: key -> ballot up to which every decided value of the key is known here.
+        unknown_since: (key, ballot) -> when an unknown ballot was first reported.
+    """
 
     def __init__(self) -> None:
-        self.confirmed_at: dict[Address, float] = {}  # peer -> question of its last report that is all known
-        self.reports: dict[Address, Mapping[str, Ballot]] = {}  # peer -> its last report
-        self.pending: dict[Address, list[tuple[float, Mapping[str, Ballot]]]] = {}  # (asked at, report)
-        self.known: dict[str, Ballot] = {}  # all that was decided up to these ballots is known here
-        self.unknown_since: dict[tuple[str, Ballot], float] = {}  # when a ballot not known was first reported
+        self.confirmed_at: dict[Address, float] = {}
+        self.reports: dict[Address, Mapping[str, Ballot]] = {}
+        self.pending: dict[Address, list[tuple[float, Mapping[str, Ballot]]]] = {}
+        self.known: dict[str, Ballot] = {}
+        self.unknown_since: dict[tuple[str, Ballot], float] = {}
 
     def record_report(
         self, address: Address, asked_at: float, ballots: Mapping[str, Ballot], now: float
     ) -> None:
-        """Take in a report.  This controller's own disk counts as a peer that is asked at each turn.
+        """Record a report. This controller's own disk counts as a peer, polled at every interval.
 
         Args:
-            address: whose disk it is.
-            asked_at: when the question was sent, in seconds.
+            address: of the peer whose disk it is.
+            asked_at: when the request was sent, in seconds.
             ballots: the accepted ballot of each key that the disk has.
-            now: the present, in seconds.
+            now: the current time, in seconds.
         """
         self.reports[address] = ballots
         pending = [*self.pending.get(address, ()), (asked_at, ballots)]
         self.pending[address] = pending[-MAX_PENDING_REPORTS:]
         self._confirm_reports(address)
-        unknown = {(key, self.newest_ballot(key)[0]) for key in KEYS if self.has_unknown(key)}
+        unknown = {(key, self.newest_ballot(key)[0]) for key in REPORTED_KEYS if self.has_unknown(key)}
         self.unknown_since = {entry: self.unknown_since.get(entry, now) for entry in unknown}
 
     def record_known(self, key: str, ballot: Ballot) -> None:
-        """Note that all that was decided of a key, up to a ballot, is known here now."""
+        """Record that every value decided for a key, up to a ballot, is known here."""
         if ballot <= self.known.get(key, NO_BALLOT):
             return
         self.known[key] = ballot
@@ -67,7 +76,7 @@
             self._confirm_reports(address)
 
     def _confirm_reports(self, address: Address) -> None:
-        """Count the reports of a peer that point to nothing unknown, and drop those before them."""
+        """Confirm a peer's reports whose values are all known, and drop the reports before them."""
         pending = self.pending[address]
         for asked_at, ballots in pending:
             if all(ballot <= self.known.get(key, NO_BALLOT) for key, ballot in ballots.items()):
@@ -76,7 +85,7 @@
         self.pending[address] = [report for report in pending if report[0] > confirmed_at]
 
     def newest_ballot(self, key: str) -> tuple[Ballot, list[Address]]:
-        """Return the highest ballot of a key in the peers' last reports, and the peers that reported it."""
+        """Return the highest ballot of a key in the peers' last reports, and the peers that report it."""
         newest = max((ballots.get(key, NO_BALLOT) for ballots in self.reports.values()), default=NO_BALLOT)
         holders = [
             address for address, ballots in self.reports.items() if ballots.get(key, NO_BALLOT) == newest
@@ -84,19 +93,19 @@
         return newest, sorted(holders)
 
     def has_unknown(self, key: str) -> bool:
-        """Return whether a peer reported a ballot of a key whose value may not be known here."""
+        """Return whether a peer reports a ballot of a key whose value may not be known here."""
         newest, _ = self.newest_ballot(key)
         return newest > self.known.get(key, NO_BALLOT)
 
     def is_stalled(self, key: str, now: float) -> bool:
-        """Return whether the newest ballot was reported for so long that no change under way explains it."""
+        """Return whether the newest ballot is unknown for longer than a change in progress would explain."""
         newest, _ = self.newest_ballot(key)
-        return now - self.unknown_since.get((key, newest), now) >= CHANGE_PATIENCE_S
+        return now - self.unknown_since.get((key, newest), now) >= CHANGE_GRACE_S
 
     def age(self, voters: Voters, now: float) -> float:
-        """Return the seconds since a time up to which all that was acknowledged is known here.
+        """Return the age of the read index: every write acknowledged before it is known here.
 
-        NEVER where the peers with a confirmed report make no quorum of `voters`.
+        NEVER if the peers with a confirmed report are no quorum of `voters`.
 
         >>> contact, voters = QuorumContact(), Voters(1, ((("a", 1), ""), (("b", 1), ""), (("c", 1), "")))
         >>> for asked_at, name in ((5.0, "a"), (3.0, "b"), (1.0, "c")):
@@ -113,10 +122,10 @@
 
 
 class SuspendDetector:
-    """Notices that this process was suspended: frozen, or without its processor.
+    """Detects that this process was suspended: stopped, or not scheduled.
 
-    What it reads in the first moments after that may have been sent long before, by callers that have since
-    gone elsewhere.
+    Input read right after a suspension may have been sent long before, by callers that have since turned to
+    another controller.
     """
 
     def __init__(self, now: float) -> None:
@@ -125,13 +134,13 @@
         self.suspensions = 0
 
     def is_current(self, now: float) -> bool:
-        """Return whether what is read now was sent while this process ran.
+        """Return whether input read now was sent while this process was running.
 
-        To be called several times within MAX_CHECK_GAP_S, and before each call is answered: who calls first
-        after a suspension notices it.
+        Must be called several times within MAX_CHECK_GAP_S, and before each request is answered: the first
+        call after a suspension detects it.
 
         Args:
-            now: steady clock, in seconds.
+            now: time of the monotonic clock, in seconds.
         """
         if now - self.last_check_at > MAX_CHECK_GAP_S:
             self.resumed_at = now
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -26,8 +26,8 @@
 from flintreach.transport.peer_pool import PeerPool
 from flintreach.transport.runtime import Runtime
 
-# Message kinds and the fact on disk keep the values of earlier releases: the processes of a fleet are upgraded
-# one by one, and a disk outlives the release that wrote it.
+# Message kinds and the fact on disk keep the values of earlier releases: processes of a fleet are upgraded
+# one at a time, and a disk outlives the release that wrote it.
 LEAVING_KIND = "leaving"  # [[ip, port] of a process about to end, seconds for which the announcement holds]
 REPLACE_KIND = "replace"  # [[ip, port] to remove or None, [ip, port] to add or None]
 DISK_KIND = "disk"  # an epoch or None; answered by `Reconfiguration.on_disk_status`
@@ -43,9 +43,7 @@
 FAST_CHECK_INTERVAL_S = 0.05  # during bootstrap and during the handover
 CATCH_UP_INTERVAL_S = 2.0  # between two catch-ups of a disk that does not vote
 PROPOSER_STAGGER_S = 1.5  # extra delay per rank: proposers that start together preempt each other's ballots
-UNSEEN_VOTER_GRACE_S = (
-    5.0  # after a controller's start, until voters absent from the membership count as dead
-)
+UNSEEN_VOTER_GRACE_S = 5.0  # after the start; then voters that are missing from the membership count as dead
 QUERY_TIMEOUT_S = 0.3  # for the answers of other controllers
 ANNOUNCE_TIMEOUT_S = 0.5  # for a quorum of the new voters to confirm that they know the configuration
 MIN_HANDOVER_S = 2.0  # a process that ends waits at least this long for a successor
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -12,7 +12,7 @@
 from flintreach.consensus.quorum import Voters
 from flintreach.controller.operator_requests import RequestOutcome
 from flintreach.controller.peer_exchange import PeerExchange
-from flintreach.controller.quorum_contact import CHANGE_PATIENCE_S, NEVER
+from flintreach.controller.quorum_contact import CHANGE_GRACE_S, NEVER
 from flintreach.dissemination import relay
 from flintreach.transport import peer_connection
 from tests.controller.simulated_peers import PEER_ADDRESSES, Cluster, Node, configuration_body
@@ -66,7 +66,7 @@
         cluster.now += 0.1
         self.assertAlmostEqual(exchange_ballots(cluster, 4, 2, 3), 0.1)
         self.assertEqual(cluster.nodes[4].updates.entries, {})
-        cluster.now = began_at + 0.11 + CHANGE_PATIENCE_S
+        cluster.now = began_at + 0.11 + CHANGE_GRACE_S
         exchange_ballots(cluster, 4, 2, 3)
         self.assertEqual(cluster.nodes[4].updates.get("timetable"), BODY)
         cluster.now += 0.1
@@ -82,7 +82,7 @@
         slots = cluster.nodes[2].register.acceptor.slots
         slots["timetable"] = Slot((50, "x"), (50, "x"), lone_value)
         for _ in range(3):
-            cluster.now += CHANGE_PATIENCE_S
+            cluster.now += CHANGE_GRACE_S
             age = exchange_ballots(cluster, 0, 1, 2)
         self.assertEqual(age, 0.0)
 
