--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -1,8 +1,9 @@
-"""Owners of key ranges on one controller: the loop over the sharded services, and where their keys may lie.
+"""Key ranges on one controller: runs the lease owners of the sharded services, and selects their endpoints.
 
-For each sharded service of the configuration one `LeaseOwner` grants key ranges to endpoints. This module
-gives it the endpoints that may hold keys, weighted so that a service's keys lie in one region where its
-clients are sent there anyway (`flintreach.sharding.region_affinity`), and the load by key that proxies count.
+For each sharded service of the configuration, one `LeaseOwner` grants key ranges to endpoints. This module
+supplies the endpoints that may hold keys, and the load by key that proxies report. The endpoints are weighted
+so that the keys of a service lie in one region if its clients are sent there anyway
+(`flintreach.sharding.region_affinity`).
 """
 
 from collections.abc import Iterable
@@ -25,24 +26,24 @@
 from flintreach.transport.peer_pool import PeerPool
 from flintreach.transport.runtime import Runtime
 
-# Kind of the message that tells other controllers the load by key; as earlier releases wrote it.
+# Message kind of the load by key sent to other controllers; the value is that of earlier releases.
 KEY_LOAD_KIND = "warmth"
 
-BANDWIDTH_POST = "mbps"  # what a proxy tells of its link there, in Mbit/s
+BANDWIDTH_ENTRY = "mbps"  # entry of a proxy's listen addresses that holds its link bandwidth in Mbit/s
 INTERVAL_S = 0.4
-SOON_INTERVAL_S = INTERVAL_S / 8  # while keys that were released wait for their next holder
+FAST_INTERVAL_S = INTERVAL_S / 8  # while released keys wait for their next holder
 
 
 class EndedEndpoints(Protocol):
-    """What `KeyRanges` uses of `endpoint_service.EndpointService`."""
+    """The part of `endpoint_service.EndpointService` that `KeyRanges` uses."""
 
     def has_signed_off(self, endpoint_id: str) -> bool:
-        """Whether an endpoint has surely ended."""
+        """Return whether an endpoint has certainly ended."""
         ...
 
 
 class KeyRangePlane(Protocol):
-    """What `KeyRanges` uses of `control_plane.ControlPlane`."""
+    """The part of `control_plane.ControlPlane` that `KeyRanges` uses."""
 
     runtime: Runtime
     updates: VersionedStore
@@ -56,11 +57,11 @@
 
     @property
     def registry(self) -> EndpointRegistry:
-        """What is known of endpoints."""
+        """Return the endpoint registry."""
         ...
 
     def evacuated_zones(self) -> set[str]:
-        """Zones that are evacuated."""
+        """Return the zones that are evacuated."""
         ...
 
 
@@ -71,8 +72,8 @@
     Attributes:
         endpoints: all of them.
         warm: those that are warm, or hold keys already.
-        region_by_id: their regions, "" where the settings name none for a zone.
-        capacity_by_region: concurrency limits of the warm ones, summed by region.
+        region_by_id: region by endpoint id; "" if the settings name no region for the zone.
+        capacity_by_region: sum of the concurrency limits of the warm endpoints, by region.
     """
 
     endpoints: list[EndpointRecord]
@@ -83,31 +84,31 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRegion:
-    """Where the keys of a service are to lie.
+    """Region in which the keys of a service should lie.
 
     Attributes:
-        region: None where its clients come from everywhere.
-        share: part of the keys that lies there now, from 0 to 1.
+        region: the region; None if the keys are not confined to one.
+        share: fraction of the keys that lies there now, from 0 to 1.
     """
 
     region: str | None = None
     share: float = 0.0
 
 
-EVERYWHERE = KeyRegion()
+NO_REGION = KeyRegion()
 
 
 class KeyRanges:
-    """The owners of key ranges of all sharded services, as far as this controller takes part.
+    """This controller's lease owners of all sharded services.
 
     Attributes:
-        lease_owners: by service.
-        key_load: the load by key, as proxies count it.
-        region_biases: by service, how much of its load is to lie in one region.
+        lease_owners: lease owner by service.
+        key_load: the load by key, as proxies report it.
+        region_biases: by service, how much of its load should lie in one region.
     """
 
     def __init__(self, plane: KeyRangePlane) -> None:
-        """Take the load by key that other controllers tell, from now on."""
+        """Register the handler for the load by key."""
         self.plane = plane
         self.runtime = plane.runtime
         self.updates = plane.updates
@@ -118,16 +119,16 @@
         plane.peer_pool.handlers |= {KEY_LOAD_KIND: self.on_key_load}
 
     def on_key_load(self, connection: PeerConnection | None, body: dict) -> None:
-        """The controller that places tells the load by key."""
+        """Handle the load by key from the placement leader."""
         self.key_load.replace(body)
 
     # The loop.
 
     def run(self) -> None:
-        """Step all owners at every interval, for as long as the process lives."""
+        """Run all lease owners at every interval, for the life of the process."""
         while True:
             self.runtime.sleep(self._interval_s())
-            # A process that has just started may know an old state: it owns nothing before it is up to date.
+            # A process that has just started may know an outdated state: it owns nothing before it serves.
             if not self.plane.serving or self.plane.routes is None or not self.plane.register.can_vote():
                 continue
             self._follow_configuration()
@@ -136,13 +137,13 @@
 
     def _interval_s(self) -> float:
         if any(lease_owner.keys_released for lease_owner in self.lease_owners.values()):
-            return SOON_INTERVAL_S
+            return FAST_INTERVAL_S
         return INTERVAL_S
 
     def _follow_configuration(self) -> None:
-        """One owner for each sharded service of the configuration, none for others."""
+        """Keep one lease owner for each sharded service of the configuration, and none for others."""
         services = [name for name, config in self.plane.routes.service_configs.items() if config.sharded]
-        self.forget_services({*services})
+        self.remove_services({*services})
         for service in services:
             if service not in self.lease_owners:
                 self.lease_owners[service] = self._new_lease_owner(service)
@@ -160,11 +161,11 @@
             partial(self.key_load.load_of, service),
         )
 
-    def forget_services(self, sharded: set[str]) -> None:
-        """Keep nothing for services that are no more, or are no longer sharded.
+    def remove_services(self, sharded: set[str]) -> None:
+        """Drop the state of services that were removed or are no longer sharded.
 
         Args:
-            sharded: the services that are.
+            sharded: the services that are sharded.
         """
         for table in (self.lease_owners, self.region_biases, self.key_load.keys, self.key_load.bytes):
             for service in table.keys() - sharded:
@@ -172,13 +173,13 @@
         for service in sorted(self.updates.under(KEY_RANGES_PREFIX).keys() - sharded):
             key = f"{KEY_RANGES_PREFIX}{service}"
             version = self.updates.entries[key][0]
-            # Later than what the last owner published, earlier than what the next one may.
+            # Later than the last owner's version, earlier than any version of the next owner.
             self.updates.offer(key, [*version, 1], None)
 
     # Endpoints that may hold keys.
 
     def eligible(self, service: str) -> dict[str, tuple[float, str]]:
-        """Endpoints that may be granted keys of a service: their ids, with weight and address."""
+        """Return weight and address of each endpoint that may be granted keys of a service, by id."""
         candidates = self.candidates(service)
         warm_ids = {record.id for record in candidates.warm}
         work = self.key_load.capacity_in_use(
@@ -196,7 +197,7 @@
         return eligible
 
     def candidates(self, service: str) -> KeyCandidates:
-        """Endpoints that may hold keys of a service: those that are ready, in zones that are in use."""
+        """Return the endpoints that may hold keys of a service: those ready, outside evacuated zones."""
         evacuated = self.plane.evacuated_zones()
         now_ns = self.runtime.now_ns()
         region_by_zone = self.plane.node.network.zones
@@ -208,7 +209,7 @@
             and record.zone not in evacuated
         ]
         holder_ids = {holder_id for _, _, holder_id, _ in self._published_ranges(service)}
-        # An endpoint that has just started is cold, and would get all requests on its keys at once.
+        # A newly started endpoint is cold, and would receive all requests for its keys at once.
         warm = [
             record for record in endpoints if record.warming_up_until_ns <= now_ns or record.id in holder_ids
         ]
@@ -220,43 +221,47 @@
         return KeyCandidates(endpoints, warm, region_by_id, capacity_by_region)
 
     def _published_ranges(self, service: str) -> Iterable[tuple[int, int, str, str]]:
-        """Ranges [lowest key, highest key, holder's id, state] that are published as held."""
+        """Return the ranges published as held: [lowest key, highest key, holder's id, state]."""
         return self.updates.get(f"{KEY_RANGES_PREFIX}{service}") or ()
 
     # Regions.
 
     def key_region(self, service: str) -> KeyRegion:
-        """Where the keys of a service are to lie, and how much of them lies there."""
-        homes = [
+        """Return the region in which the keys of a service should lie, and the share that lies there."""
+        host_regions = [
             self.home_regions(host)
             for host, routes in self.plane.routes.hosts.items()
             if any(service == name for route in routes for name, _ in route.services)
         ]
-        if not homes or None in homes:
-            return EVERYWHERE
-        all_homes = set.union(*homes)
-        if len(all_homes) > 1:
-            return EVERYWHERE
+        if not host_regions or None in host_regions:
+            return NO_REGION
+        all_regions = set.union(*host_regions)
+        if len(all_regions) > 1:
+            return NO_REGION
         candidates = self.candidates(service)
         share_by_region: dict[str, float] = {}
         for low, high, holder_id, _ in self._published_ranges(service):
             region = candidates.region_by_id.get(holder_id, "")
             share_by_region[region] = share_by_region.get(region, 0.0) + (high - low + 1) / KEYS
-        region = target_region(all_homes, share_by_region, candidates.capacity_by_region)
+        region = target_region(all_regions, share_by_region, candidates.capacity_by_region)
         if not links_can_carry(self.key_load.bytes.get(service), self._links_mbps(region)):
-            return EVERYWHERE
+            return NO_REGION
         return KeyRegion(region, share_by_region.get(region, 0.0))
 
     def _links_mbps(self, region: str | None) -> list[float]:
-        """Bandwidths of the links of a region's proxies, in Mbit/s; 0 where one tells none."""
+        """Return the link bandwidths of a region's proxies in Mbit/s; 0 for a proxy that reports none."""
         return [
-            float(member.listen_addresses.get(BANDWIDTH_POST, 0))
+            float(member.listen_addresses.get(BANDWIDTH_ENTRY, 0))
             for member in self.member_list.alive(ROLE_PROXY)
             if member.region == region and member.ready
         ]
 
     def home_regions(self, host: str) -> set[str] | None:
-        """Home regions of a host, empty where its routes are bound to keys alone; None where one is free."""
+        """Return the home regions of a host.
+
+        Empty if its routes are bound by sharded services alone; None if a route is not bound at all, its
+        routes share no home region, or the host has none.
+        """
         routes = self.plane.routes
         if routes is None:
             return None
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -1,9 +1,9 @@
-"""Placement on one controller: which endpoints serve which slice, by the load that proxies sum up.
+"""Load-based placement on one controller: assigns endpoints to slices by the load that proxies report.
 
-A slice is what one route sends to one service. Proxies count requests and the endpoints' load; the sums come
-up the tree of relays to a controller. Those of all controllers go to one, which searches for a better
-assignment (`flintreach.placement.placer`) and writes it to the register. `LoadPlacement` also holds the two
-other parts that work by these sums: `key_ranges` and `directory`.
+A slice is the traffic of one route to one service. Proxies count requests and the load of endpoints; the
+relay tree aggregates the counts up to the controllers. All controllers forward theirs to one of them, the
+placement leader, which searches for a better assignment (`flintreach.placement.placer`) and writes it to the
+register. `LoadPlacement` also holds the parts beside it: `key_ranges` and `directory`.
 """
 
 import zlib
@@ -29,26 +29,26 @@
 PACK = msgspec.msgpack.encode
 UNPACK = msgspec.msgpack.decode
 
-# Message kind and keys, as earlier releases wrote them.
-LOAD_KIND = "counts"  # sums of load, to the controller that places
+# Message kind of load aggregates sent to the placement leader; the value is that of earlier releases.
+LOAD_KIND = "counts"
 
 INTERVAL_S = 1.0
-TELL_S = 0.8  # for a message that tells sums
-WRITE_S = 1.0  # for a change of the register
+SEND_TIMEOUT_S = 0.8  # for a message with load aggregates
+REGISTER_TIMEOUT_S = 1.0  # for a change of the register
 
 Slice = tuple[str, str, tuple[str, ...]]  # name, service, home regions of its route
 
 
-class AssignmentFollower(Protocol):
-    """What `LoadPlacement` uses of `operator_requests.OperatorRequests`."""
+class AssignmentPublisher(Protocol):
+    """The part of `operator_requests.OperatorRequests` that `LoadPlacement` uses."""
 
-    def learn(self, key: str, value: bytes | None) -> None:
-        """Publish what stands in the register."""
+    def publish(self, key: str, value: bytes | None) -> None:
+        """Publish a committed value of the register."""
         ...
 
 
 class PlacementPlane(Protocol):
-    """What `LoadPlacement` and its parts use of `control_plane.ControlPlane`."""
+    """The part of `control_plane.ControlPlane` that `LoadPlacement` and its parts use."""
 
     runtime: Runtime
     updates: VersionedStore
@@ -56,46 +56,46 @@
     peer_pool: PeerPool
     member_list: MemberList
     endpoints: EndedEndpoints
-    operator_requests: AssignmentFollower
+    operator_requests: AssignmentPublisher
     node: ProcessSettings
     routes: Routes | None
     serving: bool
 
     @property
     def registry(self) -> EndpointRegistry:
-        """What is known of endpoints."""
+        """Return the endpoint registry."""
         ...
 
     def peers(self) -> list[tuple[str, int]]:
-        """Addresses of the other controllers that are known to be alive, or vote."""
+        """Return the addresses of the other controllers that are alive or vote."""
         ...
 
     def evacuated_zones(self) -> set[str]:
-        """Zones that are evacuated."""
+        """Return the zones that are evacuated."""
         ...
 
 
-def leader(controllers: list[Member]) -> Member | None:
-    """The controller that places: the first by name of those that are ready.
+def placement_leader(controllers: list[Member]) -> Member | None:
+    """Return the placement leader: the first by name of the controllers that are ready.
 
-    One that still starts may know an old assignment.
+    A controller that is still starting may know an outdated assignment.
     """
     ready = (member for member in controllers if member.ready)
     return min(ready, key=lambda member: member.name, default=None)
 
 
 class LoadPlacement:
-    """Placement of endpoints on slices, with the owners of key ranges and the directory beside it.
+    """Placement of endpoints on slices, together with the key ranges and the directory.
 
     Attributes:
-        key_ranges: owners of the key ranges of sharded services.
-        directory: answers to clients that look for a proxy.
-        load_aggregate: sums of load since they were last taken.
-        placer: the search for a better assignment.
+        key_ranges: lease owners of the sharded services.
+        directory: answers clients that look for a proxy.
+        load_aggregate: load reported since the last placement interval.
+        placer: searches for a better assignment.
     """
 
     def __init__(self, plane: PlacementPlane) -> None:
-        """Take the sums that other controllers tell, from now on."""
+        """Register the handler for load aggregates of other controllers."""
         self.plane = plane
         self.runtime = plane.runtime
         self.updates = plane.updates
@@ -111,58 +111,58 @@
     # Load.
 
     def on_load(self, connection: PeerConnection | None, body: dict) -> None:
-        """Another controller tells the sums that came up to it."""
+        """Handle a load aggregate of another controller."""
         self.add_load(body)
 
     def add_load(self, body: dict) -> None:
-        """Add sums of load that proxies, or another controller, told."""
+        """Add a load aggregate of proxies or of another controller."""
         self.load_aggregate.add(body)
 
     # The directory.
 
     def proxy_addresses(self, host: str, region: str, zone: str) -> list[str]:
-        """Addresses of the proxies that a client is to use: see `Directory.proxy_addresses`."""
+        """Return the proxies that a client should use: see `Directory.proxy_addresses`."""
         return self.directory.proxy_addresses(host, region, zone)
 
     def record_answer(self, now: float) -> float:
-        """Seconds for which such an answer holds: see `Directory.record_answer`."""
+        """Count an answer and return its validity in seconds: see `Directory.record_answer`."""
         return self.directory.record_answer(now)
 
     # Placement.
 
     def run(self) -> None:
-        """Place, or hand on the sums, at every interval, for as long as the process lives.
+        """At every interval, place as the leader, or forward the load to the leader.
 
-        One controller places. Two at once do no harm: the assignment changes only where it is still the one
-        that the search began from.
+        Two leaders at once do no harm: an assignment is written only if the one that the search started from
+        is still current.
         """
         while True:
             self.runtime.sleep(INTERVAL_S)
             load = self.load_aggregate.take()
             routes = self.plane.routes
-            placing = leader(self.member_list.alive(ROLE_CONTROLLER))
-            if placing is not self.member_list.local_member:
-                if load and placing is not None:
-                    self._tell(placing.address, LOAD_KIND, load)
+            leader = placement_leader(self.member_list.alive(ROLE_CONTROLLER))
+            if leader is not self.member_list.local_member:
+                if load and leader is not None:
+                    self._send(leader.address, LOAD_KIND, load)
                 continue
             if routes is None:
                 continue
             self._share_key_load(load)
             self._place(routes, load)
 
-    def _tell(self, address: tuple[str, int], kind: str, body: dict) -> None:
-        self.runtime.spawn(self.peer_pool.ask, address, kind, body, TELL_S)
+    def _send(self, address: tuple[str, int], kind: str, body: dict) -> None:
+        self.runtime.spawn(self.peer_pool.ask, address, kind, body, SEND_TIMEOUT_S)
 
     def _share_key_load(self, load: dict | None) -> None:
-        """Tell the load by key to all controllers: any of them may own the keys of a service."""
+        """Send the load by key to all controllers: any of them may be the lease owner of a service."""
         key_load = self.key_ranges.key_load.add_second(load)
         if not key_load:
             return
         for address in self.plane.peers():
-            self._tell(address, KEY_LOAD_KIND, key_load)
+            self._send(address, KEY_LOAD_KIND, key_load)
 
     def _place(self, routes: Routes, load: dict | None) -> None:
-        """Search for a better assignment, and write it where one was found or slices are no more."""
+        """Search for a better assignment, and write it if one was found or slices were removed."""
         slices = self._slices(routes)
         number = self.updates.get(ASSIGNMENT_KEY, 0)
         request_counts = load["came"] if load else {}
@@ -170,14 +170,14 @@
         self.placer.configure(slices, self.updates.under(SLICE_KEY_PREFIX))
         self.placer.record_demand(request_counts, self.runtime.now_ns())
         for _ in self.placer.run(self.candidates(endpoint_load), self.runtime.now_ns()):
-            self.runtime.sleep(0)  # the search is long: others get their turn
+            self.runtime.sleep(0)  # the search is long: yield to other tasks
         slice_names = {name for name, _, _ in slices}
         if self.placer.changed or self.updates.under(SLICE_KEY_PREFIX).keys() - slice_names:
             self.write_assignment(number, slice_names, self.placer.changed)
 
     @staticmethod
     def _slices(routes: Routes) -> list[Slice]:
-        """Slices of the configuration; services that are sharded have key ranges in their place."""
+        """Return the slices of the configuration; sharded services use key ranges instead."""
         return [
             (f"{route.name} {service}", service, route.home_regions)
             for route in routes.all
@@ -186,10 +186,10 @@
         ]
 
     def candidates(self, load: dict[str, list]) -> list[Candidate]:
-        """Endpoints that may serve: those that are ready, in zones that are in use.
+        """Return the endpoints that may serve: those that are ready, outside evacuated zones.
 
         Args:
-            load: endpoint -> [sum of the loads that it told, over its concurrency limit; their number].
+            load: endpoint id -> [sum of its load reports relative to its concurrency limit, their number].
         """
         now_ns = self.runtime.now_ns()
         evacuated = self.plane.evacuated_zones()
@@ -211,18 +211,18 @@
         """Write a new assignment to the register, and publish it.
 
         Args:
-            number: of the assignment that the search began from.
-            slice_names: the slices of the configuration; others are dropped.
-            changed: ids by slice, of those that are new.
+            number: version of the assignment that the search started from.
+            slice_names: the slices of the configuration; all others are removed.
+            changed: endpoint ids by slice, for the slices that change.
         """
 
         def step(old_value: bytes | None) -> bytes | None:
             current_number, tables = UNPACK(old_value) if old_value else (0, {})
             if current_number != number:
-                return None  # another controller was faster: the next search begins from its assignment
+                return None  # another controller was faster: the next search starts from its assignment
             kept = {name: ids for name, ids in tables.items() if name in slice_names}
             return PACK([number + 1, kept | changed])
 
-        done, value = self.register.change(ASSIGNMENT_KEY, step, WRITE_S)
+        done, value = self.register.change(ASSIGNMENT_KEY, step, REGISTER_TIMEOUT_S)
         if done:
             self.plane.operator_requests.publish(ASSIGNMENT_KEY, value)
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -1,7 +1,7 @@
-"""Exchange between controllers: each follows the updates of all others, and asks for their accepted ballots.
+"""Exchange between controllers: each follows the updates of all others and polls their accepted ballots.
 
-The ballots tell since when this controller is up to date (see `quorum_contact`), and which values it must
-still learn though nobody may ever send them as updates.
+The ballots show up to which time this controller is current (see `quorum_contact`), and which values it still
+has to fetch because no peer may ever send them as updates.
 """
 
 from collections.abc import Mapping
@@ -20,14 +20,14 @@
 from flintreach.transport.runtime import Runtime
 
 PEER_CHECK_S = 0.3  # between two checks for controllers that are not followed yet
-STARTING_PEER_CHECK_S = PEER_CHECK_S / 6  # as long as callers wait for the start to be over
-OUT_OF_CONTACT_S = 1.0  # with updates older than this, a peer is dialled again sooner
-SOON_REDIAL_S = PEER_CHECK_S / 3
-ACCEPTED_BALLOTS_MESSAGE = "accepted"  # kind of the question for ballots, as earlier releases have it
+STARTING_PEER_CHECK_S = PEER_CHECK_S / 6  # the same until this controller serves callers
+OUT_OF_CONTACT_S = 1.0  # if the updates are older than this, a peer is dialled again sooner
+FAST_REDIAL_S = PEER_CHECK_S / 3
+ACCEPTED_BALLOTS_MESSAGE = "accepted"  # message kind of the ballot query, unchanged from earlier releases
 
 
 class ExchangePlane(Protocol):
-    """What `PeerExchange` takes of the control plane."""
+    """The part of the control plane that `PeerExchange` uses."""
 
     runtime: Runtime
     peer_pool: PeerPool
@@ -42,23 +42,28 @@
         """Return the addresses of the other controllers."""
 
     def update_age(self) -> float:
-        """Return the age of the updates that this controller passes on, in seconds."""
+        """Return the age of the updates that this controller distributes, in seconds."""
 
 
 class PeerExchange:
-    """Follows the other controllers, and keeps `quorum_contact` informed."""
+    """Follows the other controllers, and feeds `quorum_contact`.
+
+    Attributes:
+        followed: addresses of the peers to whose updates this controller is subscribed.
+        resolving: keys for which an unknown value is being fetched.
+    """
 
     def __init__(self, plane: ExchangePlane) -> None:
         self.plane = plane
         self.runtime = plane.runtime
         self.followed: set[Address] = set()
-        self.resolving: set[str] = set()  # keys of which an unknown value is being looked for
+        self.resolving: set[str] = set()
         plane.peer_pool.handlers[ACCEPTED_BALLOTS_MESSAGE] = self.on_accepted_ballots
 
     # Updates.
 
     def run(self) -> None:
-        """Follow each peer that is not followed yet, and report this disk's own ballots, again and again."""
+        """Periodically follow new peers, and report the ballots of this controller's own disk."""
         own_address = self.plane.peer_pool.address
         while True:
             for address in self.plane.peers():
@@ -70,36 +75,36 @@
             self.runtime.sleep(PEER_CHECK_S if self.plane.serving else STARTING_PEER_CHECK_S)
 
     def follow(self, address: Address) -> None:
-        """Take a peer's updates, and ask for its ballots, until its connection ends or falls silent."""
+        """Apply a peer's updates and poll its ballots until its connection ends or stops responding."""
         subscription = Subscription(self.runtime, self.plane.updates, address, self.apply_updates)
         try:
             subscription.begin()
             while True:
-                # On the connection that brings the updates: so one that has fallen silent is noticed.
+                # Polled on the connection that carries the updates, which detects that it stopped responding.
                 asked_at = self.runtime.now()
                 ballots = subscription.link.ask(ACCEPTED_BALLOTS_MESSAGE, None, ASK_TIMEOUT_S)
                 self.record_ballots(address, asked_at, ballots)
                 self.runtime.sleep(FRESHNESS_POLL_S)
         except (OSError, ConnectionClosed, TypeError, ValueError):
-            # TypeError and ValueError: answers of the peer that make no sense.
+            # TypeError and ValueError: malformed answers of the peer.
             is_in_contact = self.plane.update_age() < OUT_OF_CONTACT_S
-            self.runtime.sleep(PEER_CHECK_S if is_in_contact else SOON_REDIAL_S)
+            self.runtime.sleep(PEER_CHECK_S if is_in_contact else FAST_REDIAL_S)
         finally:
             subscription.close()
             self.followed.discard(address)
 
     def apply_updates(self, rows: list[list[Any]]) -> None:
-        """Take a peer's updates: rows of key, version, value and the age of a tombstone."""
+        """Apply a peer's updates: rows of key, version, value and the age of a tombstone."""
         for row in rows:
             self.apply_update(*row)
 
     def apply_update(self, key: str, version: Any, value: Any, age: float = 0.0) -> None:
-        """Take one update; one of an endpoint goes to the registry of endpoints first.
+        """Apply one update; an update of an endpoint is merged into the endpoint registry first.
 
         Args:
-            key: of the update.
-            version: of the value; the highest stands.
-            value: of the key; None or a final state in a tombstone.
+            key: key of the update.
+            version: version of the value; the highest wins.
+            value: value of the key; None or a final state in a tombstone.
             age: seconds since a tombstone was first offered to any controller.
         """
         if key.startswith(ENDPOINT_KEY_PREFIX) and isinstance(value, dict):
@@ -112,7 +117,7 @@
     def on_accepted_ballots(
         self, connection: PeerConnection | None, body: None
     ) -> dict[str, list[Any]] | None:
-        """Answer which ballots this disk has accepted of the reported keys; None where it does not vote."""
+        """Return the ballots that this disk has accepted for the reported keys; None if it does not vote."""
         register = self.plane.register
         if not register.can_vote():
             return None
@@ -122,12 +127,12 @@
     def record_ballots(
         self, address: Address, asked_at: float, ballots: Mapping[str, list[Any]] | None
     ) -> None:
-        """Take a peer's answer, and look for the values that it shows to be unknown here.
+        """Record a peer's answer, and start to resolve keys whose newest value is unknown here.
 
         Args:
-            address: whose disk it is.
-            asked_at: when the question was sent, in seconds.
-            ballots: its answer; None from a disk that does not vote.
+            address: of the peer whose disk it is.
+            asked_at: when the query was sent, in seconds.
+            ballots: the answer; None from a disk that does not vote.
         """
         if ballots is None:
             return
@@ -140,9 +145,9 @@
                 self.runtime.spawn(self.resolve_unknown, key)
 
     def resolve_unknown(self, key: str) -> None:
-        """Learn the value behind the newest reported ballot.
+        """Learn the value of the newest reported ballot.
 
-        No update may ever bring it: the controller that acknowledged it may have died at once.
+        No update may ever carry it: the controller that acknowledged it may have crashed right afterwards.
         """
         try:
             self._resolve(key)
@@ -164,16 +169,17 @@
             return
         if not contact.is_stalled(key, self.runtime.now()):
             return
-        # On a minority it may be decided or not: a read settles that, for all ballots up to this one.
+        # Reported by a minority, the value may be decided or not: a read settles all ballots up to this one.
         is_done, value = register.read(key, REGISTER_TIMEOUT_S)
         if is_done:
             requests.publish(key, value)
             contact.record_known(key, newest)
 
     def fetch(self, key: str, ballot: Ballot, holders: list[Address]) -> tuple[Ballot, bytes | None]:
-        """Return the ballot and value of a key as this disk has it, or else the first of the holders.
+        """Return the ballot and value of a key from this disk, or else from the first of the holders.
 
-        (NO_BALLOT, None) where neither has the ballot, or a later one.
+        Returns:
+            (NO_BALLOT, None) if neither has the ballot or a later one.
         """
         acceptor = self.plane.register.acceptor
         if acceptor is not None and key in acceptor.slots:
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -98,7 +98,7 @@
         return newest > self.known.get(key, NO_BALLOT)
 
     def is_stalled(self, key: str, now: float) -> bool:
-        """Return whether the newest ballot is unknown for longer than a change in progress would explain."""
+        """Return whether the newest ballot has been unknown for longer than a change in progress takes."""
         newest, _ = self.newest_ballot(key)
         return now - self.unknown_since.get((key, newest), now) >= CHANGE_GRACE_S
 
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -1,7 +1,7 @@
-"""Anti-entropy of the register's keys: voters that lag are brought up to date, and a start waits for it.
+"""Anti-entropy repair of the register's keys; a controller starts serving after the first comparison.
 
-A read of a key writes back what a voter lacks; the sweep compares the voters' accepted ballots to find the
-keys that need one.
+A read of a key writes back values that voters lack. The sweep compares the voters' accepted ballots to find
+the keys that need such a read.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,22 +17,21 @@
 from flintreach.controller.voter_management import VoterManager
 from flintreach.transport.runtime import Runtime
 
-SWEEP_S = 2.0  # between two sweeps, give or take SWEEP_JITTER
+SWEEP_S = 2.0  # between two sweeps, multiplied by a random factor within SWEEP_JITTER
 SWEEP_JITTER = (0.8, 1.2)
 START_RETRY_S = 0.05  # between two attempts to start
 COMPARE_TIMEOUT_S = 1.0
-# At a start others may still be without power, and calls to them hang.
-START_COMPARE_TIMEOUT_S = 0.3
+START_COMPARE_TIMEOUT_S = 0.3  # shorter: during a start other machines may be down, and calls to them hang
 REPAIR_TIMEOUT_S = 1.5  # for all repairs of one sweep
 READ_TIMEOUT_S = 1.2
-BALLOTS_MESSAGE = "stamps"  # kind of the question for accepted ballots, as earlier releases have it
+BALLOTS_MESSAGE = "stamps"  # message kind of the query for accepted ballots, unchanged from earlier releases
 
 BallotsByKey = dict[str, list[Any]]
 RepairTask = Callable[[], None]
 
 
 class RepairPlane(Protocol):
-    """What `Repair` takes of the control plane, besides what `VoterManager` does."""
+    """The part of the control plane that `Repair` uses, in addition to `VoterPlane`."""
 
     runtime: Runtime
     register: Register
@@ -40,18 +39,18 @@
     serving: bool
 
     def start_serving(self) -> bool:
-        """Let callers in; whether that is done."""
+        """Start answering callers; return whether that succeeded."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyComparison:
-    """What the voters' answers say of one key.
+    """Comparison of the voters' accepted ballots for one key.
 
     Attributes:
-        key: of the register.
+        key: key of the register.
         newest: the highest accepted ballot.
-        oldest: the lowest; a voter without the key has NO_BALLOT.
-        holders: the voters that have the highest.
+        oldest: the lowest accepted ballot; NO_BALLOT if a voter lacks the key.
+        holders: the voters that have accepted the highest ballot.
     """
 
     key: str
@@ -61,12 +60,12 @@
 
     @property
     def is_lagging(self) -> bool:
-        """Return whether some voter has an older ballot than another."""
+        """Return whether a voter has an older ballot than another."""
         return self.oldest != self.newest
 
 
 def compare_keys(answers: list[tuple[Address, BallotsByKey]]) -> Iterator[KeyComparison]:
-    """Compare the voters' accepted ballots key by key, except that of the voters' own set."""
+    """Compare the voters' accepted ballots for each key except that of the voter set."""
     keys = {key for _, ballots in answers for key in ballots} - {VOTERS_KEY}
     for key in sorted(keys):
         accepted = [(address, tuple(ballots.get(key, NO_BALLOT))) for address, ballots in answers]
@@ -77,18 +76,24 @@
 
 
 class Repair:
-    """Compares the voters, again and again; the first comparison ends this controller's start."""
+    """Compares and repairs the voters periodically; the first comparison completes the controller's start.
+
+    Attributes:
+        published: key -> ballot of the value last published.
+        lagging: key -> oldest ballot, for each key on which a voter lagged in the last sweep.
+        voter_manager: manages the voter set.
+    """
 
     def __init__(self, plane: RepairPlane) -> None:
         self.plane = plane
         self.runtime = plane.runtime
         self.register = plane.register
-        self.published: dict[str, Ballot] = {}  # the ballot of each key's value that was last published
-        self.lagging: dict[str, Ballot] = {}  # the oldest ballot of each lagging key in the last sweep
+        self.published: dict[str, Ballot] = {}
+        self.lagging: dict[str, Ballot] = {}
         self.voter_manager = VoterManager(plane)
 
     def sweep(self) -> None:
-        """Find the voters, then compare them for ever; let callers in after the first comparison."""
+        """Discover the voters, then compare them forever; start serving after the first comparison."""
         self.voter_manager.discover()
         self.runtime.spawn(self.voter_manager.run)
         is_starting = True
@@ -105,14 +110,14 @@
                 self.runtime.sleep(SWEEP_S * self.runtime.chance.uniform(*SWEEP_JITTER))
 
     def compare(self, is_quorum_enough: bool, timeout_s: float) -> bool:
-        """Compare the voters, publish what a quorum holds, and read, and so repair, what differs.
+        """Compare the voters, publish values that a quorum holds, and repair differing keys by reading them.
 
         Args:
-            is_quorum_enough: a quorum's answers suffice; otherwise all voters are waited for.
-            timeout_s: how long, in seconds.
+            is_quorum_enough: whether to stop waiting once a quorum has answered, rather than all voters.
+            timeout_s: time limit for the answers, in seconds.
 
         Returns:
-            Whether a quorum answered, under the voter set that still stands.
+            Whether a quorum answered, and the voter set is unchanged since.
         """
         voters = self.register.voters
         answers = self._gather_ballots(voters, is_quorum_enough, timeout_s)
@@ -140,31 +145,31 @@
         return [(address, ballots) for address, ballots in answers if isinstance(ballots, dict)]
 
     def _task(self, comparison: KeyComparison) -> RepairTask | None:
-        """Return what is to be done for a key, None for nothing."""
+        """Return the repair task for a key; None if there is nothing to do."""
         key = comparison.key
         lagged_before = comparison.is_lagging and self.lagging.get(key) == comparison.oldest
         if not self.register.voters.is_quorum(comparison.holders):
-            # What a change under way explains is left alone: a read would only stand in its way.
+            # A change in progress may explain the difference, and a read would only contend with it.
             if not self.plane.serving or lagged_before:
                 return partial(self.reread_key, key)
             return None
         if self.published.get(key) != comparison.newest:
-            # A quorum holds it, and nothing later stands there: any of the holders may tell the value.
+            # A quorum holds this ballot and reported none later, so any holder can supply the value.
             return partial(self.fetch, key, comparison.newest, comparison.holders[0])
         if lagged_before:
             return partial(self.reread_key, key)
         return None
 
     def fetch(self, key: str, ballot: Ballot, holder: Address) -> None:
-        """Publish the value of a ballot that a quorum holds, as one of the holders has it."""
+        """Fetch the value of a ballot that a quorum holds from one of the holders, and publish it."""
         slot = self.register.fetch_slot(holder, key, ballot)
-        # What the holder has accepted since may never stand: a quorum reported this ballot only.
+        # What the holder has accepted since may never be committed: a quorum reported only this ballot.
         if slot and slot.accepted == ballot:
             self.published[key] = ballot
             self.plane.operator_requests.publish(key, slot.value)
 
     def reread_key(self, key: str) -> None:
-        """Read a key, which brings voters that lag up to date, and publish what stands."""
+        """Read a key, which brings lagging voters up to date, and publish the committed value."""
         is_done, value = self.register.read(key, READ_TIMEOUT_S)
         if is_done:
             self.plane.operator_requests.publish(key, value)
--- a/tests/controller/test_key_ranges.py
+++ b/tests/controller/test_key_ranges.py
@@ -17,7 +17,7 @@
         key_ranges.region_biases = dict.fromkeys(("old", "new"))
         key_ranges.key_load.keys = {"old": {}}
         key_ranges.key_load.bytes = {"old": 1.0, "new": 2.0}
-        key_ranges.forget_services({"new"})
+        key_ranges.remove_services({"new"})
         self.assertEqual([*key_ranges.lease_owners], ["new"])
         self.assertEqual([*key_ranges.region_biases], ["new"])
         self.assertEqual([*key_ranges.key_load.keys], [])
--- a/tests/controller/test_load_placement.py
+++ b/tests/controller/test_load_placement.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from flintreach.controller.load_placement import leader
+from flintreach.controller.load_placement import placement_leader
 from flintreach.membership.member_list import Member
 
 
@@ -13,8 +13,8 @@
             Member(name, "refuge", "10.0.0.1", 7, "z", "r", ready=ready)
             for name, ready in ready_by_name.items()
         ]
-        self.assertEqual(leader(members).name, "b")
-        self.assertIsNone(leader(members[:1]))
+        self.assertEqual(placement_leader(members).name, "b")
+        self.assertIsNone(placement_leader(members[:1]))
 
 
 if __name__ == "__main__":
