--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -1,4 +1,4 @@
-"""Controllers without sockets, for the tests of this package: calls, clocks and messages are the tests'."""
+"""Controllers without sockets for the tests of this package, which control calls, clocks and messages."""
 
 import io
 import itertools
@@ -25,11 +25,11 @@
 OWN_ADDRESS = ("10.0.0.0", 7)
 PEER_ADDRESSES = [("10.0.0.1", 7), ("10.0.0.2", 7)]
 THREE_VOTERS = Voters(1, tuple((address, "") for address in [OWN_ADDRESS, *PEER_ADDRESSES]))
-MESSAGE_S = 0.01  # how long one message takes in a cluster
+MESSAGE_S = 0.01  # duration of one message in a cluster
 
 
 class CountingInput(io.BytesIO):
-    """A caller's bytes, with a count of what was read of them."""
+    """A request body that counts the bytes read from it."""
 
     read_bytes = 0
 
@@ -45,7 +45,7 @@
 
 
 def configuration_body(number: int, host: str = "a.example") -> bytes:
-    """A configuration, as it is put."""
+    """Return a configuration as operators submit it."""
     return msgspec.json.encode(
         {
             "edition": f"{number:08x}",
@@ -68,7 +68,7 @@
 
 
 def never_gone() -> bool:
-    """A caller that stays."""
+    """Report that the caller is still connected."""
     return False
 
 
@@ -81,7 +81,7 @@
     chunked: bool = False,
     caller_gone: Callable[[], bool] = never_gone,
 ) -> tuple[int, Any, dict[str, str], int]:
-    """One call as gevent's server makes it: status, decoded body, headers, count of the bytes read."""
+    """Call the API as gevent's server does; return status, decoded body, headers and number of bytes read."""
     counting_input = CountingInput(body)
     if chunked:
         length = None
@@ -102,13 +102,16 @@
         started.extend((status, dict(headers)))
 
     data = b"".join(api(environ, start_response))
-    environ["wsgi.input"]._discard()  # as the server does after each answer
+    environ["wsgi.input"]._discard()  # as the server does after each response
     status_line, headers = started
     return int(status_line.split()[0]), msgspec.json.decode(data), headers, counting_input.read_bytes
 
 
 class FakePlane:
-    """What `ControlApi` takes of a control plane, with the test's clock: in contact until time passes."""
+    """The part of a control plane that `ControlApi` uses, with a simulated clock.
+
+    It starts in contact with a quorum, and loses contact as time passes.
+    """
 
     def __init__(self, **parts: Any) -> None:
         self.runtime = self
@@ -123,12 +126,12 @@
         return self.time
 
     def make_contact(self) -> None:
-        """All voters report now."""
+        """Record a report of all voters at the current time."""
         for address in (OWN_ADDRESS, *PEER_ADDRESSES):
             self.quorum_contact.record_report(address, self.time, {}, self.time)
 
     def pass_time(self, seconds: float, suspended: bool = False) -> None:
-        """Let time pass, with the process running or suspended."""
+        """Advance the clock, with the process running or suspended."""
         until = self.time + seconds
         while not suspended and self.time < until - 0.1:
             self.time += 0.1
@@ -143,7 +146,7 @@
 
 
 class UncontendedLock:
-    """For what never waits while it holds the lock."""
+    """A lock for tasks that never wait while they hold it."""
 
     def __enter__(self) -> "UncontendedLock":
         return self
@@ -153,31 +156,33 @@
 
 
 class Cluster:
-    """Controllers whose messages are function calls: each is a turn, and a test may order the turns.
+    """Controllers whose messages are function calls; each message is a turn, and tests may order the turns.
 
-    `cut`: pairs (from, to) of addresses between which nothing goes.  `now` moves with sleeps alone.
+    Attributes:
+        blocked_links: pairs (from, to) of addresses between which all messages are lost.
+        now: the simulated time, which only sleeps advance.
     """
 
     def __init__(self, size: int, disks: dict[Address, dict[str, Slot]] | None = None) -> None:
         self.now = 100.0
-        self.cut: set[tuple[Address, Address]] = set()
+        self.blocked_links: set[tuple[Address, Address]] = set()
         self.chance = random.Random(1)
         self.addresses = [(f"10.0.0.{number}", 7) for number in range(size)]
         self.voters = Voters(1, tuple((address, "") for address in self.addresses))
         self.nodes = [Node(self, address, (disks or {}).get(address)) for address in self.addresses]
 
     def disks(self) -> dict[Address, dict[str, Slot]]:
-        """What the disks have, for a cluster that starts with them."""
+        """Return the slots on the disks, for a cluster that restarts with them."""
         return {node.address: node.register.acceptor.slots for node in self.nodes}
 
     def yield_turn(self) -> None:
-        """Let another task go on, where several run."""
+        """Let another task run, if there are several."""
         parent = greenlet.getcurrent().parent
         if parent:
             parent.switch()
 
     def run_interleaved(self, functions: list[Callable[[], Any]], order: Iterable[int] = ()) -> list[Any]:
-        """Results of functions that run side by side: turns go by `order`, then round."""
+        """Run functions concurrently, with turns by `order` and then round-robin; return their results."""
         results: dict[int, Any] = {}
 
         def run(index: int, function: Callable[[], Any]) -> None:
@@ -195,16 +200,16 @@
         return [results[index] for index in range(len(tasks))]
 
     def evacuated(self, zone: str) -> Iterator[bool]:
-        """Whether a zone is evacuated, as each controller reads it."""
+        """Yield for each controller whether it reads a zone as evacuated."""
         for node in self.nodes:
             is_done, value = node.register.read("evac")
             if not is_done:
-                raise AssertionError("a controller does not know what stands")
+                raise AssertionError(f"read of evacuations at {node.address} found no quorum")
             yield msgspec.msgpack.decode(value)[1].get(zone, False) if value else False
 
 
 class Node:
-    """One controller's register and requests, and the pool, the runtime and the plane that they take."""
+    """One controller's register and requests; also their peer pool, runtime and control plane."""
 
     def __init__(self, cluster: Cluster, address: Address, slots: dict[str, Slot] | None = None) -> None:
         self.cluster = cluster
@@ -231,22 +236,22 @@
         self.peer_exchange = PeerExchange(self)
         self.api = ControlApi(self, ALL_CALLS)
 
-    # The plane.
+    # Control plane.
 
     def quorum_contact_age(self) -> float:
-        return 0.0  # where a test is about contact it asks `quorum_contact` itself
+        return 0.0  # tests of the contact age use `quorum_contact` directly
 
     def count_refusal(self, reason: str) -> None:
         self.refusals.append(reason)
 
-    # The runtime.
+    # Runtime.
 
     def now(self) -> float:
         return self.cluster.now
 
     def sleep(self, seconds: float) -> None:
         self.cluster.now += seconds
-        for _ in range(1 + int(seconds / MESSAGE_S)):  # a message is a turn: who waits lets others go
+        for _ in range(1 + int(seconds / MESSAGE_S)):  # others may take one turn for each message time
             self.cluster.yield_turn()
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> None:
@@ -255,11 +260,11 @@
     def lock(self) -> UncontendedLock:
         return UncontendedLock()
 
-    # The pool of peers.
+    # Peer pool.
 
     def ask(self, address: Address, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
         self.cluster.yield_turn()
-        if {(self.address, address), (address, self.address)} & self.cluster.cut:
+        if {(self.address, address), (address, self.address)} & self.cluster.blocked_links:
             return None
         peer = self.cluster.nodes[self.cluster.addresses.index(address)]
         packed = msgspec.msgpack.encode(body)
@@ -277,7 +282,7 @@
     ) -> list[tuple[Address, Any]]:
         answers: list[tuple[Address, Any]] = []
         own_index = self.cluster.addresses.index(self.address)
-        for address in [*addresses[own_index:], *addresses[:own_index]]:  # the nearest disk first
+        for address in [*addresses[own_index:], *addresses[:own_index]]:  # the local disk first
             question = body(address) if callable(body) else body
             answer = (ask or self.ask)(address, kind, question, timeout)
             if answer is not None:
--- a/tests/controller/test_key_ranges.py
+++ b/tests/controller/test_key_ranges.py
@@ -1,4 +1,4 @@
-"""Owners of key ranges follow the services of the configuration."""
+"""Lease owners and key load follow the sharded services of the configuration."""
 
 import unittest
 from unittest import mock
@@ -7,8 +7,8 @@
 from flintreach.dissemination.versioned_store import VersionedStore
 
 
-class ForgottenServices(unittest.TestCase):
-    def test_nothing_is_kept_for_services_that_are_no_longer_sharded(self) -> None:
+class RemovedServices(unittest.TestCase):
+    def test_no_state_is_kept_for_services_that_are_no_longer_sharded(self) -> None:
         updates = VersionedStore()
         updates.offer("bunks/old", [3, 9], [[0, 9, "e", "held"]])
         updates.offer("bunks/new", [3, 9], [[0, 9, "e", "held"]])
@@ -23,7 +23,7 @@
         self.assertEqual([*key_ranges.key_load.keys], [])
         self.assertEqual([*key_ranges.key_load.bytes], ["new"])
         self.assertEqual([*updates.under("bunks/")], ["new"])
-        self.assertTrue(updates.offer("bunks/old", [3, 10], []), "its next owner is not heard")
+        self.assertTrue(updates.offer("bunks/old", [3, 10], []), "an update of the next owner is rejected")
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_load_placement.py
+++ b/tests/controller/test_load_placement.py
@@ -1,4 +1,4 @@
-"""Which controller places."""
+"""Selection of the placement leader."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 from flintreach.membership.member_list import Member
 
 
-class Leader(unittest.TestCase):
-    def test_a_controller_that_still_starts_does_not_place(self) -> None:
+class PlacementLeader(unittest.TestCase):
+    def test_a_controller_that_is_still_starting_is_not_the_leader(self) -> None:
         ready_by_name = {"a": False, "b": True, "c": True}
         members = [
             Member(name, "refuge", "10.0.0.1", 7, "z", "r", ready=ready)
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -1,4 +1,4 @@
-"""The operator's requests: races, repeats and late arrivals, on controllers with clocks of the tests."""
+"""Operators' requests: races, repetitions and late arrivals, on controllers with simulated clocks."""
 
 import itertools
 import random
@@ -28,20 +28,22 @@
 HISTORY_EXPIRED = RequestOutcome.HISTORY_EXPIRED
 
 
-class OneContentPerNumber(unittest.TestCase):
-    """Two operators under one number; a request sent again, to any controller, at any time later."""
+class ConfigurationPuts(unittest.TestCase):
+    """Concurrent puts under one version number, and requests repeated later at any controller."""
 
     def race(
         self, order: Sequence[int], lost: Sequence[tuple[int, int]], number: int = 7
     ) -> tuple[Cluster, list[bytes], list[list[RequestOutcome]]]:
-        """Two controllers put two contents under one number, three times each.
+        """Let two controllers put different contents under one version number, three times each.
 
-        `lost`: pairs (from, to) of controllers between which no message goes.
+        `lost`: pairs (from, to) of controllers between which messages are lost.
         """
         cluster = Cluster(3)
         cluster.nodes[2].operator_requests.put(5, configuration_body(5))
         bodies = [configuration_body(number, "one.example"), configuration_body(number, "two.example")]
-        cluster.cut = {(cluster.addresses[sender], cluster.addresses[peer]) for sender, peer in lost}
+        cluster.blocked_links = {
+            (cluster.addresses[sender], cluster.addresses[peer]) for sender, peer in lost
+        }
 
         def put_thrice(index: int) -> Callable[[], list[RequestOutcome]]:
             requests = cluster.nodes[index].operator_requests
@@ -49,9 +51,9 @@
 
         return cluster, bodies, cluster.run_interleaved([put_thrice(0), put_thrice(1)], order)
 
-    def test_two_contents_race_under_one_number_in_every_order_of_their_messages(self) -> None:
-        """Who is confirmed is alone, stays so at each repeat, and is what is read; all 924 orders of two
-        writers' three prepares and three accepts, with none or one message's way lost."""
+    def test_racing_puts_of_one_version_confirm_exactly_one_in_every_message_order(self) -> None:
+        """Exactly one content is confirmed, remains so on repetition, and is the one that is read. Covers all
+        924 orders of two writers' three prepares and three accepts, with no link or one link blocked."""
         count = 0
         for first in itertools.combinations(range(12), 6):
             order = [0 if turn in first else 1 for turn in range(12)]
@@ -64,19 +66,19 @@
                 self.assertEqual(outcomes[winner][-1], REPEATED)
                 self.assertEqual(outcomes[loser][-1], CONFLICT, (order, lost, outcomes))
                 for node in cluster.nodes:
-                    cluster.cut = set()
+                    cluster.blocked_links = set()
                     self.assertEqual(node.operator_requests.get(), (True, bodies[winner]))
                     self.assertEqual(node.operator_requests.put(7, bodies[winner]), REPEATED)
                     self.assertEqual(node.operator_requests.put(7, bodies[loser]), CONFLICT)
                 count += 1
         self.assertEqual(count, 924 * 3)
 
-    def test_contents_that_race_under_a_superseded_number_are_not_both_confirmed(self) -> None:
+    def test_racing_puts_of_a_superseded_version_are_not_both_confirmed(self) -> None:
         cluster = Cluster(3)
         first_body = configuration_body(3, "one.example")
         second_body = configuration_body(3, "two.example")
-        standing = configuration_body(5)
-        self.assertEqual(cluster.nodes[0].operator_requests.put(5, standing), ACCEPTED)
+        current = configuration_body(5)
+        self.assertEqual(cluster.nodes[0].operator_requests.put(5, current), ACCEPTED)
         outcomes = cluster.run_interleaved(
             [
                 lambda: cluster.nodes[0].operator_requests.put(3, first_body),
@@ -84,14 +86,12 @@
             ]
         )
         self.assertEqual(sorted(outcomes), [CONFLICT, SUPERSEDED])
-        self.assertEqual([node.operator_requests.get() for node in cluster.nodes], [(True, standing)] * 3)
+        self.assertEqual([node.operator_requests.get() for node in cluster.nodes], [(True, current)] * 3)
         self.assertEqual(
-            cluster.nodes[0].updates.entries["timetable"], (5, standing), "updates are the body alone"
+            cluster.nodes[0].updates.entries["timetable"], (5, current), "an update is the body alone"
         )
 
-    def test_what_was_accepted_is_acknowledged_again_after_thousands_of_changes_and_a_full_restart(
-        self,
-    ) -> None:
+    def test_accepted_puts_are_acknowledged_again_after_thousands_of_changes_and_a_restart(self) -> None:
         cluster = Cluster(3)
         count = 3000
         for number in range(1, count + 1):
@@ -115,7 +115,7 @@
         slot = cluster.disks()[cluster.addresses[0]]["timetable"]
         self.assertLess(len(slot.value), 32 << 10)
 
-    def test_an_older_change_that_arrives_again_changes_nothing_and_is_acknowledged(self) -> None:
+    def test_an_older_put_that_arrives_again_is_acknowledged_without_a_change(self) -> None:
         cluster = Cluster(3)
         outcomes = [
             node.operator_requests.put(number, configuration_body(number))
@@ -133,9 +133,9 @@
 
 
 class History(unittest.TestCase):
-    """What stands of a configuration, with the history of its numbers."""
+    """The stored configuration with the history of its version numbers."""
 
-    def test_what_earlier_releases_stored_is_read(self) -> None:
+    def test_values_of_earlier_releases_are_read(self) -> None:
         stored = configuration_body(6)
         history = ConfigurationHistory.of(stored)
         self.assertEqual((history.number, history.body, len(history)), (6, stored, 1))
@@ -146,7 +146,7 @@
         self.assertEqual((outcome, ConfigurationHistory.of(value).number), (PutOutcome.ACCEPTED, 8))
         self.assertEqual(configuration_history.put(value, 6, stored), (PutOutcome.REPEATED, None))
 
-    def test_the_history_stays_sorted_and_bounded_whatever_comes(self) -> None:
+    def test_the_history_stays_sorted_and_bounded_under_random_puts(self) -> None:
         draw = random.Random(4)
         value = None
         for _ in range(4 * MAX_ENTRIES):
@@ -160,7 +160,7 @@
         self.assertEqual(len(history), MAX_ENTRIES)
         self.assertEqual(history.body, b"%d" % numbers[-1])
 
-    def test_a_number_is_eight_plain_hexadecimal_digits(self) -> None:
+    def test_a_version_is_eight_ascii_hexadecimal_digits(self) -> None:
         for text in ("+0000001", "-0000001", "0x000001", "000_0001", " 0000001", "\u0661" * 8):
             with self.assertRaises(configuration.ConfigError, msg=text):
                 configuration.parse_version(text)
@@ -168,30 +168,31 @@
 
 
 class Evacuations(unittest.TestCase):
-    """Requests without a number: one that was delayed must not act after a later one."""
+    """Requests without a version number: a delayed request must not take effect after a later one."""
 
     def request_twice_elsewhere(self, cluster: Cluster, word: str) -> None:
-        """What the caller does once it has given a controller up: the same at another, then its reverse."""
+        """Act as a caller whose request timed out: repeat it at another controller, then send its reverse."""
         for path in (EVACUATION_PATH + word, EVACUATION_PATH + REVERSE[word]):
             self.assertEqual(call_api(cluster.nodes[1].api, "POST", path)[0], 200)
 
     def cluster_before(self, word: str) -> Cluster:
-        """A cluster in which the request would change something."""
+        """Return a cluster in which the request would make a change."""
         cluster = Cluster(3)
         if word == "finish":
             call_api(cluster.nodes[2].api, "POST", EVACUATION_PATH + "start")
         return cluster
 
-    def test_a_request_that_stopped_at_any_message_does_not_act_after_a_later_one(self) -> None:
-        """The controller stops after each number of messages, for longer than its caller waits; whether it
-        then sees that the caller has gone or not, and whether it was suspended or its messages late."""
+    def test_a_request_delayed_at_any_message_does_not_take_effect_after_a_later_one(self) -> None:
+        """The request stops after each possible number of messages, for longer than its caller waits. The
+        controller notices that the caller disconnected or does not, and was suspended or its messages were
+        delayed."""
         words = (("start", False), ("finish", True))
-        stops = range(7)  # three prepares and two accepts: 5 messages, then it is done
+        stops = range(7)  # three prepares and two accepts: complete after 5 messages
         for (word, is_evacuated), stop, sees_gone, was_suspended in itertools.product(
             words, stops, (True, False), (True, False)
         ):
             if not (stop or sees_gone or was_suspended):
-                continue  # not yet read, unnoticed, from a caller behind a cut: a request of now
+                continue  # not read yet, nor its caller known to be gone: no different from a new request
             case = (word, stop, sees_gone, was_suspended)
             cluster = self.cluster_before(word)
             for answer in self.stop_and_resume(cluster, *case):
@@ -201,9 +202,9 @@
     def stop_and_resume(
         self, cluster: Cluster, word: str, stop: int, sees_gone: bool, was_suspended: bool
     ) -> Iterator[tuple | None]:
-        """Stop a request after some messages, let its caller go elsewhere, and let it go on.
+        """Stop a request after some messages, let its caller turn to another controller, and resume it.
 
-        What it yields is None at each further message, and at last the answer, if it comes this late.
+        Yields None at each further message, and finally the answer if the request was not complete before.
         """
         caller_left = False
 
@@ -221,19 +222,19 @@
         cluster.now += 1.0
         first_running = 1 if was_suspended else 0
         for node in cluster.nodes[first_running:]:
-            node.suspend_detector.last_check_at = cluster.now  # these ran all the while
+            node.suspend_detector.last_check_at = cluster.now  # these were not suspended
         caller_left = True
         self.request_twice_elsewhere(cluster, word)
         while not delayed.dead:
             yield delayed.switch()
 
-    def test_a_request_that_lay_unread_while_the_controller_was_suspended_is_not_begun(self) -> None:
+    def test_a_request_left_unread_during_a_suspension_is_refused(self) -> None:
         for word, is_evacuated in (("start", False), ("finish", True)):
             cluster = self.cluster_before(word)
             self.request_twice_elsewhere(cluster, word)
             cluster.now += 5.0
             for node in cluster.nodes[1:]:
-                node.suspend_detector.last_check_at = cluster.now  # these ran all the while
+                node.suspend_detector.last_check_at = cluster.now  # these were not suspended
             suspended = cluster.nodes[0]
             for waited_s in (0.0, RESUME_DELAY_S / 2):
                 cluster.now += waited_s
@@ -244,11 +245,11 @@
             self.assertEqual({*cluster.evacuated("north")}, {is_evacuated})
             cluster.now += RESUME_DELAY_S
             status = call_api(suspended.api, "POST", EVACUATION_PATH + word)[0]
-            self.assertEqual(status, 200, "callers of now are served")
+            self.assertEqual(status, 200, "callers after the delay are served")
 
-    def test_a_request_of_a_caller_that_went_away_changes_nothing_before_accepts_go_out(self) -> None:
+    def test_a_request_whose_caller_disconnects_before_the_accepts_changes_nothing(self) -> None:
         cluster = Cluster(3)
-        for gone_at_check in range(1, 3):  # the caller is checked before the call, and before the accepts
+        for gone_at_check in range(1, 3):  # the caller is checked before the call and before the accepts
             checks = itertools.count(1)
 
             def caller_gone(checks: Iterator[int] = checks, gone_at_check: int = gone_at_check) -> bool:
@@ -261,8 +262,8 @@
             self.assertEqual({*cluster.evacuated("north")}, {False})
         self.assertEqual(cluster.nodes[0].refusals, [Refusal.CALLER_DISCONNECTED] * 2)
 
-    def test_a_request_given_up_after_accepts_went_out_has_no_clear_answer(self) -> None:
-        """Its first attempt was sent to acceptors and lost: that nothing changed may not be said."""
+    def test_a_request_abandoned_after_the_accepts_has_an_unknown_outcome(self) -> None:
+        """Its first attempt was proposed and lost the race: it may still be committed."""
         for permissions, expected in (
             ([False], RequestOutcome.ABANDONED),
             ([True, False], RequestOutcome.UNKNOWN),
@@ -272,7 +273,7 @@
             def change(
                 key: str, step: ChangeFunction, timeout: float, permissions: list[bool] = permissions
             ) -> tuple[bool, bytes | None]:
-                values = [step(None) for _ in permissions]  # an attempt each
+                values = [step(None) for _ in permissions]  # one attempt for each permission
                 return True, values[-1]
 
             plane = SimpleNamespace(register=SimpleNamespace(change=change), updates=VersionedStore())
@@ -280,7 +281,7 @@
             outcome = OperatorRequests(plane).evacuate("north", True, may_proceed)
             self.assertEqual(outcome, expected)
 
-    def test_a_repeat_is_acknowledged_and_is_no_change(self) -> None:
+    def test_a_repetition_is_acknowledged_without_a_change(self) -> None:
         cluster = Cluster(3)
         for word in ("finish", "start", "finish"):
             for node in cluster.nodes * 2:
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange between controllers: values on disks that no update tells of, connections that fall silent."""
+"""Exchange between controllers: values that no update carries, and connections that stop responding."""
 
 import unittest
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
 
 
 def exchange_ballots(cluster: Cluster, index: int, *peers: int) -> float:
-    """Let a node ask peers, and itself, for their accepted ballots; return the age of its contact."""
+    """Let a node query peers, and itself, for accepted ballots; return the age of its quorum contact."""
     asking = cluster.nodes[index]
     for node in (asking, *(cluster.nodes[peer] for peer in peers)):
         ballots = node.peer_exchange.on_accepted_ballots(None, None)
@@ -31,8 +31,8 @@
 
 
 class UnknownValues(unittest.TestCase):
-    def test_what_a_controller_confirmed_before_it_died_is_learned_by_the_next_reports(self) -> None:
-        """It sent no updates; the ballots show it, and the age counts from before until it is known."""
+    def test_changes_confirmed_by_a_controller_that_died_are_learned_from_ballot_reports(self) -> None:
+        """The controller sent no updates of the changes; only the other disks' ballots show them."""
         cluster = Cluster(3)
         first = cluster.nodes[0]
         first.register.incarnations = {address: f"life {address}" for address in cluster.addresses}
@@ -40,13 +40,13 @@
         self.assertEqual(first.operator_requests.put(4, BODY), RequestOutcome.ACCEPTED)
         first.operator_requests.evacuate("north", True)
         cluster.now += 1.0
-        cluster.cut = {(first.address, address) for address in cluster.addresses[1:]}
+        cluster.blocked_links = {(first.address, address) for address in cluster.addresses[1:]}
         self.assertEqual(exchange_ballots(cluster, 1, 2), 0.0)
         self.assertEqual(
             cluster.nodes[1].updates.entries, {"timetable": (4, BODY), "evac": (1, {"north": True})}
         )
 
-    def test_until_it_is_known_the_age_counts_from_before(self) -> None:
+    def test_until_a_reported_value_is_known_the_contact_age_grows(self) -> None:
         cluster = Cluster(3)
         exchange_ballots(cluster, 1, 2)
         cluster.nodes[0].operator_requests.put(4, BODY)
@@ -54,12 +54,13 @@
         with mock.patch.object(PeerExchange, "resolve_unknown", lambda self, key: None):
             self.assertEqual(exchange_ballots(cluster, 1, 2), 1.0)
 
-    def test_what_stands_on_a_minority_of_those_in_reach_is_read_after_a_moment(self) -> None:
-        """Five disks; the value is on three, two of which died: a ballot shows it, and a read settles it."""
+    def test_a_value_on_a_minority_of_the_reachable_disks_is_read_after_the_grace_time(self) -> None:
+        """Three of five disks have the value, and two of the three are down: a ballot of the third shows it,
+        and a read settles it."""
         cluster = Cluster(5)
         exchange_ballots(cluster, 4, 2, 3)
         self.assertEqual(cluster.nodes[0].operator_requests.put(4, BODY), RequestOutcome.ACCEPTED)
-        cluster.cut = {
+        cluster.blocked_links = {
             (cluster.addresses[lost], cluster.addresses[other]) for lost in (0, 1) for other in (2, 3, 4)
         }
         began_at = cluster.now
@@ -72,8 +73,8 @@
         cluster.now += 0.1
         self.assertEqual(exchange_ballots(cluster, 4, 2, 3), 0.0)
 
-    def test_a_change_that_never_stood_is_settled_too(self) -> None:
-        """A lone accept of a writer that died: a read whose quorum lacks it covers its ballot."""
+    def test_a_change_that_was_never_committed_is_settled_too(self) -> None:
+        """One disk has the accept of a writer that died; a read whose quorum lacks it covers its ballot."""
         cluster = Cluster(3)
         cluster.nodes[0].operator_requests.put(4, BODY)
         for index in range(3):
@@ -86,7 +87,7 @@
             age = exchange_ballots(cluster, 0, 1, 2)
         self.assertEqual(age, 0.0)
 
-    def test_a_voter_set_that_no_update_told_of_is_adopted(self) -> None:
+    def test_a_voter_set_that_no_update_carried_is_adopted(self) -> None:
         cluster = Cluster(3)
         exchange_ballots(cluster, 1, 2)
         later = Voters(2, cluster.voters.old[:2], cluster.voters.old)
@@ -104,7 +105,7 @@
 
 
 class FakeConnection:
-    """A peer's connection that gives some answers, and then ends."""
+    """A connection to a peer that returns the given answers and then ends."""
 
     def __init__(self, cluster: Cluster, answers: list[Any]) -> None:
         self.cluster = cluster
@@ -122,14 +123,14 @@
         raise peer_connection.ConnectionClosed
 
     def delay(self, kind: str) -> None:
-        """Let the time pass that an answer takes."""
+        """Advance the clock by the time that an answer takes."""
 
     def close(self) -> None:
         self.closed_count += 1
 
 
-class HalfCutConnection(FakeConnection):
-    """It stays open and falls silent; before that its answers lie in a buffer, or are long on their way."""
+class OneWayConnection(FakeConnection):
+    """A connection that stays open but stops responding, after some slow answers."""
 
     def fail(self, timeout: float) -> None:
         self.cluster.now += timeout
@@ -140,7 +141,7 @@
 
 
 class BufferedConnection(FakeConnection):
-    """An answer with ballots lies in a buffer while this process is suspended."""
+    """A connection whose ballot answer sits in a buffer while this process is suspended."""
 
     def delay(self, kind: str) -> None:
         if kind == "accepted":
@@ -149,28 +150,28 @@
 
 class Following(unittest.TestCase):
     def follow(self, node: Node, connection: FakeConnection) -> None:
-        """Let a node follow its first peer over a connection until that ends."""
+        """Let a node follow its first peer over a connection until the connection ends."""
         node.dial = lambda address, handlers, timeout: connection
         node.update_age = lambda: 9.0
         node.peer_exchange.follow(PEER)
 
-    def test_a_connection_on_which_nothing_comes_any_more_is_left(self) -> None:
-        """A cut one way: the connection stays open and silent.  Its reports stop counting, and the peer is
-        dialled anew."""
+    def test_a_connection_that_stops_responding_is_closed(self) -> None:
+        """A one-way partition leaves the connection open but silent. Contact counts only up to the last
+        answered query, and the connection is closed so that the peer is dialled again."""
         cluster = Cluster(3)
         node = cluster.nodes[0]
-        connection = HalfCutConnection(cluster, [[0.1, [], []], {}, {}])
+        connection = OneWayConnection(cluster, [[0.1, [], []], {}, {}])
         node.peer_exchange.followed.add(PEER)
         self.follow(node, connection)
         self.assertEqual((connection.closed_count, node.peer_exchange.followed), (1, set()))
         self.assertAlmostEqual(
             node.quorum_contact.confirmed_at[PEER],
             100.8 + relay.FRESHNESS_POLL_S,
-            msg="the last one's question",
+            msg="time of the last answered query",
         )
         self.assertGreater(cluster.now, 102.4)
 
-    def test_an_answer_that_lay_in_a_buffer_counts_from_its_question(self) -> None:
+    def test_a_buffered_answer_counts_from_the_time_of_its_query(self) -> None:
         cluster = Cluster(3)
         node = cluster.nodes[0]
         self.follow(node, BufferedConnection(cluster, [[0.1, [], []], {}]))
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""What counts as contact with a quorum, and as a suspension: state machines by themselves."""
+"""Age of the quorum contact and detection of suspensions, tested as state machines in isolation."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def contact_asked_at(*times: float) -> QuorumContact:
-    """A contact whose peers, in their order, were asked at these times and knew nothing new."""
+    """Return a contact whose peers were queried at these times, in order, and reported no ballots."""
     contact = QuorumContact()
     for address, asked_at in zip([OWN_ADDRESS, *PEER_ADDRESSES], times):
         contact.record_report(address, asked_at, {}, asked_at)
@@ -21,7 +21,7 @@
 
 
 class ContactAge(unittest.TestCase):
-    def test_alone_means_without_a_report_from_a_majority(self) -> None:
+    def test_without_reports_of_a_majority_there_is_no_contact(self) -> None:
         addresses = [(f"10.0.0.{number}", 7) for number in range(5)]
         voters = Voters(1, tuple((address, "") for address in addresses))
         contact = QuorumContact()
@@ -29,12 +29,12 @@
             contact.record_report(addresses[number], asked_at, {}, asked_at)
             self.assertEqual(contact.age(voters, 60.0), age)
 
-    def test_a_quorum_counts_from_its_latest_common_question(self) -> None:
+    def test_contact_counts_from_the_latest_time_since_which_a_quorum_was_queried(self) -> None:
         cases = (((10, 9, 2), 1.0), ((10, 3, 2), 7.0), ((1, 9, 8), 2.0), ((10,), NEVER), ((), NEVER))
         for times, expected_age in cases:
             self.assertEqual(contact_asked_at(*times).age(THREE_VOTERS, 10.0), expected_age, times)
 
-    def test_while_voters_change_both_sets_must_have_reported(self) -> None:
+    def test_in_a_joint_configuration_both_sets_must_have_reported(self) -> None:
         old = tuple((address, "") for address in [OWN_ADDRESS, *PEER_ADDRESSES])
         new = tuple(((f"10.0.1.{number}", 7), "") for number in range(3))
         joint = Voters(2, old, new)
@@ -44,7 +44,7 @@
             contact.record_report(address, 6.0, {}, 9.0)
         self.assertEqual((contact.age(joint, 10.0), contact.age(THREE_VOTERS, 10.0)), (4.0, 1.0))
 
-    def test_a_report_counts_once_its_values_are_known_and_from_its_question(self) -> None:
+    def test_a_report_counts_from_its_query_once_its_values_are_known(self) -> None:
         contact = contact_asked_at(1, 1, 1)
         for asked_at in (5.0, 6.0):
             for address in PEER_ADDRESSES:
@@ -52,11 +52,11 @@
         self.assertEqual((contact.age(THREE_VOTERS, 7.0), contact.has_unknown("timetable")), (6.0, True))
         contact.record_known("timetable", (3, "z"))
         self.assertEqual(contact.age(THREE_VOTERS, 7.0), 6.0)
-        contact.record_known("timetable", (5, "b"))  # a later one covers it
+        contact.record_known("timetable", (5, "b"))  # a later ballot covers the reported one
         self.assertEqual((contact.age(THREE_VOTERS, 7.0), contact.has_unknown("timetable")), (1.0, False))
 
-    def test_a_key_that_changes_with_each_report_makes_nothing_stale(self) -> None:
-        """The update of a change comes a moment after the report that shows it, again and again."""
+    def test_a_key_that_changes_with_each_report_does_not_age_the_contact(self) -> None:
+        """Each update arrives shortly after the report that shows its ballot, every time."""
         contact = contact_asked_at(1, 1, 1)
         for turn in range(40):
             asked_at = 2.0 + turn / 4
@@ -75,7 +75,7 @@
 
 
 class Suspension(unittest.TestCase):
-    def test_a_suspension_is_noticed_by_whoever_checks_first(self) -> None:
+    def test_the_first_check_after_a_suspension_detects_it(self) -> None:
         detector = SuspendDetector(10.0)
         trace = [(10.1, True), (10.45, True), (11.0, False), (11.1, False), (11.26, True), (20.0, False)]
         self.assertEqual([detector.is_current(now) for now, _ in trace], [expected for _, expected in trace])
--- a/tests/controller/test_repair.py
+++ b/tests/controller/test_repair.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of the register's keys: what a sweep may publish."""
+"""Anti-entropy repair: which values a sweep may publish."""
 
 import unittest
 from types import SimpleNamespace
@@ -11,9 +11,9 @@
 
 
 class Fetch(unittest.TestCase):
-    def test_what_a_disk_has_accepted_since_is_not_published_as_what_stands(self) -> None:
-        """A quorum reported a ballot; its holder has meanwhile accepted another writer's change, which may
-        never stand."""
+    def test_a_value_accepted_after_the_quorum_report_is_not_published(self) -> None:
+        """A quorum reported a ballot, but its holder has since accepted another writer's change, which may
+        never be committed."""
         reported = (2, "a")
         for slot, publications, published in (
             (Slot((3, "b"), (3, "b"), b"new"), [], {}),
