--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -259,8 +259,8 @@
     def home_regions(self, host: str) -> set[str] | None:
         """Return the home regions of a host.
 
-        Empty if its routes are bound by sharded services alone; None if a route is not bound at all, its
-        routes share no home region, or the host has none.
+        Empty if its routes are bound by sharded services alone; None if a route is not bound at all, if the
+        routes share no home region, or if the host has no routes.
         """
         routes = self.plane.routes
         if routes is None:
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -3,7 +3,7 @@
 A slice is the traffic of one route to one service. Proxies count requests and the load of endpoints; the
 relay tree aggregates the counts up to the controllers. All controllers forward theirs to one of them, the
 placement leader, which searches for a better assignment (`flintreach.placement.placer`) and writes it to the
-register. `LoadPlacement` also holds the parts beside it: `key_ranges` and `directory`.
+register. `LoadPlacement` also holds two other parts that use the counts: `key_ranges` and `directory`.
 """
 
 import zlib
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -35,7 +35,7 @@
     CONFLICT = PutOutcome.CONFLICTING  # other content was acknowledged under this version number
     HISTORY_EXPIRED = PutOutcome.FORGOTTEN  # too old to tell which content the version number had
     UNKNOWN = "late"  # no result within REGISTER_TIMEOUT_S: the change may or may not be committed
-    ABANDONED = "dropped"  # abandoned before anything was sent to acceptors
+    ABANDONED = "dropped"  # abandoned before a value was proposed to acceptors
 
 
 Decision = tuple[str, bytes | None]  # text of an outcome, and the new value or None for no change
@@ -115,7 +115,7 @@
         Args:
             number: version of the configuration.
             body: the configuration as the operator submitted it.
-            may_proceed: returns whether the request is still valid; called before each proposal to acceptors.
+            may_proceed: returns whether the request is still valid; called right before a value is proposed.
         """
         return self._change(
             CONFIGURATION_KEY, lambda current: configuration_history.put(current, number, body), may_proceed
--- a/flintreach/controller/quorum_contact.py
+++ b/flintreach/controller/quorum_contact.py
@@ -103,7 +103,7 @@
         return now - self.unknown_since.get((key, newest), now) >= CHANGE_GRACE_S
 
     def age(self, voters: Voters, now: float) -> float:
-        """Return the age of the read index: every write acknowledged before it is known here.
+        """Return the age of the read index, the time before which every acknowledged write is known here.
 
         NEVER if the peers with a confirmed report are no quorum of `voters`.
 
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -46,8 +46,8 @@
 UNSEEN_VOTER_GRACE_S = 5.0  # after the start; then voters that are missing from the membership count as dead
 QUERY_TIMEOUT_S = 0.3  # for the answers of other controllers
 ANNOUNCE_TIMEOUT_S = 0.5  # for a quorum of the new voters to confirm that they know the configuration
-MIN_HANDOVER_S = 2.0  # a process that ends waits at least this long for a successor
-HANDOVER_RESERVE_S = 1.0  # part of the platform's grace period that is left after that wait
+MIN_HANDOVER_S = 2.0  # lower bound on the time limit of the handover
+HANDOVER_RESERVE_S = 1.0  # part of the platform's grace period that is left after the handover
 
 
 class EndpointCollection(Protocol):
@@ -210,7 +210,7 @@
     def assume_caught_up(self, disks: dict[Address, VoterCandidate]) -> list[VoterCandidate]:
         """Return the disks as if all non-voters were alive and caught up.
 
-        Tells whether a change may be due without querying the disks; they are queried only if one may be.
+        Used to check whether a change may be due; the disks are queried only if it may.
         """
         group = self.register.voter_addresses
         return [
--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -220,7 +220,7 @@
         self.peer_pool = self
         self.runtime = self
         disk = SimpleNamespace(
-            incarnation=f"life {address}",
+            incarnation=f"incarnation {address}",
             voting=True,
             slots=dict(slots or {}),
             facts={},
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -35,7 +35,7 @@
         """The controller sent no updates of the changes; only the other disks' ballots show them."""
         cluster = Cluster(3)
         first = cluster.nodes[0]
-        first.register.incarnations = {address: f"life {address}" for address in cluster.addresses}
+        first.register.incarnations = {address: f"incarnation {address}" for address in cluster.addresses}
         self.assertEqual(exchange_ballots(cluster, 1, 2), 0.0)
         self.assertEqual(first.operator_requests.put(4, BODY), RequestOutcome.ACCEPTED)
         first.operator_requests.evacuate("north", True)
