--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -35,7 +35,7 @@
     )
     rows = [interface.Server(f"s{n}") for n in range(servers)]
     pilot, taps = Pilot(settings), []
-    service = SimpleNamespace(taps=taps, pilot=pilot)
+    service = SimpleNamespace(turn_observers=taps, pilot=pilot)
     if measured:
         Measures(service)
     now = 100 * SECOND
--- a/flintreach/cli/pilot_service.py
+++ b/flintreach/cli/pilot_service.py
@@ -70,7 +70,7 @@
     cores = operator.block("cores")
     if not cores:
         return
-    reason = cores.fits(config.told.get("limits") or {})
+    reason = cores.fits(config.document.get("limits") or {})
     if reason:
         end_unusable(f"{operator.path}: cores: {reason}")
 
--- a/flintreach/cores/front.py
+++ b/flintreach/cores/front.py
@@ -18,7 +18,7 @@
 from flintreach.cores.block import Block
 from flintreach.cores.care import Life, Owners
 from flintreach.cores.link import Link
-from flintreach.net.http import address
+from flintreach.net.http import parse_address
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
@@ -44,7 +44,7 @@
         if effect:
             getattr(self, effect)()
         if before != self.life.state:
-            self.service.mode(f"{self.what} {self.number}", self.life.state, why)
+            self.service.log_state(f"{self.what} {self.number}", self.life.state, why)
 
     @property
     def serves(self) -> bool:
@@ -64,10 +64,10 @@
                 stdin=subprocess.DEVNULL,
             )
         except OSError as error:  # no memory or no process for it: as one that dies at once
-            self.service.count(f"{self.what} not started", str(error))
+            self.service.count_warning(f"{self.what} not started", str(error))
             ours.close()
             self.process = None
-            return self.service.clock.after(0, self.reaped)
+            return self.service.clock.call_later(0, self.reaped)
         finally:
             for handle in handles:
                 handle.close()
@@ -81,7 +81,7 @@
         """One that is not heard of within that time hangs; our own stall must not count."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.service.clock.limit(within, lambda: self.step("silent"))
+        self.timer = self.service.clock.start_timeout(within, lambda: self.step("silent"))
 
     def close(self) -> None:
         self.link.end()
@@ -94,7 +94,7 @@
 
     def pause(self) -> None:
         self.close()
-        self.service.clock.after(self.life.pause(), lambda: self.step("due"))
+        self.service.clock.call_later(self.life.pause(), lambda: self.step("due"))
 
     def shut(self) -> None:
         if self.timer:
@@ -104,7 +104,7 @@
 
     def lost(self, why: str) -> None:
         if why.startswith("torn"):
-            self.service.count("torn record dropped", why)
+            self.service.count_warning("torn record dropped", why)
         self.step("torn", why)
 
     def reaped(self) -> None:
@@ -171,7 +171,7 @@
             self.waiting, self.lines, self.busy = message.waiting, message.lines, message.busy
             self.open_now = message.open
             for what, (number, figures) in message.counts.items():
-                self.service.count(what, figures, number)
+                self.service.count_warning(what, figures, number)
             for number in message.gone:
                 self.front.owners.left(self, number)
         else:
@@ -185,7 +185,7 @@
         for row in message.servers:
             server = self.front.servers.get(row.number)
             if server is not None:
-                service.event(
+                service.enqueue(
                     interface.ServerReport(
                         row.zone, server, row.tries, row.unanswered, row.latency, row.span, row.load, row.kind
                     )
@@ -195,7 +195,7 @@
             proxy = None
             if row.proxy >= 0:
                 proxy = proxies.get(row.proxy) or service.proxy(row.proxy)
-            service.event(
+            service.enqueue(
                 interface.DemandReport(
                     piece,
                     proxy,
@@ -208,7 +208,7 @@
                 )
             )
         self.owed.append(service.clock.now() - began)
-        if not service.turn_due:
+        if not service.turn_scheduled:
             self.front.resume()
 
     def name(self) -> None:
@@ -251,7 +251,7 @@
         if self.search:  # given up by the decisions
             self.search = None
         if not self.serves:
-            return self.service.event(interface.SearchResult(search, None, search.counter))
+            return self.service.enqueue(interface.SearchResult(search, None, search.counter))
         self.search, self.counter = search, self.counter + 1
         self.link.tell((self.counter, replaced(search)))
 
@@ -264,7 +264,7 @@
 
     def answer(self, best: tuple | None, counter: int) -> None:
         search, self.search = self.search, None
-        self.service.event(interface.SearchResult(search, best, counter))
+        self.service.enqueue(interface.SearchResult(search, best, counter))
 
 
 def replaced(search):
@@ -285,13 +285,13 @@
         limits, part = service.limits, max(1, block.workers)
         shared = replace(
             limits,
-            collectors=-(-limits.collectors // part),
-            strangers=-(-limits.strangers // part),
-            held=limits.held // part,
-            portion=PORTION,
+            max_collectors=-(-limits.max_collectors // part),
+            max_strangers=-(-limits.max_strangers // part),
+            max_buffered_bytes=limits.max_buffered_bytes // part,
+            max_lines_per_read=PORTION,
         )
         self.start = words.Start(
-            service.config.told,
+            service.config.document,
             asdict(shared),
             block.rows,
             block.wait,
@@ -301,13 +301,13 @@
         )
 
     @property
-    def lines(self) -> int:
+    def lines_read(self) -> int:
         """That workers have read; those of one that ended count too."""
         return self.read + sum(hand.lines for hand in self.hands)
 
     async def listen(self, at: str) -> tuple[str, int]:
-        host, port = address(at)
-        self.listener = socket.create_server((host, port), backlog=self.service.limits.backlog)
+        host, port = parse_address(at)
+        self.listener = socket.create_server((host, port), backlog=self.service.limits.listen_backlog)
         self.listener.setblocking(False)
         for hand in self.all():
             hand.step("start")
@@ -331,7 +331,7 @@
             except BlockingIOError:
                 return
             except OSError as error:  # no descriptor is left: the system holds them until one is
-                return self.service.count("connection not accepted", str(error))
+                return self.service.count_warning("connection not accepted", str(error))
             self.counter += 1
             with guest:
                 tried = ()
@@ -339,7 +339,7 @@
                     self.owners.left(hand, self.counter)
                     tried = *tried, hand
                 if hand is None:
-                    self.service.count("connection refused: no worker takes it")
+                    self.service.count_warning("connection refused: no worker takes it")
 
     def sign(self) -> None:
         """Signs of life to the workers, while the loop turns; and what the list names."""
@@ -347,7 +347,7 @@
         for hand in self.hands:
             if hand.serves:
                 hand.link.tell(words.Sign(self.service.ready))
-        self.service.clock.after(self.block.sign, self.sign)
+        self.service.clock.call_later(self.block.sign, self.sign)
 
     def name(self) -> None:
         """Servers that the registry holds, by numbers that are never used twice: one that was forgotten and
@@ -371,7 +371,7 @@
                 if hand.serves:
                     hand.name()
 
-    def ready(self) -> None:
+    def notify_ready(self) -> None:
         """Workers answer the questions that waited."""
         for hand in self.hands:
             if hand.serves:
@@ -386,7 +386,7 @@
                 hand.link.tell(words.Sign(self.service.ready, took))
             hand.owed = []
 
-    def figures(self) -> dict[str, float]:
+    def gauges(self) -> dict[str, float]:
         """What all workers have, once."""
         hands = [hand for hand in self.hands if hand.serves]
         found = {"workers.serving": len(hands), "workers.waiting": sum(hand.waiting for hand in hands)}
@@ -400,7 +400,7 @@
     def solve(self, search) -> None:
         self.solver.solve(search)
 
-    def end(self) -> None:
+    def close(self) -> None:
         for hand in self.all():
             hand.step("stop")
         for hand in self.all():
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -21,7 +21,7 @@
 from flintreach.net.clients import Client, Clients
 from flintreach.net.clock import Clock
 from flintreach.net.limits import Limits
-from flintreach.net.reading import whole
+from flintreach.net.reading import nonnegative_int
 from flintreach.pilot import interface, reports, settings
 from flintreach.pilot.registry import Registry
 
@@ -49,11 +49,11 @@
         self.settings = settings.read(0, dict(settings.flatten(told.told["settings"])))
         self.zones = {name: place for place, name in enumerate(told.told["settings"].get("areas", ()))}
         self.operations = {operation.name: operation for operation in self.settings.operations}
-        self.timeout = max((op.attempt_timeout for op in self.settings.operations), default=0)
-        self.loads, self.registry = settings.LOAD_FIELDS, Registry(self.settings)
+        self.attempt_timeout = max((op.attempt_timeout for op in self.settings.operations), default=0)
+        self.load_names, self.registry = settings.LOAD_FIELDS, Registry(self.settings)
         self.clock = Clock(loop, 0, self.limits)
         objective = min(self.settings.operations, key=lambda op: op.billed_value).objective
-        self.fold = Fold(lambda event: reports.classify(event, objective), self.limits.events)
+        self.fold = Fold(lambda event: reports.classify(event, objective), self.limits.max_pending_events)
         self.pace, self.due, self.timer = Pace(told.ratio, told.wait), False, None
         self.by_number: dict[int, interface.Server] = {}
         self.numbers: dict[interface.Server, int] = {}
@@ -69,17 +69,17 @@
         """A sign of life is the deciding process's, and no worker's."""
         return self.told_ready and self.clock.now() - self.heard_at <= self.told.stale
 
-    def event(self, event) -> None:
+    def enqueue(self, event) -> None:
         self.fold.add(event)
         self.stir()
 
-    def full(self) -> bool:
+    def queue_full(self) -> bool:
         return self.fold.full
 
     def proxy(self, number: int) -> interface.Proxy:
-        return self.registry.proxy(whole(number, self.settings.proxies))
+        return self.registry.proxy(nonnegative_int(number, self.settings.proxies))
 
-    def count(self, what: str, figures: str = "") -> None:
+    def count_warning(self, what: str, figures: str = "") -> None:
         number, first = self.counts.get(what, (0, figures))
         self.counts[what] = number + 1, first[:80]
 
@@ -96,7 +96,7 @@
                 self.clients.resume()
                 self.stir()
             if message.ready:
-                self.clients.ready()
+                self.clients.notify_ready()
         elif isinstance(message, words.Names):
             for number, name in message.added:
                 server = self.registry.server(name)
@@ -127,7 +127,7 @@
             self.pace.sent()
             self.link.tell(words.Sums(servers, slices))
         elif not self.pace.out and not self.timer:
-            self.timer = self.clock.after(self.pace.next - now, self.rested)
+            self.timer = self.clock.call_later(self.pace.next - now, self.rested)
 
     def rested(self) -> None:
         self.timer = None
@@ -165,19 +165,19 @@
         """Also the word by which a worker that hangs is known; a deciding process that does not read gets no
         more of them."""
         if not self.link.transport.get_write_buffer_size():
-            counts, gone, mates = self.counts, self.gone, self.clients.open
+            counts, gone, mates = self.counts, self.gone, self.clients.by_state
             self.counts, self.gone = {}, []
             self.link.tell(
                 words.Beat(
                     counts,
                     gone,
                     len(self.fold),
-                    self.clients.lines,
+                    self.clients.lines_read,
                     time.process_time_ns(),
                     (len(mates["stranger"]) + len(mates["asking"]), len(mates["collector"])),
                 )
             )
-        self.clock.after(self.told.sign, self.beat)
+        self.clock.call_later(self.told.sign, self.beat)
 
 
 class Worker:
--- a/flintreach/evidence/intake.py
+++ b/flintreach/evidence/intake.py
@@ -10,7 +10,7 @@
 from flintreach.evidence.ledger import Ledger
 from flintreach.evidence.packet import Bad, Value
 from flintreach.net.buffer import Buffer, Overflow
-from flintreach.net.http import address
+from flintreach.net.http import parse_address
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
@@ -81,7 +81,7 @@
         self.intake.senders.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        self.buffer.put(data)
+        self.buffer.append(data)
         if self in self.intake.senders:
             self.intake.senders[self] = self.intake.senders.pop(self)
         self.read()
@@ -94,7 +94,7 @@
                 read += 1
                 if read >= LINES:
                     self.transport.pause_reading()
-                    self.intake.service.clock.after(0, self.go_on)
+                    self.intake.service.clock.call_later(0, self.go_on)
                     return
         except Overflow:
             self.intake.count("long line")
@@ -119,14 +119,14 @@
         self.told: dict[str, int] = {}
         self.states: dict[str, str] = {}  # as last said
         self.ends = []
-        service.taps.append(self.tap)
-        service.tagged.append(
+        service.turn_observers.append(self.tap)
+        service.tagged_gauge_sources.append(
             lambda: [
                 (name, {"host": host}, value)
                 for name, host, value in self.ledger.figures(service.clock.now())
             ]
         )
-        service.sources.append(
+        service.gauge_sources.append(
             lambda: {
                 "evidence.hosts": len(self.ledger.hosts),
                 "evidence.fresh": sum(host.state == "fresh" for host in self.ledger.hosts.values()),
@@ -138,13 +138,13 @@
         self.read_keys()
         if self.block.listen:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Datagrams(self), address(self.block.listen)
+                lambda: Datagrams(self), parse_address(self.block.listen)
             )
             self.ends.append(transport)
             self.at = transport.get_extra_info("sockname")[:2]
             self.service.log.info("evidence: listening", at="{}:{}".format(*self.at))
         if self.block.lines:
-            server = await loop.create_server(lambda: Lines(self), *address(self.block.lines))
+            server = await loop.create_server(lambda: Lines(self), *parse_address(self.block.lines))
             self.ends.append(server)
             self.lines_at = server.sockets[0].getsockname()[:2]
             self.service.log.info("evidence: lines at", at="{}:{}".format(*self.lines_at))
@@ -215,7 +215,7 @@
             return self.count("a server that no list names")
         self.state(told.host, self.ledger.compare(told.host, self.own.get(name)))
         if host.state == "fresh":
-            self.service.event(interface.HostLoad(server, told.busy, told.age))
+            self.service.enqueue(interface.HostLoad(server, told.busy, told.age))
 
     # What the service sees, and the passing of time.
 
@@ -235,16 +235,16 @@
     def state(self, host: str, state: str | None) -> None:
         if state:
             self.states[host] = state
-            self.service.mode(f"evidence of {host}", state)
+            self.service.log_state(f"evidence of {host}", state)
 
     def look(self) -> None:
         for host, state in self.ledger.look(self.service.clock.now()):
             self.state(host, state)
         for what, number in self.ledger.counts.items():
-            self.service.count(f"evidence: {what}", times=number)
+            self.service.count_warning(f"evidence: {what}", times=number)
         self.ledger.counts.clear()
         self.read_keys()
-        self.service.clock.after(SECOND, self.look)
+        self.service.clock.call_later(SECOND, self.look)
 
     def read_keys(self) -> None:
         """The file of users, when it has changed; one that can't be read leaves the old ones in force."""
@@ -259,4 +259,4 @@
                 self.service.log.info("evidence: keys read", users=len(self.keys))
         except (OSError, UnicodeDecodeError) as error:
             self.stamp = None
-            self.service.mode("evidence: keys", "unreadable", str(error)[:80])
+            self.service.log_state("evidence: keys", "unreadable", str(error)[:80])
--- a/flintreach/net/buffer.py
+++ b/flintreach/net/buffer.py
@@ -10,11 +10,11 @@
 class Buffer:
     """
     >>> buffer = Buffer(8)
-    >>> buffer.put(b"one\\ntw"); list(buffer.lines())
+    >>> buffer.append(b"one\\ntw"); list(buffer.lines())
     [b'one']
-    >>> buffer.put(b"o\\n"); list(buffer.lines()), len(buffer)
+    >>> buffer.append(b"o\\n"); list(buffer.lines()), len(buffer)
     ([b'two'], 0)
-    >>> buffer.put(b"far too long"); list(buffer.lines())
+    >>> buffer.append(b"far too long"); list(buffer.lines())
     Traceback (most recent call last):
         ...
     flintreach.net.buffer.Overflow: 12 bytes, 8 allowed
@@ -27,11 +27,11 @@
         return self.end - self.start
 
     @property
-    def size(self) -> int:
+    def capacity(self) -> int:
         """The memory that it takes, also where it is empty."""
         return len(self.store)
 
-    def put(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         held = len(self)
         if self.end + len(data) > len(self.store):
             self.store[:held] = self.store[self.start : self.end]
@@ -42,7 +42,7 @@
         self.store[self.end : self.end + len(data)] = data
         self.end += len(data)
 
-    def check(self) -> None:
+    def check_limit(self) -> None:
         if len(self) > self.most:
             raise Overflow(f"{len(self)} bytes, {self.most} allowed")
 
@@ -54,13 +54,13 @@
                 raise Overflow(f"{len(line)} bytes, {self.most} allowed")
             yield line
         self.seen = self.end  # a long line's bytes are looked at once, not with each piece
-        self.check()
+        self.check_limit()
         if self.start == self.end:
             self.start = self.end = self.seen = 0
-            if self.size > self.most // 16:  # a long line must not keep its memory for ever
+            if self.capacity > self.most // 16:  # a long line must not keep its memory for ever
                 self.store = bytearray()
 
-    def take(self) -> bytes:
+    def take_all(self) -> bytes:
         """All that is held."""
         data = bytes(self.store[self.start : self.end])
         self.start = self.end = self.seen = 0
--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from flintreach.net.buffer import Buffer, Overflow
-from flintreach.net.http import address
+from flintreach.net.http import parse_address
 from flintreach.net.limits import MS
-from flintreach.net.reading import UNREADABLE, figure, lines, whole
+from flintreach.net.reading import DECODE_ERRORS, json_lines, nonnegative_int, nonnegative_number
 from flintreach.pilot import interface
 
 ALIVE = b'{"msg":"alive"}\n'
@@ -35,33 +35,33 @@
 class Client(asyncio.Protocol):
     def __init__(self, clients: "Clients"):
         self.clients, self.service, self.transport = clients, clients.service, None
-        self.state, self.timer, self.held, self.holding = "stranger", None, 0, False
-        self.buffer = Buffer(self.service.limits.line)
+        self.state, self.timer, self.buffered_bytes, self.holding = "stranger", None, 0, False
+        self.buffer = Buffer(self.service.limits.max_line_bytes)
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=self.service.limits.unread)
-        self.bound("old", self.service.limits.stranger_time)
+        transport.set_write_buffer_limits(high=self.service.limits.max_unread_bytes)
+        self.bound("old", self.service.limits.max_stranger_age)
         self.clients.add(self)
 
     def bound(self, what: str | None, wait: int = 0) -> None:
         """The one time limit of the state.  A stranger's is its age: one may talk on for ever."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.service.clock.limit(wait, lambda: self.step(what)) if what else None
+        self.timer = self.service.clock.start_timeout(wait, lambda: self.step(what)) if what else None
 
     def step(self, what: str) -> None:
         state, why = STATES.get((self.state, what), (self.state, None))
         if state == self.state:
             return
         if state == "stranger":
-            self.bound("old", self.service.limits.stranger_time)
+            self.bound("old", self.service.limits.max_stranger_age)
         else:
             self.bound(None)
         self.clients.remove(self)
         self.state = state
         if why:
-            self.service.count(f"client dropped: {why}")
+            self.service.count_warning(f"client dropped: {why}")
             self.transport.abort()
         else:
             self.clients.add(self)
@@ -75,7 +75,7 @@
         self.state = "dropped"
 
     def data_received(self, data: bytes) -> None:
-        self.buffer.put(data)
+        self.buffer.append(data)
         self.read()
 
     def read(self) -> None:
@@ -85,35 +85,35 @@
         if self.state == "dropped":
             return
         try:
-            for line in lines(self.buffer):
+            for line in json_lines(self.buffer):
                 read += 1
-                self.clients.lines += 1
+                self.clients.lines_read += 1
                 self.take(line)
                 if self.state == "dropped":
                     return
-                if read >= limits.portion:
+                if read >= limits.max_lines_per_read:
                     more = True
                     break
             self.clients.heard(self)
-            if self.state != "collector" and not more and len(self.buffer) > limits.stranger_line:
+            if self.state != "collector" and not more and len(self.buffer) > limits.max_stranger_line_bytes:
                 raise Overflow("a stranger's long line")
         except Overflow:
             return self.step("long line")
-        except UNREADABLE:
+        except DECODE_ERRORS:
             return self.step("unreadable")
-        full = self.service.full()
+        full = self.service.queue_full()
         if self.state == "collector":
             # Cut off within a line, or one that never ends: the rest would be waited for with all it holds.
             # What waits for us is no fault of its own.
             if read or not len(self.buffer) or full:
                 self.bound(None)
             if len(self.buffer) and not self.timer and not more and not full:
-                self.bound("half a line", limits.line_time)
+                self.bound("half a line", limits.line_timeout)
         self.hold(more or full)
         if full:
             self.clients.paused.append(self)
         elif more:
-            self.service.clock.after(0, self.read)
+            self.service.clock.call_later(0, self.read)
 
     def hold(self, on: bool) -> None:
         if on != self.holding:
@@ -124,9 +124,9 @@
         """One message is distrusted, not the collector that brings it: those around it are good."""
         try:
             KINDS[message["msg"]](self, message)
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             if self.state == "collector":
-                self.service.count("report not understood", repr(error))
+                self.service.count_warning("report not understood", repr(error))
             self.step("not understood")
 
     # One method a kind of message.
@@ -147,34 +147,40 @@
             raise ValueError("a report before a zone is named")
         # What came in one period may go unanswered in the next: more may fail than came.
         limits = self.service.limits
-        span = int(figure(message["over"], limits.span // MS) * MS)
-        return whole(message["count"], limits.tries), whole(message["fail"], limits.tries), span
+        span = int(nonnegative_number(message["over"], limits.max_report_span // MS) * MS)
+        return (
+            nonnegative_int(message["count"], limits.max_reported_tries),
+            nonnegative_int(message["fail"], limits.max_reported_tries),
+            span,
+        )
 
     def outcomes(self, message: dict) -> None:
         tries, unanswered, span = self.tries(message)
         limits, known = self.service.limits, self.service.registry.servers
         # No answer comes after the integration timeout: a longer mean would make the server look jammed.
-        latency = int(figure(message["mean"], self.service.timeout * 2 // MS) * MS)
+        latency = int(nonnegative_number(message["mean"], self.service.attempt_timeout * 2 // MS) * MS)
         zone, load = self.service.zones[message["site"]], message.get("util", {})
-        names = self.service.loads
-        told = {names.get(name, name): figure(value, limits.load) for name, value in load.items()}
+        names = self.service.load_names
+        told = {
+            names.get(name, name): nonnegative_number(value, limits.max_load) for name, value in load.items()
+        }
         if type(message["target"]) is not str:
             raise ValueError("a name is no text")
         server = known.get(message["target"])
         if server is None:  # gone or never listed: a report must not bring it to the roster
-            return self.service.count("report on an unknown endpoint")
+            return self.service.count_warning("report on an unknown endpoint")
         load = {name: told[name] for name in self.service.settings.load_fields if name in told}
-        self.service.event(interface.ServerReport(zone, server, tries, unanswered, latency, span, load))
+        self.service.enqueue(interface.ServerReport(zone, server, tries, unanswered, latency, span, load))
 
     def demand(self, message: dict) -> None:
         tries, unanswered, span = self.tries(message)
         operation, registry = self.service.operations[message["lane"]], self.service.registry
         piece = proxy = None
         if "range" in message:
-            piece = registry.slices[whole(message["range"])]
+            piece = registry.slices[nonnegative_int(message["range"])]
         else:
             proxy = self.service.proxy(message["id"])
-        self.service.event(interface.DemandReport(piece, proxy, operation, tries, unanswered, span))
+        self.service.enqueue(interface.DemandReport(piece, proxy, operation, tries, unanswered, span))
 
 
 KINDS = {
@@ -189,55 +195,59 @@
 class Clients:
     def __init__(self, service):
         limits = service.limits
-        self.service, self.paused, self.held = service, [], 0
-        self.lines = 0  # that collectors and strangers sent
+        self.service, self.paused, self.buffered_bytes = service, [], 0
+        self.lines_read = 0  # that collectors and strangers sent
         self.asked: dict[Client, None] = {}  # whose question waits for its answer
-        self.open = {"stranger": {}, "asking": {}, "collector": {}}  # by state, the quietest first
-        self.most = {"stranger": limits.strangers, "asking": limits.strangers, "collector": limits.collectors}
+        self.by_state = {"stranger": {}, "asking": {}, "collector": {}}  # by state, the quietest first
+        self.most = {
+            "stranger": limits.max_strangers,
+            "asking": limits.max_strangers,
+            "collector": limits.max_collectors,
+        }
 
     async def listen(self, at: str) -> tuple[str, int]:
         """Where it listens from now on."""
         service = self.service
         self.server = await service.loop.create_server(
-            lambda: Client(self), *address(at), backlog=service.limits.backlog
+            lambda: Client(self), *parse_address(at), backlog=service.limits.listen_backlog
         )
         return self.server.sockets[0].getsockname()[:2]
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Connections end with the process."""
 
-    def figures(self) -> dict[str, float]:
+    def gauges(self) -> dict[str, float]:
         return {
-            "clients.collectors": len(self.open["collector"]),
+            "clients.collectors": len(self.by_state["collector"]),
             "workers.serving": 0,
             "workers.waiting": 0,
-            "clients.strangers": len(self.open["stranger"]) + len(self.open["asking"]),
+            "clients.strangers": len(self.by_state["stranger"]) + len(self.by_state["asking"]),
         }
 
     def add(self, client: Client) -> None:
         """The oldest stranger makes room for one, and the collector silent the longest for a collector:
         machines that vanished say nothing."""
-        mates = self.open[client.state]
+        mates = self.by_state[client.state]
         if len(mates) >= self.most[client.state]:
             next(iter(mates)).step("crowded")
         mates[client] = None
-        self.held += client.held
+        self.buffered_bytes += client.buffered_bytes
 
     def heard(self, client: Client) -> None:
         """Each may send a long line, but all at once would take more memory than there is."""
         if client.state == "collector":
-            self.open["collector"][client] = self.open["collector"].pop(client)
-        self.held += client.buffer.size - client.held
-        client.held = client.buffer.size
-        if self.held > self.service.limits.held:
+            self.by_state["collector"][client] = self.by_state["collector"].pop(client)
+        self.buffered_bytes += client.buffer.capacity - client.buffered_bytes
+        client.buffered_bytes = client.buffer.capacity
+        if self.buffered_bytes > self.service.limits.max_buffered_bytes:
             raise Overflow("all buffers together")
 
     def remove(self, client: Client) -> None:
-        if client in self.open.get(client.state, ()):
-            del self.open[client.state][client]
-            self.held -= client.held
+        if client in self.by_state.get(client.state, ()):
+            del self.by_state[client.state][client]
+            self.buffered_bytes -= client.buffered_bytes
 
-    def ready(self) -> None:
+    def notify_ready(self) -> None:
         asked, self.asked = self.asked, {}
         for client in asked:
             if client.state != "dropped":
--- a/flintreach/net/clock.py
+++ b/flintreach/net/clock.py
@@ -19,21 +19,21 @@
     def now(self) -> int:
         return self.base + time.monotonic_ns()
 
-    def after(self, wait: int, do: Callable[[], None]) -> "Timer":
+    def call_later(self, wait: int, do: Callable[[], None]) -> "Timer":
         return Timer(self.loop, wait, 0, do)
 
-    def limit(self, wait: int, do: Callable[[], None]) -> "Timer":
+    def start_timeout(self, wait: int, do: Callable[[], None]) -> "Timer":
         """Time is up only when what came meanwhile has been read."""
-        return Timer(self.loop, wait, self.limits.grace, do)
+        return Timer(self.loop, wait, self.limits.timeout_grace, do)
 
     def draw(self) -> float:
         self.counter += 1
         return zlib.crc32(b"%d %d" % (self.seed, self.counter)) / 2**32
 
-    def retry(self, failures: int, do: Callable[[], None]) -> None:
+    def retry_later(self, failures: int, do: Callable[[], None]) -> None:
         """Once more after a pause, which doubles with the failures in a row; drawn from its upper half."""
-        pause = min(self.limits.retry_longest, self.limits.retry_first << min(failures, 20))
-        self.after(int(pause * (1 + self.draw()) / 2), do)
+        pause = min(self.limits.max_retry_delay, self.limits.initial_retry_delay << min(failures, 20))
+        self.call_later(int(pause * (1 + self.draw()) / 2), do)
 
 
 class Timer:
--- a/flintreach/net/config.py
+++ b/flintreach/net/config.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from flintreach.net import roster
-from flintreach.net.http import address
+from flintreach.net.http import parse_address
 from flintreach.net.limits import Limits
-from flintreach.net.reading import UNREADABLE
+from flintreach.net.reading import DECODE_ERRORS
 from flintreach.pilot import interface, settings
 
 
@@ -19,7 +19,7 @@
 @dataclass(slots=True)
 class Config:
     path: str
-    told: dict  # the file as it was read
+    document: dict  # the file as it was read
     name: str
     seed: int
     listen: str
@@ -28,7 +28,7 @@
     peer_listen: str | None
     peers: list[str]
     peers_all: str | None
-    known: dict | None
+    cached_list: dict | None
     limits: Limits
     settings: interface.Settings
     zones: dict[str, int]
@@ -49,7 +49,7 @@
         nested = told["settings"]
         config = Config(
             path=path,
-            told=told,
+            document=told,
             name=variables.get("PROXY_NAME") or str(told.get("name", "")),
             seed=seed,
             listen=checked(variables.get("PROXY_LISTEN") or told["listen"]),
@@ -58,24 +58,24 @@
             peer_listen=told.get("peer_listen") and checked(told["peer_listen"]),
             peers=[checked(peer) for peer in told.get("peers") or ()],
             peers_all=told.get("peers_all") and checked(told["peers_all"]),
-            known=told.get("known"),
+            cached_list=told.get("known"),
             limits=Limits.of(told.get("limits") or {}),
             settings=settings.read(seed, dict(settings.flatten(nested))),
             zones={name: place for place, name in enumerate(nested.get("areas", ()))},
             kinds={name: place for place, name in enumerate(nested.get("machine_types", ()))},
         )
-        if config.known:
-            for row in config.known["endpoints"]:
+        if config.cached_list:
+            for row in config.cached_list["endpoints"]:
                 roster.entry(row, config)
         return config
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing or not known") from None
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def checked(text: str) -> str:
-    address(text)
+    parse_address(text)
     return text
--- a/flintreach/net/http.py
+++ b/flintreach/net/http.py
@@ -25,9 +25,9 @@
 }
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """
-    >>> address("127.0.0.1:80")
+    >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
     """
     host, _, port = text.rpartition(":")
@@ -45,7 +45,7 @@
     def __init__(self, clock: Clock, limits: Limits, to: str, done: Callable, piece: Callable | None = None):
         self.clock, self.limits, self.to, self.done, self.piece = clock, limits, to, done, piece
         self.state, self.transport, self.parser = "dialling", None, None
-        self.buffer, self.timer, self.request, self.wait = Buffer(limits.body), None, b"", 0
+        self.buffer, self.timer, self.request, self.wait = Buffer(limits.max_body_bytes), None, b"", 0
 
     def call(self, method: str, path: str, wait: int, body: bytes = b"") -> None:
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.to}\r\n"
@@ -55,12 +55,12 @@
         if self.state == "idle":
             self.step("call")
         else:
-            self.timer = self.clock.limit(self.limits.dial_wait, lambda: self.step("late"))
+            self.timer = self.clock.start_timeout(self.limits.dial_timeout, lambda: self.step("late"))
             self.task = self.clock.loop.create_task(self.dial())
 
     async def dial(self) -> None:
         try:
-            await self.clock.loop.create_connection(lambda: self, *address(self.to))
+            await self.clock.loop.create_connection(lambda: self, *parse_address(self.to))
         except OSError:
             self.step("lost")
 
@@ -74,12 +74,12 @@
             self.timer = None
         if state == "asked":
             self.parser, self.whole = httptools.HttpResponseParser(self), None
-            self.timer = self.clock.limit(self.wait, lambda: self.step("late"))
+            self.timer = self.clock.start_timeout(self.wait, lambda: self.step("late"))
             self.transport.write(self.request)
         elif state == "closed":
             self.shut()
         if end:
-            status, body = (self.parser.get_status_code() if end == "answered" else 0), self.buffer.take()
+            status, body = (self.parser.get_status_code() if end == "answered" else 0), self.buffer.take_all()
             self.done(end, status, body if status else b"")  # part of a body is no answer
 
     def close(self) -> None:
@@ -126,8 +126,8 @@
         if self.piece:
             self.piece(body)
         else:
-            self.buffer.put(body)
-            self.buffer.check()
+            self.buffer.append(body)
+            self.buffer.check_limit()
 
     def on_message_complete(self) -> None:
         # The owner may call again at once: not from within the parser, which forgets this after the message.
--- a/flintreach/net/reading.py
+++ b/flintreach/net/reading.py
@@ -5,15 +5,15 @@
 
 from flintreach.net.buffer import Buffer
 
-UNREADABLE = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
+DECODE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 
-def figure(value: object, most: float = float("inf")) -> float:
+def nonnegative_number(value: object, most: float = float("inf")) -> float:
     """A number from JSON that is finite, not negative and not absurd.
 
-    >>> figure(2.5)
+    >>> nonnegative_number(2.5)
     2.5
-    >>> figure(-1)
+    >>> nonnegative_number(-1)
     Traceback (most recent call last):
         ...
     ValueError: not a figure: -1
@@ -23,17 +23,17 @@
     return value
 
 
-def whole(value: object, most: float = float("inf")) -> int:
+def nonnegative_int(value: object, most: float = float("inf")) -> int:
     """
-    >>> whole(7)
+    >>> nonnegative_int(7)
     7
     """
     if type(value) is not int:
         raise ValueError(f"not a whole number: {value!r:.40}")
-    return figure(value, most)
+    return nonnegative_number(value, most)
 
 
-def lines(buffer: Buffer) -> Iterator[object]:
+def json_lines(buffer: Buffer) -> Iterator[object]:
     """What has come whole, one JSON value a line."""
     for line in buffer.lines():
         try:
@@ -45,8 +45,8 @@
         yield value
 
 
-def objects(buffer: Buffer) -> Iterator[dict]:
-    for message in lines(buffer):
+def json_objects(buffer: Buffer) -> Iterator[dict]:
+    for message in json_lines(buffer):
         if not isinstance(message, dict):
             raise ValueError("not an object")
         yield message
--- a/flintreach/net/run.py
+++ b/flintreach/net/run.py
@@ -65,5 +65,5 @@
         loop.run_forever()
     for part in parts:
         part.stop()
-    service.clients.end()
+    service.clients.close()
     return service.status
--- a/flintreach/net/service.py
+++ b/flintreach/net/service.py
@@ -7,12 +7,12 @@
 from flintreach.net.clients import Clients
 from flintreach.net.clock import Clock
 from flintreach.net.config import ConfigError, load
-from flintreach.net.http import address
-from flintreach.net.pilots import Pilots
-from flintreach.net.reading import whole
-from flintreach.net.relay import Calls, News
-from flintreach.net.roster import Roster
-from flintreach.net.servers import Servers
+from flintreach.net.http import parse_address
+from flintreach.net.pilots import PeerMessenger
+from flintreach.net.reading import nonnegative_int
+from flintreach.net.relay import OrderSender, RelayFeed
+from flintreach.net.roster import DiscoveryClient
+from flintreach.net.servers import Prober
 from flintreach.pilot import interface, settings
 from flintreach.pilot.logic import Pilot
 from flintreach.pilot.registry import Registry
@@ -33,54 +33,55 @@
         self.loop, self.log, self.limits = loop, log, config.limits
         self.settings, self.zones = config.settings, config.zones
         self.operations = {operation.name: operation for operation in config.settings.operations}
-        self.loads, self.config = settings.LOAD_FIELDS, config
-        self.timeout = max((op.attempt_timeout for op in config.settings.operations), default=0)
+        self.load_names, self.config = settings.LOAD_FIELDS, config
+        self.attempt_timeout = max((op.attempt_timeout for op in config.settings.operations), default=0)
         self.discovery, self.store = config.discovery, config.store
         self.registry, self.clock = Registry(config.settings), Clock(loop, config.seed, config.limits)
         self.pilot = Pilot(config.settings)
-        self.gathered, self.turn_due, self.ready, self.status = [], False, False, 0
-        self.modes, self.counts = {}, {}
-        self.clients, self.calls, self.news = front(self), Calls(self), News(self)
-        self.roster, self.servers, self.pilots = Roster(self), Servers(self), None
-        self.longest = self.turns = self.deepest = 0
+        self.pending_events, self.turn_scheduled, self.ready, self.status = [], False, False, 0
+        self.logged_states, self.warning_counts = {}, {}
+        self.clients, self.order_sender, self.relay_feed = front(self), OrderSender(self), RelayFeed(self)
+        self.discovery_client, self.prober, self.peer_messenger = DiscoveryClient(self), Prober(self), None
+        self.longest_turn = self.turn_count = self.peak_pending_events = 0
         self.frozen = False
-        self.sources: list = []  # of figures that parts have: functions that give names and values
-        self.tagged: list = []  # the same of objects: functions that give rows of name, tags and value
-        self.taps: list = []  # they see each turn: its time, events, orders, and how long it took
+        self.gauge_sources: list = []  # of figures that parts have: functions that give names and values
+        # The same of objects: functions that give rows of name, tags and value.
+        self.tagged_gauge_sources: list = []
+        self.turn_observers: list = []  # they see each turn: its time, events, orders, and how long it took
         loop.set_exception_handler(self.fault)
 
     # What comes in.
 
-    def event(self, event) -> None:
-        self.gathered.append(event)
-        if not self.turn_due:
-            self.turn_due = True
-            self.clock.after(self.settings.tick, self.turn)
+    def enqueue(self, event) -> None:
+        self.pending_events.append(event)
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            self.clock.call_later(self.settings.tick, self.run_turn)
 
     def some(self, events: list) -> tuple[list, list]:
         """What one turn takes, and what waits.  Sums by the thousand must not hold up what is urgent."""
-        if len(events) <= self.limits.turn:
+        if len(events) <= self.limits.max_events_per_turn:
             return events, []
-        most = self.limits.turn
+        most = self.limits.max_events_per_turn
         rest = [event for event in events if not isinstance(event, SUMS)]
         sums = [event for event in events if isinstance(event, SUMS)]
         while most < len(rest) and isinstance(rest[most], interface.SliceReplica):
             most += 1  # a slice without its lines would be taken for one with an empty table
-        left = max(0, self.limits.turn - len(rest))
+        left = max(0, self.limits.max_events_per_turn - len(rest))
         return rest[:most] + sums[:left], rest[most:] + sums[left:]
 
-    def full(self) -> bool:
-        return len(self.gathered) >= self.limits.events
+    def queue_full(self) -> bool:
+        return len(self.pending_events) >= self.limits.max_pending_events
 
     def proxy(self, number: int) -> interface.Proxy:
-        return self.registry.proxy(whole(number, self.settings.proxies))
+        return self.registry.proxy(nonnegative_int(number, self.settings.proxies))
 
     # The loop.
 
-    def turn(self) -> None:
-        self.deepest = max(self.deepest, len(self.gathered))
-        events, self.gathered = self.some(self.gathered)
-        self.turn_due = False
+    def run_turn(self) -> None:
+        self.peak_pending_events = max(self.peak_pending_events, len(self.pending_events))
+        events, self.pending_events = self.some(self.pending_events)
+        self.turn_scheduled = False
         began = self.clock.now()
         try:
             orders = self.pilot.handle(began, events)
@@ -88,22 +89,22 @@
             self.log.error("the decisions failed", trace=traceback.format_exc())
             return self.stop(1)
         took = self.clock.now() - began
-        self.turns, self.longest = self.turns + 1, max(self.longest, took)
-        if took > self.limits.slow_turn:
-            self.count("slow turn")
-        for tap in self.taps:
+        self.turn_count, self.longest_turn = self.turn_count + 1, max(self.longest_turn, took)
+        if took > self.limits.slow_turn_threshold:
+            self.count_warning("slow turn")
+        for tap in self.turn_observers:
             tap(began, events, orders, took)
-        if self.gathered and not self.turn_due:
-            self.turn_due = True
-            self.clock.after(self.settings.tick, self.turn)
-        if len(self.gathered) < self.limits.turn:
+        if self.pending_events and not self.turn_scheduled:
+            self.turn_scheduled = True
+            self.clock.call_later(self.settings.tick, self.run_turn)
+        if len(self.pending_events) < self.limits.max_events_per_turn:
             self.clients.resume()
-        self.carry(orders)
+        self.execute_orders(orders)
 
-    def carry(self, orders: list) -> None:
+    def execute_orders(self, orders: list) -> None:
         relayed = [order for order in orders if isinstance(order, RELAYED)]
         if relayed:
-            self.calls.send(relayed)
+            self.order_sender.send(relayed)
         for order in orders:
             match order:
                 case interface.SetTimer(at, label):
@@ -111,13 +112,13 @@
                 case interface.Log(text):
                     self.log.info(text)
                 case interface.Probe(server) if self.settings.probes:
-                    self.servers.probe(server)
-                case interface.SendToPilot(pilot, data) if self.settings.tells and self.pilots:
-                    self.pilots.tell(pilot, data)
+                    self.prober.probe(server)
+                case interface.SendToPilot(pilot, data) if self.settings.tells and self.peer_messenger:
+                    self.peer_messenger.tell(pilot, data)
                 case interface.WatchServers(on):
-                    self.roster.observe(on)
+                    self.discovery_client.observe(on)
                 case interface.FetchServerList():
-                    self.roster.fetch()
+                    self.discovery_client.fetch()
                 case interface.RunSearch(search):
                     self.clients.solve(search)
                 case _ if not isinstance(order, RELAYED):
@@ -127,22 +128,22 @@
         """Never early: the loop rounds its times, and decisions woken too soon ask for no other wake."""
         wait = at - self.clock.now()
         if wait > 0:
-            self.clock.after(wait, lambda: self.wake(at, label))
+            self.clock.call_later(wait, lambda: self.wake(at, label))
         else:
-            self.event(interface.TimerFired(label))
+            self.enqueue(interface.TimerFired(label))
 
     # Log.
 
-    def mode(self, what: str, now: str, figures: str = "") -> None:
+    def log_state(self, what: str, now: str, figures: str = "") -> None:
         """One line for each change of mode, never one a message."""
-        before, self.modes[what] = self.modes.get(what), now
+        before, self.logged_states[what] = self.logged_states.get(what), now
         if before != now:
             self.log.info(f"{what}: {now}", figures=figures)
 
-    def count(self, what: str, figures: str = "", times: int = 1) -> None:
+    def count_warning(self, what: str, figures: str = "", times: int = 1) -> None:
         """The first is logged; the repeated are counted and told at the end and each power of ten."""
-        before = self.counts.get(what, 0)
-        number = self.counts[what] = before + times
+        before = self.warning_counts.get(what, 0)
+        number = self.warning_counts[what] = before + times
         if len(str(number)) > len(str(before)) or not before:
             self.log.warning(what, times=number, **{"figures": figures[:80]} if figures else {})
 
@@ -159,32 +160,40 @@
 
     async def start(self) -> None:
         config = self.config
-        self.gathered.append(self.roster.read(config.known or {"endpoints": []}, "cached"))
-        self.turn()
+        self.pending_events.append(
+            self.discovery_client.parse_list(config.cached_list or {"endpoints": []}, "cached")
+        )
+        self.run_turn()
         host, port = await self.clients.listen(config.listen)
         if config.peer_listen:
-            self.pilots = Pilots(self, config.peers, config.peers_all)
-            await self.loop.create_datagram_endpoint(lambda: self.pilots, address(config.peer_listen))
+            self.peer_messenger = PeerMessenger(self, config.peers, config.peers_all)
+            await self.loop.create_datagram_endpoint(
+                lambda: self.peer_messenger, parse_address(config.peer_listen)
+            )
         self.log.info("listening", at=f"{host}:{port}")
-        self.roster.start()
-        self.news.look()
-        self.clock.after(self.limits.ready_wait, lambda: self.check_ready(True))
+        self.discovery_client.start()
+        self.relay_feed.look()
+        self.clock.call_later(self.limits.ready_timeout, lambda: self.check_ready(True))
 
     def check_ready(self, late: bool = False) -> None:
         """Decisions stand on a list of servers; a discovery that is down must not keep us out for ever."""
-        if not self.ready and (late or self.roster.known):
+        if not self.ready and (late or self.discovery_client.has_list):
             self.ready = True
-            self.log.info("ready", servers=len(self.registry.servers), discovery=self.roster.known)
-            self.clients.ready()
+            self.log.info(
+                "ready", servers=len(self.registry.servers), discovery=self.discovery_client.has_list
+            )
+            self.clients.notify_ready()
 
     def settled(self) -> None:
         """All that stands is known: a full collection over it holds the loop for 50 ms at a thousand servers,
         and finds nothing.  Once, lest what is cast off with each new connection stays for ever."""
         if not self.frozen:
             self.frozen = True
-            if len(self.news.tables) >= self.limits.many:  # buckets of sums are made anew all the time
+            if (
+                len(self.relay_feed.tables) >= self.limits.rare_gc_slices
+            ):  # buckets of sums are made anew all the time
                 gc.set_threshold(5000, 20, 100)
-            self.clock.after(interface.SECOND, gc.freeze)
+            self.clock.call_later(interface.SECOND, gc.freeze)
 
     def reload(self) -> None:
         """SIGHUP moves the addresses of discovery and the relay, and keeps all state.  A call in hand ends
@@ -193,25 +202,25 @@
             told = load(self.config.path, again=True)
         except ConfigError as error:
             return self.log.error("reload: the old configuration stays", error=str(error))
-        old, new = self.config.told, told.told
+        old, new = self.config.document, told.document
         kept = [name for name in sorted({*old, *new} - MOVED) if old.get(name) != new.get(name)]
         moved = [name for name in ("discovery", "store") if getattr(self, name) != getattr(told, name)]
         self.log.info("reload", moved=moved, only_at_a_start=kept)
         self.discovery, self.store = told.discovery, told.store
         if "discovery" in moved:
-            self.roster.move()
+            self.discovery_client.move()
         if "store" in moved:
-            self.news.look(again=True)
+            self.relay_feed.look(again=True)
 
     def stop(self, status: int) -> None:
         self.status = status
         self.log.info(
             "stopped",
             status=status,
-            turns=self.turns,
-            longest_ms=self.longest // 1_000_000,
-            deepest=self.deepest,
-            lines=self.clients.lines,
-            **{what.replace(" ", "_"): number for what, number in self.counts.items()},
+            turns=self.turn_count,
+            longest_ms=self.longest_turn // 1_000_000,
+            deepest=self.peak_pending_events,
+            lines=self.clients.lines_read,
+            **{what.replace(" ", "_"): number for what, number in self.warning_counts.items()},
         )
         self.loop.stop()
--- a/flintreach/telemetry/graphite.py
+++ b/flintreach/telemetry/graphite.py
@@ -5,7 +5,7 @@
 import struct
 from collections import deque
 
-from flintreach.net.http import address
+from flintreach.net.http import parse_address
 from flintreach.pilot.interface import SECOND
 
 # State, input, next state.  A pair that is not here changes nothing.
@@ -90,7 +90,7 @@
     """
 
     def __init__(self, service, to: str, most: int):
-        self.service, self.to, self.spool = service, address(to), Spool(most)
+        self.service, self.to, self.spool = service, parse_address(to), Spool(most)
         self.state, self.transport, self.flight, self.timer = "down", None, None, None
         self.failures = self.dropped = self.batches = 0
 
@@ -113,7 +113,7 @@
         transport.set_write_buffer_limits(high=0)  # heard of as soon as the last byte has left
         if self.step("connected"):
             self.failures = 0
-            self.service.mode("graphite", "up")
+            self.service.log_state("graphite", "up")
             self.push()
         else:
             transport.abort()
@@ -133,9 +133,9 @@
             self.transport.abort()
             self.transport = None
         if self.state != "stopped":
-            self.service.mode("graphite", "down", why)
+            self.service.log_state("graphite", "down", why)
             self.failures += 1
-            self.service.clock.retry(self.failures + 3, self.start)  # it is no urgent peer
+            self.service.clock.retry_later(self.failures + 3, self.start)  # it is no urgent peer
 
     def put(self, data: bytes) -> None:
         self.dropped += self.spool.put(data)
@@ -148,7 +148,9 @@
             if not self.transport.get_write_buffer_size():
                 self.resume_writing()
             else:
-                self.timer = self.service.clock.limit(STUCK, lambda: self.lost("reads nothing", "stuck"))
+                self.timer = self.service.clock.start_timeout(
+                    STUCK, lambda: self.lost("reads nothing", "stuck")
+                )
 
     def pause_writing(self) -> None:
         """The batch under way has not left whole."""
--- a/flintreach/telemetry/measures.py
+++ b/flintreach/telemetry/measures.py
@@ -26,7 +26,7 @@
     def __init__(self, service):
         self.service, self.counters = service, Counter()
         self.spans = {name.name: HdrHistogram(1, LONGEST, 2) for name in NAMES if name.kind == "histogram"}
-        service.taps.append(self.tap)
+        service.turn_observers.append(self.tap)
 
     def tap(self, now: int, events: list, orders: list, took: int) -> None:
         """`took` in nanoseconds."""
@@ -53,33 +53,33 @@
         with open("/proc/self/statm") as file:
             resident = int(file.read().split()[1]) * PAGE / 2**20
         found = {
-            "turns.deepest": service.deepest,
-            "turns.waiting": len(service.gathered),
-            "reports.lines": service.clients.lines,
-            "relay.waiting": len(service.calls.waiting),
-            "relay.flight": len(service.calls.flight),
-            "relay.doubt": int(service.calls.state == "doubt"),
+            "turns.deepest": service.peak_pending_events,
+            "turns.waiting": len(service.pending_events),
+            "reports.lines": service.clients.lines_read,
+            "relay.waiting": len(service.order_sender.pending),
+            "relay.flight": len(service.order_sender.in_flight),
+            "relay.doubt": int(service.order_sender.state == "doubt"),
             "channel.lines": sum(
                 lines for row in pilot.dispatcher.unconfirmed.values() for _, lines, _ in row
             ),
-            "probes.open": len(service.servers.open),
-            "discovery.known": int(service.roster.known),
-            "discovery.failures": service.roster.failures,
-            "relay.failures": service.calls.failures,
-            "news.failures": service.news.failures,
-            "news.proxies": len(service.news.joined),
-            "news.slices": len(service.news.tables),
+            "probes.open": len(service.prober.in_flight),
+            "discovery.known": int(service.discovery_client.has_list),
+            "discovery.failures": service.discovery_client.failures,
+            "relay.failures": service.order_sender.failures,
+            "news.failures": service.relay_feed.failures,
+            "news.proxies": len(service.relay_feed.joined_proxies),
+            "news.slices": len(service.relay_feed.tables),
             "level.fleet": pilot.dispatcher.admission_level,
-            "warnings.count": sum(service.counts.values()),
+            "warnings.count": sum(service.warning_counts.values()),
             "process.cpu": time.process_time(),
             "process.memory": round(resident, 2),
             **{
                 f"servers.{mode}": modes[mode]
                 for mode in ("fit", "cold", "out", "trial", "leaving", "unknown")
             },
-            **service.clients.figures(),
+            **service.clients.gauges(),
         }
-        for source in service.sources:
+        for source in service.gauge_sources:
             found |= source()
         return found
 
--- a/flintreach/telemetry/sender.py
+++ b/flintreach/telemetry/sender.py
@@ -18,7 +18,9 @@
         self.disk = Disk(block.history) if block.history else None
         self.writing, self.told = False, 0  # told: the last whole second
         self.tags = {"pilot": service.config.name or "pilot", **block.tags}
-        service.sources.append(lambda: {"telemetry.dropped": self.graphite.dropped if self.graphite else 0})
+        service.gauge_sources.append(
+            lambda: {"telemetry.dropped": self.graphite.dropped if self.graphite else 0}
+        )
 
     async def start(self) -> None:
         if self.graphite:
@@ -29,7 +31,7 @@
         """The next whole second; a stall skips what it covered, and sends nothing twice."""
         every = self.block.every
         wait = every - self.now() % every
-        self.service.clock.after(max(wait, SECOND // 100), self.send)
+        self.service.clock.call_later(max(wait, SECOND // 100), self.send)
 
     def send(self) -> None:
         when = (self.now() + self.block.every // 2) // self.block.every * self.block.every // SECOND
@@ -38,7 +40,7 @@
         self.told, values = when, self.measures.snapshot()
         if self.graphite:
             rows = [(path(self.block.prefix, name, self.tags), when, value) for name, value in values.items()]
-            for source in self.service.tagged:
+            for source in self.service.tagged_gauge_sources:
                 rows += [
                     (path(self.block.prefix, name, self.tags | tags), when, value)
                     for name, tags, value in source()
@@ -61,7 +63,7 @@
 
     def written(self, state: str, why: str) -> None:
         self.writing = False
-        self.service.mode("history", state, why)
+        self.service.log_state("history", state, why)
 
     def stop(self) -> None:
         if self.graphite:
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -523,7 +523,7 @@
             net_config.load(str(path), {}), self.loop, self.log, lambda service: Front(service, block)
         )
         self.service.pilot = self.recorder = RecordingPilot()
-        self.held = self.service.roster.read(self.service.config.known, "cached")
+        self.held = self.service.discovery_client.parse_list(self.service.config.cached_list, "cached")
         listen = self.service.clients.listen
 
         async def remember(at):
@@ -554,7 +554,7 @@
         return peer
 
     def end(self):
-        self.service.clients.end()
+        self.service.clients.close()
         self.relay.close()
         self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.close()
@@ -594,7 +594,7 @@
     shop.until(lambda: {n: v[:2] for n, v in counted().items()} == {n: v[:2] for n, v in wanted.items()})
     assert all(abs(counted()[n][2] - wanted[n][2]) < 1e-6 * wanted[n][2] for n in wanted)
     assert len(shop.sums()) < answered  # they were summed up
-    shop.until(lambda: shop.service.counts.get("report not understood") == answered)
+    shop.until(lambda: shop.service.warning_counts.get("report not understood") == answered)
 
 
 def test_a_slow_deciding_process_pushes_back_and_loses_nothing(shop):
@@ -615,10 +615,10 @@
 
     processes = [hand.process.pid for hand in shop.service.clients.all()]
     shop.service.pilot.handle = fail
-    shop.service.event(interface.TimerFired(0))
+    shop.service.enqueue(interface.TimerFired(0))
     shop.loop.run_forever()  # until it stops itself
     assert shop.service.status == 1 and "the decisions failed" in shop.log.lines
-    shop.service.clients.end()
+    shop.service.clients.close()
     assert all(map(gone, processes))
 
 
@@ -636,7 +636,7 @@
     gc.collect()
     shop.until(lambda: "s1" not in shop.service.clients.numbers)
     peer.send(outcomes("s1", 2))
-    shop.until(lambda: shop.service.counts.get("report on an unknown endpoint"))
+    shop.until(lambda: shop.service.warning_counts.get("report on an unknown endpoint"))
     fresh = shop.service.registry.server("s1")
     shop.until(lambda: shop.service.clients.numbers.get("s1", before) != before)
     shop.until(lambda: all(before not in hand.told for hand in shop.service.clients.hands))
--- a/tests/evidence/test_evidence.py
+++ b/tests/evidence/test_evidence.py
@@ -416,7 +416,7 @@
         path.write_text(json.dumps(told()))
         service = Service(load(str(path), {}), FakeLoop(), RecordingLog())
         service.pilot = RecordingPilot()
-        service.listed = service.roster.read(service.config.known, "cached")
+        service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
         usual = {"listen": "127.0.0.1:0", "accept": "any", "hosts": {"h1": "s1", "h2": "s2"}}
         block = Block(**(usual | settings))
         made.append(Intake(service, block))
@@ -428,7 +428,7 @@
 
 
 def measured(intake):
-    return [event for event in intake.service.gathered if isinstance(event, interface.HostLoad)]
+    return [event for event in intake.service.pending_events if isinstance(event, interface.HostLoad)]
 
 
 def rounds(intake, count, wrap=lambda data: data, **changes):
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -6,7 +6,7 @@
 
 from flintreach.net import config, http, relay, roster, servers
 from flintreach.net.clients import Client
-from flintreach.net.pilots import Pilots
+from flintreach.net.pilots import PeerMessenger
 from flintreach.net.service import Service
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
@@ -27,7 +27,9 @@
         path.write_text(json.dumps(told(**changes)))
         service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
         service.pilot = RecordingPilot()
-        service.listed = service.roster.read(service.config.known, "cached")  # for as long as decisions would
+        service.listed = service.discovery_client.parse_list(
+            service.config.cached_list, "cached"
+        )  # for as long as decisions would
         return service
 
     return build
@@ -35,7 +37,7 @@
 
 def joined(service):
     """Its news connection, with three proxies and all slices told."""
-    service.news.look()
+    service.relay_feed.look()
     news = FakeConnection.created[-1]
     news.deliver(*stands(), ())
     service.loop.run(0.1)
@@ -66,7 +68,7 @@
 
 
 def order(service, *orders):
-    service.carry([*orders, interface.Mark(7)])
+    service.execute_orders([*orders, interface.Mark(7)])
 
 
 # Clients.
@@ -103,7 +105,7 @@
     service = make()
     rows = text(SUMS, HOT, SUMS | {"target": "unheard-of"}, DEMAND)
     connect(service, AGENT, *[bytes([byte]) for byte in rows])
-    heard, demand, usage = service.gathered
+    heard, demand, usage = service.pending_events
     assert (usage.slice, usage.proxy.number, usage.tries) == (None, 2, 5)
     assert (heard.zone, heard.server.name, heard.tries, heard.unanswered) == (1, "s1", 9, 1)
     assert (heard.latency, heard.span, heard.load) == (41_500_000, SECOND, {"util": 0.5, "queue": 2})
@@ -156,8 +158,11 @@
     service = make()
     collector = connect(service, AGENT, text(SUMS)[:20], text(SUMS)[20:] + text(message, HOT))
     assert not collector.transport.closed and collector.state == "collector"
-    assert [type(event) for event in service.gathered] == [interface.ServerReport, interface.DemandReport]
-    assert service.counts == {"report not understood": 1} or message == SUMS | {"target": "x"}
+    assert [type(event) for event in service.pending_events] == [
+        interface.ServerReport,
+        interface.DemandReport,
+    ]
+    assert service.warning_counts == {"report not understood": 1} or message == SUMS | {"target": "x"}
     assert connect(service, text(message)).transport.closed
 
 
@@ -167,7 +172,7 @@
     other = connect(service, AGENT)
     client = connect(service, AGENT, text(HOT) + line + b"\n" + text(HOT))
     assert (client.transport.closed, other.transport.closed) == (True, False)
-    assert len(service.gathered) == 1 and connect(service, line + b"\n").transport.closed
+    assert len(service.pending_events) == 1 and connect(service, line + b"\n").transport.closed
 
 
 @pytest.mark.parametrize(
@@ -185,7 +190,7 @@
     service = make()
     asked = connect(service, b'{"msg":"probe"}\n' + text(message))
     assert connect(service, text(message, HOT)).transport.closed and asked.transport.closed
-    assert not service.gathered
+    assert not service.pending_events
 
 
 @pytest.mark.parametrize(
@@ -224,7 +229,10 @@
             if not client.transport.closed and says != b"{":
                 client.data_received(says)
     assert all(client.transport.closed for client in strangers) and not collector.transport.closed
-    assert not service.clients.open["stranger"] and service.clients.held == collector.held
+    assert (
+        not service.clients.by_state["stranger"]
+        and service.clients.buffered_bytes == collector.buffered_bytes
+    )
 
 
 def test_hundreds_of_strangers_push_out_neither_collectors_nor_questions(make):
@@ -233,7 +241,7 @@
     strangers = [connect(service) for _ in range(500)]
     strangers[-1].data_received(AGENT)
     assert not any(client.transport.closed for client in [*collectors, asks, strangers[-1]])
-    assert sum(not client.transport.closed for client in strangers) <= service.limits.strangers + 1
+    assert sum(not client.transport.closed for client in strangers) <= service.limits.max_strangers + 1
     service.loop.run(3)
     assert not asks.transport.closed and all(client.transport.closed for client in strangers[:-1])
     service.check_ready(True)
@@ -246,16 +254,16 @@
     service = make(limits={"memory_mb": 32, "sockets": 256})
     clients = [connect(service, AGENT, b'{"msg":"later","pad":"' + b"x" * 900_000) for _ in range(20)]
     assert sum(client.transport.closed for client in clients) > 5
-    assert service.clients.held <= service.limits.held
+    assert service.clients.buffered_bytes <= service.limits.max_buffered_bytes
     first = next(client for client in clients if not client.transport.closed)
     first.data_received(b'"}\n')
-    assert first.buffer.size < 100_000 and not first.transport.closed
+    assert first.buffer.capacity < 100_000 and not first.transport.closed
 
 
 def test_collectors_that_vanished_make_room_for_new_ones(make):
     """They give no sign; without room the new collectors of their zones would be turned away for ever."""
     service = make()
-    old = [connect(service, AGENT) for _ in range(service.limits.collectors)]
+    old = [connect(service, AGENT) for _ in range(service.limits.max_collectors)]
     for client in old[1:]:
         client.data_received(text(HOT))
     new = connect(service, AGENT)
@@ -265,7 +273,7 @@
 def test_who_reads_nothing_is_dropped_and_a_flood_of_sums_waits_for_a_turn(make):
     service = make()
     client = connect(service, AGENT)
-    client.data_received(text(HOT) * service.limits.events)
+    client.data_received(text(HOT) * service.limits.max_pending_events)
     assert not client.transport.reading
     service.loop.run(0.1)
     assert client.transport.reading
@@ -276,7 +284,7 @@
 def test_a_sign_of_life_waits_for_discovery_but_not_for_ever(make):
     service = make()
     client = connect(service, b'{"msg":"probe"}\n')
-    service.roster.start()
+    service.discovery_client.start()
     assert client.transport.written == b""
     FakeConnection.created[0].end(body=listing())
     assert client.transport.written == b'{"msg":"alive"}\n'
@@ -291,7 +299,7 @@
 
 def test_the_whole_list_then_watches_at_once(make):
     service = make()
-    service.roster.start()
+    service.discovery_client.start()
     wire = FakeConnection.created[0]
     assert wire.path == "/discovery/hosts"
     wire.end(body=listing(2, 41))
@@ -340,7 +348,7 @@
 )
 def test_a_bad_answer_leaves_the_old_list_standing(make, how, status, body, path, told):
     service = make()
-    service.roster.start()
+    service.discovery_client.start()
     FakeConnection.created[0].end(body=listing(2, 41))
     seen(service)
     service.pilot.seen.clear()
@@ -354,12 +362,12 @@
 def test_where_the_list_must_be_asked_for_the_decisions_ask(make):
     settings = told()["settings"] | {"discovery": "on_request"}
     service = make(settings=settings)
-    service.roster.start()
+    service.discovery_client.start()
     assert not FakeConnection.created
-    service.carry([interface.WatchServers(True)])
+    service.execute_orders([interface.WatchServers(True)])
     FakeConnection.created[0].end("broken")
     assert seen(service) == [("failed",)]
-    service.carry([interface.FetchServerList()])
+    service.execute_orders([interface.FetchServerList()])
     FakeConnection.created[-1].end(body=listing(1))
     assert seen(service)[1:] == [("full", ("s0", "ready"))]
 
@@ -373,25 +381,25 @@
     collector, sizes = connect(service, AGENT), []
     for n in range(4, 3004):
         rows = [row(n - 4, "removed"), row(n, since_ms=now // 1_000_000)]
-        service.event(service.roster.read(listing(0, n, False, endpoints=rows), "delta"))
+        service.enqueue(service.discovery_client.parse_list(listing(0, n, False, endpoints=rows), "delta"))
         collector.data_received(text(SUMS | {"target": f"s{n - 4}"}, SUMS | {"target": f"s{n - 9}"}))
         news.deliver(
             ("lease", {"range": 2, "flag": True}),
             ("line", {"range": 2, "target": f"s{n - 5}", "rps": 1.0}),
             (),
         )
-        orders = service.pilot.handle(now := now + SECOND, service.gathered)
-        service.gathered.clear()
+        orders = service.pilot.handle(now := now + SECOND, service.pending_events)
+        service.pending_events.clear()
         del orders
         sizes.append(
             max(
                 len(service.registry.servers),
                 len(service.registry.names),
-                len(service.servers.addresses),
+                len(service.prober.addresses),
                 len(service.pilot.state.servers),
             )
         )
-    assert max(sizes) <= 12 and service.counts["report on an unknown endpoint"] >= 2990
+    assert max(sizes) <= 12 and service.warning_counts["report on an unknown endpoint"] >= 2990
 
 
 # Orders.
@@ -423,7 +431,7 @@
         {"op": "SYNC", "stamp": 7, "flag": 0},
     ]
     call.end(body={"taken": 8})
-    assert service.news.tables[1] == {"s3": 1.0} and service.news.tables[5] == {}
+    assert service.relay_feed.tables[1] == {"s3": 1.0} and service.relay_feed.tables[5] == {}
 
 
 def test_what_waits_is_folded_to_the_last_word_with_removals_first_and_the_mark_last(make):
@@ -431,7 +439,7 @@
     news = joined(service)
     order(service, put(service, 1, "s3"))
     order(service, put(service, 2, "s1"), put(service, 4, "s1"))
-    service.carry(
+    service.execute_orders(
         [put(service, 2, "s1", 0), put(service, 2, "s2"), put(service, 3, "s0", 0), interface.Mark(8)]
     )
     news.deliver(("lease", {"range": 4, "flag": False}))
@@ -456,7 +464,9 @@
     order(service, put(service, 1, "s3"), put(service, 2, "s3"), put(service, 3, "s3"))
     calls()[0].end(body={"taken": 1})
     assert [o.get("table", o.get("stamp")) for o in calls()[1].orders] == [3, 7]
-    assert service.news.tables[1] == {"s0": 1.0, "s3": 1.0} and service.news.tables[2] == {"s0": 1.0}
+    assert service.relay_feed.tables[1] == {"s0": 1.0, "s3": 1.0} and service.relay_feed.tables[2] == {
+        "s0": 1.0
+    }
 
 
 def test_a_reply_too_long_for_one_call_is_split(make):
@@ -533,7 +543,7 @@
         (),
     )
     calls()[0].end(body={"taken": 3})
-    assert seen(service) == [] and service.news.tables[1] == {"s3": 1.0}
+    assert seen(service) == [] and service.relay_feed.tables[1] == {"s3": 1.0}
 
 
 def test_a_connection_that_opened_before_the_doubt_does_not_settle_it(make):
@@ -545,7 +555,9 @@
     order(service, put(service, 1, "s3"))
     calls()[0].end("silent")
     assert (
-        early.state == "closed" and FakeConnection.created[-1] is not early and service.calls.state == "doubt"
+        early.state == "closed"
+        and FakeConnection.created[-1] is not early
+        and service.order_sender.state == "doubt"
     )
 
 
@@ -593,7 +605,7 @@
 
 def test_what_the_protocol_cannot_carry_is_refused_plainly(make):
     service = make()
-    service.carry([interface.BindProxy(service.registry.slice(1), service.registry.proxy(1))])
+    service.execute_orders([interface.BindProxy(service.registry.slice(1), service.registry.proxy(1))])
     assert not calls() and any("can't carry" in line for line in service.log.lines)
 
 
@@ -707,12 +719,12 @@
 )
 def test_probes_tell_how_they_ended(make, how, status, body, said, load):
     service = make()
-    service.carry([interface.Probe(service.registry.server("s2"))])
+    service.execute_orders([interface.Probe(service.registry.server("s2"))])
     assert (
         FakeConnection.created[0].path == "/metrics/load" and FakeConnection.created[0].to == "127.0.0.1:9002"
     )
     FakeConnection.created[0].end(how, status, body)
-    (event,) = service.gathered
+    (event,) = service.pending_events
     assert (event.status, event.load) == (said, load)
 
 
@@ -721,9 +733,9 @@
     """Told as one that could not connect, it condemned healthy servers when many were asked at once."""
     service = make(limits={"sockets": 16})
     servers = [service.registry.server(f"s{n}") for n in (range(3) if known else range(90, 93))]
-    service.carry([interface.Probe(server) for server in servers])
-    assert len(FakeConnection.created) == (2 if known else 0) and not service.gathered
-    assert service.counts == {"question not sent": 1 if known else 3}
+    service.execute_orders([interface.Probe(server) for server in servers])
+    assert len(FakeConnection.created) == (2 if known else 0) and not service.pending_events
+    assert service.warning_counts == {"question not sent": 1 if known else 3}
 
 
 def test_datagrams_go_and_come_between_the_pilots_alone(make):
@@ -732,7 +744,7 @@
             self.append((data, to))
 
     service = make()
-    pilots = Pilots(service, ["127.0.0.1:1", "127.0.0.2:2"], "127.0.0.9:3")
+    pilots = PeerMessenger(service, ["127.0.0.1:1", "127.0.0.2:2"], "127.0.0.9:3")
     pilots.connection_made(Sent())
     pilots.tell(1, b"a")
     pilots.tell(None, b"b")
@@ -740,7 +752,7 @@
     assert pilots.transport == [(b"a", ("127.0.0.2", 2)), (b"b", ("127.0.0.9", 3))]
     for data, source in ((b"c", ("127.0.0.2", 2)), (b"d", ("127.0.0.3", 2)), (bytes(257), ("127.0.0.2", 2))):
         pilots.datagram_received(data, source)
-    assert [(event.pilot, event.data) for event in service.gathered] == [(1, b"c")]
+    assert [(event.pilot, event.data) for event in service.pending_events] == [(1, b"c")]
 
 
 class Socketless(http.Connection):
@@ -791,7 +803,7 @@
 def test_a_time_limit_first_reads_what_came_during_a_stall(make):
     service = make()
     done = []
-    service.clock.limit(SECOND, lambda: done.append("late"))
+    service.clock.start_timeout(SECOND, lambda: done.append("late"))
     service.loop.run(1.0)
     assert not done
     service.loop.run(0.1)
@@ -801,7 +813,7 @@
 def test_wakes_come_in_time_and_never_within_the_reply_that_asked(make):
     service = make()
     service.pilot.orders = [interface.SetTimer(service.clock.now(), 5)]
-    service.event(interface.TimerFired(1))
+    service.enqueue(interface.TimerFired(1))
     service.loop.run(0.001)
     assert [event.label for event in service.pilot.seen] == [1]
     service.loop.run(0.1)
@@ -811,15 +823,15 @@
 def test_a_timer_that_fires_early_wakes_nobody(make):
     """The loop rounds to milliseconds; decisions woken too soon would never ask for another wake."""
     service = make()
-    service.carry([interface.SetTimer(service.clock.now() + 60 * SECOND, 5)])
+    service.execute_orders([interface.SetTimer(service.clock.now() + 60 * SECOND, 5)])
     service.loop.run(300)  # the loop's time runs ahead of the clock
-    assert not service.gathered and not service.pilot.seen and not service.loop.due[-1].off
+    assert not service.pending_events and not service.pilot.seen and not service.loop.due[-1].off
 
 
 def test_a_failure_of_the_decisions_ends_the_process_with_its_trace(make):
     service = make()
     service.pilot.handle = lambda now, events: 1 // 0
-    service.event(interface.TimerFired(1))
+    service.enqueue(interface.TimerFired(1))
     service.loop.run(1)
     assert service.loop.stopped and service.status == 1 and "the decisions failed" in service.log.lines
 
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -186,7 +186,7 @@
     path.write_text(json.dumps(told(slices=40)))
     made = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
     made.pilot = RecordingPilot()
-    made.listed = made.roster.read(made.config.known, "cached")
+    made.listed = made.discovery_client.parse_list(made.config.cached_list, "cached")
     return made
 
 
@@ -202,18 +202,18 @@
 
 def test_one_that_has_much_to_say_is_read_in_portions(service):
     loud, quiet = client(service), client(service)
-    most = service.limits.portion
+    most = service.limits.max_lines_per_read
     loud.data_received(HOT * (2 * most + 10) + HOT[:20])
-    assert len(service.gathered) == most and not loud.transport.reading
+    assert len(service.pending_events) == most and not loud.transport.reading
     quiet.data_received(HOT)
-    assert len(service.gathered) == most + 1
+    assert len(service.pending_events) == most + 1
     service.loop.run(10.0)  # longer than half a line may wait: what waits for us is no fault of its own
     assert sum(isinstance(event, interface.DemandReport) for event in service.pilot.seen) == 2 * most + 11
     assert loud.state == "dropped" and quiet.transport.reading  # the rest of its last line never came
 
 
 def test_a_full_turn_takes_what_is_urgent_first_and_parts_no_slice_from_its_lines(service):
-    most = service.limits.turn
+    most = service.limits.max_events_per_turn
     pieces = [interface.Slice(n) for n in range(most)]
     server = interface.Server("s")
     sums = [interface.DemandReport(piece, None, None, 1, 0, SECOND) for piece in pieces]
@@ -227,14 +227,14 @@
         )
     ]
     drained = interface.ServerList("delta", [])
-    service.gathered = [*sums, drained]
-    service.turn()
+    service.pending_events = [*sums, drained]
+    service.run_turn()
     assert service.pilot.seen[0] is drained and len(service.pilot.seen) == most
     service.pilot.seen.clear()
-    service.gathered = [*sums, *news]
-    while service.gathered:
+    service.pending_events = [*sums, *news]
+    while service.pending_events:
         before = len(service.pilot.seen)
-        service.turn()
+        service.run_turn()
         turn = service.pilot.seen[before:]
         assert len(turn) <= most + 2 and not isinstance(turn[0], interface.SliceReplica)
     assert len(service.pilot.seen) == len(sums) + len(news)
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -37,10 +37,10 @@
     def __init__(self):
         self.due = []
 
-    def retry(self, failures, do):
+    def retry_later(self, failures, do):
         self.due.append((failures, do))
 
-    def limit(self, wait, do):
+    def start_timeout(self, wait, do):
         timer = type("Timer", (), {"off": False, "cancel": lambda timer: setattr(timer, "off", True)})()
         self.due.append((timer, do))
         return timer
@@ -72,7 +72,7 @@
 @pytest.fixture
 def graphite():
     service = type("Service", (), {"clock": Clock(), "modes": []})()
-    service.mode = lambda *told: service.modes.append(told)
+    service.log_state = lambda *told: service.modes.append(told)
     made = Graphite(service, "127.0.0.1:9", 1000)
     made.state = "dialling"
     return made
@@ -174,17 +174,17 @@
 def test_a_full_disk_is_said_once_and_the_hour_in_memory_goes_on(tmp_path):
     service = SimpleNamespace(
         modes=[],
-        taps=[],
-        sources=[],
-        tagged=[],
+        turn_observers=[],
+        gauge_sources=[],
+        tagged_gauge_sources=[],
         config=SimpleNamespace(name="p"),
         loop=SimpleNamespace(
             run_in_executor=lambda pool, do, *values: do(*values),
             call_soon_threadsafe=lambda do, *values: do(*values),
         ),
-        clock=SimpleNamespace(after=lambda wait, do: None),
+        clock=SimpleNamespace(call_later=lambda wait, do: None),
     )
-    service.mode = lambda *told: service.modes.append(told)
+    service.log_state = lambda *told: service.modes.append(told)
     times = iter(range(1_700_000_000 * 10**9, 10**20, 5 * 10**9))
     made = Telemetry(service, Block(history=str(tmp_path)), lambda: next(times))
     made.measures.snapshot = lambda: {"turns.count": 5.0}
@@ -214,11 +214,11 @@
 def test_a_timer_that_fires_early_tells_no_second_twice(millis, told):
     """Also with a clock that is put back: it goes on from there."""
     service = SimpleNamespace(
-        taps=[],
-        sources=[],
-        tagged=[],
+        turn_observers=[],
+        gauge_sources=[],
+        tagged_gauge_sources=[],
         config=SimpleNamespace(name="p"),
-        clock=SimpleNamespace(after=lambda wait, do: None),
+        clock=SimpleNamespace(call_later=lambda wait, do: None),
     )
     times = iter([at * 10**6 for at in millis for _ in range(2)])
     made = Telemetry(service, Block(every=10**9), lambda: next(times))
