--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -13,7 +13,7 @@
 from flintreach.proxy.balancing import EJECTION_CONNECTION_LIMIT_NS, idle_timeout_ns
 from flintreach.proxy.connection import IDLE_LIMIT_NS
 from flintreach.proxy.endpoint import EndpointView
-from flintreach.proxy.exchange import MISDIRECTED_REQUEST, ExchangeTerms, Outcome, exchange
+from flintreach.proxy.exchange import MISDIRECTED_REQUEST, ExchangeOptions, Outcome, exchange
 from flintreach.proxy.health_check import HealthChecker, confirms_presence
 from flintreach.proxy.metrics import (
     AT_CONNECTION_LIMIT,
@@ -28,7 +28,7 @@
     Metrics,
 )
 from flintreach.proxy.outcome import OutcomeKind
-from flintreach.proxy.request import Request, endpoint_head
+from flintreach.proxy.request import Request, endpoint_request_head
 from flintreach.proxy.response import Response, parse_count
 from flintreach.proxy.view import RoutingView
 
@@ -77,7 +77,7 @@
             deadline: nobody waits for the answer after that.
 
         Raises:
-            ClientLeft: its client has left before anything went out.
+            ClientDisconnected: its client has left before anything went out.
         """
         if not self.health_checker.ensure_lease(endpoint, deadline):
             self.metrics.count(LEASE_NOT_RENEWED)
@@ -105,8 +105,8 @@
         self, request: Request, service: str, endpoint: EndpointView, deadline: int, began_at: int
     ) -> Outcome:
         """Run the exchange of an attempt; a good answer renews the endpoint's lease."""
-        head = endpoint_head(request, endpoint.id, deadline - began_at)
-        request_id = request.by_name.get("x-try-id", "")
+        head = endpoint_request_head(request, endpoint.id, deadline - began_at)
+        request_id = request.headers_by_name.get("x-try-id", "")
         terms = self.terms(request, service, endpoint, deadline, began_at)
         outcome = exchange(endpoint.pool, head, request.body, request_id, terms, request.connections)
         if outcome.kind == OutcomeKind.ANSWERED and confirms_presence(outcome.response):
@@ -115,7 +115,7 @@
 
     def terms(
         self, request: Request, service: str, endpoint: EndpointView, deadline: int, began_at: int
-    ) -> ExchangeTerms:
+    ) -> ExchangeOptions:
         """What binds the exchange of an attempt."""
         idle_limit_ns = IDLE_LIMIT_NS
         service_config = self.view.routes.service_configs.get(service)
@@ -127,7 +127,7 @@
                 IDLE_LIMIT_NS,
                 service_config.sharded,
             )
-        return ExchangeTerms(
+        return ExchangeOptions(
             deadline,
             CONNECT_TIMEOUT_S,
             idle_limit_ns,
@@ -142,18 +142,18 @@
         The kernel is asked, as this process may have stood still since the event loop last told of anything.
 
         Raises:
-            ClientLeft: nobody waits for the answer any more.
+            ClientDisconnected: nobody waits for the answer any more.
         """
         request.caller.poll()
-        request.caller.raise_if_left()
+        request.caller.raise_if_disconnected()
         return self.view.may_send(endpoint)
 
     def record_work_for_nobody(self, request: Request, began_at: int, ended_at: int) -> None:
         """Record for how long an attempt of an idempotent request went on after its client had left."""
-        left_at = request.caller.left_at
-        if left_at is None or not request.idempotent:
+        disconnected_at = request.caller.disconnected_at
+        if disconnected_at is None or not request.idempotent:
             return
-        wasted_ns = ended_at - max(began_at, left_at)
+        wasted_ns = ended_at - max(began_at, disconnected_at)
         self.metrics.observe(WORK_AFTER_DISCONNECT, wasted_ns)
         if wasted_ns > ABANDON_WITHIN_NS:
             self.metrics.count(LATE_CANCELLATION)
@@ -162,8 +162,8 @@
         """Record that the kernel has taken a whole request to an endpoint that was chosen at `chosen_at`."""
         now = time.monotonic_ns()
         endpoint.written_at = now
-        left_at = request.caller.left_at
-        if left_at is not None and left_at < chosen_at:
+        disconnected_at = request.caller.disconnected_at
+        if disconnected_at is not None and disconnected_at < chosen_at:
             self.metrics.count(SENT_AFTER_DISCONNECT)
         self.metrics.observe(SEND_TIME, now - chosen_at)
         self.metrics.observe(VIEW_AGE, now - self.view.confirmed_at())
--- a/flintreach/proxy/caller.py
+++ b/flintreach/proxy/caller.py
@@ -21,7 +21,7 @@
 KEEP_ALIVE_PROBES = 3
 
 
-class ClientLeft(ConnectionError):
+class ClientDisconnected(ConnectionError):
     """Nobody waits any more for the answer to a request."""
 
 
@@ -33,48 +33,48 @@
     """The client of one connection.
 
     Attributes:
-        left_at: steady clock, in nanoseconds, when it was seen to have left; None while it is there.
+        disconnected_at: steady clock, in nanoseconds, when it was seen to have left; None while it is there.
         poll: asks the kernel now, not when the event loop comes to it.
-        wakers: called when it leaves.
+        disconnect_callbacks: called when it leaves.
     """
 
-    __slots__ = ("left_at", "poll", "wakers")
+    __slots__ = ("disconnected_at", "poll", "disconnect_callbacks")
 
     def __init__(self) -> None:
-        self.left_at: int | None = None
+        self.disconnected_at: int | None = None
         self.poll: Callable[[], None] = ask_nobody
-        self.wakers: list[Callable[[], None]] = []
+        self.disconnect_callbacks: list[Callable[[], None]] = []
 
-    def mark_left(self) -> None:
+    def mark_disconnected(self) -> None:
         """Note that the client has left, and wake all that is done for it."""
-        if self.left_at is not None:
+        if self.disconnected_at is not None:
             return
-        self.left_at = time.monotonic_ns()
-        for wake in [*self.wakers]:
+        self.disconnected_at = time.monotonic_ns()
+        for wake in [*self.disconnect_callbacks]:
             wake()
 
-    def raise_if_left(self) -> None:
+    def raise_if_disconnected(self) -> None:
         """Return if the client still waits.
 
         Raises:
-            ClientLeft: it does not.
+            ClientDisconnected: it does not.
         """
-        if self.left_at is not None:
-            raise ClientLeft
+        if self.disconnected_at is not None:
+            raise ClientDisconnected
 
     @contextmanager
-    def waking(self, wake: Callable[[], None]) -> Iterator[None]:
+    def calling_on_disconnect(self, wake: Callable[[], None]) -> Iterator[None]:
         """Call `wake` when the client leaves while the body runs.
 
         Raises:
-            ClientLeft: it has left already.
+            ClientDisconnected: it has left already.
         """
-        self.raise_if_left()
-        self.wakers.append(wake)
+        self.raise_if_disconnected()
+        self.disconnect_callbacks.append(wake)
         try:
             yield
         finally:
-            self.wakers.remove(wake)
+            self.disconnect_callbacks.remove(wake)
 
 
 class HangupMonitor:
@@ -112,7 +112,7 @@
         for descriptor, _ in self.epoll.poll(0):
             caller = self.callers.get(descriptor)
             if caller is not None:
-                caller.mark_left()
+                caller.mark_disconnected()
 
     def close(self) -> None:
         """Watch nothing any more."""
--- a/flintreach/proxy/client_listener.py
+++ b/flintreach/proxy/client_listener.py
@@ -15,9 +15,9 @@
 from gevent.event import Event
 
 from flintreach.config.configuration import RequestLimits
-from flintreach.proxy.caller import Caller, ClientLeft, HangupMonitor
+from flintreach.proxy.caller import Caller, ClientDisconnected, HangupMonitor
 from flintreach.proxy.forwarding import Forwarder
-from flintreach.proxy.request import NO_CONTENT, NOT_MODIFIED, Answer, Request, error_answer
+from flintreach.proxy.request import NO_CONTENT, NOT_MODIFIED, ClientResponse, Request, error_response
 from flintreach.proxy.request_parser import BadRequest, ByteSource, parse_head, read_body
 
 MS_PER_S = 1000
@@ -38,7 +38,7 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def answer_head(answer: Answer, request: Request | None, close: bool) -> bytes:
+def answer_head(answer: ClientResponse, request: Request | None, close: bool) -> bytes:
     """The head of an answer, as it goes to the client.
 
     Args:
@@ -49,7 +49,7 @@
     lines = [f"HTTP/1.1 {answer.status} {answer.reason}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
     names = {name.lower() for name, _ in answer.headers}
-    request_id = request.by_name.get("x-try-id") if request else None
+    request_id = request.headers_by_name.get("x-try-id") if request else None
     if request_id and "x-try-id" not in names:
         lines.append(f"X-Try-Id: {request_id}")
     # To HEAD there is only the length that the endpoint told: none is not nought (RFC 9110, section 8.6).
@@ -94,7 +94,7 @@
         self.closing = False
         self.reader: gevent.Greenlet | None = None
         self.caller = Caller()
-        self.caller.wakers.append(self.on_client_left)
+        self.caller.disconnect_callbacks.append(self.on_client_left)
 
     def handle(self) -> None:
         """Read and answer requests until the connection ends; the server calls it in its own greenlet."""
@@ -114,7 +114,7 @@
         finally:
             self.wait_for_pipelined()
             self.server.handlers.discard(self)
-            self.end()
+            self.close()
 
     def wait_for_pipelined(self) -> None:
         """Wait until all pipelined requests so far are answered."""
@@ -172,7 +172,7 @@
         Returns:
             False where the connection ends first.
         """
-        if request.by_name.get("expect", "").lower() != "100-continue":
+        if request.headers_by_name.get("expect", "").lower() != "100-continue":
             return True
         # An answer to what came before may be half written: nothing may stand inside it or before it.
         self.wait_for_pipelined()
@@ -183,7 +183,7 @@
 
     def dispatch(self, request: Request) -> None:
         """Begin to forward a request; return when the next one may be read."""
-        close = "close" in request.by_name.get("connection", "").lower()
+        close = "close" in request.headers_by_name.get("connection", "").lower()
         if not self.may_run_beside(request, close):
             # One that must not run twice runs only when all before it are answered: they may close.
             self.wait_for_pipelined()
@@ -231,26 +231,26 @@
         except Exception as error:
             # Without this answer the next would stand in its place.
             self.closing = True
-            self.end()
+            self.close()
             if not isinstance(error, OSError):
                 raise
         finally:
             self.pending -= 1
             answered.set()
 
-    def forward(self, request: Request) -> Answer:
+    def forward(self, request: Request) -> ClientResponse:
         """The answer to a request, whatever happens: a gap among the answers would be filled by the next one.
 
         Raises:
-            ClientLeft: nobody waits for any answer on this connection.
+            ClientDisconnected: nobody waits for any answer on this connection.
         """
         try:
             return self.server.forwarder.forward(request)
-        except ClientLeft:
+        except ClientDisconnected:
             raise
         except Exception:
             gevent.get_hub().handle_error(self, *sys.exc_info())
-            return error_answer(502)  # no promise: it may have run
+            return error_response(502)  # no promise: it may have run
 
     def refuse(self, status: int) -> None:
         """Refuse what could not be read; that ends the connection, behind the answers to what came before."""
@@ -258,11 +258,11 @@
         if self.closing:
             return
         try:
-            self.send_answer(None, error_answer(status), True)
+            self.send_answer(None, error_response(status), True)
         except OSError:
             pass
 
-    def send_answer(self, request: Request | None, answer: Answer, close: bool) -> None:
+    def send_answer(self, request: Request | None, answer: ClientResponse, close: bool) -> None:
         """Send an answer, and end the connection behind it where that is due.
 
         Args:
@@ -285,7 +285,7 @@
             with gevent.Timeout(LINGER_S, False):
                 while self.socket.recv(LINGER_READ_SIZE):
                     pass
-            self.end()
+            self.close()
 
     def on_client_left(self) -> None:
         """The client has left: nothing else of this connection is read or forwarded."""
@@ -300,7 +300,7 @@
         except OSError:  # nothing there
             return True
 
-    def end(self) -> None:
+    def close(self) -> None:
         """End the connection."""
         try:
             self.server.hangups.remove(self.socket)
--- a/flintreach/proxy/exchange.py
+++ b/flintreach/proxy/exchange.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class ExchangeTerms:
+class ExchangeOptions:
     """What binds one exchange.
 
     Attributes:
@@ -139,7 +139,7 @@
         "reusable",
     )
 
-    def __init__(self, connection: Connection, data: bytes, request_id: str, terms: ExchangeTerms) -> None:
+    def __init__(self, connection: Connection, data: bytes, request_id: str, terms: ExchangeOptions) -> None:
         self.connection = connection
         self.request_id = request_id
         self.terms = terms
@@ -194,7 +194,7 @@
                 pass  # what was complete before the garbage counts
             # An old response may stand in the place of this one: the id tells.
             for response in self.parser.complete:
-                if response.answers(self.request_id):
+                if response.matches_request(self.request_id):
                     return self.take_response(response)
             self.received_bytes += len(data)
             if self.has_read_enough():
@@ -251,7 +251,7 @@
     head: bytes,
     body: bytes,
     request_id: str,
-    terms: ExchangeTerms,
+    terms: ExchangeOptions,
     used: list[Connection] | None = None,
 ) -> Outcome:
     """Send one request and read its response.
--- a/flintreach/proxy/forwarding.py
+++ b/flintreach/proxy/forwarding.py
@@ -24,7 +24,7 @@
     hedging_delay_ns,
     max_warm_up_senders,
 )
-from flintreach.proxy.caller import Caller, ClientLeft
+from flintreach.proxy.caller import Caller, ClientDisconnected
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.exchange import Outcome
 from flintreach.proxy.hedging import Hedge, HedgedOutcome
@@ -40,7 +40,13 @@
     Metrics,
 )
 from flintreach.proxy.outcome import OutcomeKind
-from flintreach.proxy.request import RETRY_AFTER_S, Answer, Request, error_answer, forwarded_answer
+from flintreach.proxy.request import (
+    RETRY_AFTER_S,
+    ClientResponse,
+    Request,
+    error_response,
+    forwarded_response,
+)
 from flintreach.proxy.response import parse_count
 from flintreach.proxy.retry_budget import RetryBudget
 from flintreach.proxy.retry_policy import decide_retry
@@ -95,9 +101,9 @@
     status: int = SERVICE_UNAVAILABLE
 
 
-def final_answer(status: int) -> Answer:
+def final_answer(status: int) -> ClientResponse:
     """The answer where no endpoint gave one; only 503, which promises that nothing ran, invites a retry."""
-    return error_answer(status, RETRY_AFTER_S if status == SERVICE_UNAVAILABLE else None)
+    return error_response(status, RETRY_AFTER_S if status == SERVICE_UNAVAILABLE else None)
 
 
 class Forwarder:
@@ -149,7 +155,7 @@
 
     def find_route(self, request: Request) -> Route | None:
         """The route of a request, by its host without port and its path without query."""
-        authority = request.by_name.get("host", "")
+        authority = request.headers_by_name.get("host", "")
         host = authority.rpartition(":")[0] or authority
         return self.view.routes.find(host, request.target.partition("?")[0])
 
@@ -160,22 +166,22 @@
         route = self.find_route(request)
         return route is not None and route.idempotent
 
-    def forward(self, request: Request) -> Answer:
+    def forward(self, request: Request) -> ClientResponse:
         """The answer to a request.
 
         Raises:
-            ClientLeft: nobody waits for it any more; then nothing is at work that may be cancelled.
+            ClientDisconnected: nobody waits for it any more; then nothing is at work that may be cancelled.
         """
         if self.view.routes is None:
             return final_answer(SERVICE_UNAVAILABLE)
         route = self.find_route(request)
         if route is None:
             self.metrics.count(NO_ROUTE)
-            return error_answer(404)
+            return error_response(404)
         request.idempotent = route.idempotent
         try:
             return self.forward_in_turn(self.routed(request, route))
-        except ClientLeft:
+        except ClientDisconnected:
             self.metrics.count(CLIENT_DISCONNECTED)
             raise
 
@@ -183,13 +189,13 @@
         """Draw the service of a request, and count it there."""
         service = self.draw_service(route)
         time_left_ns = route.deadline_ns
-        time_left_ms = parse_count(request.by_name.get("x-time-left-ms", ""))
+        time_left_ms = parse_count(request.headers_by_name.get("x-time-left-ms", ""))
         if time_left_ms is not None:
             time_left_ns = min(time_left_ns, time_left_ms * NS_PER_MS)
         self.load_aggregate.request(format_slice_name(route, service))
         budget = self.budget(service)
         budget.count_request(time.monotonic_ns())
-        key = parse_count(request.by_name.get("x-shard-key", ""))
+        key = parse_count(request.headers_by_name.get("x-shard-key", ""))
         if key is not None and key >= KEYS:
             key = None
         if key is not None and self.view.is_sharded(service):
@@ -197,7 +203,7 @@
         deadline = request.received_at + time_left_ns
         return RoutedRequest(request, route, service, key, deadline, budget)
 
-    def forward_in_turn(self, routed: RoutedRequest) -> Answer:
+    def forward_in_turn(self, routed: RoutedRequest) -> ClientResponse:
         """Forward a request; large answers take turns on the link, others go on at once."""
         route = routed.route
         size = self.link_admission.expected_size(route.name, route.kind == BULKY_KIND)
@@ -218,23 +224,23 @@
         """Wait for the turn of a large answer; whether it has come in time.
 
         Raises:
-            ClientLeft: it has not come, and nobody waits for the answer any more.
+            ClientDisconnected: it has not come, and nobody waits for the answer any more.
         """
         turn = Event()
         wake = turn.set
-        with caller.waking(wake):
+        with caller.calling_on_disconnect(wake):
             if self.link_admission.acquire(size, wake):
                 return True
             turn.wait(longest_wait_ns / NS_PER_S)
         if not self.link_admission.cancel(wake):
             return True
-        caller.raise_if_left()
+        caller.raise_if_disconnected()
         return False
 
-    def try_endpoints(self, routed: RoutedRequest) -> Answer:
+    def try_endpoints(self, routed: RoutedRequest) -> ClientResponse:
         """Try one endpoint after the other, as far as outcomes, time and budget allow."""
         while True:
-            routed.request.caller.raise_if_left()
+            routed.request.caller.raise_if_disconnected()
             now = time.monotonic_ns()
             if now >= routed.deadline:
                 return final_answer(GATEWAY_TIMEOUT if routed.sent else SERVICE_UNAVAILABLE)
@@ -253,7 +259,7 @@
             if hedged.outcome.kind == OutcomeKind.ANSWERED:
                 response = hedged.outcome.response
                 self.link_admission.observe(routed.route.name, len(response.body))
-                return forwarded_answer(response, routed.request)
+                return forwarded_response(response, routed.request)
             if not self.may_go_on(routed, hedged):
                 return final_answer(routed.status)
 
--- a/flintreach/proxy/health_check.py
+++ b/flintreach/proxy/health_check.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from flintreach.proxy.endpoint import EndpointView
-from flintreach.proxy.exchange import NS_PER_S, ExchangeTerms, exchange
+from flintreach.proxy.exchange import NS_PER_S, ExchangeOptions, exchange
 from flintreach.proxy.metrics import HEALTH_CHECKS, Metrics
 from flintreach.proxy.response import Response
 from flintreach.proxy.view import RoutingView
@@ -77,7 +77,7 @@
             f"X-Expect-Endpoint: {endpoint.id}",
         ]
         head = "\r\n".join([*lines, "", ""]).encode()
-        terms = ExchangeTerms(now + int(CHECK_TIMEOUT_S * NS_PER_S), CONNECT_TIMEOUT_S)
+        terms = ExchangeOptions(now + int(CHECK_TIMEOUT_S * NS_PER_S), CONNECT_TIMEOUT_S)
         response = exchange(endpoint.pool, head, b"", "", terms).response
         if response is None or response.status != 200:
             return
--- a/flintreach/proxy/hedging.py
+++ b/flintreach/proxy/hedging.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent.queue import Empty, SimpleQueue
 
-from flintreach.proxy.caller import Caller, ClientLeft
+from flintreach.proxy.caller import Caller, ClientDisconnected
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.exchange import Outcome
 from flintreach.proxy.outcome import OutcomeKind
@@ -63,13 +63,13 @@
             delay_s: for how long the first must have been silent; None: it is asked alone.
 
         Raises:
-            ClientLeft: nobody waits for the answer any more.
+            ClientDisconnected: nobody waits for the answer any more.
         """
         self.start(first)
         try:
-            with self.caller.waking(self.wake):
+            with self.caller.calling_on_disconnect(self.wake):
                 return self.wait_for_outcome(choose_second, delay_s)
-        except ClientLeft:
+        except ClientDisconnected:
             gevent.killall(self.attempts, block=False)
             raise
         finally:
@@ -102,7 +102,7 @@
         outcome = Outcome(OutcomeKind.NO_VALID_RESPONSE)
         try:
             outcome = self.attempt(endpoint)
-        except ClientLeft:
+        except ClientDisconnected:
             pass  # the caller itself wakes the one that waits
         finally:
             self.outcomes.put(outcome)
@@ -116,8 +116,8 @@
 
         Raises:
             Empty: there was none within `wait_s`.
-            ClientLeft: nobody waits for the answer any more.
+            ClientDisconnected: nobody waits for the answer any more.
         """
         outcome = self.outcomes.get(timeout=wait_s)
-        self.caller.raise_if_left()
+        self.caller.raise_if_disconnected()
         return outcome
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -232,7 +232,7 @@
         while time.monotonic() < end_s:
             for handler in [*self.client_listener.handlers]:
                 if handler.is_idle():
-                    handler.end()
+                    handler.close()
             if not self.client_listener.handlers:
                 break
             gevent.sleep(DRAIN_LOOK_INTERVAL_S)
--- a/flintreach/proxy/request.py
+++ b/flintreach/proxy/request.py
@@ -62,7 +62,7 @@
         headers: (name, value) of each header, as they were sent.
         body: its body, without transfer coding.
         received_at: steady clock, in nanoseconds, when it had been read.
-        by_name: headers by their names in lower case, values of the same name joined.
+        headers_by_name: headers by their names in lower case, values of the same name joined.
         connections: connections to endpoints that it went out on.
         caller: who waits for its answer.
         idempotent: whether its route lets it run twice.
@@ -73,14 +73,14 @@
     headers: list[tuple[str, str]]
     body: bytes = b""
     received_at: int = 0
-    by_name: dict[str, str] = field(default_factory=dict)
+    headers_by_name: dict[str, str] = field(default_factory=dict)
     connections: list[Connection] = field(default_factory=list)
     caller: Caller = field(default_factory=Caller)
     idempotent: bool = False
 
 
 @dataclass(slots=True)
-class Answer:
+class ClientResponse:
     """An answer as it goes to the client.
 
     Attributes:
@@ -104,7 +104,7 @@
     return HOP_BY_HOP | (named - END_TO_END)
 
 
-def error_answer(status: int, retry_after_s: str | None = None, detail: str = "") -> Answer:
+def error_response(status: int, retry_after_s: str | None = None, detail: str = "") -> ClientResponse:
     """An answer of the proxy's own.
 
     Args:
@@ -113,10 +113,10 @@
         detail: the body.
     """
     headers = [("Retry-After", retry_after_s)] if retry_after_s else []
-    return Answer(status, REASONS.get(status, UNKNOWN_REASON), headers, detail.encode())
+    return ClientResponse(status, REASONS.get(status, UNKNOWN_REASON), headers, detail.encode())
 
 
-def endpoint_head(request: Request, endpoint_id: str, left_ns: int) -> bytes:
+def endpoint_request_head(request: Request, endpoint_id: str, left_ns: int) -> bytes:
     """The head of a request as it goes out to an endpoint.
 
     Args:
@@ -124,7 +124,7 @@
         endpoint_id: whom it is for; another endpoint at the same address must refuse it.
         left_ns: time until nobody waits for the answer.
     """
-    dropped = dropped_headers(request.by_name.get("connection", ""))
+    dropped = dropped_headers(request.headers_by_name.get("connection", ""))
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers if name.lower() not in dropped]
     lines.append(f"X-Time-Left-Ms: {max(1, left_ns // NS_PER_MS)}")
@@ -134,7 +134,7 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
 
-def forwarded_answer(response: Response, request: Request) -> Answer:
+def forwarded_response(response: Response, request: Request) -> ClientResponse:
     """An endpoint's response as it goes to the client."""
     dropped = dropped_headers(response.get("connection") or "")
     is_to_head = request.method == "HEAD"
@@ -143,4 +143,4 @@
     headers = [(name, value) for name, value in response.headers if name.lower() not in dropped]
     if not is_to_head and response.status not in (NO_CONTENT, NOT_MODIFIED):
         headers.append(("Content-Length", str(len(response.body))))
-    return Answer(response.status, response.reason, headers, bytes(response.body))
+    return ClientResponse(response.status, response.reason, headers, bytes(response.body))
--- a/flintreach/proxy/request_parser.py
+++ b/flintreach/proxy/request_parser.py
@@ -110,7 +110,7 @@
     for line in header_lines:
         add_header(request, line)
     # RFC 9112, section 3.2: a request without Host is refused.
-    if not request.by_name.get("host"):
+    if not request.headers_by_name.get("host"):
         raise BadRequest(400)
     check_framing(request)
     return request
@@ -147,13 +147,13 @@
     if not colon or not name or not TOKEN.issuperset(name) or "\r" in value or "\0" in value:
         raise BadRequest(400)
     lower_name = name.lower()
-    earlier_value = request.by_name.get(lower_name)
+    earlier_value = request.headers_by_name.get(lower_name)
     if earlier_value is None:
-        request.by_name[lower_name] = value
+        request.headers_by_name[lower_name] = value
     elif lower_name in SINGLE:
         raise BadRequest(400)
     else:
-        request.by_name[lower_name] = f"{earlier_value},{value}"
+        request.headers_by_name[lower_name] = f"{earlier_value},{value}"
     request.headers.append((name, value))
 
 
@@ -163,8 +163,8 @@
     Raises:
         BadRequest: two lengths, a length that is none, or a transfer coding other than chunked.
     """
-    length = request.by_name.get("content-length")
-    coding = request.by_name.get("transfer-encoding")
+    length = request.headers_by_name.get("content-length")
+    coding = request.headers_by_name.get("transfer-encoding")
     if coding is not None:
         if length is not None or coding.lower() != "chunked":
             raise BadRequest(400)
@@ -180,9 +180,9 @@
         BadRequest: it is longer than `most` bytes, or no body.
         OSError: it ends too early.
     """
-    if "transfer-encoding" in request.by_name:
+    if "transfer-encoding" in request.headers_by_name:
         return read_chunked_body(source, most)
-    length = int(request.by_name.get("content-length", 0))
+    length = int(request.headers_by_name.get("content-length", 0))
     if length > most:
         raise BadRequest(413)
     if not length:
--- a/flintreach/proxy/response.py
+++ b/flintreach/proxy/response.py
@@ -57,7 +57,7 @@
         """The value of a header, its name in lower case; the first where it stands twice."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
-    def answers(self, request_id: str) -> bool:
+    def matches_request(self, request_id: str) -> bool:
         """Whether it belongs to the request with this id, "" for none.
 
         A response that names two requests belongs to neither.
--- a/flintreach/soak/clients.py
+++ b/flintreach/soak/clients.py
@@ -85,7 +85,7 @@
             except HTTPParseError:
                 raise MisdeliveredAnswer(f"no answer: {data[:60]!r}") from None
         response = self.responses.complete.pop(0)
-        if not response.answers(request.id):
+        if not response.matches_request(request.id):
             raise MisdeliveredAnswer(f"to {request.id} came {response.status} for another")
         return response
 
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -22,7 +22,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from flintreach.api import calls
-from flintreach.proxy.caller import Caller, ClientLeft, HangupMonitor
+from flintreach.proxy.caller import Caller, ClientDisconnected, HangupMonitor
 from flintreach.sharding.range_assignment import KEYS
 from flintreach.standins.key_leases import KeyLeases
 
@@ -342,14 +342,14 @@
         self.waiting += 1
         with self.slots:
             self.waiting -= 1
-            if caller.left_at is not None:
-                cancelled = Run(request_id, arrived_at_ns, 0, caller.left_at, RunEnd.DROPPED)
+            if caller.disconnected_at is not None:
+                cancelled = Run(request_id, arrived_at_ns, 0, caller.disconnected_at, RunEnd.DROPPED)
                 self.cancelled_in_queue.append(cancelled)
                 return Reply(CANCELLED, [], b"nobody waits")
             run = self.begin_run(request_id)
             try:
                 self.wait_for_work(caller)
-            except ClientLeft:
+            except ClientDisconnected:
                 run.finish(RunEnd.DROPPED)
                 return Reply(CANCELLED, [], b"nobody waits")
             finally:
@@ -370,12 +370,12 @@
         """Wait for as long as the work on one request takes.
 
         Raises:
-            ClientLeft: its caller ended the connection.
+            ClientDisconnected: its caller ended the connection.
         """
         hung_up = Event()
-        with caller.waking(hung_up.set):
+        with caller.calling_on_disconnect(hung_up.set):
             hung_up.wait(self.work_s)
-        caller.raise_if_left()
+        caller.raise_if_disconnected()
 
     def result(self, environ: Environ, request_id: str) -> Reply:
         """The answer of a request that has run, stamped with how often it has."""
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -24,7 +24,13 @@
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.health_check import HealthChecker
 from flintreach.proxy.metrics import Metrics
-from flintreach.proxy.request import REASONS, Request, endpoint_head, error_answer, forwarded_answer
+from flintreach.proxy.request import (
+    REASONS,
+    Request,
+    endpoint_request_head,
+    error_response,
+    forwarded_response,
+)
 from flintreach.proxy.response import Response
 from flintreach.sharding.range_assignment import Range
 from flintreach.simulation.invariants import InvariantChecker
@@ -123,7 +129,9 @@
     found = {}
     for method, body in (("GET", b""), ("POST", b"abc"), ("DELETE", b""), ("PUT", b"")):
         request = Request(method, "/look/7?x=1", headers, body, 0, low, [], Caller())
-        found[f"to an endpoint: {method}"] = endpoint_head(request, "desk-1", 1_234_567_890).decode("latin-1")
+        found[f"to an endpoint: {method}"] = endpoint_request_head(request, "desk-1", 1_234_567_890).decode(
+            "latin-1"
+        )
     message = Response()
     message.status, message.reason, message.body = 200, "OK", bytearray(b"answer")
     message.headers = [
@@ -133,10 +141,10 @@
         ["X-A", "b"],
     ]
     for method in ("GET", "HEAD"):
-        answer = forwarded_answer(message, Request(method, "/look/7", headers, b"", 0, low, [], Caller()))
+        answer = forwarded_response(message, Request(method, "/look/7", headers, b"", 0, low, [], Caller()))
         found[f"from an endpoint: {method}"] = shown(answer)
     for status in (*REASONS, 418):
-        found[f"own answer: {status}"] = shown(error_answer(status, "0.1", "why"))
+        found[f"own answer: {status}"] = shown(error_response(status, "0.1", "why"))
     return found
 
 
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -22,7 +22,7 @@
 from flintreach.proxy.client_listener import ClientListener
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.metrics import Metrics
-from flintreach.proxy.request import Answer, Request
+from flintreach.proxy.request import ClientResponse, Request
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import ACTS, RESET, Adversary, ReceivedRequest, answer_body
 
@@ -189,7 +189,7 @@
             config: the configuration.
         """
         for handler in [*self.listener.handlers]:
-            handler.end()
+            handler.close()
         updates = VersionedStore()
         self.view = RoutingView(
             updates, FleetPosition("n", "r"), {"n": "r"}, time.monotonic_ns, TimingBounds()
@@ -411,8 +411,8 @@
         sent = [stage.request("look") for _ in range(4)]
         forward = stage.forwarder.forward
 
-        def fail_second(request: Request) -> Answer:
-            if request.by_name["x-try-id"] == sent[1].id:
+        def fail_second(request: Request) -> ClientResponse:
+            if request.headers_by_name["x-try-id"] == sent[1].id:
                 raise KeyError("a fault of ours")
             return forward(request)
 
@@ -442,8 +442,8 @@
         book = stage.request("odd book")
         forward = stage.forwarder.forward
 
-        def forward_late(request: Request) -> Answer:
-            if request.by_name["x-try-id"] == look.id:
+        def forward_late(request: Request) -> ClientResponse:
+            if request.headers_by_name["x-try-id"] == look.id:
                 go.wait()
             return forward(request)
 
@@ -482,7 +482,7 @@
         put = stage.request("put")
         forward = stage.forwarder.forward
 
-        def forward_late(request: Request) -> Answer:
+        def forward_late(request: Request) -> ClientResponse:
             go.wait()
             return forward(request)
 
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -17,7 +17,7 @@
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.lease import ARRIVAL_FRACTION, SEND_FRACTION
 from flintreach.proxy.metrics import SENT_AFTER_DEPARTURE, Metrics
-from flintreach.proxy.request import Answer, Request
+from flintreach.proxy.request import ClientResponse, Request
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import Adversary
 
@@ -144,7 +144,7 @@
         bounds = TimingBounds(last_call_ms=600_000)
         self.forwarder = Forwarder(self.fixture.view, bounds, self.metrics, LoadAggregate())
 
-    def forward(self, request_id: str) -> Answer:
+    def forward(self, request_id: str) -> ClientResponse:
         """The answer to a request that must not run twice."""
         by_name = {"host": "a", "x-try-id": request_id}
         headers = [("X-Try-Id", request_id)]
--- a/tests/proxy/test_exchange.py
+++ b/tests/proxy/test_exchange.py
@@ -7,7 +7,7 @@
 import gevent.socket
 
 from flintreach.proxy.connection import Connection, ConnectionPool
-from flintreach.proxy.exchange import NS_PER_S, ExchangeTerms, exchange
+from flintreach.proxy.exchange import NS_PER_S, ExchangeOptions, exchange
 from flintreach.proxy.outcome import OutcomeKind
 
 
@@ -17,7 +17,7 @@
         proxy_side, endpoint_side = gevent.socket.socketpair()
         endpoint_side.close()
         pool = ConnectionPool("10.0.0.1:80")
-        terms = ExchangeTerms(time.monotonic_ns() + 9 * NS_PER_S, 1.0)
+        terms = ExchangeOptions(time.monotonic_ns() + 9 * NS_PER_S, 1.0)
         with mock.patch.object(pool, "connect", lambda timeout: Connection(proxy_side)):
             outcome = exchange(pool, b"POST / HTTP/1.1", b"", "i", terms)
         self.assertEqual(
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -14,7 +14,7 @@
 from flintreach.proxy.forwarding import Forwarder
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.outcome import OutcomeKind
-from flintreach.proxy.request import Answer, Request
+from flintreach.proxy.request import ClientResponse, Request
 from flintreach.proxy.response import Response
 from flintreach.proxy.view import RoutingView
 from tests.proxy.support import configuration, routing_view
@@ -65,7 +65,7 @@
     return gevent.spawn(forwarder.forward, request), forwarder, request
 
 
-def forward(script: Iterable[str], kind: str = "safe") -> tuple[Answer, ScriptedForwarder]:
+def forward(script: Iterable[str], kind: str = "safe") -> tuple[ClientResponse, ScriptedForwarder]:
     """The answer to a request whose attempts end as the script says."""
     forwarding, forwarder, _ = begin(script, kind)
     return forwarding.get(timeout=20), forwarder
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -9,7 +9,7 @@
 from flintreach.config.configuration import RequestLimits
 from flintreach.proxy.caller import Caller
 from flintreach.proxy.client_listener import ClientHandler
-from flintreach.proxy.request import Answer, Request
+from flintreach.proxy.request import ClientResponse, Request
 from flintreach.proxy.request_parser import BadRequest, ByteSource, parse_head
 from flintreach.proxy.response import ResponseParser
 
@@ -97,9 +97,9 @@
     def may_pipeline(self, request: Request) -> bool:
         return False
 
-    def forward(self, request: Request) -> Answer:
+    def forward(self, request: Request) -> ClientResponse:
         self.requests.append(request)
-        return Answer(200, "OK", [], b"ok")
+        return ClientResponse(200, "OK", [], b"ok")
 
 
 def serve(data: bytes, portion: int) -> tuple[list[Request], bytes]:
--- a/tests/proxy/test_link_admission.py
+++ b/tests/proxy/test_link_admission.py
@@ -54,7 +54,7 @@
         view, _, _ = routing_view(configuration("outbound_post"), {"e0": "n"})
         forwarder = Forwarder(view, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
         self.assertTrue(forwarder.link_admission.acquire(DEFAULT_BULKY_BYTES, None))  # the link is taken
-        request = Request("GET", "/x/1", [], by_name={"host": "a"}, received_at=time.monotonic_ns())
+        request = Request("GET", "/x/1", [], headers_by_name={"host": "a"}, received_at=time.monotonic_ns())
         answer = forwarder.forward(request)
         self.assertEqual((answer.status, answer.headers), (503, [("Retry-After", "0.1")]))
         self.assertFalse(forwarder.link_admission.queue)
--- a/tests/proxy/test_view.py
+++ b/tests/proxy/test_view.py
@@ -9,7 +9,7 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.proxy.balancing import NS_PER_S
 from flintreach.proxy.connection import Connection
-from flintreach.proxy.exchange import ExchangeTerms, exchange
+from flintreach.proxy.exchange import ExchangeOptions, exchange
 from flintreach.proxy.outcome import OutcomeKind
 from flintreach.proxy.view import RoutingView
 from tests.proxy.support import configuration, endpoint_update, routing_view
@@ -46,7 +46,7 @@
             endpoint_sides.append(endpoint_side)
             return Connection(proxy_side)
 
-        terms = ExchangeTerms(
+        terms = ExchangeOptions(
             time.monotonic_ns() + 9 * NS_PER_S, 1.0, may_send=lambda: view.may_send(endpoint)
         )
         with mock.patch.object(endpoint.pool, "connect", connect):
