--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -189,7 +189,7 @@
     path.write_text(json.dumps(told(slices=40)))
     service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
     service.pilot = RecordingPilot()
-    service.listed = service.roster.read(service.config.known, "cached")
+    service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
     return service
 
 
@@ -205,11 +205,11 @@
 
 def test_a_client_that_sends_many_lines_is_read_in_portions(service):
     busy, other = client(service), client(service)
-    most = service.limits.portion
+    most = service.limits.max_lines_per_read
     busy.data_received(HOT * (2 * most + 10) + HOT[:20])
-    assert len(service.gathered) == most and not busy.transport.reading
+    assert len(service.pending_events) == most and not busy.transport.reading
     other.data_received(HOT)
-    assert len(service.gathered) == most + 1
+    assert len(service.pending_events) == most + 1
     # Longer than the time-out for an incomplete line, which does not run while lines wait to be read.
     service.loop.run(10.0)
     assert sum(isinstance(event, interface.DemandReport) for event in service.pilot.seen) == 2 * most + 11
@@ -217,7 +217,7 @@
 
 
 def test_a_full_turn_takes_urgent_events_first_and_keeps_a_slice_with_its_replicas(service):
-    most = service.limits.turn
+    most = service.limits.max_events_per_turn
     slices = [interface.Slice(n) for n in range(most)]
     server = interface.Server("s")
     reports = [interface.DemandReport(slice_, None, None, 1, 0, SECOND) for slice_ in slices]
@@ -231,14 +231,14 @@
         )
     ]
     server_list = interface.ServerList("delta", [])
-    service.gathered = [*reports, server_list]
-    service.turn()
+    service.pending_events = [*reports, server_list]
+    service.run_turn()
     assert service.pilot.seen[0] is server_list and len(service.pilot.seen) == most
     service.pilot.seen.clear()
-    service.gathered = [*reports, *assignments]
-    while service.gathered:
+    service.pending_events = [*reports, *assignments]
+    while service.pending_events:
         before = len(service.pilot.seen)
-        service.turn()
+        service.run_turn()
         turn = service.pilot.seen[before:]
         assert len(turn) <= most + 2 and not isinstance(turn[0], interface.SliceReplica)
     assert len(service.pilot.seen) == len(reports) + len(assignments)
