--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -12,13 +12,13 @@
 import typer
 
 from flintreach.evidence import packet
-from flintreach.evidence.ledger import Ledger
-from flintreach.evidence.packet import Value
+from flintreach.evidence.packet import ValueList
+from flintreach.evidence.tracker import HostTracker
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
 from flintreach.standins import collectd
-from flintreach.telemetry.measures import Measures
+from flintreach.telemetry.metrics import MetricsCollector
 
 T = 1_700_000_000 * SECOND
 
@@ -37,7 +37,7 @@
     pilot, taps = Pilot(settings), []
     service = SimpleNamespace(turn_observers=taps, pilot=pilot)
     if measured:
-        Measures(service)
+        MetricsCollector(service)
     now = 100 * SECOND
     pilot.handle(
         now,
@@ -57,7 +57,7 @@
 
 def datagrams(number: int, wrap) -> float:
     """Datagrams a second of one core, read, checked and entered: four processors, eight values each."""
-    ledger, keys = Ledger({f"h{n}": f"s{n}" for n in range(100)}), {"anna": "secret"}
+    tracker, keys = HostTracker({f"h{n}": f"s{n}" for n in range(100)}), {"anna": "secret"}
     data = [
         wrap(collectd.cpu(f"h{n % 100}", T + n // 100 * 10 * SECOND, 25.0, processors=4))
         for n in range(number)
@@ -65,21 +65,23 @@
     began = time.perf_counter()
     for n, datagram in enumerate(data):
         came = T + n // 100 * 10 * SECOND
-        content, user = packet.hold(datagram, keys, True)
-        for value in packet.values(content):
-            ledger.take(value, came, user)
+        content, user = packet.authenticate(datagram, keys, True)
+        for value in packet.parse_values(content):
+            tracker.observe(value, came, user)
     return number / (time.perf_counter() - began)
 
 
 def names(number: int) -> int:
     """Bytes that so many distinct names leave behind, half of them hosts, half series of one host."""
-    ledger = Ledger({"h1": "s1"})
-    ledger.take(Value("h1", "cpu", "0", "percent", "idle", T, 10 * SECOND, (1,), (5.0,)), T)
+    tracker = HostTracker({"h1": "s1"})
+    tracker.observe(ValueList("h1", "cpu", "0", "percent", "idle", T, 10 * SECOND, (1,), (5.0,)), T)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for n in range(number // 2):
-        ledger.take(Value(f"stranger-{n}", "cpu", "0", "percent", "idle", T, 10 * SECOND, (1,), (5.0,)), T)
-        ledger.take(Value("h1", f"plugin-{n}", "0", "x", "y", T, 10 * SECOND, (1,), (5.0,)), T)
+        tracker.observe(
+            ValueList(f"stranger-{n}", "cpu", "0", "percent", "idle", T, 10 * SECOND, (1,), (5.0,)), T
+        )
+        tracker.observe(ValueList("h1", f"plugin-{n}", "0", "x", "y", T, 10 * SECOND, (1,), (5.0,)), T)
     left = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return left
--- a/flintreach/cli/pilot.py
+++ b/flintreach/cli/pilot.py
@@ -60,4 +60,4 @@
     """Show the last hour that a pilot has kept in a directory."""
     from flintreach.telemetry import show
 
-    sys.exit(show.show(directory, match, as_json))
+    sys.exit(show.print_history(directory, match, as_json))
--- a/flintreach/cli/pilot_service.py
+++ b/flintreach/cli/pilot_service.py
@@ -95,12 +95,12 @@
     parts: list[Part] = []
     evidence = operator.block("evidence")
     if evidence:
-        from flintreach.evidence.intake import Intake
+        from flintreach.evidence.receiver import HostLoadReceiver
 
-        def intake(service: "Service") -> Intake:
-            return Intake(service, evidence)
+        def receiver(service: "Service") -> HostLoadReceiver:
+            return HostLoadReceiver(service, evidence)
 
-        parts.append(intake)
+        parts.append(receiver)
     telemetry = operator.block("telemetry")
     if telemetry:
         from flintreach.telemetry.sender import Telemetry
--- a/flintreach/evidence/packet.py
+++ b/flintreach/evidence/packet.py
@@ -24,14 +24,14 @@
     TYPE_INSTANCE: "type_instance",
 }
 COUNTER, GAUGE, DERIVE, ABSOLUTE = range(4)
-READ = {
+VALUE_FORMATS = {
     COUNTER: struct.Struct(">Q"),
     GAUGE: struct.Struct("<d"),
     DERIVE: struct.Struct(">q"),
     ABSOLUTE: struct.Struct(">Q"),
 }
-HEAD, WORD, LONG = struct.Struct(">HH"), struct.Struct(">H"), struct.Struct(">Q")
-MAC, IV, SUM = 32, 16, 20  # bytes
+PART_HEADER, WORD, LONG = struct.Struct(">HH"), struct.Struct(">H"), struct.Struct(">Q")
+MAC, IV_SIZE, SUM = 32, 16, 20  # bytes
 NAME = 128  # bytes of a name, at the most
 LONGEST = 24 * 3600 * SECOND  # an interval beyond this is none
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Value:
+class ValueList:
     """One value list: one figure or more of one series, at one time."""
 
     host: str
@@ -59,16 +59,16 @@
     """Type, content, and where the part ends."""
     at = 0
     while at < len(data):
-        if len(data) - at < HEAD.size:
+        if len(data) - at < PART_HEADER.size:
             raise Bad("truncated")
-        kind, length = HEAD.unpack_from(data, at)
-        if length < HEAD.size or at + length > len(data):
+        kind, length = PART_HEADER.unpack_from(data, at)
+        if length < PART_HEADER.size or at + length > len(data):
             raise Bad("truncated")
         at += length
-        yield kind, data[at - length + HEAD.size : at], at
+        yield kind, data[at - length + PART_HEADER.size : at], at
 
 
-def hold(data: bytes, keys: dict[str, str], open_to_all: bool) -> tuple[bytes, str | None]:
+def authenticate(data: bytes, keys: dict[str, str], open_to_all: bool) -> tuple[bytes, str | None]:
     """The datagram's open content and the user who vouches for it.  Raises Bad."""
     if not data:
         raise Bad("empty")
@@ -95,12 +95,12 @@
         raise Bad("truncated")
     (length,) = WORD.unpack_from(content)
     at = WORD.size + length
-    if len(content) < at + IV + SUM:
+    if len(content) < at + IV_SIZE + SUM:
         raise Bad("truncated")
     user = text(content[WORD.size : at], terminated=False)
     if user not in keys:
         raise Bad("unknown user")
-    plain = cipher(keys[user], content[at : at + IV]).decryptor().update(content[at + IV :])
+    plain = cipher(keys[user], content[at : at + IV_SIZE]).decryptor().update(content[at + IV_SIZE :])
     if hashlib.sha1(plain[SUM:]).digest() != plain[:SUM]:
         raise Bad("does not decrypt")
     return plain[SUM:], user
@@ -140,13 +140,15 @@
     if not count or len(content) != WORD.size + 9 * count:
         raise Bad("values and their number differ")
     kinds = tuple(content[WORD.size : WORD.size + count])
-    if any(kind not in READ for kind in kinds):
+    if any(kind not in VALUE_FORMATS for kind in kinds):
         raise Bad("a value of no known type")
     rows = enumerate(kinds, 1)
-    return kinds, tuple(READ[kind].unpack_from(content, count + 8 * row - 6)[0] for row, kind in rows)
+    return kinds, tuple(
+        VALUE_FORMATS[kind].unpack_from(content, count + 8 * row - 6)[0] for row, kind in rows
+    )
 
 
-def values(data: bytes) -> Iterator[Value]:
+def parse_values(data: bytes) -> Iterator[ValueList]:
     """The value lists of an open datagram, in their order.  Raises Bad where it can't be read on: what came
     before stands.  Signed or encrypted parts within are passed over, as are kinds of later versions."""
     names = dict.fromkeys(NAMES.values(), "")
@@ -168,7 +170,7 @@
                 raise Bad("values without a host or a time")
             if not 0 < interval <= LONGEST:
                 raise Bad("an absurd interval")
-            yield Value(**names, time=time, interval=interval, kinds=kinds, figures=found)
+            yield ValueList(**names, time=time, interval=interval, kinds=kinds, figures=found)
 
 
 def line(content: str) -> tuple[str, list[str], float, int]:
--- a/flintreach/evidence/intake.py
+++ b/flintreach/evidence/receiver.py
@@ -7,8 +7,8 @@
 
 from flintreach.evidence import packet
 from flintreach.evidence.block import Block
-from flintreach.evidence.ledger import Ledger
-from flintreach.evidence.packet import Bad, Value
+from flintreach.evidence.packet import Bad, ValueList
+from flintreach.evidence.tracker import HostTracker
 from flintreach.net.buffer import Buffer, Overflow
 from flintreach.net.http import parse_address
 from flintreach.pilot import interface
@@ -57,7 +57,7 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, intake: "Intake"):
+    def __init__(self, intake: "HostLoadReceiver"):
         self.intake = intake
 
     def datagram_received(self, data: bytes, source) -> None:
@@ -67,7 +67,7 @@
 class Lines(asyncio.Protocol):
     """One connection that brings lines; a bad line costs itself, one without end its connection."""
 
-    def __init__(self, intake: "Intake"):
+    def __init__(self, intake: "HostLoadReceiver"):
         self.intake, self.buffer, self.transport = intake, Buffer(LINE), None
 
     def connection_made(self, transport) -> None:
@@ -106,11 +106,11 @@
             self.read()
 
 
-class Intake:
+class HostLoadReceiver:
     """`service` gets one event a fresh figure: `HostLoad`, with its age."""
 
     def __init__(self, service, block: Block):
-        self.service, self.block, self.ledger = service, block, Ledger(block.hosts)
+        self.service, self.block, self.ledger = service, block, HostTracker(block.hosts)
         self.pace, self.keys, self.stamp = Pace(block.packets), {}, None
         self.seen, self.order = set(), deque()
         self.senders: dict[Lines, None] = {}
@@ -164,10 +164,10 @@
         if not self.pace.admits(source, now):
             return self.count("datagrams beyond the pace of a source")
         try:
-            content, user = packet.hold(data, self.keys, self.block.accept == "any")
+            content, user = packet.authenticate(data, self.keys, self.block.accept == "any")
             if user is not None and self.played_again(data):
                 raise Bad("played again")
-            for value in packet.values(content):
+            for value in packet.parse_values(content):
                 self.value(value, now, user or source)
         except Bad as error:
             self.count(str(error))
@@ -187,7 +187,7 @@
             host, path, figure, time = packet.line(line.decode("utf-8", "replace"))
             name, _, instance = path[0].partition("-")
             kind, _, what = path[1].partition("-")
-            value = Value(
+            value = ValueList(
                 host,
                 name,
                 instance,
@@ -202,8 +202,8 @@
         except Bad as error:
             self.count(str(error))
 
-    def value(self, value: Value, now: int, sender: str) -> None:
-        told = self.ledger.take(value, now, sender)
+    def value(self, value: ValueList, now: int, sender: str) -> None:
+        told = self.ledger.observe(value, now, sender)
         host = self.ledger.hosts.get(value.host)
         if host and host.state != self.states.get(value.host, "unknown"):
             self.state(value.host, host.state)
--- a/flintreach/evidence/ledger.py
+++ b/flintreach/evidence/tracker.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from flintreach.evidence.packet import COUNTER, DERIVE, GAUGE, Value
+from flintreach.evidence.packet import COUNTER, DERIVE, GAUGE, ValueList
 from flintreach.pilot.interface import SECOND
 
 # State, input, next state, effect.  A pair that is not here changes nothing.
@@ -141,7 +141,7 @@
     age: int
 
 
-class Ledger:
+class HostTracker:
     """`servers` maps each host that counts to its server's name: exactly, and by no pattern."""
 
     def __init__(self, hosts: dict[str, str], bounds: Bounds | None = None):
@@ -168,7 +168,7 @@
             return None
         return self.hosts.setdefault(name, Host(name))
 
-    def take(self, value: Value, came: int, sender: object = None) -> Evidence | None:
+    def observe(self, value: ValueList, came: int, sender: object = None) -> Evidence | None:
         """One value list, at `came` on our clock; gives what it says now, if anything."""
         host = self.known(value.host)
         if host is None:
@@ -200,7 +200,9 @@
             return None
         return self.processors(host, value, series, time, came)
 
-    def processors(self, host: Host, value: Value, series: Series, time: int, came: int) -> Evidence | None:
+    def processors(
+        self, host: Host, value: ValueList, series: Series, time: int, came: int
+    ) -> Evidence | None:
         """Idle time against all time, over the processors that told of both in this round or the last: they
         tell one by one, and the first of them alone is not the host."""
         if series.rate is None:
--- a/flintreach/standins/collectd.py
+++ b/flintreach/standins/collectd.py
@@ -10,7 +10,7 @@
 
 
 def part(kind: int, content: bytes) -> bytes:
-    return packet.HEAD.pack(kind, packet.HEAD.size + len(content)) + content
+    return packet.PART_HEADER.pack(kind, packet.PART_HEADER.size + len(content)) + content
 
 
 def name(kind: int, text: str) -> bytes:
@@ -24,7 +24,9 @@
 def values(*rows: tuple[int, float]) -> bytes:
     """Rows of a type and a figure."""
     body = struct.pack(">H", len(rows)) + bytes(kind for kind, _ in rows)
-    return part(packet.VALUES, body + b"".join(packet.READ[kind].pack(value) for kind, value in rows))
+    return part(
+        packet.VALUES, body + b"".join(packet.VALUE_FORMATS[kind].pack(value) for kind, value in rows)
+    )
 
 
 def cpu(
@@ -72,6 +74,6 @@
 
 
 def encrypted(content: bytes, user: str, key: str, iv: bytes | None = None) -> bytes:
-    iv = iv or os.urandom(packet.IV)
+    iv = iv or os.urandom(packet.IV_SIZE)
     body = packet.cipher(key, iv).encryptor().update(hashlib.sha1(content).digest() + content)
     return part(packet.ENCRYPTED, struct.pack(">H", len(user)) + user.encode() + iv + body)
--- a/flintreach/telemetry/measures.py
+++ b/flintreach/telemetry/metrics.py
@@ -20,7 +20,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Measures:
+class MetricsCollector:
     """`snapshot()` gives the value of each path; a gauge that has none is absent, never 0."""
 
     def __init__(self, service):
--- a/flintreach/telemetry/sender.py
+++ b/flintreach/telemetry/sender.py
@@ -6,13 +6,13 @@
 from flintreach.telemetry.block import Block
 from flintreach.telemetry.graphite import ENCODERS, Graphite, path
 from flintreach.telemetry.history import STEP, Disk, Ring
-from flintreach.telemetry.measures import Measures
+from flintreach.telemetry.metrics import MetricsCollector
 
 
 class Telemetry:
     def __init__(self, service, block: Block, now=time.time_ns):
         self.service, self.block, self.now = service, block, now
-        self.measures = Measures(service)
+        self.measures = MetricsCollector(service)
         self.graphite = Graphite(service, block.graphite, block.spool) if block.graphite else None
         self.rings: dict[str, Ring] = {}
         self.disk = Disk(block.history) if block.history else None
--- a/flintreach/telemetry/show.py
+++ b/flintreach/telemetry/show.py
@@ -9,7 +9,7 @@
 from flintreach.telemetry.names import BY_NAME
 
 
-def show(directory: Path, match: str, as_json: bool) -> int:
+def print_history(directory: Path, match: str, as_json: bool) -> int:
     """Status 0, or 2 where there is nothing to show."""
     found = Disk(str(directory)).read(int(time.time())) if directory.is_dir() else {}
     found = {name: points for name, points in found.items() if match in name}
--- a/tests/evidence/test_evidence.py
+++ b/tests/evidence/test_evidence.py
@@ -9,9 +9,9 @@
 
 from flintreach.evidence import packet
 from flintreach.evidence.block import Block
-from flintreach.evidence.intake import SEEN, Intake
-from flintreach.evidence.ledger import SETTLED, STATES, Bounds, Ledger, Series
-from flintreach.evidence.packet import Bad, Value
+from flintreach.evidence.packet import Bad, ValueList
+from flintreach.evidence.receiver import SEEN, HostLoadReceiver
+from flintreach.evidence.tracker import SETTLED, STATES, Bounds, HostTracker, Series
 from flintreach.net.config import load
 from flintreach.net.service import Service
 from flintreach.pilot import interface
@@ -26,7 +26,7 @@
 
 
 def read(data):
-    return list(packet.values(data))
+    return list(packet.parse_values(data))
 
 
 # The protocol.
@@ -55,7 +55,7 @@
     for cut in range(len(data)):
         found = []
         try:
-            for value in packet.values(data[:cut]):
+            for value in packet.parse_values(data[:cut]):
                 found.append(value)
         except Bad:
             pass
@@ -101,28 +101,28 @@
 def test_who_vouches_is_known_and_any_flipped_byte_is_found(wrap):
     content = collectd.cpu("h1", T, 25.0)
     data = wrap(content, "anna", "secret")
-    assert packet.hold(data, KEYS, False) == (content, "anna")
+    assert packet.authenticate(data, KEYS, False) == (content, "anna")
     for user, key, why in (("anna", "wrong", "match|decrypt"), ("eve", "secret", "unknown user")):
         with pytest.raises(Bad, match=why):
-            packet.hold(wrap(content, user, key), KEYS, False)
+            packet.authenticate(wrap(content, user, key), KEYS, False)
     for place in range(len(data)):
         spoilt = bytearray(data)
         spoilt[place] ^= 0x20
         try:
-            found, user = packet.hold(bytes(spoilt), KEYS, False)
+            found, user = packet.authenticate(bytes(spoilt), KEYS, False)
         except Bad:
             continue
         raise AssertionError(f"byte {place} may be flipped: {found!r} {user}")
     for cut in range(len(data)):
         with pytest.raises(Bad):
-            packet.hold(data[:cut], KEYS, False)
+            packet.authenticate(data[:cut], KEYS, False)
 
 
 def test_unsigned_is_taken_only_where_the_operator_says_so():
     content = collectd.cpu("h1", T, 25.0)
     with pytest.raises(Bad, match="unsigned"):
-        packet.hold(content, KEYS, False)
-    assert packet.hold(content, KEYS, True) == (content, None)
+        packet.authenticate(content, KEYS, False)
+    assert packet.authenticate(content, KEYS, True) == (content, None)
 
 
 @pytest.mark.parametrize(
@@ -149,17 +149,17 @@
 
 
 def value(time, idle=25.0, host="h1", what="idle", interval=STEP, plugin="cpu", kind=packet.GAUGE):
-    return Value(host, plugin, "0", "percent", what, time, interval, (kind,), (idle,))
+    return ValueList(host, plugin, "0", "percent", what, time, interval, (kind,), (idle,))
 
 
 class Play:
     def __init__(self, **bounds):
-        self.ledger = Ledger({"h1": "s1", "h2": "s2"}, Bounds(**bounds))
+        self.ledger = HostTracker({"h1": "s1", "h2": "s2"}, Bounds(**bounds))
         self.told = []
 
     def point(self, time, came=None, **changes):
         came = time if came is None else came
-        found = self.ledger.take(value(time, **changes), came, changes.get("host", "h1"))
+        found = self.ledger.observe(value(time, **changes), came, changes.get("host", "h1"))
         if found:
             self.told.append((came, found))
         return found
@@ -288,19 +288,19 @@
     for n in range(100_000):
         play.point(T, host=f"stranger-{n}")
     for n in range(10_000):
-        play.ledger.take(Value("h1", f"p{n}", "", "t", "", T, STEP, (1,), (1.0,)), T, "h1")
+        play.ledger.observe(ValueList("h1", f"p{n}", "", "t", "", T, STEP, (1,), (1.0,)), T, "h1")
     assert list(play.ledger.hosts) == ["h1"] and len(play.ledger.hosts["h1"].series) == 64
     assert play.ledger.counts["host that no server runs on"] == 100_000
 
 
 def test_one_address_speaks_for_a_host_until_it_is_silent():
-    ledger = Ledger({"h1": "s1"})
+    ledger = HostTracker({"h1": "s1"})
     for n in range(6):
-        ledger.take(value(T + n * STEP, 25.0), T + n * STEP, "one")
-        assert ledger.take(value(T + n * STEP + SECOND, 99.0), T + n * STEP + SECOND, "two") is None
+        ledger.observe(value(T + n * STEP, 25.0), T + n * STEP, "one")
+        assert ledger.observe(value(T + n * STEP + SECOND, 99.0), T + n * STEP + SECOND, "two") is None
     assert ledger.hosts["h1"].busy == 0.75 and ledger.counts["second sender for a host"] == 6
     late = T + 20 * STEP
-    ledger.take(value(late, 50.0), late, "two")
+    ledger.observe(value(late, 50.0), late, "two")
     assert ledger.hosts["h1"].sender == "two"
 
 
@@ -340,7 +340,7 @@
                 )
             )
         ):
-            assert play.ledger.take(found, came, "h1") is None
+            assert play.ledger.observe(found, came, "h1") is None
     assert len(play.told) == seen + 1
     shown = {name: value for name, host, value in play.ledger.figures(now + STEP) if host == "h1"}
     assert shown == {
@@ -419,7 +419,7 @@
         service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
         usual = {"listen": "127.0.0.1:0", "accept": "any", "hosts": {"h1": "s1", "h2": "s2"}}
         block = Block(**(usual | settings))
-        made.append(Intake(service, block))
+        made.append(HostLoadReceiver(service, block))
         made[-1].time = T
         service.clock.now = lambda: made[-1].time
         return made[-1]
