--- a/flintreach/proxy/balancing.py
+++ b/flintreach/proxy/balancing.py
@@ -20,14 +20,14 @@
 OTHER_ZONE_COST = 0.1  # the same of another zone
 OTHER_SUBSET_COST = 0.05  # an endpoint in another proxy's subset; the load of one's own is known best
 OUTSIDE_ASSIGNMENT_COST = 0.25  # an endpoint the slice isn't assigned to: it takes what the others can't
-FRESH_CONNECTION_COST = 0.05  # no connection to it stands yet, and the link is in use
-SILENT_COST = 2  # it has been silent for long: a machine without power says nothing
+NEW_CONNECTION_COST = 0.05  # no connection to it stands yet, and the link is in use
+UNRESPONSIVE_COST = 2  # it has been silent for long: a machine without power says nothing
 
 # Cost of a load within the concurrency limit, in parts of the usual work.
 LOAD_COST = 0.25
 
 # Greatest random part of the cost, in parts of the usual work, and how it is spread over the endpoints.
-RANDOM_COST = 0.1
+MAX_RANDOM_COST = 0.1
 RANDOM_SPREAD_START = 7
 RANDOM_SPREAD_STEP = 0.618
 
@@ -35,16 +35,16 @@
 EJECTION_CONNECTION_LIMIT_NS = NS_PER_S // 20
 
 # Parts of the connections that an endpoint accepts: idle ones of all; of proxies with it in their subset.
-IDLE_PART = 0.6
-SUBSET_IDLE_PART = 0.3
+IDLE_FRACTION = 0.6
+SUBSET_IDLE_FRACTION = 0.3
 
 # Part of what the rules allow above an endpoint's rate in slow start, for one request of each proxy.
-WARM_UP_EXCESS_PART = 0.6
+WARM_UP_EXCESS_FRACTION = 0.6
 
 # An endpoint is slow after so many times its usual work, within these parts of the latency target.
-SLOW_AFTER_WORK = 3
-HEDGE_EARLIEST = 0.3
-HEDGE_LATEST = 0.6
+SLOW_LATENCY_FACTOR = 3
+HEDGE_MIN_FRACTION = 0.3
+HEDGE_MAX_FRACTION = 0.6
 
 # Part of the latency target for which a request waits for keys that are between two owners.
 KEY_MOVE_WAIT_FRACTION = 0.15
@@ -95,7 +95,7 @@
         proxies: number of all proxies.
     """
     allowed_excess = rate_per_s * (excess - 1) + slack
-    return max(1, min(proxies, int(WARM_UP_EXCESS_PART * allowed_excess)))
+    return max(1, min(proxies, int(WARM_UP_EXCESS_FRACTION * allowed_excess)))
 
 
 def assign_subsets(endpoints: Iterable[EndpointView], index: int, proxies: int) -> None:
@@ -122,7 +122,7 @@
             endpoint.in_subset = proxies <= 1 or place % proxies == index
 
 
-def may_warm_up(
+def may_send_while_warming_up(
     position: FleetPosition,
     endpoint_id: str,
     rate_per_s: float,
@@ -143,8 +143,8 @@
     if rate_per_s <= 0:
         return True
     rank = position.ranks.get(position.name, 0)
-    turn = (rank + zlib.crc32(endpoint_id.encode())) % max(1, position.proxies)
-    if turn >= senders:
+    slot = (rank + zlib.crc32(endpoint_id.encode())) % max(1, position.proxies)
+    if slot >= senders:
         return False
     return last_sent_at is None or now_ns - last_sent_at >= senders * NS_PER_S / rate_per_s
 
@@ -153,7 +153,7 @@
     endpoint: EndpointView,
     position: FleetPosition,
     connection_limit: int,
-    longest_ns: int,
+    max_idle_ns: int,
     sole_owner: bool = False,
 ) -> int:
     """How long a connection to an endpoint may lie idle, lest those of all proxies fill what it accepts.
@@ -167,22 +167,22 @@
         endpoint: the endpoint; its `pool` must be set if it is in the subset.
         position: this proxy's.
         connection_limit: connections that the endpoint accepts.
-        longest_ns: the longest time that any connection may lie idle.
+        max_idle_ns: the longest time that any connection may lie idle.
         sole_owner: whether it alone owns its keys, so that all proxies need it.
     """
     if endpoint.in_subset and not sole_owner:
-        kept = SUBSET_IDLE_PART * connection_limit
+        idle_limit = SUBSET_IDLE_FRACTION * connection_limit
         if endpoint.zone != position.zone:
-            kept = kept // max(1, position.zones - 1)
-        return longest_ns if len(endpoint.pool.idle) < max(1, kept) else 0
-    connections_each = IDLE_PART * connection_limit / max(1, position.proxies)
-    return min(longest_ns, int(connections_each * endpoint.send_interval_ns))
+            idle_limit = idle_limit // max(1, position.zones - 1)
+        return max_idle_ns if len(endpoint.pool.idle) < max(1, idle_limit) else 0
+    connections_per_proxy = IDLE_FRACTION * connection_limit / max(1, position.proxies)
+    return min(max_idle_ns, int(connections_per_proxy * endpoint.send_interval_ns))
 
 
 def hedging_delay_ns(latency_target_ns: int, average_latency_ns: int) -> int:
     """How long an answer may take before a hedged request is sent, or the endpoint is doubted."""
-    latest_ns = min(HEDGE_LATEST * latency_target_ns, SLOW_AFTER_WORK * average_latency_ns)
-    return int(max(HEDGE_EARLIEST * latency_target_ns, latest_ns))
+    slow_after_ns = min(HEDGE_MAX_FRACTION * latency_target_ns, SLOW_LATENCY_FACTOR * average_latency_ns)
+    return int(max(HEDGE_MIN_FRACTION * latency_target_ns, slow_after_ns))
 
 
 def cost_ns(
@@ -208,8 +208,8 @@
     if not endpoint.in_subset:
         cost += OTHER_SUBSET_COST * latency_target_ns
     if endpoint.pool is not None and not endpoint.pool.idle:
-        cost += FRESH_CONNECTION_COST * latency_target_ns
-    load = endpoint.load(now_ns)
+        cost += NEW_CONNECTION_COST * latency_target_ns
+    load = endpoint.estimated_load(now_ns)
     limit = endpoint.concurrency_limit
     queued = load + 1 - limit
     queueing = queued / limit * average_latency_ns if queued > 0 else 0.0
@@ -245,7 +245,7 @@
     """
     best: EndpointView | None = None
     lowest_cost = 0.0
-    silent_after_ns = 2 * hedging_delay_ns(latency_target_ns, average_latency_ns)
+    unresponsive_after_ns = 2 * hedging_delay_ns(latency_target_ns, average_latency_ns)
     for place, endpoint in enumerate(endpoints):
         # Field by field: calls would count here, for each endpoint of each attempt.
         ejected_until = endpoint.ejected_until
@@ -254,19 +254,19 @@
         warming_up_until = endpoint.warming_up_until
         if warming_up_until is not None and warming_up_until > now_ns:
             last_sent_at = endpoint.warm_up_sent_at
-            if not may_warm_up(
+            if not may_send_while_warming_up(
                 position, endpoint.id, warm_up_rate_per_s, last_sent_at, now_ns, warm_up_senders
             ):
                 continue
         cost = cost_ns(endpoint, position, latency_target_ns, average_latency_ns, now_ns)
         # A little chance keeps proxies that see the same from all doing the same.
         spread = (random_fraction * (place + RANDOM_SPREAD_START) * RANDOM_SPREAD_STEP) % 1
-        cost += RANDOM_COST * average_latency_ns * spread
+        cost += MAX_RANDOM_COST * average_latency_ns * spread
         if assigned and endpoint.id not in assigned:
             cost += OUTSIDE_ASSIGNMENT_COST * latency_target_ns
         unanswered_since = endpoint.unanswered_since
-        if unanswered_since is not None and now_ns - unanswered_since > silent_after_ns:
-            cost += SILENT_COST * latency_target_ns
+        if unanswered_since is not None and now_ns - unanswered_since > unresponsive_after_ns:
+            cost += UNRESPONSIVE_COST * latency_target_ns
         if best is None or cost < lowest_cost:
             best = endpoint
             lowest_cost = cost
--- a/flintreach/proxy/endpoint.py
+++ b/flintreach/proxy/endpoint.py
@@ -96,14 +96,14 @@
     in_subset: bool = True
     pool: "ConnectionPool | None" = None
 
-    def load(self, now_ns: int) -> float:
+    def estimated_load(self, now_ns: int) -> float:
         """Requests there: this proxy's, and what is left of the others' by the last report."""
         if self.reported_at is None:
             return self.own_requests
-        believed_part = 1 - (now_ns - self.reported_at) / REPORTED_LOAD_DECAY_NS
-        if believed_part <= 0:
+        weight = 1 - (now_ns - self.reported_at) / REPORTED_LOAD_DECAY_NS
+        if weight <= 0:
             return self.own_requests + 0.0
-        return self.own_requests + self.reported_requests * believed_part
+        return self.own_requests + self.reported_requests * weight
 
     def record_reported_load(self, running: int, waiting: int, now_ns: int) -> None:
         """Take in the load that the endpoint reported: requests at work and in its queue, of all proxies."""
@@ -138,7 +138,7 @@
         """Whether it is in slow start."""
         return self.warming_up_until is not None and self.warming_up_until > now_ns
 
-    def warm_up_until(self, end_ns: int) -> None:
+    def extend_warm_up(self, end_ns: int) -> None:
         """Keep it in slow start until `end_ns`, or longer where that was known already."""
         if self.warming_up_until is None or end_ns > self.warming_up_until:
             self.warming_up_until = end_ns
@@ -167,7 +167,7 @@
         self.consecutive_failures = 0
         self.ejected_until = None
 
-    def is_usable(self, now_ns: int) -> bool:
+    def is_healthy(self, now_ns: int) -> bool:
         """Whether requests may go there by its state.
 
         Its heartbeats may be missing only at the controller that told of it: an endpoint that answers this
--- a/flintreach/proxy/health_check.py
+++ b/flintreach/proxy/health_check.py
@@ -35,7 +35,7 @@
         self.view = view
         self.metrics = metrics
         # Endpoint id -> set when its check is over.
-        self.under_way: dict[str, Event] = {}
+        self.in_progress: dict[str, Event] = {}
 
     def ensure_lease(self, endpoint: EndpointView, deadline: int) -> bool:
         """Whether a request may be sent to an endpoint; it may be checked first.
@@ -47,12 +47,12 @@
         now = time.monotonic_ns()
         if self.view.is_leased(endpoint, now):
             return True
-        if endpoint.id not in self.under_way:
-            self.under_way[endpoint.id] = Event()
+        if endpoint.id not in self.in_progress:
+            self.in_progress[endpoint.id] = Event()
             # In a greenlet of its own: others wait for the same check when the one that began it is ended.
             gevent.spawn(self.run_check, endpoint, now)
         wait_until = min(deadline, now + int(CHECK_TIMEOUT_S * NS_PER_S))
-        self.under_way[endpoint.id].wait((wait_until - now) / NS_PER_S)
+        self.in_progress[endpoint.id].wait((wait_until - now) / NS_PER_S)
         return self.view.is_leased(endpoint, time.monotonic_ns())
 
     def run_check(self, endpoint: EndpointView, now: int) -> None:
@@ -60,7 +60,7 @@
         try:
             self.check(endpoint, now)
         finally:
-            self.under_way.pop(endpoint.id).set()
+            self.in_progress.pop(endpoint.id).set()
 
     def check(self, endpoint: EndpointView, now: int) -> None:
         """Send one health check, if the service has any; a good answer confirms the endpoint as of `now`.
--- a/flintreach/proxy/lease.py
+++ b/flintreach/proxy/lease.py
@@ -24,31 +24,31 @@
 ARRIVAL_FRACTION = 0.9
 
 # Stands for a departure whose acknowledgement nobody can date: so long ago that any lease on it is over.
-UNDATED_DEPARTURE_NS = -(1 << 62)
+UNKNOWN_DEPARTURE_NS = -(1 << 62)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
     """Durations, counted from the last confirmation, that bind the requests sent on its strength.
 
-    >>> LeaseTerms.of(3000)
-    LeaseTerms(send_for_ns=1500000000, arrive_for_ns=2700000000)
+    >>> LeaseTerms.from_bound_ms(3000)
+    LeaseTerms(send_window_ns=1500000000, arrival_window_ns=2700000000)
 
     Attributes:
-        send_for_ns: for how long requests may be sent.
-        arrive_for_ns: for how long their bytes may arrive.
+        send_window_ns: for how long requests may be sent.
+        arrival_window_ns: for how long their bytes may arrive.
     """
 
-    send_for_ns: int
-    arrive_for_ns: int
+    send_window_ns: int
+    arrival_window_ns: int
 
     @classmethod
-    def of(cls, bound_ms: float) -> "LeaseTerms":
+    def from_bound_ms(cls, bound_ms: float) -> "LeaseTerms":
         """Terms that keep a bound of the settings.
 
         Args:
             bound_ms: for how long the rules allow a request to arrive after the acknowledgement.
         """
-        send_for_ns = int(SEND_FRACTION * bound_ms * NS_PER_MS)
-        arrive_for_ns = int(ARRIVAL_FRACTION * bound_ms * NS_PER_MS)
-        return cls(send_for_ns, arrive_for_ns)
+        send_window_ns = int(SEND_FRACTION * bound_ms * NS_PER_MS)
+        arrival_window_ns = int(ARRIVAL_FRACTION * bound_ms * NS_PER_MS)
+        return cls(send_window_ns, arrival_window_ns)
--- a/flintreach/proxy/link_admission.py
+++ b/flintreach/proxy/link_admission.py
@@ -18,10 +18,10 @@
 # From so many bytes on an answer is large.
 LARGE_ANSWER_BYTES = 16384
 
-# What an answer of a bulky route is taken for before any was seen.
-DEFAULT_BULKY_BYTES = 65536
+# What an answer of a large_by_default route is taken for before any was seen.
+DEFAULT_LARGE_ANSWER_BYTES = 65536
 
-# Weight of the past in the usual size of a route's answers.
+# Weight of the past in the average size of a route's answers.
 SIZE_SMOOTHING = 8
 
 
@@ -43,29 +43,29 @@
         window_bytes: what may be under way at once.
         in_flight_bytes: what is.
         queue: those that wait, first come first.
-        usual_bytes: route -> usual size of its answers.
+        average_sizes: route -> average size of its answers.
     """
 
     def __init__(self, mbps: float) -> None:
         self.window_bytes = mbps * 1e6 / 8 * LINK_WINDOW_S
         self.in_flight_bytes = 0
         self.queue: deque[WaitingAnswer] = deque()
-        self.usual_bytes: dict[str, int] = {}
+        self.average_sizes: dict[str, int] = {}
 
-    def expected_size(self, route: str, bulky: bool) -> int:
+    def expected_size(self, route: str, large_by_default: bool) -> int:
         """Bytes that an answer is expected to have, 0 where it needs no admission.
 
         Args:
             route: name of its route.
-            bulky: whether answers of the route's kind are large as a rule.
+            large_by_default: whether answers of the route's kind are large as a rule.
         """
-        usual = self.usual_bytes.get(route, DEFAULT_BULKY_BYTES if bulky else 0)
-        return usual if self.window_bytes and usual >= LARGE_ANSWER_BYTES else 0
+        average = self.average_sizes.get(route, DEFAULT_LARGE_ANSWER_BYTES if large_by_default else 0)
+        return average if self.window_bytes and average >= LARGE_ANSWER_BYTES else 0
 
     def observe(self, route: str, size: int) -> None:
         """Learn from the size of an answer."""
-        usual = self.usual_bytes.get(route, size)
-        self.usual_bytes[route] = usual + (size - usual) // SIZE_SMOOTHING
+        average = self.average_sizes.get(route, size)
+        self.average_sizes[route] = average + (size - average) // SIZE_SMOOTHING
 
     def fits(self, size: int) -> bool:
         """Whether an answer may be under way beside the others; alone any may."""
--- a/flintreach/proxy/metrics.py
+++ b/flintreach/proxy/metrics.py
@@ -66,18 +66,18 @@
 class Histogram:
     """Counts by bucket, the sum and the greatest value of some durations."""
 
-    __slots__ = ("counts", "total_ns", "greatest_ns")
+    __slots__ = ("counts", "total_ns", "max_ns")
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_S) + 1)
         self.total_ns = 0
-        self.greatest_ns = 0
+        self.max_ns = 0
 
     def observe(self, duration_ns: int) -> None:
         """Add one duration."""
         self.counts[bisect_left(BUCKETS_S, duration_ns / NS_PER_S)] += 1
         self.total_ns += duration_ns
-        self.greatest_ns = max(self.greatest_ns, duration_ns)
+        self.max_ns = max(self.max_ns, duration_ns)
 
     def lines(self, name: str) -> list[str]:
         """Its samples in the exposition format, where buckets are cumulative."""
@@ -111,11 +111,9 @@
         """Add one duration to a histogram."""
         self.histograms[name].observe(duration_ns)
 
-    def greatest(self) -> dict[str, float]:
+    def max_values(self) -> dict[str, float]:
         """Name of each histogram -> its greatest value in seconds."""
-        return {
-            name: round(histogram.greatest_ns / NS_PER_S, 3) for name, histogram in self.histograms.items()
-        }
+        return {name: round(histogram.max_ns / NS_PER_S, 3) for name, histogram in self.histograms.items()}
 
     def text(self) -> str:
         """All figures in the exposition format."""
@@ -127,6 +125,6 @@
             metric = PREFIX + name
             lines += [f"# HELP {metric} {HELP[name]}", f"# TYPE {metric} histogram"]
             lines += histogram.lines(metric)
-            greatest_s = histogram.greatest_ns / NS_PER_S
-            lines += [f"# TYPE {metric}_max gauge", f"{metric}_max {greatest_s:.6f}"]
+            max_s = histogram.max_ns / NS_PER_S
+            lines += [f"# TYPE {metric}_max gauge", f"{metric}_max {max_s:.6f}"]
         return "\n".join([*lines, ""])
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -52,12 +52,12 @@
 PRUNE_INTERVAL_S = 0.4
 
 # Before clients come, updates must be as fresh.
-FRESH_WITHIN_S = 1.0
-READY_LOOK_INTERVAL_S = 0.05
+READY_MAX_UPDATE_AGE_S = 1.0
+READY_POLL_INTERVAL_S = 0.05
 
 # For so long the draining proxy still accepts connections: clients learn late that it is not ready.
 DRAIN_NOTICE_S = 1.0
-DRAIN_LOOK_INTERVAL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 # Of the time that the rules give a draining process, for what comes after the last answer.
 DRAIN_MARGIN_S = 0.7
@@ -103,10 +103,10 @@
         )
         self.failure_detector = FailureDetector(member, self.controller_addresses)
         self.failure_detector.watchers.append(self.update_position)
-        self.relay = Relay(self.peer_pool, self.updates, self.parents, self.load_aggregate.add)
-        self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.limits)
+        self.relay = Relay(self.peer_pool, self.updates, self.choose_parents, self.load_aggregate.add)
+        self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.request_limits)
         ready_address = parse_address(node.network.posts[READY_PORT])
-        self.ready_listener = pywsgi.WSGIServer(ready_address, self.answer_ready, log=None)
+        self.ready_listener = pywsgi.WSGIServer(ready_address, self.serve_ready, log=None)
         self.is_ready = False
         self.stopping = Event()
 
@@ -119,12 +119,12 @@
         """Steady nanoseconds up to which all that was acknowledged anywhere is known here."""
         return int(self.relay.fresh_at * NS_PER_S)
 
-    def limits(self) -> RequestLimits:
+    def request_limits(self) -> RequestLimits:
         """The limits on requests, of the configuration in force."""
         routes = self.view.routes
         return routes.table.limits if routes else RequestLimits()
 
-    def parents(self) -> list[tuple[str, int]]:
+    def choose_parents(self) -> list[tuple[str, int]]:
         """Addresses that updates are to come from, the best first."""
         member_list = self.failure_detector.member_list
         alive = member_list.alive(ROLE_CONTROLLER)
@@ -151,7 +151,7 @@
         )
         position.zone_index = SubsetIndex(zone_names.index(position.name), len(zone_names))
 
-    def answer_ready(
+    def serve_ready(
         self, environ: dict[str, Any], start_response: Callable[[str, list[tuple[str, str]]], Any]
     ) -> list[bytes]:
         """WSGI application at the `ready` port: whether clients may come, and the metrics."""
@@ -190,24 +190,24 @@
         self.relay.start()
         self.ready_listener.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
-        gevent.signal_handler(signal.SIGHUP, self.reread_settings)
-        gevent.spawn(settings.watch, self.reread_settings, gevent.sleep)
+        gevent.signal_handler(signal.SIGHUP, self.reload_settings)
+        gevent.spawn(settings.watch, self.reload_settings, gevent.sleep)
         gevent.spawn(self.report_load)
         gevent.spawn(self.prune_connections)
-        gevent.spawn(self.get_ready)
+        gevent.spawn(self.become_ready)
         self.stopping.wait()
         return self.drain()
 
-    def reread_settings(self) -> None:
+    def reload_settings(self) -> None:
         """Take in the settings file as it is now."""
         self.node = settings.reload(self.node)
 
-    def get_ready(self) -> None:
+    def become_ready(self) -> None:
         """Let clients come once this process knows what is in force, as fresh as a controller has it."""
         while not self.stopping.is_set():
-            if self.view.routes is not None and self.relay.age() < FRESH_WITHIN_S:
+            if self.view.routes is not None and self.relay.age() < READY_MAX_UPDATE_AGE_S:
                 break
-            gevent.sleep(READY_LOOK_INTERVAL_S)
+            gevent.sleep(READY_POLL_INTERVAL_S)
         if self.stopping.is_set():
             return
         self.client_listener.start()
@@ -221,7 +221,7 @@
         Returns:
             The process's exit status.
         """
-        say("draining", counts=self.metrics.counts, greatest=self.metrics.greatest())
+        say("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
         self.client_listener.draining = True
         end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
         self.failure_detector.change(ready=False)
@@ -235,9 +235,9 @@
                     handler.end()
             if not self.client_listener.handlers:
                 break
-            gevent.sleep(DRAIN_LOOK_INTERVAL_S)
+            gevent.sleep(DRAIN_POLL_INTERVAL_S)
         self.failure_detector.change(state=LEFT_STATE)
-        say("stopped", counts=self.metrics.counts, greatest=self.metrics.greatest())
+        say("stopped", counts=self.metrics.counts, greatest=self.metrics.max_values())
         return 0
 
 
--- a/flintreach/proxy/retry_budget.py
+++ b/flintreach/proxy/retry_budget.py
@@ -13,7 +13,7 @@
 
 # Part of the ratio, and of the slack of all proxies together, that proxies may use up.  What is left covers
 # proxies that are not yet known to each other, and windows that are cut differently.
-USABLE_PART = 0.5
+USABLE_FRACTION = 0.5
 
 
 class RetryBudget:
@@ -51,17 +51,17 @@
         """Count a request of a client: it adds to the budget."""
         self.requests[self.advance(now_ns)] += 1
 
-    def allows(self, now_ns: int, proxies: int, part: float = 1.0) -> bool:
+    def allows(self, now_ns: int, proxies: int, fraction: float = 1.0) -> bool:
         """Whether one more retry may be sent.
 
         Args:
             now_ns: steady clock.
             proxies: number of proxies that share the slack.
-            part: part of the budget that may be used up for this purpose.
+            fraction: fraction of the budget that may be used up for this purpose.
         """
         self.advance(now_ns)
-        budget = USABLE_PART * (self.ratio * sum(self.requests) + self.slack / max(1, proxies))
-        return sum(self.retries) + 1 <= part * budget
+        budget = USABLE_FRACTION * (self.ratio * sum(self.requests) + self.slack / max(1, proxies))
+        return sum(self.retries) + 1 <= fraction * budget
 
     def spend(self, now_ns: int) -> None:
         """Count a retry or a hedged request that is sent now."""
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -26,7 +26,7 @@
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.endpoint import EndpointState, EndpointView
 from flintreach.proxy.key_ranges import KeyRanges
-from flintreach.proxy.lease import UNDATED_DEPARTURE_NS, LeaseTerms
+from flintreach.proxy.lease import UNKNOWN_DEPARTURE_NS, LeaseTerms
 from flintreach.proxy.metrics import LATE_SEND, SENT_AFTER_DEPARTURE, Metrics
 
 NS_PER_MS = 1_000_000
@@ -98,8 +98,8 @@
         self.clock = clock
         self.confirmed_at = confirmed_at or clock
         self.metrics = metrics or Metrics()
-        self.departure = LeaseTerms.of(bounds.last_call_ms)
-        self.evacuation = LeaseTerms.of(bounds.evacuate_ms)
+        self.departure_terms = LeaseTerms.from_bound_ms(bounds.last_call_ms)
+        self.evacuation_terms = LeaseTerms.from_bound_ms(bounds.evacuate_ms)
         self.routes: Routes | None = None
         self.endpoints: dict[str, EndpointView] = {}
         self.services: dict[str, dict[str, EndpointView]] = {}
@@ -108,9 +108,9 @@
         self.assignments: dict[str, frozenset[str]] = {}
         self.key_ranges: dict[str, KeyRanges] = {}
         # By which the endpoints were divided into subsets last; None: they must be divided anew.
-        self.subsets_index: SubsetIndex | None = None
+        self.subset_index: SubsetIndex | None = None
         updates.watchers.append(self.apply_update)
-        updates.droppers.append(self.forget)
+        updates.droppers.append(self.remove_key)
 
     # Updates of the control plane.
 
@@ -134,7 +134,7 @@
         elif kind == KEY_RANGES_KIND:
             self.update_key_ranges(name, value)
 
-    def forget(self, key: str) -> None:
+    def remove_key(self, key: str) -> None:
         """Take in that the store has dropped a key; called by the store."""
         self.apply_update(key, None, None)
 
@@ -147,7 +147,7 @@
         # Endpoints may have cooled down while their zone was empty, and their heartbeats tell it late.
         for endpoint in self.endpoints.values():
             if endpoint.zone in before and endpoint.zone not in self.evacuated_at:
-                endpoint.warm_up_until(self.clock() + self.warm_up_ns(endpoint.service))
+                endpoint.extend_warm_up(self.clock() + self.warm_up_ns(endpoint.service))
 
     def update_assignment(self, slice_name: str, endpoint_ids: list[str] | None) -> None:
         """Take in the endpoints that a slice is assigned to; None: the slice is no more."""
@@ -168,24 +168,24 @@
         endpoint = self.endpoints.get(endpoint_id)
         if value is None:
             self.departures.pop(endpoint_id, None)
-            self.remove(endpoint)
+            self.remove_endpoint(endpoint)
             return
         update = msgspec.convert(value, type=EndpointUpdate)
         if update.state in (EndpointState.DRAINING, EndpointState.GONE):
-            self.note_departure(endpoint_id, endpoint)
+            self.record_departure(endpoint_id, endpoint)
         else:
             self.departures.pop(endpoint_id, None)  # it was only silent
         if update.state == EndpointState.GONE:
-            self.remove(endpoint)
+            self.remove_endpoint(endpoint)
             return
         if endpoint is None:
-            endpoint = self.add(endpoint_id, update)
+            endpoint = self.add_endpoint(endpoint_id, update)
         endpoint.state = update.state
         endpoint.departed_at = self.departures.get(endpoint_id)
         if update.warm_up_left_ms:
-            endpoint.warm_up_until(self.clock() + update.warm_up_left_ms * NS_PER_MS)
+            endpoint.extend_warm_up(self.clock() + update.warm_up_left_ms * NS_PER_MS)
 
-    def note_departure(self, endpoint_id: str, endpoint: EndpointView | None) -> None:
+    def record_departure(self, endpoint_id: str, endpoint: EndpointView | None) -> None:
         """Note the earliest moment at which a departure can have been acknowledged.
 
         That is not before the last one at which the endpoint was surely present.  The first note stands,
@@ -194,19 +194,19 @@
         if endpoint_id in self.departures:
             return
         if endpoint is None:
-            self.departures[endpoint_id] = UNDATED_DEPARTURE_NS
+            self.departures[endpoint_id] = UNKNOWN_DEPARTURE_NS
             return
-        departed_at = self.last_surely_present(endpoint)
+        departed_at = self.last_known_present(endpoint)
         self.departures[endpoint_id] = departed_at
         endpoint.departed_at = departed_at
         late_ns = 0
         if endpoint.written_at is not None:
             late_ns = endpoint.written_at - departed_at
         self.metrics.observe(LATE_SEND, max(0, late_ns))
-        if late_ns > self.departure.arrive_for_ns:
+        if late_ns > self.departure_terms.arrival_window_ns:
             self.metrics.count(SENT_AFTER_DEPARTURE)
 
-    def add(self, endpoint_id: str, update: EndpointUpdate) -> EndpointView:
+    def add_endpoint(self, endpoint_id: str, update: EndpointUpdate) -> EndpointView:
         """Begin to know an endpoint."""
         endpoint = EndpointView(
             endpoint_id,
@@ -219,10 +219,10 @@
         )
         self.endpoints[endpoint_id] = endpoint
         self.services.setdefault(update.service, {})[endpoint_id] = endpoint
-        self.subsets_index = None
+        self.subset_index = None
         return endpoint
 
-    def remove(self, endpoint: EndpointView | None) -> None:
+    def remove_endpoint(self, endpoint: EndpointView | None) -> None:
         """Stop knowing an endpoint, if it was known; attempts that still have it find it gone."""
         if endpoint is None:
             return
@@ -233,7 +233,7 @@
             del self.services[endpoint.service]
         endpoint.state = EndpointState.GONE
         endpoint.pool.close()
-        self.subsets_index = None
+        self.subset_index = None
 
     # What the configuration says of a service.
 
@@ -249,7 +249,7 @@
 
     # Leases on what is known of an endpoint (docs/design/leases.md).
 
-    def last_surely_present(self, endpoint: EndpointView) -> int:
+    def last_known_present(self, endpoint: EndpointView) -> int:
         """A moment by which no departure of an endpoint had been acknowledged."""
         if endpoint.departed_at is not None:
             return endpoint.departed_at
@@ -260,19 +260,19 @@
 
     def is_leased(self, endpoint: EndpointView, now_ns: int) -> bool:
         """Whether a request that is sent now still arrives within the bound on departures."""
-        return now_ns < self.last_surely_present(endpoint) + self.departure.send_for_ns
+        return now_ns < self.last_known_present(endpoint) + self.departure_terms.send_window_ns
 
     def arrival_deadline(self, endpoint: EndpointView) -> int:
         """The moment after which no byte of a request may arrive; it moves on with what confirms it."""
-        limit = self.last_surely_present(endpoint) + self.departure.arrive_for_ns
+        limit = self.last_known_present(endpoint) + self.departure_terms.arrival_window_ns
         evacuated_at = self.evacuated_at.get(endpoint.zone)
         if evacuated_at is None:
             return limit
-        return min(limit, evacuated_at + self.evacuation.arrive_for_ns)
+        return min(limit, evacuated_at + self.evacuation_terms.arrival_window_ns)
 
     # Which endpoints may be used.
 
-    def is_open(self, endpoint: EndpointView, now_ns: int) -> bool:
+    def is_eligible(self, endpoint: EndpointView, now_ns: int) -> bool:
         """Whether requests may go to an endpoint by the rules on departures and evacuations.
 
         The owner of keys is used while it is draining, until they have moved or its lease is over.
@@ -284,19 +284,19 @@
             return endpoint.state != EndpointState.DRAINING and evacuated_at is None
         if endpoint.departed_at is not None and not self.is_leased(endpoint, now_ns):
             return False
-        return evacuated_at is None or now_ns < evacuated_at + self.evacuation.send_for_ns
+        return evacuated_at is None or now_ns < evacuated_at + self.evacuation_terms.send_window_ns
 
     def may_send(self, endpoint: EndpointView) -> bool:
         """Whether a request may be sent to an endpoint now."""
         now_ns = self.clock()
-        return self.is_open(endpoint, now_ns) and self.is_leased(endpoint, now_ns)
+        return self.is_eligible(endpoint, now_ns) and self.is_leased(endpoint, now_ns)
 
     def key_owner(self, service: str, key: int) -> str | None:
         """Id of the endpoint that owns a key; None where the key is between two owners."""
         ranges = self.key_ranges.get(service)
         return None if ranges is None else ranges.owner(key)
 
-    def reachable(self, service: str, key: int | None) -> Collection[EndpointView]:
+    def endpoints_for_key(self, service: str, key: int | None) -> Collection[EndpointView]:
         """The endpoints that have what a request needs: the owner of its key, or all of its service."""
         if not self.is_sharded(service):
             return self.services.get(service, {}).values()
@@ -315,19 +315,19 @@
             key: the request's shard key, if it has one.
             attempted: ids of endpoints that the request went to before.
         """
-        if self.subsets_index != self.position.zone_index:
-            self.subsets_index = self.position.zone_index
-            assign_subsets(self.endpoints.values(), self.subsets_index.index, self.subsets_index.count)
+        if self.subset_index != self.position.zone_index:
+            self.subset_index = self.position.zone_index
+            assign_subsets(self.endpoints.values(), self.subset_index.index, self.subset_index.count)
         home_regions = route.home_regions
         now_ns = self.clock()
         allowed = [
             endpoint
-            for endpoint in self.reachable(service, key)
+            for endpoint in self.endpoints_for_key(service, key)
             if endpoint.id not in attempted
             and (not home_regions or endpoint.region in home_regions)
-            and self.is_open(endpoint, now_ns)
+            and self.is_eligible(endpoint, now_ns)
         ]
-        if now_ns >= self.confirmed_at() + self.departure.send_for_ns:
+        if now_ns >= self.confirmed_at() + self.departure_terms.send_window_ns:
             # Only their own answers tell that endpoints are still there; without any they must be asked.
             allowed = [endpoint for endpoint in allowed if self.is_leased(endpoint, now_ns)] or allowed
-        return [endpoint for endpoint in allowed if endpoint.is_usable(now_ns)] or allowed
+        return [endpoint for endpoint in allowed if endpoint.is_healthy(now_ns)] or allowed
--- a/tests/proxy/test_balancing.py
+++ b/tests/proxy/test_balancing.py
@@ -11,7 +11,7 @@
     hedging_delay_ns,
     idle_timeout_ns,
     max_warm_up_senders,
-    may_warm_up,
+    may_send_while_warming_up,
 )
 from flintreach.proxy.connection import ConnectionPool
 from flintreach.proxy.endpoint import EndpointView
@@ -84,7 +84,9 @@
             for now_ms in range(0, 3000, 5):
                 now = now_ms * NS_PER_S // 1000
                 for position in positions:
-                    if may_warm_up(position, "i-77", rate, last_sent_at[position.name], now, senders):
+                    if may_send_while_warming_up(
+                        position, "i-77", rate, last_sent_at[position.name], now, senders
+                    ):
                         last_sent_at[position.name] = now
                         sent.append(now)
             most = max(sum(at <= other < at + NS_PER_S for other in sent) for at in sent)
--- a/tests/proxy/test_endpoint.py
+++ b/tests/proxy/test_endpoint.py
@@ -16,11 +16,11 @@
         """Of an incident: heartbeats that one controller alone received made a third of a service silent."""
         endpoint = endpoint_view(state="silent")
         now = 10 * NS_PER_S
-        self.assertFalse(endpoint.is_usable(now))
+        self.assertFalse(endpoint.is_healthy(now))
         endpoint.begin_request(now)
         endpoint.end_request(True, now)
-        self.assertTrue(endpoint.is_usable(now + NS_PER_S))
-        self.assertFalse(endpoint.is_usable(now + 3 * NS_PER_S))
+        self.assertTrue(endpoint.is_healthy(now + NS_PER_S))
+        self.assertFalse(endpoint.is_healthy(now + 3 * NS_PER_S))
 
     def test_a_sole_owner_is_not_ejected_for_long(self) -> None:
         endpoint = endpoint_view()
--- a/tests/proxy/test_link_admission.py
+++ b/tests/proxy/test_link_admission.py
@@ -8,7 +8,7 @@
 from flintreach.config.settings import TimingBounds
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.proxy.forwarding import Forwarder
-from flintreach.proxy.link_admission import DEFAULT_BULKY_BYTES, LinkAdmission
+from flintreach.proxy.link_admission import DEFAULT_LARGE_ANSWER_BYTES, LinkAdmission
 from flintreach.proxy.metrics import Metrics
 from flintreach.proxy.request import Request
 from tests.proxy.support import configuration, routing_view
@@ -19,7 +19,7 @@
         draw = random.Random(4)
         admission = LinkAdmission(2.6)
         woken = []
-        inside = []
+        admitted = []
         waiting = []
         admission.observe("big", 90000)
         admission.observe("small", 1500)
@@ -29,20 +29,20 @@
                 size = admission.expected_size("big", True)
                 wake = partial(woken.append, number)
                 if admission.acquire(size, wake):
-                    inside.append(size)
+                    admitted.append(size)
                 else:
                     waiting.append((number, size, wake))
-            elif inside and draw.random() < 0.8:
-                admission.release(inside.pop())
+            elif admitted and draw.random() < 0.8:
+                admission.release(admitted.pop())
             elif waiting and draw.random() < 0.3:
                 number, size, wake = waiting.pop(draw.randrange(len(waiting)))
                 self.assertTrue(admission.cancel(wake))
             while woken:
                 first = waiting.pop(0)
                 self.assertEqual(first[0], woken.pop(0))
-                inside.append(first[1])
-            self.assertEqual(admission.in_flight_bytes, sum(inside))
-            self.assertTrue(admission.in_flight_bytes <= admission.window_bytes or len(inside) == 1)
+                admitted.append(first[1])
+            self.assertEqual(admission.in_flight_bytes, sum(admitted))
+            self.assertTrue(admission.in_flight_bytes <= admission.window_bytes or len(admitted) == 1)
         self.assertFalse(admission.cancel(lambda: None))
 
     def test_a_wide_link_or_one_that_is_not_told_of_makes_nobody_wait(self) -> None:
@@ -53,7 +53,8 @@
     def test_a_request_that_gets_no_turn_is_rejected_with_a_time_to_come_back(self) -> None:
         view, _, _ = routing_view(configuration("outbound_post"), {"e0": "n"})
         forwarder = Forwarder(view, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
-        self.assertTrue(forwarder.link_admission.acquire(DEFAULT_BULKY_BYTES, None))  # the link is taken
+        # Takes up the whole link.
+        self.assertTrue(forwarder.link_admission.acquire(DEFAULT_LARGE_ANSWER_BYTES, None))
         request = Request("GET", "/x/1", [], by_name={"host": "a"}, received_at=time.monotonic_ns())
         answer = forwarder.forward(request)
         self.assertEqual((answer.status, answer.headers), (503, [("Retry-After", "0.1")]))
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -18,7 +18,7 @@
         self.assertEqual(cumulative, [1, 1, 3] + [3] * (len(BUCKETS_S) - 3) + [4])
         self.assertIn(f"flintreach_proxy_{VIEW_AGE}_count 4", lines)
         self.assertIn("flintreach_proxy_no_turn_total 1", lines)
-        self.assertEqual(metrics.greatest()[VIEW_AGE], 60)
+        self.assertEqual(metrics.max_values()[VIEW_AGE], 60)
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_view.py
+++ b/tests/proxy/test_view.py
@@ -66,17 +66,17 @@
         self.assertEqual(owners, [["a"], ["a"], ["b"], ["b"]])
         updates.offer("evac", 1, {"n": True})
         self.assertEqual(candidates(view, 5), ["a"])
-        clock.now += view.evacuation.send_for_ns
+        clock.now += view.evacuation_terms.send_window_ns
         self.assertEqual(candidates(view, 5), [])
         updates.offer("bunks/desk", [1, 2], [[0, 65535, "b", "held"]])
         self.assertEqual(candidates(view, 5), ["b"])
         updates.offer("hut/b", [2, 0], endpoint_update("s", 1, "closing"))
         self.assertEqual(candidates(view, 5), ["b"])
-        clock.now += view.departure.send_for_ns
+        clock.now += view.departure_terms.send_window_ns
         self.assertEqual(candidates(view, 5), [])
         bounds = TimingBounds()
-        self.assertLess(view.departure.send_for_ns, bounds.last_call_ms * 1e6)
-        self.assertLess(view.evacuation.send_for_ns, bounds.evacuate_ms * 1e6)
+        self.assertLess(view.departure_terms.send_window_ns, bounds.last_call_ms * 1e6)
+        self.assertLess(view.evacuation_terms.send_window_ns, bounds.evacuate_ms * 1e6)
 
     def test_an_evacuated_zone_comes_back_in_slow_start(self) -> None:
         config = configuration().replace(b'"sharded":false', b'"sharded":false,"cold_s":3')
