--- a/flintreach/proxy/balancing.py
+++ b/flintreach/proxy/balancing.py
@@ -1,9 +1,9 @@
-"""Load balancing: which endpoint gets an attempt, and how long connections and answers are waited for.  Pure.
+"""Load balancing: endpoint selection, idle timeouts of connections and the hedging delay.
 
-Nothing here reads a clock, a socket or a name of a deployment.  `view` lists the endpoints that may serve a
-request, `forwarding` asks for one of them.
+Pure functions without clock or I/O.  `view` lists the endpoints that may serve a request; `forwarding`
+selects one of them here.
 
-Times are nanoseconds of this process's steady clock.
+Times are nanoseconds of this process's monotonic clock.
 """
 
 import zlib
@@ -15,46 +15,49 @@
 
 NS_PER_S = 1_000_000_000
 
-# Costs, in parts of the route's latency target.
-OTHER_REGION_COST = 0.5  # what the way to another region is worth waiting for nearer
-OTHER_ZONE_COST = 0.1  # the same of another zone
-OTHER_SUBSET_COST = 0.05  # an endpoint in another proxy's subset; the load of one's own is known best
-OUTSIDE_ASSIGNMENT_COST = 0.25  # an endpoint the slice isn't assigned to: it takes what the others can't
-NEW_CONNECTION_COST = 0.05  # no connection to it stands yet, and the link is in use
-UNRESPONSIVE_COST = 2  # it has been silent for long: a machine without power says nothing
+# Costs, as fractions of the route's latency target.
+OTHER_REGION_COST = 0.5  # acceptable extra wait for an endpoint in the same region
+OTHER_ZONE_COST = 0.1  # acceptable extra wait for an endpoint in the same zone
+OTHER_SUBSET_COST = 0.05  # outside this proxy's subset, where the load is known less precisely
+OUTSIDE_ASSIGNMENT_COST = 0.25  # not assigned to the slice: receives only overflow
+NEW_CONNECTION_COST = 0.05  # no idle connection: a handshake is needed, on a link that carries traffic
+UNRESPONSIVE_COST = 2  # no response for long: a host without power sends no error
 
-# Cost of a load within the concurrency limit, in parts of the usual work.
+# Cost of load within the concurrency limit, as a fraction of the average latency.
 LOAD_COST = 0.25
 
-# Greatest random part of the cost, in parts of the usual work, and how it is spread over the endpoints.
+# Upper limit of the random cost, as a fraction of the average latency, and parameters of its spread over
+# endpoints.
 MAX_RANDOM_COST = 0.1
 RANDOM_SPREAD_START = 7
 RANDOM_SPREAD_STEP = 0.618
 
-# Out of use for so long: an endpoint that takes no further connection at present.
+# Ejection time of an endpoint that has reached its connection limit.
 EJECTION_CONNECTION_LIMIT_NS = NS_PER_S // 20
 
-# Parts of the connections that an endpoint accepts: idle ones of all; of proxies with it in their subset.
+# Fractions of an endpoint's connection limit for idle connections: of all proxies, and of the proxies that
+# have the endpoint in their subset.
 IDLE_FRACTION = 0.6
 SUBSET_IDLE_FRACTION = 0.3
 
-# Part of what the rules allow above an endpoint's rate in slow start, for one request of each proxy.
+# Fraction of the allowed excess over the slow start rate; it covers one extra request from each sender.
 WARM_UP_EXCESS_FRACTION = 0.6
 
-# An endpoint is slow after so many times its usual work, within these parts of the latency target.
+# A response is slow after this multiple of the average latency, clamped to these fractions of the latency
+# target.
 SLOW_LATENCY_FACTOR = 3
 HEDGE_MIN_FRACTION = 0.3
 HEDGE_MAX_FRACTION = 0.6
 
-# Part of the latency target for which a request waits for keys that are between two owners.
+# Fraction of the latency target for which a request waits while the ownership of its key moves.
 KEY_MOVE_WAIT_FRACTION = 0.15
 
-# Part of the retry budget that may go to hedged requests.
+# Fraction of the retry budget that hedged requests may use.
 HEDGE_BUDGET_FRACTION = 0.5
 
 
 class SubsetIndex(NamedTuple):
-    """A proxy's place among the proxies of its zone: its `index`, from 0, and their `count`."""
+    """Position of a proxy among the proxies of its zone: its `index`, from 0, and their `count`."""
 
     index: int
     count: int
@@ -62,15 +65,15 @@
 
 @dataclass(slots=True)
 class FleetPosition:
-    """Where this proxy is, and how many proxies carry traffic beside it.
+    """Position of this proxy among all proxies.
 
     Attributes:
-        zone: its failure domain.
+        zone: failure domain of this proxy.
         region: region of that zone.
-        proxies: number of proxies, this one included.
-        ranks: name of a proxy -> its place in the order of names.
+        proxies: number of proxies, including this one.
+        ranks: proxy name -> its index when proxies are sorted by name.
         name: name of this proxy.
-        zone_index: its place among the proxies of its zone.
+        zone_index: position among the proxies of the zone.
         zones: number of zones that have proxies.
     """
 
@@ -84,14 +87,14 @@
 
 
 def max_warm_up_senders(rate_per_s: float, excess: float, slack: float, proxies: int) -> int:
-    """How many proxies may send to one endpoint that is warming up.
+    """Returns how many proxies may send to one endpoint that is warming up.
 
-    In any second each of them sends at most one request beyond its share of the rate.
+    In any one-second window, each sender may exceed its share of the rate by at most one request.
 
     Args:
-        rate_per_s: requests that the service's configuration allows such an endpoint.
-        excess: factor by which the rules allow that rate to be exceeded.
-        slack: requests in any second that the rules allow beyond it.
+        rate_per_s: request rate that the service's configuration allows during slow start.
+        excess: factor by which the bounds allow that rate to be exceeded.
+        slack: number of requests in any second that the bounds allow in addition.
         proxies: number of all proxies.
     """
     allowed_excess = rate_per_s * (excess - 1) + slack
@@ -99,15 +102,16 @@
 
 
 def assign_subsets(endpoints: Iterable[EndpointView], index: int, proxies: int) -> None:
-    """Mark this proxy's subset of the endpoints of each service and zone (`EndpointView.in_subset`).
+    """Sets `EndpointView.in_subset` for this proxy's subset of the endpoints of each service and zone.
 
-    A proxy knows the load that it brings at once, and that of others late: where all choose among all, they
-    choose the same ones.  The subset is a preference alone; what it can't take goes to the others.
+    A proxy knows its own load on an endpoint immediately but learns of other proxies' load with a delay:
+    without subsets, all proxies would pick the same endpoints.  The subset is only a preference; requests
+    that it cannot take go to other endpoints.
 
     Args:
         endpoints: all endpoints.
-        index: place of this proxy among those of its zone, from 0.
-        proxies: number of the proxies of its zone.
+        index: index of this proxy among those of its zone, from 0.
+        proxies: number of proxies in its zone.
 
     Source: B. Beyer et al., "Site Reliability Engineering" (2016), chapter 20, "Deterministic Subsetting".
     """
@@ -116,7 +120,7 @@
         groups.setdefault((endpoint.service, endpoint.zone), []).append(endpoint)
     for (service, zone), group in groups.items():
         group.sort(key=lambda endpoint: endpoint.id)
-        # Groups start at different proxies, lest the first proxy has one more endpoint of each.
+        # Groups start at different proxies; otherwise the first proxy would get the remainder of every group.
         start = zlib.crc32(f"{service} {zone}".encode())
         for place, endpoint in enumerate(group, start):
             endpoint.in_subset = proxies <= 1 or place % proxies == index
@@ -130,15 +134,17 @@
     now_ns: int,
     senders: int,
 ) -> bool:
-    """Whether this proxy may send to an endpoint that is warming up: some do, so seldom that their sum holds.
+    """Returns whether this proxy may send to an endpoint that is in slow start.
+
+    A limited number of proxies are senders for each endpoint, each at an equal share of the allowed rate.
 
     Args:
-        position: this proxy's.
-        endpoint_id: the endpoint.
-        rate_per_s: requests that it may get from all proxies together; 0 or less: no limit.
-        last_sent_at: when this proxy last sent to it while it was warming up, None if never.
-        now_ns: steady clock.
-        senders: how many proxies may (`max_warm_up_senders`).
+        position: position of this proxy.
+        endpoint_id: id of the endpoint.
+        rate_per_s: request rate allowed from all proxies together; 0 or less means no limit.
+        last_sent_at: when this proxy last sent to it during slow start, None if never.
+        now_ns: current time.
+        senders: number of proxies that may send to it (`max_warm_up_senders`).
     """
     if rate_per_s <= 0:
         return True
@@ -156,19 +162,20 @@
     max_idle_ns: int,
     sole_owner: bool = False,
 ) -> int:
-    """How long a connection to an endpoint may lie idle, lest those of all proxies fill what it accepts.
+    """Returns how long a connection to an endpoint may stay idle.
 
-    Each zone has one proxy with the endpoint in its subset: these are its main users, and keep some
-    connections, the one of the endpoint's own zone the most.  Those of others, and those to a sole owner of
-    keys, stay open for the time returned at each use: the uses of all proxies times it are the connections
-    they hold.
+    The timeout keeps the connections of all proxies together within the endpoint's connection limit.  One
+    proxy in each zone has the endpoint in its subset and keeps a pool of idle connections to it; the proxy in
+    the endpoint's own zone keeps the most.  Other connections, and all connections to a sole owner of keys,
+    stay open for the returned time after each use: by Little's law, the request rate of all proxies
+    multiplied by this time is the number of connections they hold.
 
     Args:
         endpoint: the endpoint; its `pool` must be set if it is in the subset.
-        position: this proxy's.
-        connection_limit: connections that the endpoint accepts.
-        max_idle_ns: the longest time that any connection may lie idle.
-        sole_owner: whether it alone owns its keys, so that all proxies need it.
+        position: position of this proxy.
+        connection_limit: number of connections that the endpoint accepts.
+        max_idle_ns: upper limit of the timeout.
+        sole_owner: whether the endpoint is the only owner of its keys, so that all proxies need it.
     """
     if endpoint.in_subset and not sole_owner:
         idle_limit = SUBSET_IDLE_FRACTION * connection_limit
@@ -180,7 +187,10 @@
 
 
 def hedging_delay_ns(latency_target_ns: int, average_latency_ns: int) -> int:
-    """How long an answer may take before a hedged request is sent, or the endpoint is doubted."""
+    """Returns how long to wait for a response before sending a hedged request.
+
+    After twice this time without a response, `choose_endpoint` treats an endpoint as unresponsive.
+    """
     slow_after_ns = min(HEDGE_MAX_FRACTION * latency_target_ns, SLOW_LATENCY_FACTOR * average_latency_ns)
     return int(max(HEDGE_MIN_FRACTION * latency_target_ns, slow_after_ns))
 
@@ -192,14 +202,14 @@
     average_latency_ns: int,
     now_ns: int,
 ) -> float:
-    """What sending to an endpoint is expected to cost, in nanoseconds of waiting.
+    """Returns the expected cost of sending to an endpoint, in nanoseconds of latency.
 
     Args:
         endpoint: the endpoint.
-        position: this proxy's.
-        latency_target_ns: the route's.
-        average_latency_ns: how long the service's requests usually take.
-        now_ns: steady clock.
+        position: position of this proxy.
+        latency_target_ns: latency target of the route.
+        average_latency_ns: average latency of the service's requests.
+        now_ns: current time.
     """
     cost: float = 0
     if endpoint.zone != position.zone:
@@ -227,27 +237,27 @@
     random_fraction: float,
     assigned: frozenset[str] | None = None,
 ) -> EndpointView | None:
-    """The endpoint for an attempt: the cheapest of those that are neither ejected nor in too slow a start.
+    """Returns the endpoint with the lowest cost among those that are not ejected or limited by slow start.
 
     Args:
-        endpoints: those that may serve the request.
-        position: this proxy's.
-        latency_target_ns: the route's.
-        average_latency_ns: how long the service's requests usually take.
-        now_ns: steady clock.
-        warm_up_rate_per_s: requests that an endpoint gets from all proxies while it is warming up.
-        warm_up_senders: how many proxies may send to such an endpoint.
-        random_fraction: a random number from 0 to 1, drawn for this choice.
-        assigned: ids of the endpoints that the slice is assigned to; None or empty: no preference.
+        endpoints: endpoints that may serve the request.
+        position: position of this proxy.
+        latency_target_ns: latency target of the route.
+        average_latency_ns: average latency of the service's requests.
+        now_ns: current time.
+        warm_up_rate_per_s: request rate from all proxies that an endpoint may receive during slow start.
+        warm_up_senders: number of proxies that may send to such an endpoint.
+        random_fraction: random number from 0 to 1, drawn for this call.
+        assigned: ids of the endpoints assigned to the slice; None or empty means no preference.
 
     Returns:
-        The endpoint, or None where none may be used.
+        The endpoint, or None if none may be used.
     """
     best: EndpointView | None = None
     lowest_cost = 0.0
     unresponsive_after_ns = 2 * hedging_delay_ns(latency_target_ns, average_latency_ns)
     for place, endpoint in enumerate(endpoints):
-        # Field by field: calls would count here, for each endpoint of each attempt.
+        # Reads the fields directly: this runs for each endpoint on each attempt, where call overhead matters.
         ejected_until = endpoint.ejected_until
         if ejected_until is not None and ejected_until > now_ns:
             continue
@@ -259,7 +269,7 @@
             ):
                 continue
         cost = cost_ns(endpoint, position, latency_target_ns, average_latency_ns, now_ns)
-        # A little chance keeps proxies that see the same from all doing the same.
+        # A small random cost keeps proxies with identical views from choosing the same endpoint.
         spread = (random_fraction * (place + RANDOM_SPREAD_START) * RANDOM_SPREAD_STEP) % 1
         cost += MAX_RANDOM_COST * average_latency_ns * spread
         if assigned and endpoint.id not in assigned:
--- a/flintreach/proxy/endpoint.py
+++ b/flintreach/proxy/endpoint.py
@@ -1,9 +1,10 @@
-"""What one proxy knows of one endpoint: its load, its failures and when it was last seen.  Pure.
+"""Per-endpoint state of one proxy: load, failures and last known presence.
 
-`view` keeps these records by the updates of the control plane, `attempt` by the answers of the endpoint;
-`balancing` reads them.  (The controller's record of an endpoint is `flintreach.endpoints`' `EndpointRecord`.)
+Performs no I/O.  `view` updates these records from the control plane and `attempt` from the endpoint's
+responses; `balancing` reads them.  (The controller's record of an endpoint is `flintreach.endpoints`'
+`EndpointRecord`.)
 
-Times are nanoseconds of this process's steady clock; None stands for "never".
+Times are nanoseconds of this process's monotonic clock; None means "never".
 """
 
 from dataclasses import dataclass
@@ -15,60 +16,61 @@
 
 NS_PER_S = 1_000_000_000
 
-# For so long after an answer an endpoint counts as present, whatever its heartbeats say.
+# An endpoint counts as present for this long after a response, even if its heartbeats are missing.
 PRESENT_AFTER_ANSWER_NS = 2 * NS_PER_S
 
-# For so long a reported load is believed, less and less.
+# The weight of a reported load decreases linearly to zero over this time.
 REPORTED_LOAD_DECAY_NS = 1 * NS_PER_S
 
-# Outlier ejection: how long after a first failure, doubled by each one after it, up to the longest.
+# Outlier ejection: duration after the first failure, doubled by each consecutive one up to the maximum.
 EJECTION_BASE_NS = NS_PER_S // 2
 EJECTION_MAX_NS = 8 * NS_PER_S
 EJECTION_MAX_DOUBLINGS = 5
 
-# Of an endpoint that alone owns its keys: nobody could take its requests meanwhile.
+# Maximum ejection of an endpoint that is the only owner of its keys: no other endpoint can serve its
+# requests.
 EJECTION_SOLE_OWNER_NS = NS_PER_S // 7
 
-# The longest interval between two requests that counts; before the first request it is taken for that.
+# Upper limit of the measured interval between requests, also used for the first request.
 MAX_SEND_INTERVAL_NS = 8 * NS_PER_S
 
 
 class EndpointState(StrEnum):
-    """States of an endpoint, as the control plane's updates spell them."""
+    """States of an endpoint, with the values used in control plane updates."""
 
     READY = "ready"
-    SILENT = "silent"  # its heartbeats are missing
-    DRAINING = "closing"  # its departure is acknowledged; it still answers what has arrived
+    SILENT = "silent"  # heartbeats are missing
+    DRAINING = "closing"  # departure acknowledged; still responds to requests that have arrived
     GONE = "gone"
 
 
 @dataclass(slots=True, eq=False)
 class EndpointView:
-    """One endpoint as this proxy sees it.
+    """One endpoint as seen by this proxy.
 
     Attributes:
         id: name of this incarnation of the endpoint.
-        service: service that it belongs to.
+        service: name of its service.
         address: "host:port".
-        zone: its failure domain.
-        region: region of that zone; "" where the settings don't tell it.
-        concurrency_limit: requests that it works on at the same time.
-        state: an `EndpointState`, or a state of a later release, which counts as not ready.
-        present_at: its own answer showed that it had not begun to leave by then.
-        departed_at: earliest moment at which its departure can have been acknowledged.
-        warming_up_until: slow start: until then it gets few requests.
-        own_requests: this proxy's requests that it works on.
-        reported_requests: other proxies' requests there, when it last reported its load.
-        reported_at: when that report came.
-        ejected_until: until then it is out of use after failures.
+        zone: failure domain of the endpoint.
+        region: region of that zone, or "" if the settings do not give it.
+        concurrency_limit: number of requests that it processes concurrently.
+        state: an `EndpointState`, or a state introduced by a later release, which is treated as not ready.
+        present_at: latest time for which its own response showed that it had not started to leave.
+        departed_at: earliest time at which its departure can have been acknowledged.
+        warming_up_until: end of slow start; until then it receives few requests.
+        own_requests: number of this proxy's requests in flight at the endpoint.
+        reported_requests: other proxies' requests at the endpoint, by its last load report.
+        reported_at: when that report was received.
+        ejected_until: end of its ejection after failures.
         consecutive_failures: failures since its last success.
-        answered_at: when it last answered this proxy.
-        unanswered_since: when the oldest request was sent that followed its last answer.
-        warm_up_sent_at: when a request was last sent to it while it was warming up.
-        send_interval_ns: usual time between this proxy's requests to it, smoothed.
-        sent_at: when the last of them was begun.
-        written_at: when the kernel had last taken a whole request to it.
-        in_subset: whether it is in this proxy's subset of the endpoints (`balancing.assign_subsets`).
+        answered_at: when it last responded to this proxy.
+        unanswered_since: when the oldest request since its last response was sent.
+        warm_up_sent_at: when a request was last sent to it during slow start.
+        send_interval_ns: smoothed interval between this proxy's requests to it.
+        sent_at: when the most recent request was started.
+        written_at: when the kernel last accepted a complete request to it.
+        in_subset: whether it is in this proxy's subset (`balancing.assign_subsets`).
         pool: connections to it; None only in tests and models.
     """
 
@@ -97,7 +99,11 @@
     pool: "ConnectionPool | None" = None
 
     def estimated_load(self, now_ns: int) -> float:
-        """Requests there: this proxy's, and what is left of the others' by the last report."""
+        """Returns the estimated number of requests at the endpoint.
+
+        This is the number of this proxy's requests plus the last reported number of others, discounted by
+        age.
+        """
         if self.reported_at is None:
             return self.own_requests
         weight = 1 - (now_ns - self.reported_at) / REPORTED_LOAD_DECAY_NS
@@ -106,12 +112,12 @@
         return self.own_requests + self.reported_requests * weight
 
     def record_reported_load(self, running: int, waiting: int, now_ns: int) -> None:
-        """Take in the load that the endpoint reported: requests at work and in its queue, of all proxies."""
+        """Records the load reported by the endpoint: requests running and queued, from all proxies."""
         self.reported_requests = max(0.0, running + waiting - self.own_requests)
         self.reported_at = now_ns
 
     def begin_request(self, now_ns: int) -> None:
-        """Count a request that is about to be sent there."""
+        """Records the start of a request to the endpoint."""
         self.own_requests += 1
         if self.unanswered_since is None:
             self.unanswered_since = now_ns
@@ -122,7 +128,7 @@
         self.sent_at = now_ns
 
     def end_request(self, answered: bool, now_ns: int) -> None:
-        """Count a request as over.  Any answer, also a refusal, shows that the endpoint is there."""
+        """Records the end of a request.  Any response, even a rejection, shows that the endpoint is alive."""
         self.own_requests -= 1
         if answered:
             self.answered_at = now_ns
@@ -130,30 +136,31 @@
             self.unanswered_since = now_ns if self.own_requests else None
 
     def confirm_present(self, now_ns: int) -> None:
-        """Note that its own answer showed that it had not begun to leave at `now_ns`."""
+        """Records that the endpoint's own response showed it had not started to leave at `now_ns`."""
         if self.present_at is None or now_ns > self.present_at:
             self.present_at = now_ns
 
     def is_warming_up(self, now_ns: int) -> bool:
-        """Whether it is in slow start."""
+        """Returns whether the endpoint is in slow start."""
         return self.warming_up_until is not None and self.warming_up_until > now_ns
 
     def extend_warm_up(self, end_ns: int) -> None:
-        """Keep it in slow start until `end_ns`, or longer where that was known already."""
+        """Extends slow start to `end_ns`; never shortens it."""
         if self.warming_up_until is None or end_ns > self.warming_up_until:
             self.warming_up_until = end_ns
 
     def eject_until(self, end_ns: int) -> None:
-        """Take it out of use until `end_ns`, or longer where it already is."""
+        """Ejects the endpoint until `end_ns`; never shortens an existing ejection."""
         if self.ejected_until is None or end_ns > self.ejected_until:
             self.ejected_until = end_ns
 
     def record_failure(self, now_ns: int, sole_owner: bool = False) -> None:
-        """Take it out of use for a time that doubles with each failure in a row.
+        """Ejects the endpoint for a time that doubles with each consecutive failure.
 
         Args:
-            now_ns: steady clock.
-            sole_owner: nobody else owns its keys, so that a long ejection would help nobody.
+            now_ns: current time.
+            sole_owner: whether it is the only owner of its keys; then the ejection is kept short, since no
+                other endpoint can serve its requests.
         """
         self.consecutive_failures += 1
         doublings = min(self.consecutive_failures, EJECTION_MAX_DOUBLINGS)
@@ -163,15 +170,15 @@
         self.ejected_until = now_ns + ejection_ns
 
     def record_success(self) -> None:
-        """End its ejection, and forget its failures."""
+        """Ends the ejection and resets the failure count."""
         self.consecutive_failures = 0
         self.ejected_until = None
 
     def is_healthy(self, now_ns: int) -> bool:
-        """Whether requests may go there by its state.
+        """Returns whether the state of the endpoint allows requests to it.
 
-        Its heartbeats may be missing only at the controller that told of it: an endpoint that answers this
-        proxy is there.
+        Heartbeats may be missing only at the controller that reported the endpoint silent: an endpoint that
+        still responds to this proxy counts as present.
         """
         if self.state == EndpointState.SILENT:
             return self.answered_at is not None and now_ns - self.answered_at < PRESENT_AFTER_ANSWER_NS
--- a/flintreach/proxy/health_check.py
+++ b/flintreach/proxy/health_check.py
@@ -1,10 +1,11 @@
-"""Health checks: whether an endpoint is still there and not leaving, where no update confirms it in time.
+"""Health checks, which renew the leases of endpoints that no update has confirmed in time.
 
-An endpoint that is leaving says so in its responses (`Connection: close`), and its health check is answered
-200 only while it is not (the users' page on endpoints).  So traffic renews leases while the control plane is
-out of reach; an endpoint that nobody has used of late is checked once before it is used.
+An endpoint that is leaving announces it in its responses (`Connection: close`), and answers its health check
+with 200 only while it is not leaving (see the users' page on endpoints).  Normal traffic therefore renews
+leases while the control plane is unreachable; an endpoint without recent traffic is checked once before it is
+used.
 
-Times are nanoseconds of this process's steady clock, unless a name ends in `_s`.
+Times are nanoseconds of this process's monotonic clock, unless a name ends in `_s`.
 """
 
 import time
@@ -18,54 +19,55 @@
 from flintreach.proxy.response import Response
 from flintreach.proxy.view import RoutingView
 
-# For a health check, and of that for its connection to be set up.
+# Time-outs of a health check as a whole, and of its connection setup.
 CHECK_TIMEOUT_S = 0.6
 CONNECT_TIMEOUT_S = 0.3
 
 
 def confirms_presence(response: Response) -> bool:
-    """Whether a response shows that its endpoint had not begun to leave (RFC 9112, section 9.6)."""
+    """Returns whether a response shows that its endpoint had not started to leave (RFC 9112, section 9.6)."""
     return "close" not in (response.get("connection") or "").lower()
 
 
 class HealthChecker:
-    """Checks endpoints whose lease is over; each by one check at a time."""
+    """Checks endpoints whose lease has expired, with at most one concurrent check for each endpoint."""
 
     def __init__(self, view: RoutingView, metrics: Metrics) -> None:
         self.view = view
         self.metrics = metrics
-        # Endpoint id -> set when its check is over.
+        # Endpoint id -> event that is set when its check ends.
         self.in_progress: dict[str, Event] = {}
 
     def ensure_lease(self, endpoint: EndpointView, deadline: int) -> bool:
-        """Whether a request may be sent to an endpoint; it may be checked first.
+        """Returns whether a request may be sent to an endpoint; checks its health if its lease has expired.
 
         Args:
             endpoint: the endpoint.
-            deadline: nobody waits for the request after that.
+            deadline: deadline of the request.
         """
         now = time.monotonic_ns()
         if self.view.is_leased(endpoint, now):
             return True
         if endpoint.id not in self.in_progress:
             self.in_progress[endpoint.id] = Event()
-            # In a greenlet of its own: others wait for the same check when the one that began it is ended.
+            # In its own greenlet: other requests may wait for this check after the one that started it is
+            # cancelled.
             gevent.spawn(self.run_check, endpoint, now)
         wait_until = min(deadline, now + int(CHECK_TIMEOUT_S * NS_PER_S))
         self.in_progress[endpoint.id].wait((wait_until - now) / NS_PER_S)
         return self.view.is_leased(endpoint, time.monotonic_ns())
 
     def run_check(self, endpoint: EndpointView, now: int) -> None:
-        """Check an endpoint, and wake all that wait for it."""
+        """Checks an endpoint and wakes all waiters."""
         try:
             self.check(endpoint, now)
         finally:
             self.in_progress.pop(endpoint.id).set()
 
     def check(self, endpoint: EndpointView, now: int) -> None:
-        """Send one health check, if the service has any; a good answer confirms the endpoint as of `now`.
+        """Sends a health check, if the service has a health path; a 200 response renews the lease.
 
-        What is confirmed is the moment before it was sent: the endpoint may leave as soon as it has answered.
+        The lease is renewed as of `now`, before sending: the endpoint may leave as soon as it has responded.
         """
         service_config = self.view.routes.service_configs.get(endpoint.service)
         if service_config is None or not service_config.health_path:
--- a/flintreach/proxy/key_ranges.py
+++ b/flintreach/proxy/key_ranges.py
@@ -1,15 +1,15 @@
-"""Which endpoint owns which keys of a sharded service, as this proxy was told.  Pure."""
+"""Key ranges of a sharded service and their owners, looked up by key.  Pure."""
 
 from bisect import bisect_right
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# State of a range whose owner has its lease, as the updates spell it (`flintreach.sharding`).
+# State of a range whose owner has a lease on it, as encoded in updates (`flintreach.sharding`).
 OWNED = "held"
 
 
 class RangeRow(NamedTuple):
-    """One range of keys, both bounds included, in the order of the update's fields."""
+    """A range of keys, both bounds inclusive; the fields are in the order of the update's array."""
 
     low: int
     high: int
@@ -18,10 +18,10 @@
 
 
 class KeyRanges:
-    """The ranges of one service that have an owner, looked up by key.
+    """The ranges of one service that currently have an owner.
 
     Args:
-        rows: all ranges of the service, as an update lists them.
+        rows: all ranges of the service, as listed in an update.
     """
 
     __slots__ = ("lows", "ranges")
@@ -32,7 +32,7 @@
         self.lows = [range_row.low for range_row in self.ranges]
 
     def owner(self, key: int) -> str | None:
-        """Id of the endpoint that owns a key; None where the key is between two owners."""
+        """Returns the id of the endpoint that owns a key, or None while ownership is moving."""
         index = bisect_right(self.lows, key) - 1
         if index < 0 or key > self.ranges[index].high:
             return None
--- a/flintreach/proxy/link_admission.py
+++ b/flintreach/proxy/link_admission.py
@@ -1,49 +1,49 @@
-"""Admission of large answers: on a thin link all else would wait behind those under way at once.
+"""Admission control for large responses, which would otherwise delay all other traffic on a slow link.
 
-No more bytes are asked for than the link brings within a short time; a request that comes later waits in
-turn, and is rejected with a time to come back where that would take up too much of its latency target.  Pure,
-but for the callbacks it is given.
+The bytes requested at a time are limited to what the link carries in a short window.  Further requests are
+queued, and are rejected with a Retry-After time if the wait would use up too much of their latency target.
+Performs no I/O apart from calling the given callbacks.
 """
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Large answers that are under way fill the link for so long.
+# Large responses in flight may occupy the link for up to this time.
 LINK_WINDOW_S = 0.5
 
-# Part of a route's latency target for which a request may wait for its turn.
+# Fraction of a route's latency target for which a request may be queued.
 MAX_WAIT_FRACTION = 0.5
 
-# From so many bytes on an answer is large.
+# Minimum size of a response that needs admission.
 LARGE_ANSWER_BYTES = 16384
 
-# What an answer of a large_by_default route is taken for before any was seen.
+# Assumed size for routes with large responses before any was measured.
 DEFAULT_LARGE_ANSWER_BYTES = 65536
 
-# Weight of the past in the average size of a route's answers.
+# A new response has a weight of 1 / SIZE_SMOOTHING in the average size of its route.
 SIZE_SMOOTHING = 8
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class WaitingAnswer:
-    """One that waits for its turn: the bytes it is expected to have, and what wakes it."""
+    """A queued response: its expected size in bytes, and the callback that wakes its request."""
 
     size: int
     wake: Callable[[], None]
 
 
 class LinkAdmission:
-    """Who may bring a large answer over this machine's link now.
+    """Limits the large responses that are in flight on this machine's link.
 
     Args:
-        mbps: megabits a second of the link; 0: the settings don't tell it, and all may.
+        mbps: capacity of the link in megabits per second; 0 if the settings do not give it, which admits all.
 
     Attributes:
-        window_bytes: what may be under way at once.
-        in_flight_bytes: what is.
-        queue: those that wait, first come first.
-        average_sizes: route -> average size of its answers.
+        window_bytes: maximum number of bytes in flight.
+        in_flight_bytes: current number of bytes in flight.
+        queue: queued responses in order of arrival.
+        average_sizes: route -> smoothed size of its responses in bytes.
     """
 
     def __init__(self, mbps: float) -> None:
@@ -53,26 +53,26 @@
         self.average_sizes: dict[str, int] = {}
 
     def expected_size(self, route: str, large_by_default: bool) -> int:
-        """Bytes that an answer is expected to have, 0 where it needs no admission.
+        """Returns the expected size of a response in bytes, or 0 if it needs no admission.
 
         Args:
-            route: name of its route.
-            large_by_default: whether answers of the route's kind are large as a rule.
+            route: name of the route.
+            large_by_default: whether responses are assumed large before any was measured.
         """
         average = self.average_sizes.get(route, DEFAULT_LARGE_ANSWER_BYTES if large_by_default else 0)
         return average if self.window_bytes and average >= LARGE_ANSWER_BYTES else 0
 
     def observe(self, route: str, size: int) -> None:
-        """Learn from the size of an answer."""
+        """Updates the average response size of a route."""
         average = self.average_sizes.get(route, size)
         self.average_sizes[route] = average + (size - average) // SIZE_SMOOTHING
 
     def fits(self, size: int) -> bool:
-        """Whether an answer may be under way beside the others; alone any may."""
+        """Returns whether a response fits in the window; a single response always does."""
         return not self.in_flight_bytes or self.in_flight_bytes + size <= self.window_bytes
 
     def acquire(self, size: int, wake: Callable[[], None]) -> bool:
-        """Whether an answer is admitted at once; else it waits, and `wake` is called when it is admitted."""
+        """Returns whether a response is admitted now; otherwise queues it and calls `wake` on admission."""
         if not self.queue and self.fits(size):
             self.in_flight_bytes += size
             return True
@@ -80,10 +80,10 @@
         return False
 
     def cancel(self, wake: Callable[[], None]) -> bool:
-        """Stop waiting.
+        """Removes a response from the queue.
 
         Returns:
-            False where it was admitted meanwhile: then it must `release`.
+            False if it had already been admitted; the caller must then `release` it.
         """
         remaining = deque(waiting for waiting in self.queue if waiting.wake is not wake)
         was_waiting = len(remaining) < len(self.queue)
@@ -91,7 +91,7 @@
         return was_waiting
 
     def release(self, size: int) -> None:
-        """Give back what an answer was admitted with, and admit those that wait and now fit."""
+        """Releases the bytes of an admitted response, and admits queued ones that now fit."""
         self.in_flight_bytes -= size
         while self.queue and self.fits(self.queue[0].size):
             admitted = self.queue.popleft()
--- a/flintreach/proxy/metrics.py
+++ b/flintreach/proxy/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of one proxy, and their text in the Prometheus exposition format (0.0.4).  Pure.
+"""Counters and histograms of one proxy, in the Prometheus text exposition format (0.0.4).  Performs no I/O.
 
-The names stay: operators' dashboards and alerts hold on to them.  Durations are taken in nanoseconds and
-exposed in seconds.
+Metric names must not change, since operators' dashboards and alerts depend on them.  Durations are recorded
+in nanoseconds and exposed in seconds.
 
 Source of the format: Prometheus, "Exposition formats", text-based format.
 """
@@ -10,45 +10,45 @@
 
 NS_PER_S = 1_000_000_000
 
-# Upper bounds of the histograms' buckets.
+# Upper bounds of the histogram buckets.
 BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
 
 PREFIX = "flintreach_proxy_"
 
-# Counters.  The kinds of outcomes (`outcome.OutcomeKind`) are counters too.
+# Counters.  The values of `outcome.OutcomeKind` are counters as well.
 
-# Must stay 0: a request went out when its endpoint's lease was over.
+# Must stay 0: requests sent after the lease on their endpoint had expired.
 SENT_AFTER_DEPARTURE = "sent after departure"
-# Must stay 0: a request went out though its client had left.
+# Must stay 0: requests sent although their client had already disconnected.
 SENT_AFTER_DISCONNECT = "sent after client left"
-# Must stay 0: an idempotent request was not cancelled soon after its client had left.
+# Must stay 0: idempotent requests not cancelled in time after their client disconnected.
 LATE_CANCELLATION = "worked on after client left"
-# Requests whose client left before the answer.
+# Requests whose client disconnected before the response.
 CLIENT_DISCONNECTED = "client left"
-# Attempts that were cancelled.
+# Cancelled attempts.
 CANCELLED_ATTEMPTS = "abandoned"
-# Requests that no route matches.
+# Requests without a matching route.
 NO_ROUTE = "no_route"
-# Large answers that did not get their turn on the link in time.
+# Large responses that were not admitted to the link in time.
 LINK_ADMISSION_TIMEOUT = "no turn"
-# Requests for which there was no endpoint (any more).
+# Requests without an endpoint to try, or without a further one.
 NO_ENDPOINT = "nowhere"
-# Requests that were not retried because the budget was used up.
+# Requests not retried because the retry budget was exhausted.
 BUDGET_EXHAUSTED = "budget"
-# Retries.
+# Retries after a failed attempt.
 RETRIES = "again"
-# Hedged requests.
+# Hedged requests sent.
 HEDGED_REQUESTS = "beside"
-# Health checks that were sent because a lease was over.
+# Health checks sent because a lease had expired.
 HEALTH_CHECKS = "asked for presence"
-# Attempts that were not sent because the endpoint's lease was over and no health check renewed it.
+# Attempts not sent because the endpoint's lease had expired and no health check renewed it.
 LEASE_NOT_RENEWED = "unconfirmed"
-# Attempts whose bytes were taken back, since they would have arrived too late.
+# Attempts whose connection was reset because their bytes would have arrived too late.
 RECALLED = "recalled"
-# Attempts that found the endpoint with all the connections that it takes.
+# Attempts rejected because the endpoint had reached its connection limit.
 AT_CONNECTION_LIMIT = "full"
 
-# Histograms, with what each of them tells.
+# Histograms, with their help texts.
 VIEW_AGE = "view_age_at_send_seconds"
 SEND_TIME = "send_seconds"
 LATE_SEND = "send_after_departure_seconds"
@@ -64,7 +64,7 @@
 
 
 class Histogram:
-    """Counts by bucket, the sum and the greatest value of some durations."""
+    """Bucket counts, sum and maximum of durations."""
 
     __slots__ = ("counts", "total_ns", "max_ns")
 
@@ -74,13 +74,13 @@
         self.max_ns = 0
 
     def observe(self, duration_ns: int) -> None:
-        """Add one duration."""
+        """Adds one duration."""
         self.counts[bisect_left(BUCKETS_S, duration_ns / NS_PER_S)] += 1
         self.total_ns += duration_ns
         self.max_ns = max(self.max_ns, duration_ns)
 
     def lines(self, name: str) -> list[str]:
-        """Its samples in the exposition format, where buckets are cumulative."""
+        """Returns the samples in the exposition format, with cumulative buckets."""
         lines = []
         cumulative = 0
         for bound, count in zip((*BUCKETS_S, "+Inf"), self.counts):
@@ -92,10 +92,10 @@
 
 
 class Metrics:
-    """All figures of one proxy.
+    """All metrics of one proxy.
 
     Attributes:
-        counts: name of a counter -> how often it was counted.
+        counts: name of a counter -> its value.
         histograms: name -> histogram.
     """
 
@@ -104,19 +104,19 @@
         self.histograms = {name: Histogram() for name in HELP}
 
     def count(self, name: str) -> None:
-        """Add one to a counter."""
+        """Increments a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def observe(self, name: str, duration_ns: int) -> None:
-        """Add one duration to a histogram."""
+        """Adds one duration to a histogram."""
         self.histograms[name].observe(duration_ns)
 
     def max_values(self) -> dict[str, float]:
-        """Name of each histogram -> its greatest value in seconds."""
+        """Returns the maximum of each histogram in seconds, by name."""
         return {name: round(histogram.max_ns / NS_PER_S, 3) for name, histogram in self.histograms.items()}
 
     def text(self) -> str:
-        """All figures in the exposition format."""
+        """Returns all metrics in the exposition format."""
         lines = []
         for name, count in sorted(self.counts.items()):
             metric = f"{PREFIX}{name.replace(' ', '_')}_total"
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -1,7 +1,7 @@
-"""`flintreach proxy`: one process on a machine that clients reach.
+"""The `flintreach proxy` process.
 
-It follows the controllers' updates (`view`), forwards clients' requests (`client_listener`, `forwarding`),
-and reports loads to the controllers.
+It receives updates from the controllers (`view`), forwards client requests (`client_listener`, `forwarding`),
+and reports load to the controllers.
 """
 
 import signal
@@ -35,39 +35,37 @@
 NS_PER_S = 1_000_000_000
 MS_PER_S = 1000
 
-# Places of the programs in a machine's spare ports.
+# Offsets of the programs' ports within a machine's `spare_ports`.
 PROXY_PORT_INDEX = 1
 CONTROLLER_PORT_INDEX = 0
 
-# Names of this process's ports in the settings.
+# Names of this process's ports in the settings file.
 CLIENT_PORT = "front"
 READY_PORT = "ready"
 
-# Roles' names on the wire between instances, as earlier releases wrote them.
-
-# State of a member that has left, on the same wire.
+# State of a member that has left, in the membership protocol.
 LEFT_STATE = 3
 
 LOAD_REPORT_INTERVAL_S = 1.0
 PRUNE_INTERVAL_S = 0.4
 
-# Before clients come, updates must be as fresh.
+# Maximum age of updates for the proxy to become ready.
 READY_MAX_UPDATE_AGE_S = 1.0
 READY_POLL_INTERVAL_S = 0.05
 
-# For so long the draining proxy still accepts connections: clients learn late that it is not ready.
+# A draining proxy accepts connections for this long, since clients learn with a delay that it is not ready.
 DRAIN_NOTICE_S = 1.0
 DRAIN_POLL_INTERVAL_S = 0.05
 
-# Of the time that the rules give a draining process, for what comes after the last answer.
+# Part of the grace time that is reserved for shutdown after the last response.
 DRAIN_MARGIN_S = 0.7
 
-# At the address of the `ready` port.
+# Path of the metrics on the `ready` port.
 METRICS_PATH = "/metrics"
 
 
 class Proxy:
-    """The proxy's process: its parts, and the order in which they start and stop."""
+    """The proxy process: owns its components, and starts and stops them in order."""
 
     def __init__(self, node: settings.ProcessSettings) -> None:
         self.node = node
@@ -111,21 +109,21 @@
         self.stopping = Event()
 
     def controller_addresses(self) -> list[tuple[str, int]]:
-        """Where controllers are by the settings, to find the first members."""
+        """Returns the controller addresses from the settings, used to discover the first members."""
         port = self.node.peer_address(CONTROLLER_PORT_INDEX)[1]
         return [(ip, port) for ip in self.node.seeds()]
 
     def confirmed_at(self) -> int:
-        """Steady nanoseconds up to which all that was acknowledged anywhere is known here."""
+        """Returns the monotonic time in nanoseconds up to which all acknowledged updates are known here."""
         return int(self.relay.fresh_at * NS_PER_S)
 
     def request_limits(self) -> RequestLimits:
-        """The limits on requests, of the configuration in force."""
+        """Returns the request limits of the current configuration."""
         routes = self.view.routes
         return routes.table.limits if routes else RequestLimits()
 
     def choose_parents(self) -> list[tuple[str, int]]:
-        """Addresses that updates are to come from, the best first."""
+        """Returns the addresses to receive updates from, in order of preference."""
         member_list = self.failure_detector.member_list
         alive = member_list.alive(ROLE_CONTROLLER)
         controllers = [member for member in alive if member.ready] or alive
@@ -135,9 +133,10 @@
         return [member.address for member in chosen]
 
     def update_position(self) -> None:
-        """Take in a change of the members.
+        """Handles a change of the member list.
 
-        Shares go by the proxies known of late: one that is missing may only be cut off.
+        Shares are computed from all listed proxies, including those not alive: a missing proxy may only be
+        partitioned from this one and still send its share.
         """
         member_list = self.failure_detector.member_list
         proxies = [member for member in member_list.members.values() if member.role == ROLE_PROXY]
@@ -154,7 +153,7 @@
     def serve_ready(
         self, environ: dict[str, Any], start_response: Callable[[str, list[tuple[str, str]]], Any]
     ) -> list[bytes]:
-        """WSGI application at the `ready` port: whether clients may come, and the metrics."""
+        """WSGI application on the `ready` port: serves the readiness check and the metrics."""
         if environ["PATH_INFO"] == METRICS_PATH:
             start_response("200 OK", [("Content-Type", "text/plain; version=0.0.4")])
             return [self.metrics.text().encode()]
@@ -164,7 +163,7 @@
         return [b"ready\n" if is_ready else b"not ready\n"]
 
     def report_load(self) -> None:
-        """Send loads up to the controllers, again and again."""
+        """Sends load reports to the controllers periodically."""
         while True:
             gevent.sleep(LOAD_REPORT_INTERVAL_S)
             body = self.load_aggregate.take()
@@ -172,7 +171,7 @@
                 self.relay.send_up(body)
 
     def prune_connections(self) -> None:
-        """End connections to endpoints that have lain idle too long, again and again."""
+        """Closes idle connections to endpoints periodically."""
         while True:
             gevent.sleep(PRUNE_INTERVAL_S)
             now_ns = time.monotonic_ns()
@@ -180,10 +179,10 @@
                 endpoint.pool.prune(now_ns)
 
     def run(self) -> int:
-        """Serve until a signal ends the process.
+        """Runs until SIGTERM.
 
         Returns:
-            The process's exit status.
+            Exit status of the process.
         """
         self.peer_pool.start()
         self.failure_detector.start()
@@ -199,11 +198,11 @@
         return self.drain()
 
     def reload_settings(self) -> None:
-        """Take in the settings file as it is now."""
+        """Reloads the settings file."""
         self.node = settings.reload(self.node)
 
     def become_ready(self) -> None:
-        """Let clients come once this process knows what is in force, as fresh as a controller has it."""
+        """Accepts clients once a configuration was received and updates are sufficiently fresh."""
         while not self.stopping.is_set():
             if self.view.routes is not None and self.relay.age() < READY_MAX_UPDATE_AGE_S:
                 break
@@ -216,10 +215,10 @@
         say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
 
     def drain(self) -> int:
-        """Answer what was read, and end; nobody is sent here any more.
+        """Stops accepting clients, and waits for pending responses up to the grace time.
 
         Returns:
-            The process's exit status.
+            Exit status of the process.
         """
         say("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
         self.client_listener.draining = True
@@ -242,8 +241,8 @@
 
 
 def main() -> None:
-    """Run the proxy by this machine's settings; the process ends with it."""
-    # Addresses are numbers: threads that look names up would only cost memory.
+    """Runs the proxy with this machine's settings, and exits the process."""
+    # All addresses are numeric, so the resolver's thread pool would only use memory.
     gevent.config.resolver = "block"
     try:
         node = settings.load()
--- a/flintreach/proxy/retry_budget.py
+++ b/flintreach/proxy/retry_budget.py
@@ -1,28 +1,28 @@
-"""A retry budget: the share of the requests to a service that may be sent once more.  Pure.
+"""Retry budget: the fraction of the requests to a service that may be sent again.
 
-Retries and hedged requests both spend from it, so that a service in trouble isn't buried under repeated work.
-Times are nanoseconds of this process's steady clock.
+Retries and hedged requests share the budget, so that an overloaded service does not receive even more load.
+Times are nanoseconds of this process's monotonic clock.
 
 Source: B. Beyer et al., "Site Reliability Engineering" (2016), chapter 21, "Handling Overload".
 """
 
 NS_PER_S = 1_000_000_000
 
-# Slots of the sliding window for each second of it.
+# Number of slots per second of the sliding window.
 SLOTS_PER_S = 4
 
-# Part of the ratio, and of the slack of all proxies together, that proxies may use up.  What is left covers
-# proxies that are not yet known to each other, and windows that are cut differently.
+# Fraction of the ratio and of the slack that the proxies use together.  The remainder covers proxies that do
+# not know of each other yet, and differences in the alignment of their windows.
 USABLE_FRACTION = 0.5
 
 
 class RetryBudget:
-    """This proxy's share of the retries and hedged requests that all may send to a service in a window.
+    """This proxy's share of a service's budget for retries and hedged requests, in a sliding window.
 
     Args:
-        ratio: retries allowed for each request in the window, over all proxies.
+        ratio: retries allowed per request in the window, over all proxies.
         window_s: length of the window.
-        slack: retries allowed in a window beyond the ratio, over all proxies.
+        slack: retries allowed in a window in addition to the ratio, over all proxies.
     """
 
     __slots__ = ("ratio", "slack", "slots", "requests", "retries", "current_slot")
@@ -36,9 +36,9 @@
         self.current_slot = 0
 
     def advance(self, now_ns: int) -> int:
-        """Empty the slots that have fallen out of the window, and return the index of the present one."""
+        """Clears the slots that have left the window, and returns the index of the current slot."""
         slot = now_ns * SLOTS_PER_S // NS_PER_S
-        # After a pause longer than the window, one round empties all there is.
+        # After a pause longer than the window, clearing each slot once is enough.
         last_to_empty = min(slot, self.current_slot + self.slots)
         for passed in range(self.current_slot + 1, last_to_empty + 1):
             index = passed % self.slots
@@ -48,21 +48,21 @@
         return self.current_slot % self.slots
 
     def count_request(self, now_ns: int) -> None:
-        """Count a request of a client: it adds to the budget."""
+        """Counts a client request, which increases the budget."""
         self.requests[self.advance(now_ns)] += 1
 
     def allows(self, now_ns: int, proxies: int, fraction: float = 1.0) -> bool:
-        """Whether one more retry may be sent.
+        """Returns whether one more retry may be sent.
 
         Args:
-            now_ns: steady clock.
+            now_ns: current time.
             proxies: number of proxies that share the slack.
-            fraction: fraction of the budget that may be used up for this purpose.
+            fraction: fraction of the budget that may be used for this purpose.
         """
         self.advance(now_ns)
         budget = USABLE_FRACTION * (self.ratio * sum(self.requests) + self.slack / max(1, proxies))
         return sum(self.retries) + 1 <= fraction * budget
 
     def spend(self, now_ns: int) -> None:
-        """Count a retry or a hedged request that is sent now."""
+        """Counts a retry or hedged request that is sent now."""
         self.retries[self.advance(now_ns)] += 1
--- a/flintreach/proxy/retry_policy.py
+++ b/flintreach/proxy/retry_policy.py
@@ -1,7 +1,7 @@
-"""Whether a request is attempted again, by what came of its last attempt.  Pure.
+"""Retry policy: whether a request may be retried, by the outcome of its last attempt.
 
-`forwarding` asks here after each failed attempt, and sees itself whether attempts, time and budget allow a
-retry.
+Pure functions.  `forwarding` consults this policy after each failed attempt, and checks the limits on
+attempts, time and the retry budget itself.
 """
 
 from dataclasses import dataclass
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """What follows a failed attempt.
+    """Consequence of a failed attempt.
 
     Attributes:
-        may_retry: whether the request may be attempted again, as far as its outcome goes.
-        status: HTTP status of the final answer where it is not attempted again.
+        may_retry: whether the outcome allows a retry.
+        status: HTTP status to return if there is no retry.
     """
 
     may_retry: bool
     status: int
 
 
-# RFC 9110, section 9.2.2: a request that is not idempotent is repeated only where it is known not to have
-# run.  503 promises that the request has not run and never will; 502 and 504 promise nothing.
+# RFC 9110, section 9.2.2: a request that is not idempotent is retried only if it is known not to have run.
+# Status 503 guarantees that the request has not run and never will; 502 and 504 guarantee nothing.
 RETRY_IF_IDEMPOTENT: dict[OutcomeKind, RetryDecision] = {
     OutcomeKind.UNSENT: RetryDecision(True, 503),
     OutcomeKind.NOT_RUN: RetryDecision(True, 503),
@@ -39,14 +39,14 @@
 
 
 def decide_retry(kind: OutcomeKind, idempotent: bool) -> RetryDecision:
-    """What follows an attempt that failed.
+    """Returns the decision for a failed attempt.
 
     Args:
-        kind: what came of it; not `ANSWERED`.
-        idempotent: whether the request's route lets it run twice.
+        kind: outcome of the attempt; not `ANSWERED`.
+        idempotent: whether the route declares the request idempotent.
 
     Raises:
-        KeyError: `kind` is `ANSWERED`, which leaves nothing to decide.
+        KeyError: `kind` is `ANSWERED`, for which there is no decision.
     """
     decisions = RETRY_IF_IDEMPOTENT if idempotent else RETRY_IF_NOT_IDEMPOTENT
     return decisions[kind]
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -1,9 +1,9 @@
-"""What a proxy knows from the control plane's updates: routes, endpoints, key owners, evacuated zones.
+"""The proxy's view of the control plane: routes, endpoints, key owners and evacuated zones.
 
-No I/O of its own.  `forwarding` asks it which endpoints may serve a request, `attempt` and `health_check`
-whether the lease on one of them still holds.
+Performs no I/O.  `forwarding` asks it for the endpoints that may serve a request; `attempt` and
+`health_check` ask whether the lease on an endpoint is valid.
 
-Times are nanoseconds of this process's steady clock; None stands for "never".
+Times are nanoseconds of this process's monotonic clock; None means "never".
 """
 
 from collections.abc import Callable, Collection
@@ -32,22 +32,22 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 
-# Kinds of updates: what stands before the "/" of their keys.
+# Kinds of updates: the part of an update's key before the "/".
 ENDPOINT_KIND = ENDPOINT_KEY_PREFIX.rstrip("/")
 SLICE_KIND = SLICE_KEY_PREFIX.rstrip("/")
 KEY_RANGES_KIND = KEY_RANGES_PREFIX.rstrip("/")
 
 
 class EndpointUpdate(msgspec.Struct):
-    """The value of an update on an endpoint; one that is gone may tell its state alone.
+    """The value of an endpoint update; an update with state "gone" may carry the state alone.
 
     Attributes:
-        state: an `EndpointState`, or a state of a later release.
-        service: the service that it belongs to.
+        state: an `EndpointState`, or a state introduced by a later release.
+        service: name of the endpoint's service.
         address: "host:port".
-        zone: its failure domain.
-        concurrency_limit: requests that it works on at the same time.
-        warm_up_left_ms: for how long its slow start still lasts.
+        zone: failure domain of the endpoint.
+        concurrency_limit: number of requests that the endpoint processes concurrently.
+        warm_up_left_ms: remaining duration of its slow start.
     """
 
     state: str
@@ -59,27 +59,28 @@
 
 
 def format_slice_name(route: Route, service: str) -> str:
-    """The name of a slice: one route and one of its services."""
+    """Returns the name of a slice, which is a route together with one of its services."""
     return f"{route.name} {service}"
 
 
 class RoutingView:
-    """What this proxy knows of the whole system; it follows a store of updates.
+    """Routing state of this proxy, built from the updates in a store.
 
     Args:
-        updates: the store, whose watchers this view joins.
-        position: where this proxy is among the others; its owner keeps it up to date.
+        updates: the store; this view registers itself as a watcher.
+        position: this proxy's place among the other proxies, kept current by its owner.
         zones: zone -> its region.
-        clock: reads the steady clock.
-        bounds: the rules' time limits.
-        confirmed_at: tells a moment of that clock up to which all that was acknowledged anywhere is known
-            here (`Relay.age`); without it, the present one.
+        clock: reads the monotonic clock.
+        bounds: time bounds from the settings.
+        confirmed_at: returns the time up to which this proxy is known to have received every acknowledged
+            update (from the relay's `fresh_at`); defaults to the current time.
         metrics: counts requests that were sent after a departure.
 
     Attributes:
-        departures: endpoint id -> `EndpointView.departed_at`, as long as the store has updates of that id.
-        evacuated_at: evacuated zone -> earliest moment at which its evacuation can have been acknowledged.
-        assignments: slice -> ids of the endpoints that it is assigned to.
+        departures: endpoint id -> `EndpointView.departed_at`, kept as long as the store has an update for the
+            id.
+        evacuated_at: evacuated zone -> earliest time at which its evacuation can have been acknowledged.
+        assignments: slice -> ids of the endpoints assigned to it.
         key_ranges: sharded service -> owners of its keys.
     """
 
@@ -107,20 +108,20 @@
         self.evacuated_at: dict[str, int] = {}
         self.assignments: dict[str, frozenset[str]] = {}
         self.key_ranges: dict[str, KeyRanges] = {}
-        # By which the endpoints were divided into subsets last; None: they must be divided anew.
+        # Subset index of the last call to `assign_subsets`; None if endpoints changed since.
         self.subset_index: SubsetIndex | None = None
         updates.watchers.append(self.apply_update)
         updates.droppers.append(self.remove_key)
 
-    # Updates of the control plane.
+    # Updates from the control plane.
 
     def apply_update(self, key: str, version: Any, value: Any) -> None:
-        """Take in one update; a watcher of the store.
+        """Applies one update; registered as a watcher of the store.
 
         Args:
-            key: its kind, and behind a "/" the name of what it is about.
-            version: its version, which the store has compared already.
-            value: what is known now; None: nothing any more.
+            key: kind of the update, followed by "/" and the name of its subject where there are several.
+            version: version of the update, which the store has already compared.
+            value: the new value, or None if the subject was removed.
         """
         kind, _, name = key.partition("/")
         if kind == ENDPOINT_KIND:
@@ -135,36 +136,41 @@
             self.update_key_ranges(name, value)
 
     def remove_key(self, key: str) -> None:
-        """Take in that the store has dropped a key; called by the store."""
+        """Handles the removal of a key from the store; registered with the store's droppers."""
         self.apply_update(key, None, None)
 
     def update_evacuations(self, evacuated: dict[str, bool]) -> None:
-        """Take in which zones are evacuated.  A zone that was evacuated before keeps its earlier moment."""
+        """Replaces the set of evacuated zones.
+
+        A zone that was already evacuated keeps its earlier evacuation time, so that the bound is not
+        extended.
+        """
         before = self.evacuated_at
         self.evacuated_at = {
             zone: before.get(zone, self.confirmed_at()) for zone, is_on in evacuated.items() if is_on
         }
-        # Endpoints may have cooled down while their zone was empty, and their heartbeats tell it late.
+        # Endpoints may have gone cold while their zone received no traffic, and their heartbeats report this
+        # late, so they go through slow start again.
         for endpoint in self.endpoints.values():
             if endpoint.zone in before and endpoint.zone not in self.evacuated_at:
                 endpoint.extend_warm_up(self.clock() + self.warm_up_ns(endpoint.service))
 
     def update_assignment(self, slice_name: str, endpoint_ids: list[str] | None) -> None:
-        """Take in the endpoints that a slice is assigned to; None: the slice is no more."""
+        """Sets the endpoints assigned to a slice, or removes the slice if the list is None."""
         if endpoint_ids is None:
             self.assignments.pop(slice_name, None)
         else:
             self.assignments[slice_name] = frozenset(endpoint_ids)
 
     def update_key_ranges(self, service: str, rows: list[list] | None) -> None:
-        """Take in the key ranges of a service; None: it is not sharded any more."""
+        """Sets the key ranges of a service, or removes them if it is no longer sharded (None)."""
         if rows is None:
             self.key_ranges.pop(service, None)
         else:
             self.key_ranges[service] = KeyRanges(rows)
 
     def update_endpoint(self, endpoint_id: str, value: dict[str, Any] | None) -> None:
-        """Take in an update on an endpoint; None: all that was known of it is forgotten."""
+        """Applies an update for an endpoint; None removes all state kept for it."""
         endpoint = self.endpoints.get(endpoint_id)
         if value is None:
             self.departures.pop(endpoint_id, None)
@@ -174,7 +180,7 @@
         if update.state in (EndpointState.DRAINING, EndpointState.GONE):
             self.record_departure(endpoint_id, endpoint)
         else:
-            self.departures.pop(endpoint_id, None)  # it was only silent
+            self.departures.pop(endpoint_id, None)  # missing heartbeats are not a departure
         if update.state == EndpointState.GONE:
             self.remove_endpoint(endpoint)
             return
@@ -186,10 +192,10 @@
             endpoint.extend_warm_up(self.clock() + update.warm_up_left_ms * NS_PER_MS)
 
     def record_departure(self, endpoint_id: str, endpoint: EndpointView | None) -> None:
-        """Note the earliest moment at which a departure can have been acknowledged.
+        """Records the earliest time at which an endpoint's departure can have been acknowledged.
 
-        That is not before the last one at which the endpoint was surely present.  The first note stands,
-        whatever is heard later: a departure that is told again must not begin a new lease.
+        This is the last time at which the endpoint was known to be present.  The first recorded time is kept:
+        a repeated departure must not start a new lease.
         """
         if endpoint_id in self.departures:
             return
@@ -207,7 +213,7 @@
             self.metrics.count(SENT_AFTER_DEPARTURE)
 
     def add_endpoint(self, endpoint_id: str, update: EndpointUpdate) -> EndpointView:
-        """Begin to know an endpoint."""
+        """Creates the view of an endpoint."""
         endpoint = EndpointView(
             endpoint_id,
             update.service,
@@ -223,7 +229,7 @@
         return endpoint
 
     def remove_endpoint(self, endpoint: EndpointView | None) -> None:
-        """Stop knowing an endpoint, if it was known; attempts that still have it find it gone."""
+        """Removes an endpoint if it is known, and marks it gone for attempts that still refer to it."""
         if endpoint is None:
             return
         del self.endpoints[endpoint.id]
@@ -235,22 +241,22 @@
         endpoint.pool.close()
         self.subset_index = None
 
-    # What the configuration says of a service.
+    # Configuration of a service.
 
     def warm_up_ns(self, service: str) -> int:
-        """How long the slow start of a service's endpoints lasts."""
+        """Returns the duration of slow start for a service's endpoints."""
         service_config = self.routes.service_configs.get(service) if self.routes else None
         return int((service_config.slow_start_s if service_config else 0) * NS_PER_S)
 
     def is_sharded(self, service: str) -> bool:
-        """Whether each key of a service has one owner.  There must be routes."""
+        """Returns whether each key of a service has a single owner; routes must have been received."""
         service_config = self.routes.service_configs.get(service)
         return service_config is not None and service_config.sharded
 
-    # Leases on what is known of an endpoint (docs/design/leases.md).
+    # Leases on endpoints (docs/design/leases.md).
 
     def last_known_present(self, endpoint: EndpointView) -> int:
-        """A moment by which no departure of an endpoint had been acknowledged."""
+        """Returns the latest time by which no departure of an endpoint had been acknowledged."""
         if endpoint.departed_at is not None:
             return endpoint.departed_at
         confirmed_at = self.confirmed_at()
@@ -259,23 +265,27 @@
         return max(confirmed_at, endpoint.present_at)
 
     def is_leased(self, endpoint: EndpointView, now_ns: int) -> bool:
-        """Whether a request that is sent now still arrives within the bound on departures."""
+        """Returns whether a request sent now would arrive within the bound on departures."""
         return now_ns < self.last_known_present(endpoint) + self.departure_terms.send_window_ns
 
     def arrival_deadline(self, endpoint: EndpointView) -> int:
-        """The moment after which no byte of a request may arrive; it moves on with what confirms it."""
+        """Returns the time after which no byte of a request may arrive at an endpoint.
+
+        The deadline moves forward with each confirmation that the endpoint is present.
+        """
         limit = self.last_known_present(endpoint) + self.departure_terms.arrival_window_ns
         evacuated_at = self.evacuated_at.get(endpoint.zone)
         if evacuated_at is None:
             return limit
         return min(limit, evacuated_at + self.evacuation_terms.arrival_window_ns)
 
-    # Which endpoints may be used.
+    # Selection of endpoints.
 
     def is_eligible(self, endpoint: EndpointView, now_ns: int) -> bool:
-        """Whether requests may go to an endpoint by the rules on departures and evacuations.
+        """Returns whether departures and evacuations allow requests to an endpoint.
 
-        The owner of keys is used while it is draining, until they have moved or its lease is over.
+        A draining key owner stays eligible until its keys have moved or its lease has expired; an owner in an
+        evacuated zone until its keys have moved or the send window after the evacuation has passed.
         """
         if endpoint.state == EndpointState.GONE:
             return False
@@ -287,17 +297,17 @@
         return evacuated_at is None or now_ns < evacuated_at + self.evacuation_terms.send_window_ns
 
     def may_send(self, endpoint: EndpointView) -> bool:
-        """Whether a request may be sent to an endpoint now."""
+        """Returns whether a request may be sent to an endpoint now."""
         now_ns = self.clock()
         return self.is_eligible(endpoint, now_ns) and self.is_leased(endpoint, now_ns)
 
     def key_owner(self, service: str, key: int) -> str | None:
-        """Id of the endpoint that owns a key; None where the key is between two owners."""
+        """Returns the id of the endpoint that owns a key, or None while ownership is moving."""
         ranges = self.key_ranges.get(service)
         return None if ranges is None else ranges.owner(key)
 
     def endpoints_for_key(self, service: str, key: int | None) -> Collection[EndpointView]:
-        """The endpoints that have what a request needs: the owner of its key, or all of its service."""
+        """Returns the owner of a key for a sharded service, otherwise all endpoints of the service."""
         if not self.is_sharded(service):
             return self.services.get(service, {}).values()
         owner_id = None if key is None else self.key_owner(service, key)
@@ -307,13 +317,16 @@
     def candidates(
         self, route: Route, service: str, key: int | None, attempted: set[str]
     ) -> list[EndpointView]:
-        """Endpoints that may serve an attempt: the rules bind, then healthy ones come first.
+        """Returns the endpoints that may serve an attempt.
+
+        Home regions, departures and evacuations always apply.  Unhealthy endpoints are returned only if there
+        are no healthy ones.
 
         Args:
-            route: the request's.
-            service: one of the route's.
-            key: the request's shard key, if it has one.
-            attempted: ids of endpoints that the request went to before.
+            route: route of the request.
+            service: one of the route's services.
+            key: shard key of the request, if any.
+            attempted: ids of endpoints that the request was already sent to.
         """
         if self.subset_index != self.position.zone_index:
             self.subset_index = self.position.zone_index
@@ -328,6 +341,7 @@
             and self.is_eligible(endpoint, now_ns)
         ]
         if now_ns >= self.confirmed_at() + self.departure_terms.send_window_ns:
-            # Only their own answers tell that endpoints are still there; without any they must be asked.
+            # The view is stale: prefer endpoints whose own responses have renewed their leases.  If there are
+            # none, return all, and a health check decides before a request is sent.
             allowed = [endpoint for endpoint in allowed if self.is_leased(endpoint, now_ns)] or allowed
         return [endpoint for endpoint in allowed if endpoint.is_healthy(now_ns)] or allowed
