--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -1,4 +1,4 @@
-"""What tests of the proxy share: a configuration with one route, and a routing view that follows updates."""
+"""Fixtures shared by proxy tests: a configuration with one route, and a routing view that follows a store."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def configuration(kind: str = "safe", sharded: bool = False, homes: tuple[str, ...] = ()) -> bytes:
-    """A configuration with one route of a kind, on the wire, to one service."""
+    """Returns an encoded configuration with one route of a kind to one service."""
     return msgspec.json.encode(
         {
             "edition": "00000001",
@@ -41,7 +41,7 @@
 
 
 class SettableClock:
-    """A steady clock that stands at `now`, in nanoseconds, until a test sets it."""
+    """A monotonic clock that returns `now`, in nanoseconds, which a test sets."""
 
     def __init__(self) -> None:
         self.now = NS_PER_S
@@ -51,7 +51,7 @@
 
 
 def endpoint_update(zone: str, number: int = 0, state: str = "ready") -> dict[str, Any]:
-    """The value of an update on an endpoint, as it is on the wire."""
+    """Returns the value of an endpoint update as encoded on the wire."""
     return {
         "line": "desk",
         "addr": f"10.0.0.{number}:80",
@@ -65,7 +65,7 @@
 def routing_view(
     config: bytes, endpoints: dict[str, str], clock: Callable[[], int] | None = None
 ) -> tuple[RoutingView, VersionedStore, Any]:
-    """A routing view with some endpoints (id -> zone), the store it follows, and its clock."""
+    """Returns a routing view with some endpoints (id -> zone), the store it follows, and its clock."""
     updates = VersionedStore()
     clock = clock or SettableClock()
     view = RoutingView(updates, FleetPosition("n", "r"), {"n": "r", "s": "q"}, clock, TimingBounds())
--- a/tests/proxy/test_balancing.py
+++ b/tests/proxy/test_balancing.py
@@ -18,44 +18,49 @@
 
 
 def endpoint_view(endpoint_id: str, zone: str = "a", region: str = "r", **fields: Any) -> EndpointView:
-    """An endpoint with two requests at a time."""
+    """Returns an endpoint with a concurrency limit of 2."""
     return EndpointView(endpoint_id, "desk", "10.0.0.1:80", zone, region, 2, **fields)
 
 
 class EndpointChoice(unittest.TestCase):
-    def test_the_nearest_endpoint_that_is_neither_busy_nor_silent_nor_ejected_is_chosen(self) -> None:
+    def test_the_nearest_endpoint_that_is_not_busy_unresponsive_or_ejected_is_chosen(self) -> None:
         position = FleetPosition("a", "r")
-        target = NS_PER_S
-        work = NS_PER_S // 8
+        latency_target = NS_PER_S
+        average_latency = NS_PER_S // 8
         now = 10 * NS_PER_S
         near = endpoint_view("n")
-        next_door = endpoint_view("x", "b")
-        far = endpoint_view("f", "c", "s")
+        other_zone = endpoint_view("x", "b")
+        other_region = endpoint_view("f", "c", "s")
         busy = endpoint_view("b", own_requests=4)
-        silent = endpoint_view("d", own_requests=1, unanswered_since=now - 2 * NS_PER_S)
+        unresponsive = endpoint_view("d", own_requests=1, unanswered_since=now - 2 * NS_PER_S)
         ejected = endpoint_view("s", ejected_until=now + 1)
         cases = [
-            ([far, next_door, near], near),
-            ([busy, next_door], next_door),
-            ([busy, far], busy),
-            ([silent, far], far),
-            ([ejected, far], far),
+            ([other_region, other_zone, near], near),
+            ([busy, other_zone], other_zone),
+            ([busy, other_region], busy),
+            ([unresponsive, other_region], other_region),
+            ([ejected, other_region], other_region),
             ([ejected], None),
-            ([silent], silent),
+            ([unresponsive], unresponsive),
         ]
-        for endpoints, wanted in cases:
+        for endpoints, expected in cases:
             self.assertIs(
-                choose_endpoint(endpoints, position, target, work, now, 0.0, 1, 0.5),
-                wanted,
+                choose_endpoint(endpoints, position, latency_target, average_latency, now, 0.0, 1, 0.5),
+                expected,
                 [endpoint.id for endpoint in endpoints],
             )
         assigned = frozenset(["x"])
         self.assertIs(
-            choose_endpoint([near, next_door], position, target, work, now, 0.0, 1, 0.5, assigned), next_door
+            choose_endpoint(
+                [near, other_zone], position, latency_target, average_latency, now, 0.0, 1, 0.5, assigned
+            ),
+            other_zone,
         )
 
-    def test_the_hedging_delay_stands_between_the_usual_work_and_the_latency_target(self) -> None:
-        self.assertEqual([hedging_delay_ns(1000, work) for work in (10, 150, 900)], [300, 450, 600])
+    def test_the_hedging_delay_follows_the_average_latency_within_limits(self) -> None:
+        self.assertEqual(
+            [hedging_delay_ns(1000, average_latency) for average_latency in (10, 150, 900)], [300, 450, 600]
+        )
 
 
 class Subsets(unittest.TestCase):
@@ -73,7 +78,7 @@
 
 
 class WarmUp(unittest.TestCase):
-    def test_an_endpoint_that_warms_up_gets_no_more_than_it_bears_from_all_proxies_together(self) -> None:
+    def test_the_rate_to_an_endpoint_in_slow_start_is_limited_over_all_proxies(self) -> None:
         for proxies, rate, excess, slack in ((12, 3.6, 1.5, 5), (80, 5, 1.5, 8), (2, 19, 1, 2), (1, 1, 1, 0)):
             senders = max_warm_up_senders(rate, excess, slack, proxies)
             names = [f"f{i}" for i in range(proxies)]
@@ -95,12 +100,12 @@
 
 
 class IdleConnections(unittest.TestCase):
-    def test_idle_connections_of_all_proxies_stay_within_what_an_endpoint_accepts(self) -> None:
+    def test_idle_connections_of_all_proxies_stay_within_the_connection_limit(self) -> None:
         limit = 48
         proxies = 67
         longest = 4 * NS_PER_S
         position = FleetPosition("a", "r", proxies=proxies)
-        for per_s in (0.02, 0.15, 1.0, 6.0):  # of each proxy, to the sole owner of some keys
+        for per_s in (0.02, 0.15, 1.0, 6.0):  # requests per second of each proxy to a sole owner of keys
             endpoint = endpoint_view("e", in_subset=False)
             now = 0
             for _ in range(200):
@@ -110,17 +115,17 @@
             connections = proxies * per_s * idle_timeout_ns(endpoint, position, limit, longest) / NS_PER_S
             self.assertLessEqual(connections, 0.65 * limit)
 
-    def test_a_proxy_keeps_some_connections_to_the_endpoints_of_its_subset_most_in_its_own_zone(self) -> None:
+    def test_idle_connections_to_the_subset_are_kept_most_in_the_own_zone(self) -> None:
         limit = 48
         longest = 4 * NS_PER_S
         position = FleetPosition("a", "r", proxies=67, zones=6)
         near = endpoint_view("e", pool=ConnectionPool("10.0.0.1:80"))
         self.assertEqual(idle_timeout_ns(near, position, limit, longest), longest)
         self.assertLess(idle_timeout_ns(near, position, limit, longest, sole_owner=True), longest)
-        far = endpoint_view("e", zone="b", pool=ConnectionPool("10.0.0.1:80"))
-        far.pool.idle = [None] * 2
+        other_zone = endpoint_view("e", zone="b", pool=ConnectionPool("10.0.0.1:80"))
+        other_zone.pool.idle = [None] * 2
         self.assertEqual(idle_timeout_ns(near, position, limit, longest), longest)
-        self.assertEqual(idle_timeout_ns(far, position, limit, longest), 0)
+        self.assertEqual(idle_timeout_ns(other_zone, position, limit, longest), 0)
         near.pool.idle = [None] * 15
         self.assertEqual(idle_timeout_ns(near, position, limit, longest), 0)
 
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -1,6 +1,6 @@
-"""A request reaches no endpoint later than `last_call_ms` after its departure was acknowledged (issue 42).
+"""No request reaches an endpoint later than `last_call_ms` after its departure was acknowledged (issue 42).
 
-What the system knows of a departure may come late, twice or not at all: the bound is kept by clocks.
+Updates about a departure may arrive late, repeatedly or never, so leases enforce the bound by clocks.
 """
 
 import time
@@ -24,12 +24,12 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 
-# The bound on requests that arrive after an acknowledged departure.
+# Bound on the arrival of requests after an acknowledged departure.
 LAST_CALL_MS = 2500
 
 
 def configuration(sharded: bool = False) -> bytes:
-    """A configuration with one route, to a service with health checks."""
+    """Returns an encoded configuration with one route, to a service with health checks."""
     dispatch = {"line": "desk", "deadline_ms": 60_000, "tries": 1, "home_regions": []}
     route = {"name": "r", "kind": "unsafe", "target_ms": 400, "sorting": {"postcode": "/x/"}}
     return msgspec.json.encode(
@@ -42,7 +42,7 @@
 
 
 class Fixture:
-    """A routing view that follows updates, on a clock of its own; endpoint "e" is ready."""
+    """A routing view on a settable clock, with one ready endpoint "e"."""
 
     def __init__(
         self, sharded: bool = False, address: str = "10.0.0.1:80", last_call_ms: float = LAST_CALL_MS
@@ -65,34 +65,37 @@
         self.update("ready")
 
     def update(self, state: str) -> None:
-        """Let an update on the endpoint come."""
+        """Delivers an update for the endpoint."""
         self.update_number += 1
         fields = {"line": "desk", "addr": self.address, "zone": "n", "berths": 2, "state": state, "cold": 0}
         self.updates.offer("hut/e", [0, self.update_number, 0], fields)
 
     def advance(self, ms: float, confirmed: bool = True) -> None:
-        """Time passes; the view is confirmed all the while, or not at all."""
+        """Advances the clock; the view is confirmed throughout, or not at all."""
         self.now += int(ms * NS_PER_MS)
         if confirmed:
             self.confirmed_at = self.now
 
     def may_send(self) -> bool:
-        """Whether a request may be sent to the endpoint now."""
+        """Returns whether a request may be sent to the endpoint now."""
         endpoint = self.view.endpoints.get("e")
         return endpoint is not None and self.view.may_send(endpoint)
 
 
-class LeasesOfAView(unittest.TestCase):
-    """Leases by what the control plane tells."""
+class RoutingViewLeases(unittest.TestCase):
+    """Leases derived from control plane updates."""
 
-    def test_a_view_that_is_not_confirmed_sends_nothing_once_a_departure_may_be_due(self) -> None:
+    def test_an_unconfirmed_view_sends_nothing_after_the_lease_expires(self) -> None:
         fixture = Fixture()
         self.assertTrue(fixture.may_send())
         fixture.advance(LAST_CALL_MS, confirmed=False)
-        self.assertFalse(fixture.may_send(), "its departure may have been acknowledged a whole bound ago")
+        self.assertFalse(fixture.may_send(), "the departure may have been acknowledged LAST_CALL_MS ago")
 
-    def test_the_time_since_a_departure_does_not_begin_anew(self) -> None:
-        """An owner of keys that is draining falls silent, is taken for lost, and is heard of again."""
+    def test_a_repeated_departure_does_not_renew_the_lease(self) -> None:
+        """Guards against a new lease when a departure is reported again.
+
+        A draining key owner is reported gone after missing heartbeats, and then draining again.
+        """
         fixture = Fixture(sharded=True)
         fixture.update("closing")
         self.assertTrue(fixture.may_send())
@@ -100,17 +103,20 @@
         self.assertFalse(fixture.may_send())
         fixture.update("gone")
         fixture.update("closing")
-        self.assertFalse(fixture.may_send(), "its departure was acknowledged a whole bound ago")
+        self.assertFalse(fixture.may_send(), "the departure was acknowledged LAST_CALL_MS ago")
+
+    def test_an_endpoint_first_seen_while_draining_has_no_lease(self) -> None:
+        """Guards against a lease on a departure of unknown time.
 
-    def test_an_endpoint_first_heard_of_while_it_drains_counts_as_gone_long_ago(self) -> None:
-        """A proxy that starts, or returns after long, takes over records of departures without their time."""
+        A proxy that starts, or reconnects after a long time, receives departures without their time.
+        """
         fixture = Fixture(sharded=True)
         fixture.update("gone")
         fixture.updates.drop("hut/e")
         fixture.update("closing")
         self.assertFalse(fixture.may_send())
 
-    def test_a_departure_counts_from_the_last_confirmation_and_not_from_its_update(self) -> None:
+    def test_a_departure_is_dated_from_the_last_confirmation(self) -> None:
         fixture = Fixture(sharded=True)
         fixture.advance(LAST_CALL_MS * SEND_FRACTION - 1, confirmed=False)
         fixture.update("closing")
@@ -118,7 +124,7 @@
         fixture.advance(1)
         self.assertFalse(fixture.may_send())
 
-    def test_a_request_sent_after_the_lease_is_counted_when_the_departure_is_known(self) -> None:
+    def test_a_request_sent_after_the_departure_is_counted(self) -> None:
         for part, counted in ((ARRIVAL_FRACTION - 0.01, 0), (ARRIVAL_FRACTION + 0.01, 1)):
             fixture = Fixture()
             fixture.view.endpoints["e"].written_at = fixture.confirmed_at + int(
@@ -129,8 +135,8 @@
             self.assertEqual(fixture.view.metrics.counts.get(SENT_AFTER_DEPARTURE, 0), counted, part)
 
 
-class LeasesByTraffic(unittest.TestCase):
-    """An endpoint's own answers renew its lease while no updates come."""
+class LeaseRenewalByTraffic(unittest.TestCase):
+    """Responses of an endpoint renew its lease while no updates arrive."""
 
     def setUp(self) -> None:
         self.endpoint = Adversary("e")
@@ -145,18 +151,18 @@
         self.forwarder = Forwarder(self.fixture.view, bounds, self.metrics, LoadAggregate())
 
     def forward(self, request_id: str) -> Answer:
-        """The answer to a request that must not run twice."""
+        """Returns the answer to a non-idempotent request."""
         by_name = {"host": "a", "x-try-id": request_id}
         headers = [("X-Try-Id", request_id)]
         request = Request("POST", "/x/1", headers, b"", time.monotonic_ns(), by_name)
         return self.forwarder.forward(request)
 
     def end_lease(self) -> None:
-        """Nothing has confirmed anything for longer than a bound."""
+        """Lets the lease expire, with the last confirmation longer ago than the bound."""
         self.fixture.confirmed_at = time.monotonic_ns() - 601 * NS_PER_S
         self.endpoint_view.present_at = None
 
-    def test_an_answer_renews_the_lease_and_one_that_announces_its_end_does_not(self) -> None:
+    def test_a_response_renews_the_lease_unless_it_announces_a_departure(self) -> None:
         for act, renews in (("answer", True), ("close told", False)):
             self.endpoint_view.present_at = None
             self.fixture.confirmed_at = time.monotonic_ns()
@@ -164,20 +170,20 @@
             self.assertEqual(self.forward(f"id-{act}").status, 200)
             self.assertEqual(self.endpoint_view.present_at is not None, renews, act)
 
-    def test_an_endpoint_whose_lease_is_over_is_checked_before_it_is_used(self) -> None:
+    def test_an_endpoint_with_an_expired_lease_is_checked_before_use(self) -> None:
         self.end_lease()
         self.assertEqual(self.forward("1").status, 200)
         self.assertEqual(self.metrics.counts["asked for presence"], 1)
         self.assertEqual(self.forward("2").status, 200)
         self.assertEqual(self.metrics.counts["asked for presence"], 1)
 
-    def test_an_endpoint_whose_health_check_fails_gets_nothing(self) -> None:
+    def test_an_endpoint_whose_health_check_fails_receives_no_request(self) -> None:
         self.end_lease()
         self.endpoint.healthy = False
         self.assertEqual(self.forward("3").status, 503)
         self.assertFalse(self.endpoint.run_counts)
 
-    def test_many_requests_that_wait_for_one_endpoint_check_it_once(self) -> None:
+    def test_concurrent_requests_share_one_health_check(self) -> None:
         self.end_lease()
         jobs = [gevent.spawn(self.forward, f"m{number}") for number in range(5)]
         self.assertEqual({job.get(timeout=10).status for job in jobs}, {200})
@@ -185,7 +191,7 @@
 
 
 class SlowEndpoint:
-    """An endpoint behind a link that hardly moves: some kilobytes a second arrive there."""
+    """An endpoint on a slow link: it reads at most 1024 bytes every 20 ms."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -198,7 +204,7 @@
         self.reset = False
 
     def read(self) -> None:
-        """Read until the end, and note when the last byte came."""
+        """Reads until the connection ends, and records when the last byte arrived."""
         sock, _ = self.listener.accept()
         try:
             while data := sock.recv(1024):
@@ -209,11 +215,11 @@
             self.reset = True
 
 
-class BytesUnderWay(unittest.TestCase):
-    """Bytes of a request that the endpoint's machine has not acknowledged."""
+class BytesInFlight(unittest.TestCase):
+    """Bytes of a request that the endpoint's host has not acknowledged."""
 
-    def test_bytes_in_the_send_buffer_are_taken_back_when_the_bound_is_near(self) -> None:
-        """The endpoint leaves while a request to it is on its way over a link that hardly moves."""
+    def test_buffered_bytes_are_discarded_before_the_bound(self) -> None:
+        """Guards against bytes that arrive after the bound when an endpoint leaves during a slow transfer."""
         endpoint = SlowEndpoint()
         fixture = Fixture(address=endpoint.addr, last_call_ms=1000)
         fixture.view.clock = time.monotonic_ns
@@ -231,7 +237,7 @@
         fixture.update("closing")
         reading.join(timeout=10)
         self.assertLess((endpoint.last_at - departed_at) / NS_PER_S, 1.0, "bytes arrived after the bound")
-        self.assertTrue(endpoint.reset, "the kernel would have sent the rest")
+        self.assertTrue(endpoint.reset, "without a reset the kernel sends the buffered bytes")
         self.assertLess(endpoint.size, len(request.body))
 
 
--- a/tests/proxy/test_endpoint.py
+++ b/tests/proxy/test_endpoint.py
@@ -1,4 +1,4 @@
-"""What a proxy learns of an endpoint from its answers and its failures."""
+"""Endpoint state derived from responses and failures."""
 
 import unittest
 from typing import Any
@@ -7,13 +7,16 @@
 
 
 def endpoint_view(**fields: Any) -> EndpointView:
-    """An endpoint with two requests at a time."""
+    """Returns an endpoint with a concurrency limit of 2."""
     return EndpointView("e", "desk", "10.0.0.1:80", "a", "r", 2, **fields)
 
 
 class EndpointViews(unittest.TestCase):
-    def test_an_endpoint_that_answers_is_usable_whatever_its_heartbeats_say(self) -> None:
-        """Of an incident: heartbeats that one controller alone received made a third of a service silent."""
+    def test_an_endpoint_that_responds_is_healthy_without_heartbeats(self) -> None:
+        """Guards against excluding endpoints whose heartbeats reach only one controller.
+
+        This once marked a third of a service as silent although the endpoints were responding.
+        """
         endpoint = endpoint_view(state="silent")
         now = 10 * NS_PER_S
         self.assertFalse(endpoint.is_healthy(now))
--- a/tests/proxy/test_link_admission.py
+++ b/tests/proxy/test_link_admission.py
@@ -1,4 +1,4 @@
-"""How many large answers are under way on a thin link."""
+"""Admission of large responses to a slow link."""
 
 import random
 import time
@@ -15,7 +15,7 @@
 
 
 class Admission(unittest.TestCase):
-    def test_large_answers_wait_in_turn_and_never_exceed_what_the_link_brings(self) -> None:
+    def test_large_responses_are_admitted_in_order_within_the_window(self) -> None:
         draw = random.Random(4)
         admission = LinkAdmission(2.6)
         woken = []
@@ -45,15 +45,15 @@
             self.assertTrue(admission.in_flight_bytes <= admission.window_bytes or len(admitted) == 1)
         self.assertFalse(admission.cancel(lambda: None))
 
-    def test_a_wide_link_or_one_that_is_not_told_of_makes_nobody_wait(self) -> None:
+    def test_a_fast_link_or_one_of_unknown_capacity_admits_all(self) -> None:
         self.assertEqual(LinkAdmission(0).expected_size("big", True), 0)
         wide = LinkAdmission(1000.0)
         self.assertTrue(all(wide.acquire(wide.expected_size("big", True), None) for _ in range(200)))
 
-    def test_a_request_that_gets_no_turn_is_rejected_with_a_time_to_come_back(self) -> None:
+    def test_a_request_that_is_not_admitted_in_time_is_rejected_with_retry_after(self) -> None:
         view, _, _ = routing_view(configuration("outbound_post"), {"e0": "n"})
         forwarder = Forwarder(view, TimingBounds(), Metrics(), LoadAggregate(), mbps=0.01)
-        # Takes up the whole link.
+        # Occupies the whole window.
         self.assertTrue(forwarder.link_admission.acquire(DEFAULT_LARGE_ANSWER_BYTES, None))
         request = Request("GET", "/x/1", [], by_name={"host": "a"}, received_at=time.monotonic_ns())
         answer = forwarder.forward(request)
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures that a proxy exposes."""
+"""Metrics in the Prometheus exposition format."""
 
 import unittest
 
--- a/tests/proxy/test_retry_budget.py
+++ b/tests/proxy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many retries all proxies together send."""
+"""Limit on the retries of all proxies together."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 class RetryBudgets(unittest.TestCase):
-    def test_budgets_of_all_proxies_add_up_in_every_window(self) -> None:
+    def test_retries_of_all_proxies_stay_within_the_budget_in_every_window(self) -> None:
         draw = random.Random(5)
         proxies = 6
         ratio = 0.2
--- a/tests/proxy/test_view.py
+++ b/tests/proxy/test_view.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be used, by what the control plane has told."""
+"""Selection of endpoints by the state received from the control plane."""
 
 import time
 import unittest
@@ -16,7 +16,7 @@
 
 
 def candidates(view: RoutingView, key: int | None = None) -> list[str]:
-    """Ids of the endpoints that may serve a request with this key."""
+    """Returns the ids of the endpoints that may serve a request with this key."""
     route = view.routes.all[0]
     return sorted(endpoint.id for endpoint in view.candidates(route, "desk", key, set()))
 
@@ -30,10 +30,10 @@
         self.assertEqual(candidates(view), ["b"])
         updates.offer("evac", 2, {"s": False})
         self.assertEqual(candidates(view), ["b", "c"])
-        updates.offer("hut/a", [1, 9], endpoint_update("n", 0))  # late updates change nothing
+        updates.offer("hut/a", [1, 9], endpoint_update("n", 0))  # outdated update is ignored
         self.assertEqual(candidates(view), ["b", "c"])
 
-    def test_a_request_that_waited_for_a_connection_is_not_sent_to_an_endpoint_that_drains_meanwhile(
+    def test_a_request_is_not_sent_if_the_endpoint_starts_draining_during_connection_setup(
         self,
     ) -> None:
         view, updates, _ = routing_view(configuration(), {"e0": "n"})
@@ -54,12 +54,12 @@
         self.assertEqual(outcome.kind, OutcomeKind.UNSENT)
         self.assertEqual(endpoint_sides[0].recv(10), b"")
 
-    def test_home_regions_bind_before_all_else(self) -> None:
+    def test_home_regions_take_precedence(self) -> None:
         view, _, _ = routing_view(configuration(homes=("q",)), {"a": "n", "b": "n", "c": "s"})
         self.assertEqual(candidates(view), ["c"])
 
-    def test_keys_are_used_where_they_are_until_they_move_but_not_for_long(self) -> None:
-        """Of an incident: the owner was shut out at once, and its keys got 503 until they moved."""
+    def test_a_leaving_key_owner_is_used_until_its_keys_move_or_its_lease_expires(self) -> None:
+        """Guards against excluding a leaving owner at once, which gave 503 for its keys until they moved."""
         view, updates, clock = routing_view(configuration(sharded=True), {"a": "n", "b": "s"})
         updates.offer("bunks/desk", [1, 1], [[0, 99, "a", "held"], [100, 65535, "b", "held"]])
         owners = [candidates(view, key) for key in (0, 99, 100, 65535)]
@@ -78,7 +78,7 @@
         self.assertLess(view.departure_terms.send_window_ns, bounds.last_call_ms * 1e6)
         self.assertLess(view.evacuation_terms.send_window_ns, bounds.evacuate_ms * 1e6)
 
-    def test_an_evacuated_zone_comes_back_in_slow_start(self) -> None:
+    def test_endpoints_of_a_zone_warm_up_after_its_evacuation_ends(self) -> None:
         config = configuration().replace(b'"sharded":false', b'"sharded":false,"cold_s":3')
         view, updates, clock = routing_view(config, {"a": "n", "c": "s"})
         updates.offer("evac", 1, {"s": True})
