--- a/flintreach/proxy/caller.py
+++ b/flintreach/proxy/caller.py
@@ -1,8 +1,9 @@
-"""Whether the client of a request still waits for its answer.
+"""Detection of clients that disconnect while their requests are being processed.
 
-A `HangupMonitor` asks the kernel, without reading: the end of a client's stream may stand behind requests
-that a proxy has not read yet.  The kernel reports a peer that closed its side (EPOLLRDHUP), a reset, and one
-whose machine no longer answers keep-alive probes (EPOLLHUP, EPOLLERR; see epoll_ctl(2) and tcp(7)).
+`HangupMonitor` uses epoll instead of reading from the socket, as the end of a client's stream may follow
+requests that the proxy has not read yet.  The kernel reports a peer that closed its side (EPOLLRDHUP), a
+reset, and a peer whose machine no longer answers keep-alive probes (EPOLLHUP, EPOLLERR; see epoll_ctl(2) and
+tcp(7)).
 """
 
 import select
@@ -12,85 +13,85 @@
 
 from gevent import get_hub, socket
 
-# libev's event mask for a descriptor that can be read.
+# libev's event mask for a readable descriptor.
 EV_READ = 1
 
-# A client's machine counts as gone after 5 s without a sign.
+# A client's machine is considered unreachable 5 s after the last packet from it.
 KEEP_ALIVE_IDLE_S = 2
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 3
 
 
 class ClientDisconnected(ConnectionError):
-    """Nobody waits any more for the answer to a request."""
+    """The client of a request has disconnected."""
 
 
-def ask_nobody() -> None:
-    """For a caller whose connection no monitor watches."""
+def no_poll() -> None:
+    """Default for `Caller.poll`, for a connection that no monitor watches: does nothing."""
 
 
 class Caller:
-    """The client of one connection.
+    """The client of one connection, and whether it is still connected.
 
     Attributes:
-        disconnected_at: steady clock, in nanoseconds, when it was seen to have left; None while it is there.
-        poll: asks the kernel now, not when the event loop comes to it.
-        disconnect_callbacks: called when it leaves.
+        disconnected_at: monotonic time in nanoseconds when it was seen to disconnect; None before.
+        poll: checks the kernel for disconnects at once, without waiting for the event loop.
+        disconnect_callbacks: called when the client disconnects.
     """
 
     __slots__ = ("disconnected_at", "poll", "disconnect_callbacks")
 
     def __init__(self) -> None:
         self.disconnected_at: int | None = None
-        self.poll: Callable[[], None] = ask_nobody
+        self.poll: Callable[[], None] = no_poll
         self.disconnect_callbacks: list[Callable[[], None]] = []
 
     def mark_disconnected(self) -> None:
-        """Note that the client has left, and wake all that is done for it."""
+        """Record that the client has disconnected, and call the callbacks; later calls have no effect."""
         if self.disconnected_at is not None:
             return
         self.disconnected_at = time.monotonic_ns()
-        for wake in [*self.disconnect_callbacks]:
-            wake()
+        for callback in [*self.disconnect_callbacks]:
+            callback()
 
     def raise_if_disconnected(self) -> None:
-        """Return if the client still waits.
+        """Check that the client is connected.
 
         Raises:
-            ClientDisconnected: it does not.
+            ClientDisconnected: the client has disconnected.
         """
         if self.disconnected_at is not None:
             raise ClientDisconnected
 
     @contextmanager
-    def calling_on_disconnect(self, wake: Callable[[], None]) -> Iterator[None]:
-        """Call `wake` when the client leaves while the body runs.
+    def calling_on_disconnect(self, callback: Callable[[], None]) -> Iterator[None]:
+        """Context manager that calls `callback` if the client disconnects while the body runs.
 
         Raises:
-            ClientDisconnected: it has left already.
+            ClientDisconnected: the client has already disconnected.
         """
         self.raise_if_disconnected()
-        self.disconnect_callbacks.append(wake)
+        self.disconnect_callbacks.append(callback)
         try:
             yield
         finally:
-            self.disconnect_callbacks.remove(wake)
+            self.disconnect_callbacks.remove(callback)
 
 
 class HangupMonitor:
-    """One epoll instance for the connections of all clients; it is itself watched by the event loop."""
+    """Watches all clients' connections with one epoll instance, which the event loop watches in turn."""
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
-        self.callers: dict[int, Caller] = {}  # descriptor -> its client
+        self.callers: dict[int, Caller] = {}  # descriptor -> client of the connection
         self.watcher = get_hub().loop.io(self.epoll.fileno(), EV_READ)
-        self.watcher.start(self.collect)
+        self.watcher.start(self.process_events)
 
     def add(self, sock: socket.socket, caller: Caller) -> None:
-        """Watch a connection.
+        """Start watching a connection, and enable keep-alive probes on it.
 
         Raises:
-            OSError: it has ended already.
+            OSError: the connection is already closed.
         """
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
@@ -98,24 +99,24 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
         descriptor = sock.fileno()
         self.callers[descriptor] = caller
-        caller.poll = self.collect
+        caller.poll = self.process_events
         self.epoll.register(descriptor, select.EPOLLRDHUP | select.EPOLLET)
 
     def remove(self, sock: socket.socket) -> None:
-        """Forget a connection; it must still be open, or never have been added."""
+        """Stop watching a connection; it must still be open, or never have been added."""
         descriptor = sock.fileno()
         if self.callers.pop(descriptor, None) is not None:
             self.epoll.unregister(descriptor)
 
-    def collect(self) -> None:
-        """Tell the callers whose connections have ended; called by the event loop, or to know at once."""
+    def process_events(self) -> None:
+        """Mark the callers whose connections have ended; called by the event loop and by `Caller.poll`."""
         for descriptor, _ in self.epoll.poll(0):
             caller = self.callers.get(descriptor)
             if caller is not None:
                 caller.mark_disconnected()
 
     def close(self) -> None:
-        """Watch nothing any more."""
+        """Stop watching all connections and release the epoll instance."""
         self.watcher.stop()
         self.watcher.close()
         self.epoll.close()
--- a/flintreach/proxy/client_listener.py
+++ b/flintreach/proxy/client_listener.py
@@ -1,8 +1,8 @@
-"""Clients' connections: gevent's WSGI server with a handler of our own.
+"""Clients' connections, on gevent's WSGI server with a custom connection handler.
 
-The library's handler decodes paths, takes two lengths in one request and answers one request after the other;
-here requests are read by `request_parser`, and idempotent ones that are pipelined are forwarded side by side
-and answered in order (RFC 9112, section 9.3.2).
+The library's handler decodes paths, accepts two lengths in one request, and processes the requests of a
+connection one at a time.  Here `request_parser` reads the requests, and pipelined idempotent requests are
+forwarded in parallel and answered in order (RFC 9112, section 9.3.2).
 """
 
 import sys
@@ -22,15 +22,15 @@
 
 MS_PER_S = 1000
 
-# Pipelined requests of one connection in hand at once.
+# Maximum number of pipelined requests of one connection that are processed at once.
 MAX_PIPELINED = 8
 
-# For so long a client's bytes are still read behind an answer that closes its connection.
+# How long a client's data is still read and discarded after a response that closes its connection.
 LINGER_S = 0.3
 
 LINGER_READ_SIZE = 65536
 
-# Connections that the kernel keeps for this process until it accepts them.
+# Length of the kernel's queue of connections that are not accepted yet.
 BACKLOG = 512
 
 END_OF_HEAD = b"\r\n\r\n"
@@ -38,44 +38,45 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def answer_head(answer: ClientResponse, request: Request | None, close: bool) -> bytes:
-    """The head of an answer, as it goes to the client.
+def response_head(response: ClientResponse, request: Request | None, close: bool) -> bytes:
+    """The head of a response as it is sent to the client.
 
     Args:
-        answer: the answer.
-        request: the request that it answers, None where that could not be read.
-        close: whether the connection ends with it.
+        response: the response.
+        request: the request that it belongs to; None if that could not be parsed.
+        close: whether the connection is closed after it.
     """
-    lines = [f"HTTP/1.1 {answer.status} {answer.reason}"]
-    lines += [f"{name}: {value}" for name, value in answer.headers]
-    names = {name.lower() for name, _ in answer.headers}
+    lines = [f"HTTP/1.1 {response.status} {response.reason}"]
+    lines += [f"{name}: {value}" for name, value in response.headers]
+    names = {name.lower() for name, _ in response.headers}
     request_id = request.headers_by_name.get("x-try-id") if request else None
     if request_id and "x-try-id" not in names:
         lines.append(f"X-Try-Id: {request_id}")
-    # To HEAD there is only the length that the endpoint told: none is not nought (RFC 9110, section 8.6).
-    has_no_body = answer.status in (NO_CONTENT, NOT_MODIFIED) or is_head(request)
+    # The response to a HEAD has only the endpoint's length, if any: no length does not mean 0 (RFC 9110,
+    # section 8.6).
+    has_no_body = response.status in (NO_CONTENT, NOT_MODIFIED) or is_head(request)
     if "content-length" not in names and not has_no_body:
-        lines.append(f"Content-Length: {len(answer.body)}")
+        lines.append(f"Content-Length: {len(response.body)}")
     if close:
         lines.append("Connection: close")
     return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
 
 def is_head(request: Request | None) -> bool:
-    """Whether it is a HEAD request, whose answer has no body (RFC 9110, section 9.3.2)."""
+    """Whether it is a HEAD request, whose response has no body (RFC 9110, section 9.3.2)."""
     return request is not None and request.method == "HEAD"
 
 
 class ClientHandler(pywsgi.WSGIHandler):
-    """One client's connection.
+    """Handler of one client's connection.
 
     Attributes:
-        source: the bytes that come on it.
-        pending: requests that have been read and not yet answered.
-        last_answered: set when the last pipelined request so far is answered.
-        closing: whether nothing more is read or answered.
+        source: buffered reader of the connection.
+        pending: number of requests that have been read but not yet answered.
+        last_answered: set when the most recent pipelined request has been answered.
+        closing: whether no further requests are read or answered.
         reader: the greenlet that reads requests.
-        caller: the client, for all requests of the connection.
+        caller: the client, shared by all requests of the connection.
     """
 
     def __init__(
@@ -94,21 +95,21 @@
         self.closing = False
         self.reader: gevent.Greenlet | None = None
         self.caller = Caller()
-        self.caller.disconnect_callbacks.append(self.on_client_left)
+        self.caller.disconnect_callbacks.append(self.on_client_disconnected)
 
     def handle(self) -> None:
-        """Read and answer requests until the connection ends; the server calls it in its own greenlet."""
+        """Serve requests until the connection ends; the server calls this in a greenlet per connection."""
         self.reader = gevent.getcurrent()
         self.server.handlers.add(self)
         try:
-            self.server.hangups.add(self.socket, self.caller)
+            self.server.hangup_monitor.add(self.socket, self.caller)
             while not self.closing:
-                request = self.read_next()
+                request = self.read_request()
                 if request is None or self.closing:
                     break
                 self.dispatch(request)
         except BadRequest as error:
-            self.refuse(error.status)
+            self.reject(error.status)
         except (OSError, gevent.Timeout):
             pass
         finally:
@@ -117,16 +118,16 @@
             self.close()
 
     def wait_for_pipelined(self) -> None:
-        """Wait until all pipelined requests so far are answered."""
+        """Wait until all pipelined requests read so far have been answered."""
         if self.last_answered is not None:
             self.last_answered.wait()
 
-    def read_next(self) -> Request | None:
-        """The next request of the connection; None at its end.
+    def read_request(self) -> Request | None:
+        """Read the next request of the connection; None at its end.
 
         Raises:
-            BadRequest: it is refused, or has not come in time.
-            OSError: the connection broke.
+            BadRequest: the request is rejected, or was not received in time.
+            OSError: the connection failed.
         """
         limits = self.server.limits()
         source = self.source
@@ -138,7 +139,7 @@
         try:
             with gevent.Timeout(limits.header_ms / MS_PER_S):
                 request = self.read_head(limits)
-            if request is None or not self.ask_for_body(request):
+            if request is None or not self.send_continue(request):
                 return None
             with gevent.Timeout(limits.idle_ms / MS_PER_S):
                 request.body = read_body(source, request, limits.body_bytes)
@@ -148,13 +149,13 @@
         return request
 
     def read_head(self, limits: RequestLimits) -> Request | None:
-        """The head of the next request; None at the end of the connection.
+        """Read the head of the next request; None at the end of the connection.
 
         Raises:
-            BadRequest: it is refused.
+            BadRequest: the request is rejected.
         """
         source = self.source
-        # Empty lines before a request are passed over (RFC 9112, section 2.2).
+        # Empty lines before a request are ignored (RFC 9112, section 2.2).
         while source.buffer.startswith(EMPTY_LINE):
             del source.buffer[: len(EMPTY_LINE)]
             if not source.buffer and not source.receive():
@@ -166,15 +167,15 @@
         request.caller = self.caller
         return request
 
-    def ask_for_body(self, request: Request) -> bool:
-        """Ask for a body that waits to be asked for (RFC 9110, section 10.1.1).
+    def send_continue(self, request: Request) -> bool:
+        """Send 100 Continue if the request expects it (RFC 9110, section 10.1.1).
 
         Returns:
-            False where the connection ends first.
+            False if the connection is closed before that.
         """
         if request.headers_by_name.get("expect", "").lower() != "100-continue":
             return True
-        # An answer to what came before may be half written: nothing may stand inside it or before it.
+        # Responses to earlier requests come first, and one of them may be partly written.
         self.wait_for_pipelined()
         if self.closing:
             return False
@@ -182,54 +183,55 @@
         return True
 
     def dispatch(self, request: Request) -> None:
-        """Begin to forward a request; return when the next one may be read."""
+        """Start forwarding a request; return when the next one may be read."""
         close = "close" in request.headers_by_name.get("connection", "").lower()
-        if not self.may_run_beside(request, close):
-            # One that must not run twice runs only when all before it are answered: they may close.
+        if not self.may_forward_in_parallel(request, close):
+            # A request that must not run twice waits for the responses before it: one of them may close the
+            # connection, and the client would then send the request again.
             self.wait_for_pipelined()
             if not self.closing:
-                self.run_alone(request, close)
+                self.forward_sequentially(request, close)
             return
         previous_answered = self.last_answered
         self.last_answered = Event()
         self.pending += 1
-        gevent.spawn(self.run_beside, request, previous_answered, self.last_answered)
+        gevent.spawn(self.forward_pipelined, request, previous_answered, self.last_answered)
         if self.pending >= MAX_PIPELINED:
             self.last_answered.wait()
 
-    def may_run_beside(self, request: Request, close: bool) -> bool:
-        """Whether a request may be forwarded while others of the connection are."""
+    def may_forward_in_parallel(self, request: Request, close: bool) -> bool:
+        """Whether a request may be forwarded in parallel with others of the connection."""
         if request.method not in ("GET", "HEAD") or request.body or close:
             return False
         return self.server.forwarder.may_pipeline(request)
 
-    def run_alone(self, request: Request, close: bool) -> None:
-        """Forward and answer a request, with none before it under way."""
+    def forward_sequentially(self, request: Request, close: bool) -> None:
+        """Forward and answer a request when all earlier ones have been answered."""
         self.pending += 1
         try:
-            self.send_answer(request, self.forward(request), close)
+            self.send_response(request, self.forward(request), close)
         finally:
             self.pending -= 1
 
-    def run_beside(self, request: Request, previous_answered: Event | None, answered: Event) -> None:
-        """Forward a pipelined request, and answer it behind the one before it.
+    def forward_pipelined(self, request: Request, previous_answered: Event | None, answered: Event) -> None:
+        """Forward a pipelined request, and answer it after the previous one.
 
         Args:
             request: the request.
-            previous_answered: set when the pipelined request before it is answered; None: there is none.
-            answered: is set when this one is.
+            previous_answered: set when the previous pipelined request has been answered; None for the first.
+            answered: set when this request has been answered.
         """
         try:
-            # Looked up anew: by a configuration that has just come it may be one that must not run twice.
+            # Checked again, as a new configuration may have made the route non-idempotent since it was read.
             if previous_answered is not None and not self.server.forwarder.may_pipeline(request):
                 previous_answered.wait()
-            answer = None if self.closing else self.forward(request)
+            response = None if self.closing else self.forward(request)
             if previous_answered is not None:
                 previous_answered.wait()
             if not self.closing:
-                self.send_answer(request, answer, False)
+                self.send_response(request, response, False)
         except Exception as error:
-            # Without this answer the next would stand in its place.
+            # The client would take the next response for the one that is missing.
             self.closing = True
             self.close()
             if not isinstance(error, OSError):
@@ -239,10 +241,12 @@
             answered.set()
 
     def forward(self, request: Request) -> ClientResponse:
-        """The answer to a request, whatever happens: a gap among the answers would be filled by the next one.
+        """Forward a request; an unexpected exception gives a 502 response.
+
+        Without a response, the client would take the response to the next request for this one's.
 
         Raises:
-            ClientDisconnected: nobody waits for any answer on this connection.
+            ClientDisconnected: the client has disconnected.
         """
         try:
             return self.server.forwarder.forward(request)
@@ -250,36 +254,37 @@
             raise
         except Exception:
             gevent.get_hub().handle_error(self, *sys.exc_info())
-            return error_response(502)  # no promise: it may have run
+            return error_response(502)  # not 503: the request may have run
 
-    def refuse(self, status: int) -> None:
-        """Refuse what could not be read; that ends the connection, behind the answers to what came before."""
+    def reject(self, status: int) -> None:
+        """Reject a request that could not be read, after the earlier responses, and close the connection."""
         self.wait_for_pipelined()
         if self.closing:
             return
         try:
-            self.send_answer(None, error_response(status), True)
+            self.send_response(None, error_response(status), True)
         except OSError:
             pass
 
-    def send_answer(self, request: Request | None, answer: ClientResponse, close: bool) -> None:
-        """Send an answer, and end the connection behind it where that is due.
+    def send_response(self, request: Request | None, response: ClientResponse, close: bool) -> None:
+        """Send a response, and close the connection after it if required.
 
         Args:
-            request: the request, None where it could not be read.
-            answer: its answer.
-            close: whether the connection must end with it.
+            request: the request; None if it could not be parsed.
+            response: the response.
+            close: whether the connection must be closed after the response.
 
         Raises:
-            OSError: the connection broke.
+            OSError: the connection failed.
         """
-        close = close or answer.close or self.server.draining
+        close = close or response.close or self.server.draining
         self.closing = self.closing or close
-        head = answer_head(answer, request, close)
-        self.socket.sendall(head if is_head(request) else head + answer.body)
+        head = response_head(response, request, close)
+        self.socket.sendall(head if is_head(request) else head + response.body)
         if not close:
             return
-        # A close over unread bytes resets, and the reset may overtake the answer (RFC 9112, section 9.6).
+        # Closing a socket with unread data sends a reset, and the client may lose the response to it (RFC
+        # 9112, section 9.6).
         self.socket.shutdown(socket.SHUT_WR)
         if gevent.getcurrent() is self.reader:
             with gevent.Timeout(LINGER_S, False):
@@ -287,40 +292,40 @@
                     pass
             self.close()
 
-    def on_client_left(self) -> None:
-        """The client has left: nothing else of this connection is read or forwarded."""
+    def on_client_disconnected(self) -> None:
+        """Stop reading and forwarding requests when the client disconnects."""
         self.closing = True
 
     def is_idle(self) -> bool:
-        """Whether nobody waits for anything here: a request may lie unread in the kernel."""
+        """Whether no request is pending, including data that is still unread in the socket."""
         if self.pending or self.source.buffer:
             return False
         try:
             return not self.socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except OSError:  # nothing there
+        except OSError:  # no data
             return True
 
     def close(self) -> None:
-        """End the connection."""
+        """Stop watching the connection for hangups and close it."""
         try:
-            self.server.hangups.remove(self.socket)
+            self.server.hangup_monitor.remove(self.socket)
             self.socket.close()
         except OSError:
             pass
 
 
 class ClientListener(pywsgi.WSGIServer):
-    """The listener for clients.
+    """The server for clients' connections.
 
     Args:
-        address: where it listens.
-        forwarder: where requests go.
-        limits: tells the limits of the configuration in force.
+        address: address to listen on.
+        forwarder: forwards the requests.
+        limits: returns the request limits of the current configuration.
 
     Attributes:
-        handlers: of all connections.
-        draining: whether each connection ends with its next answer.
-        hangups: watches the connections for clients that leave.
+        handlers: handlers of all open connections.
+        draining: whether each connection is closed after its next response.
+        hangup_monitor: detects clients that disconnect.
     """
 
     handler_class = ClientHandler
@@ -333,4 +338,4 @@
         self.limits = limits
         self.handlers: set[ClientHandler] = set()
         self.draining = False
-        self.hangups = HangupMonitor()
+        self.hangup_monitor = HangupMonitor()
--- a/flintreach/proxy/connection.py
+++ b/flintreach/proxy/connection.py
@@ -1,6 +1,6 @@
-"""Connections to one endpoint: how they are set up, lie idle, are reused and end.
+"""Connections to one endpoint, and the pool that keeps idle ones for reuse.
 
-`exchange` takes them from a pool for one request each, and puts them back.
+`exchange` takes a connection from the pool for one request at a time, and puts it back.
 """
 
 import fcntl
@@ -17,21 +17,22 @@
 
 NS_PER_S = 1_000_000_000
 
-# How long a connection may lie idle when the endpoint tells nothing.
+# Idle timeout of a connection whose endpoint announces none.
 IDLE_LIMIT_NS = 4 * NS_PER_S
 
-# Taken off the time that an endpoint tells in `Keep-Alive`, for a request that is on its way meanwhile.
+# Subtracted from the timeout in an endpoint's `Keep-Alive` header, so that a request in transit still arrives
+# before the endpoint closes the connection.
 KEEP_ALIVE_MARGIN_NS = NS_PER_S
 
-# Without a sign from the endpoint's machine for so long, a connection is dead: while data are unacknowledged
-# (TCP_USER_TIMEOUT), and while there are none (keep-alive probes; see tcp(7)).
+# Limits after which the kernel closes a connection to an unresponsive machine: with unacknowledged data
+# (TCP_USER_TIMEOUT), and without any (keep-alive probes); see tcp(7).
 USER_TIMEOUT_MS = 1200
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
 
-# For so long a fresh connection is looked at: an endpoint that has too many of them resets it.
-RESET_LOOK_S = 0.003
+# How long to wait for a reset on a new connection: an endpoint at its connection limit resets it.
+RESET_WAIT_S = 0.003
 
 
 class Connection:
@@ -39,8 +40,8 @@
 
     Attributes:
         sock: its socket, in blocking mode.
-        idle_since: steady clock, in nanoseconds, when it was put back into its pool.
-        idle_limit_ns: how long it may lie idle.
+        idle_since: monotonic time, in nanoseconds, when it was put back into its pool.
+        idle_limit_ns: its idle timeout.
     """
 
     __slots__ = ("sock", "idle_since", "idle_limit_ns")
@@ -51,23 +52,23 @@
         self.idle_limit_ns = IDLE_LIMIT_NS
 
     def is_expired(self, now_ns: int) -> bool:
-        """Whether it has been idle for too long."""
+        """Whether its idle timeout has passed."""
         return now_ns - self.idle_since > self.idle_limit_ns
 
     def is_usable(self, now_ns: int) -> bool:
-        """Whether nobody has closed it, nothing lies on it unread, and it has not been idle for too long."""
+        """Whether it is open, has no unread data, and its idle timeout has not passed."""
         if self.is_expired(now_ns):
             return False
         try:
             self.sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-            return False  # closed, or bytes that belong to no request
+            return False  # closed, or data that no request is waiting for
         except BlockingIOError:
             return True
         except OSError:
             return False
 
     def unacknowledged_bytes(self) -> int:
-        """Bytes that the peer's machine has not acknowledged yet (SIOCOUTQ, see tcp(7)); 0 once it ended."""
+        """Bytes that the peer has not acknowledged (SIOCOUTQ, see tcp(7)); 0 if the connection is closed."""
         count = array("i", [0])
         try:
             fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, count)
@@ -76,7 +77,7 @@
         return count[0]
 
     def reset(self) -> None:
-        """End it at once: what still waits to be sent must not arrive later."""
+        """Close it with a reset, so that unsent data is discarded and cannot arrive later."""
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         except OSError:
@@ -85,10 +86,10 @@
 
 
 class ConnectionPool:
-    """Idle connections to one endpoint; the one used last is used first.
+    """Idle connections to one endpoint, reused in last-in, first-out order.
 
     Args:
-        address: the endpoint's, "host:port".
+        address: the endpoint's address, "host:port".
     """
 
     def __init__(self, address: str) -> None:
@@ -96,16 +97,16 @@
         self.idle: list[Connection] = []
 
     def connect(self, timeout_s: float) -> Connection:
-        """A fresh connection.
+        """Open a new connection.
 
         Raises:
-            OSError: none came up within `timeout_s`.
+            OSError: it could not be established within `timeout_s`.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.settimeout(timeout_s)
             sock.connect(self.address)
-        except BaseException:  # also where the greenlet that waits for it is ended
+        except BaseException:  # also when the waiting greenlet is killed
             sock.close()
             raise
         sock.settimeout(None)
@@ -118,10 +119,10 @@
         return Connection(sock)
 
     def take(self, excluded: Collection[Connection] = ()) -> Connection | None:
-        """An idle connection that can be used, none of `excluded`; None where there is none."""
+        """Remove and return a usable idle connection that is not in `excluded`; None if there is none."""
         now_ns = time.monotonic_ns()
-        set_aside = [connection for connection in self.idle if connection in excluded]
-        if set_aside:
+        skipped = [connection for connection in self.idle if connection in excluded]
+        if skipped:
             self.idle = [connection for connection in self.idle if connection not in excluded]
         try:
             while self.idle:
@@ -131,19 +132,19 @@
                 connection.reset()
             return None
         finally:
-            self.idle += set_aside
+            self.idle += skipped
 
-    def put(self, connection: Connection, response: Response, longest_ns: int) -> None:
-        """Keep a connection for later.
+    def put(self, connection: Connection, response: Response, max_idle_ns: int) -> None:
+        """Return a connection to the pool, or reset it if it may not stay idle.
 
         Args:
-            connection: it has just brought `response`.
-            response: its `Keep-Alive` header may tell how long the endpoint keeps the connection
+            connection: the connection that `response` was received on.
+            response: its `Keep-Alive` header may announce how long the endpoint keeps the connection
                 (RFC 2068, section 19.7.1).
-            longest_ns: how long it may lie idle at most.
+            max_idle_ns: upper bound of the idle timeout.
         """
         connection.idle_since = time.monotonic_ns()
-        connection.idle_limit_ns = min(IDLE_LIMIT_NS, longest_ns)
+        connection.idle_limit_ns = min(IDLE_LIMIT_NS, max_idle_ns)
         for parameter in (response.get("keep-alive") or "").split(","):
             name, _, value = parameter.strip().partition("=")
             if name.lower() != "timeout":
@@ -158,28 +159,28 @@
             connection.reset()
 
     def prune(self, now_ns: int) -> None:
-        """End connections that have lain idle too long: they count against what their endpoint accepts."""
+        """Close expired connections, as idle ones count towards the endpoint's connection limit."""
         expired = [connection for connection in self.idle if connection.is_expired(now_ns)]
         for connection in expired:
             self.idle.remove(connection)
             connection.reset()
 
     def close(self) -> None:
-        """End all idle connections."""
+        """Close all idle connections."""
         while self.idle:
             self.idle.pop().reset()
 
 
 def was_rejected(connection: Connection) -> bool:
-    """Whether a fresh connection was ended at once: then nothing was sent on it, and nothing has run.
+    """Whether the endpoint closed a new connection at once, so that nothing was sent on it.
 
-    Where the waiting greenlet is ended, the connection is too.
+    If the waiting greenlet is killed, the connection is reset.
     """
     try:
-        socket.wait_read(connection.sock.fileno(), timeout=RESET_LOOK_S)
+        socket.wait_read(connection.sock.fileno(), timeout=RESET_WAIT_S)
     except (OSError, TimeoutError):
         return False
     except BaseException:
         connection.reset()
         raise
-    return True  # bytes before any request are no response either
+    return True  # data before any request is not a response either
--- a/flintreach/proxy/exchange.py
+++ b/flintreach/proxy/exchange.py
@@ -1,9 +1,9 @@
-"""One exchange with an endpoint: a request goes out on a connection, its response comes back.
+"""One request/response exchange with an endpoint.
 
-`attempt` and `health_check` run exchanges.  An exchange tells what is known of whether the request has run,
-and no more: a request that was written may have run, whatever happened to its response.
+`attempt` and `health_check` run exchanges.  The outcome claims no more than is known about whether the
+request has run: one that was written may have run, whatever happened to its response.
 
-Times are nanoseconds of this process's steady clock, unless a name ends in `_s`.
+Times are nanoseconds of the process's monotonic clock, unless a name ends in `_s`.
 """
 
 import errno
@@ -19,50 +19,51 @@
 
 NS_PER_S = 1_000_000_000
 
-# Statuses with which `X-Not-Delivered` is believed.
+# Statuses for which an `X-Not-Delivered` header is accepted as a refusal.
 REFUSAL_STATUSES = (400, 408, 421, 429, 503)
 
-# Statuses that could be taken for a promise that the request has not run.
+# Statuses that a client may take as a guarantee that the request has not run.
 BUSY_STATUSES = (408, 429, 503)
 
 MISDIRECTED_REQUEST = 421
 
-# What is read at most for one response: complete responses that are not to the request, and bytes.
-MAX_SURPLUS_RESPONSES = 8
+# Limits on what is read for one response: complete responses that do not match the request, and bytes.
+MAX_UNMATCHED_RESPONSES = 8
 MAX_RESPONSE_BYTES = 64 << 20
 
 READ_SIZE = 65536
 
-# Stands for "no bound" where a moment is wanted.
+# A time that is never reached.
 NO_LIMIT_NS = 1 << 62
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of an exchange.
+    """The outcome of an exchange.
 
     Attributes:
-        kind: what is known of the request.
-        response: the endpoint's response, if one came that belongs to the request.
-        unreachable: the endpoint's machine gave no sign at all.
-        at_connection_limit: the endpoint takes no further connection at present.
-        recalled: bytes of the request were taken back, since they would have arrived too late.
+        kind: what is known about the request.
+        response: the response that matches the request, if one was received.
+        unreachable: the endpoint's machine did not respond at all.
+        at_connection_limit: the endpoint currently accepts no further connections.
+        missed_arrival_limit: the connection was reset, as bytes of the request would have reached the
+            endpoint's machine after `ExchangeOptions.arrive_by`.
     """
 
     kind: OutcomeKind
     response: Response | None = None
     unreachable: bool = False
     at_connection_limit: bool = False
-    recalled: bool = False
+    missed_arrival_limit: bool = False
 
 
 def classify_response(response: Response) -> OutcomeKind:
-    """What a response tells of its request.
+    """Classify a response by what it shows about its request.
 
-    Only a refusal (`X-Not-Delivered`, or 421: RFC 9110, section 15.5.20) is a promise that the request has
-    not run: a busy status without one may come after the work, and passed on it would be a promise of the
-    proxy's.  A success without its stamp (`X-Postmark`), or in a coding that nobody asked for, is not the
-    endpoint's body.
+    Only a refusal (`X-Not-Delivered`, or 421: RFC 9110, section 15.5.20) guarantees that the request has not
+    run.  A busy status without that header may follow the work, and if it were forwarded, the client would
+    take it as the proxy's guarantee.  A success without an `X-Postmark` header, or with a content or transfer
+    coding that was not requested, is not accepted as the endpoint's response.
     """
     status = response.status
     is_refusal = response.get("x-not-delivered") is not None
@@ -80,30 +81,31 @@
 
 
 def always_may_send() -> bool:
-    """For exchanges that nothing keeps back."""
+    """Default for `ExchangeOptions.may_send`: sending is always permitted."""
     return True
 
 
 def ignore_written() -> None:
-    """For exchanges of which nobody wants to know when they are written."""
+    """Default for `ExchangeOptions.on_written`: does nothing."""
 
 
 def no_arrival_limit() -> int:
-    """For exchanges whose bytes may arrive at any time."""
+    """Default for `ExchangeOptions.arrive_by`: bytes may arrive at any time."""
     return NO_LIMIT_NS
 
 
 @dataclass(slots=True)
 class ExchangeOptions:
-    """What binds one exchange.
+    """Limits and callbacks of one exchange.
 
     Attributes:
-        deadline: nobody waits for the response any more.
-        connect_timeout_s: how long a connection may take to be set up.
-        idle_limit_ns: how long the connection may lie idle afterwards.
-        may_send: asked last, whether the request may be sent; it may raise, and then nothing was sent.
-        on_written: called when the kernel has taken all of the request.
-        arrive_by: bytes that have not arrived by then are taken back; it may move on meanwhile.
+        deadline: time after which the client no longer waits for the response.
+        connect_timeout_s: limit for establishing a connection.
+        idle_limit_ns: how long the connection may stay idle in its pool afterwards.
+        may_send: called immediately before sending; if it returns False or raises, nothing is sent.
+        on_written: called when the kernel has accepted the whole request.
+        arrive_by: returns the time by which the request must have reached the endpoint's machine, or else the
+            connection is reset; the time may be extended during the exchange.
     """
 
     deadline: int
@@ -115,13 +117,13 @@
 
 
 class Exchange:
-    """A request on one connection, and what has come of it so far.  It goes on where a wait was ended.
+    """A request on one connection and the state of its response; it resumes after each wait that times out.
 
     Args:
-        connection: a connection with nothing on it.
+        connection: a connection without unread or unsent data.
         data: the request's bytes.
-        request_id: the id that its response must name; "" for none.
-        terms: what binds it.
+        request_id: the id that its response must have; "" for none.
+        options: limits and callbacks.
 
     Attributes:
         reusable: whether the connection may carry another request.
@@ -130,28 +132,30 @@
     __slots__ = (
         "connection",
         "request_id",
-        "terms",
+        "options",
         "unsent",
-        "has_begun",
-        "has_arrived",
+        "sending_started",
+        "is_acknowledged",
         "parser",
         "received_bytes",
         "reusable",
     )
 
-    def __init__(self, connection: Connection, data: bytes, request_id: str, terms: ExchangeOptions) -> None:
+    def __init__(
+        self, connection: Connection, data: bytes, request_id: str, options: ExchangeOptions
+    ) -> None:
         self.connection = connection
         self.request_id = request_id
-        self.terms = terms
+        self.options = options
         self.unsent = memoryview(data)
-        self.has_begun = False  # bytes went out
-        self.has_arrived = False  # all of them are at the endpoint's machine
+        self.sending_started = False  # some bytes have been sent
+        self.is_acknowledged = False  # the endpoint's machine has acknowledged all bytes
         self.parser = ResponseParser(to_head=data.startswith(b"HEAD "))
         self.received_bytes = 0
         self.reusable = False
 
     def run(self) -> Outcome:
-        """Send the request and read its response, until an outcome is known."""
+        """Send the request and read responses until the outcome is known."""
         while True:
             timer = gevent.Timeout(self.next_limit_s())
             try:
@@ -169,75 +173,77 @@
                 return Outcome(OutcomeKind.NO_VALID_RESPONSE, unreachable=unreachable)
 
     def next_limit_s(self) -> float:
-        """Seconds until the next moment at which something must be decided."""
-        limit = self.terms.deadline
-        if not self.has_arrived:
-            limit = min(limit, self.terms.arrive_by())
+        """Seconds until the deadline, or until the arrival limit if that is still pending and earlier."""
+        limit = self.options.deadline
+        if not self.is_acknowledged:
+            limit = min(limit, self.options.arrive_by())
         return max(0, limit - time.monotonic_ns()) / NS_PER_S
 
     def send(self) -> None:
-        """Give the kernel what it has not taken yet."""
+        """Write the remaining bytes of the request to the socket."""
         if not self.unsent:
             return
         while self.unsent:
             sent_bytes = self.connection.sock.send(self.unsent)
             self.unsent = self.unsent[sent_bytes:]
-            self.has_begun = True
-        self.terms.on_written()
+            self.sending_started = True
+        self.options.on_written()
 
     def receive(self) -> Outcome:
-        """Read until the request's response is complete, or it can't be any more."""
+        """Read until the request's response is complete, or can no longer be expected."""
         while data := self.connection.sock.recv(READ_SIZE):
             try:
                 self.parser.feed(data)
             except HTTPParseError:
-                pass  # what was complete before the garbage counts
-            # An old response may stand in the place of this one: the id tells.
+                pass  # responses that were complete before the malformed data count
+            # A stale response to an earlier request may come first; the id distinguishes it.
             for response in self.parser.complete:
                 if response.matches_request(self.request_id):
-                    return self.take_response(response)
+                    return self.accept_response(response)
             self.received_bytes += len(data)
-            if self.has_read_enough():
+            if self.should_stop_reading():
                 break
         return Outcome(OutcomeKind.NO_VALID_RESPONSE)
 
-    def has_read_enough(self) -> bool:
-        """Whether no response to the request is to be expected any more."""
-        if self.parser.parser_failed() or len(self.parser.complete) > MAX_SURPLUS_RESPONSES:
+    def should_stop_reading(self) -> bool:
+        """Whether parsing has failed or the limits on responses and bytes are exceeded."""
+        if self.parser.parser_failed() or len(self.parser.complete) > MAX_UNMATCHED_RESPONSES:
             return True
         return self.received_bytes > MAX_RESPONSE_BYTES
 
-    def take_response(self, response: Response) -> Outcome:
-        """The outcome by the request's own response; decides whether the connection can be used again."""
+    def accept_response(self, response: Response) -> Outcome:
+        """The outcome for the request's own response; also sets whether the connection is reusable."""
         kind = classify_response(response)
         parser = self.parser
-        is_alone = len(parser.complete) == 1 and not parser.surplus and not parser.parser_failed()
-        is_sound = parser.framed and kind != OutcomeKind.NO_VALID_RESPONSE
-        self.reusable = response.keep_alive and is_alone and is_sound and self.request_id != ""
+        is_only_message = (
+            len(parser.complete) == 1 and not parser.has_extra_message and not parser.parser_failed()
+        )
+        is_intact = parser.has_framing_header and kind != OutcomeKind.NO_VALID_RESPONSE
+        self.reusable = response.keep_alive and is_only_message and is_intact and self.request_id != ""
         return Outcome(kind, response)
 
     def outcome_at_limit(self) -> Outcome | None:
-        """What a limit that has passed means; None where the request may go on."""
+        """The outcome after a wait has timed out; None if the exchange may continue."""
         now = time.monotonic_ns()
-        if now >= self.terms.deadline:
+        if now >= self.options.deadline:
             return Outcome(OutcomeKind.TIMEOUT)
-        self.has_arrived = not self.unsent and not self.connection.unacknowledged_bytes()
-        if self.has_arrived or now < self.terms.arrive_by():
+        self.is_acknowledged = not self.unsent and not self.connection.unacknowledged_bytes()
+        if self.is_acknowledged or now < self.options.arrive_by():
             return None
-        # A part of it may have arrived: then it may have run.
-        kind = OutcomeKind.NO_VALID_RESPONSE if self.has_begun else OutcomeKind.UNSENT
-        return Outcome(kind, recalled=True)
+        # If some bytes were sent, they may have arrived, and the request may have run.
+        kind = OutcomeKind.NO_VALID_RESPONSE if self.sending_started else OutcomeKind.UNSENT
+        return Outcome(kind, missed_arrival_limit=True)
 
 
 def open_connection(pool: ConnectionPool, connect_timeout_s: float, deadline: int) -> Connection | Outcome:
-    """A fresh connection to an endpoint, or the outcome where there is none: then nothing was sent."""
-    left_s = (deadline - time.monotonic_ns()) / NS_PER_S
-    if left_s <= 0:
+    """Open a connection to an endpoint; on failure return the outcome, in which case nothing was sent."""
+    remaining_s = (deadline - time.monotonic_ns()) / NS_PER_S
+    if remaining_s <= 0:
         return Outcome(OutcomeKind.UNSENT)
     try:
-        connection = pool.connect(min(connect_timeout_s, left_s))
+        connection = pool.connect(min(connect_timeout_s, remaining_s))
     except OSError as error:
-        # These two are signs of its machine.
+        # These two errors show that the endpoint's machine is responding.
         unreachable = error.errno not in (errno.ECONNREFUSED, errno.ECONNRESET)
         return Outcome(OutcomeKind.UNSENT, unreachable=unreachable)
     if was_rejected(connection):
@@ -251,46 +257,43 @@
     head: bytes,
     body: bytes,
     request_id: str,
-    terms: ExchangeOptions,
-    used: list[Connection] | None = None,
+    options: ExchangeOptions,
+    used_connections: list[Connection] | None = None,
 ) -> Outcome:
     """Send one request and read its response.
 
     Args:
         pool: connections to the endpoint.
-        head: the request's head, with the empty line.
-        body: its body.
-        request_id: the id that tells its response from others; "" for none.
-        terms: what binds the exchange.
-        used: connections that the request went out on before, to which its own is added.
-
-    Returns:
-        What came of it.
+        head: the request's head, including the empty line.
+        body: the request's body.
+        request_id: the id that identifies the response; "" for none.
+        options: limits and callbacks.
+        used_connections: connections on which the request was sent before; the one used now is appended.
 
     Raises:
-        BaseException: what `terms.may_send` raises; then nothing was sent.
+        BaseException: whatever `options.may_send` raises; nothing was sent then.
     """
-    # The id tells responses apart, so no request goes twice on one connection, and one without an id has a
-    # connection to itself.
-    used = [] if used is None else used
-    connection = pool.take(used) if request_id else None
+    # Responses are matched by request id.  So a request is never sent twice on one connection, and a request
+    # without an id gets a connection of its own.
+    used_connections = [] if used_connections is None else used_connections
+    connection = pool.take(used_connections) if request_id else None
     if connection is None:
-        opened = open_connection(pool, terms.connect_timeout_s, terms.deadline)
-        if isinstance(opened, Outcome):
-            return opened
-        connection = opened
-    running = Exchange(connection, head + body, request_id, terms)
+        result = open_connection(pool, options.connect_timeout_s, options.deadline)
+        if isinstance(result, Outcome):
+            return result
+        connection = result
+    active_exchange = Exchange(connection, head + body, request_id, options)
     outcome: Outcome | None = None
     try:
-        if not terms.may_send():
-            # Since it was chosen, updates came or failed to come: the endpoint or its zone is to be left, or
-            # its lease is over.
+        if not options.may_send():
+            # Since the endpoint was selected, an update has taken it or its zone out of use, or its lease has
+            # expired because no update came.
             return Outcome(OutcomeKind.UNSENT)
-        used.append(connection)
-        outcome = running.run()
+        used_connections.append(connection)
+        outcome = active_exchange.run()
         return outcome
     finally:
-        if running.reusable and outcome is not None:
-            pool.put(connection, outcome.response, terms.idle_limit_ns)
+        if active_exchange.reusable and outcome is not None:
+            pool.put(connection, outcome.response, options.idle_limit_ns)
         else:
             connection.reset()
--- a/flintreach/proxy/forwarding.py
+++ b/flintreach/proxy/forwarding.py
@@ -1,9 +1,9 @@
-"""The path of one request: from what the client sent to its answer.
+"""Request forwarding: selects endpoints for a client's request and returns the response for the client.
 
-`client_listener` hands requests over; `balancing`, `retry_policy` and `retry_budget` decide, `hedging` and
-`attempt` carry out.
+`client_listener` passes requests in.  `balancing`, `retry_policy` and `retry_budget` make the decisions;
+`hedging` and `attempt` carry them out.
 
-Times are nanoseconds of this process's steady clock, unless a name ends in `_s`.
+Times are nanoseconds of the process's monotonic clock, unless a name ends in `_s`.
 """
 
 import random
@@ -56,17 +56,17 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 
-# Between two looks for keys that are on their way from one owner to another.
-KEY_LOOK_INTERVAL_S = 0.02
+# Interval between checks for the new owner of a shard key that is moving between owners.
+KEY_POLL_INTERVAL_S = 0.02
 
-# Attempts of one request that may end unsent.
+# A request may be attempted again after at most this many attempts that were not sent.
 MAX_UNSENT_ATTEMPTS = 3
 
-# Before any answer, the usual work of a service is taken for this part of the latency target.
-ASSUMED_WORK_DIVISOR = 8
+# Until a service has responded, its average latency is estimated as the latency target divided by this.
+DEFAULT_LATENCY_DIVISOR = 8
 
-# Kind of the routes whose answers are large as a rule.
-BULKY_KIND = "outbound_post"
+# Kind of the routes whose responses are expected to be large.
+LARGE_RESPONSE_KIND = "outbound_post"
 
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
@@ -74,19 +74,19 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """A request with what its route decides of it, and how far it has come.
+    """A request with its routing decision and the progress of its attempts.
 
     Attributes:
-        request: the client's.
-        route: its route.
-        service: one of the route's.
-        key: its shard key, None for none.
-        deadline: nobody waits for the answer after that.
-        budget: the service's.
-        attempted: ids of the endpoints that it went to.
-        sent: attempts that may have reached an endpoint, hedged ones included.
-        unsent: attempts that certainly did not.
-        status: of the answer, if there is no further attempt.
+        request: the client's request.
+        route: the route that matches it.
+        service: the service chosen among the route's services.
+        key: its shard key; None if it has none.
+        deadline: time after which the client no longer waits for the response.
+        retry_budget: the service's retry budget.
+        attempted_endpoints: ids of the endpoints it has been attempted at.
+        sent_attempts: attempts that may have reached an endpoint, including hedged ones.
+        unsent_attempts: attempts that are known not to have reached an endpoint.
+        final_status: HTTP status of the response if no further attempt is made.
     """
 
     request: Request
@@ -94,27 +94,30 @@
     service: str
     key: int | None
     deadline: int
-    budget: RetryBudget
-    attempted: set[str] = field(default_factory=set)
-    sent: int = 0
-    unsent: int = 0
-    status: int = SERVICE_UNAVAILABLE
+    retry_budget: RetryBudget
+    attempted_endpoints: set[str] = field(default_factory=set)
+    sent_attempts: int = 0
+    unsent_attempts: int = 0
+    final_status: int = SERVICE_UNAVAILABLE
 
 
-def final_answer(status: int) -> ClientResponse:
-    """The answer where no endpoint gave one; only 503, which promises that nothing ran, invites a retry."""
+def final_response(status: int) -> ClientResponse:
+    """The response when no endpoint gave one.
+
+    Only 503 has a `Retry-After` header, as it alone guarantees that the request has not run.
+    """
     return error_response(status, RETRY_AFTER_S if status == SERVICE_UNAVAILABLE else None)
 
 
 class Forwarder:
-    """Finds an endpoint for each request and brings its answer back.
+    """Forwards each request to an endpoint and returns the response.
 
     Args:
-        view: routes and endpoints.
-        bounds: the rules' limits.
-        metrics: where events are counted.
-        load_aggregate: where loads are reported upwards.
-        mbps: megabits a second of this machine's link; 0: unknown.
+        view: current routes and endpoints.
+        bounds: limits on retries and slow start.
+        metrics: receives event counts.
+        load_aggregate: collects the loads that are reported to the controllers.
+        mbps: bandwidth of this machine's link in megabits per second; 0 if unknown.
     """
 
     def __init__(
@@ -130,70 +133,73 @@
         self.metrics = metrics
         self.load_aggregate = load_aggregate
         self.endpoint_client = EndpointClient(view, metrics, load_aggregate)
-        self.budgets: dict[str, RetryBudget] = {}
+        self.retry_budgets: dict[str, RetryBudget] = {}
         self.link_admission = LinkAdmission(mbps)
 
-    def budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
-        budget = self.budgets.get(service)
+    def retry_budget(self, service: str) -> RetryBudget:
+        """The retry budget of a service, created on first use."""
+        budget = self.retry_budgets.get(service)
         if budget is None:
             bounds = self.bounds
             budget = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, bounds.retry_slack)
-            self.budgets[service] = budget
+            self.retry_budgets[service] = budget
         return budget
 
-    def draw_service(self, route: Route) -> str:
-        """The service, drawn by weight where the route has several."""
+    def choose_service(self, route: Route) -> str:
+        """Choose one of the route's services at random, in proportion to their weights."""
         if len(route.services) == 1:
             return route.services[0][0]
-        draw = random.random() * sum(weight for _, weight in route.services)
+        remaining_weight = random.random() * sum(weight for _, weight in route.services)
         for name, weight in route.services:
-            draw -= weight
-            if draw < 0:
+            remaining_weight -= weight
+            if remaining_weight < 0:
                 break
         return name
 
     def find_route(self, request: Request) -> Route | None:
-        """The route of a request, by its host without port and its path without query."""
+        """The route that matches the request's host (without port) and path (without query); None if none."""
         authority = request.headers_by_name.get("host", "")
         host = authority.rpartition(":")[0] or authority
         return self.view.routes.find(host, request.target.partition("?")[0])
 
     def may_pipeline(self, request: Request) -> bool:
-        """Whether it may be carried out beside others of its connection (RFC 9112, section 9.3.2)."""
+        """Whether the request may be processed in parallel with others of its connection.
+
+        Only idempotent requests may (RFC 9112, section 9.3.2).
+        """
         if self.view.routes is None:
             return False
         route = self.find_route(request)
         return route is not None and route.idempotent
 
     def forward(self, request: Request) -> ClientResponse:
-        """The answer to a request.
+        """Forward a request and return the response for the client.
 
         Raises:
-            ClientDisconnected: nobody waits for it any more; then nothing is at work that may be cancelled.
+            ClientDisconnected: the client has disconnected; all attempts that may be cancelled have been.
         """
         if self.view.routes is None:
-            return final_answer(SERVICE_UNAVAILABLE)
+            return final_response(SERVICE_UNAVAILABLE)
         route = self.find_route(request)
         if route is None:
             self.metrics.count(NO_ROUTE)
             return error_response(404)
         request.idempotent = route.idempotent
         try:
-            return self.forward_in_turn(self.routed(request, route))
+            return self.forward_when_admitted(self.create_routed_request(request, route))
         except ClientDisconnected:
             self.metrics.count(CLIENT_DISCONNECTED)
             raise
 
-    def routed(self, request: Request, route: Route) -> RoutedRequest:
-        """Draw the service of a request, and count it there."""
-        service = self.draw_service(route)
+    def create_routed_request(self, request: Request, route: Route) -> RoutedRequest:
+        """Choose the service for a request, and count the request towards its load and retry budget."""
+        service = self.choose_service(route)
         time_left_ns = route.deadline_ns
         time_left_ms = parse_count(request.headers_by_name.get("x-time-left-ms", ""))
         if time_left_ms is not None:
             time_left_ns = min(time_left_ns, time_left_ms * NS_PER_MS)
         self.load_aggregate.request(format_slice_name(route, service))
-        budget = self.budget(service)
+        budget = self.retry_budget(service)
         budget.count_request(time.monotonic_ns())
         key = parse_count(request.headers_by_name.get("x-shard-key", ""))
         if key is not None and key >= KEYS:
@@ -203,105 +209,106 @@
         deadline = request.received_at + time_left_ns
         return RoutedRequest(request, route, service, key, deadline, budget)
 
-    def forward_in_turn(self, routed: RoutedRequest) -> ClientResponse:
-        """Forward a request; large answers take turns on the link, others go on at once."""
+    def forward_when_admitted(self, routed: RoutedRequest) -> ClientResponse:
+        """Forward a request; one with a large expected response first waits for admission to the link."""
         route = routed.route
-        size = self.link_admission.expected_size(route.name, route.kind == BULKY_KIND)
+        size = self.link_admission.expected_size(route.name, route.kind == LARGE_RESPONSE_KIND)
         if not size:
-            return self.try_endpoints(routed)
-        longest_wait_ns = min(
-            MAX_WAIT_FRACTION * route.latency_target_ns, routed.deadline - time.monotonic_ns()
-        )
-        if not self.take_turn(routed.request.caller, size, longest_wait_ns):
+            return self.attempt_endpoints(routed)
+        max_wait_ns = min(MAX_WAIT_FRACTION * route.latency_target_ns, routed.deadline - time.monotonic_ns())
+        if not self.wait_for_admission(routed.request.caller, size, max_wait_ns):
             self.metrics.count(LINK_ADMISSION_TIMEOUT)
-            return final_answer(SERVICE_UNAVAILABLE)
+            return final_response(SERVICE_UNAVAILABLE)
         try:
-            return self.try_endpoints(routed)
+            return self.attempt_endpoints(routed)
         finally:
             self.link_admission.release(size)
 
-    def take_turn(self, caller: Caller, size: int, longest_wait_ns: float) -> bool:
-        """Wait for the turn of a large answer; whether it has come in time.
+    def wait_for_admission(self, caller: Caller, size: int, max_wait_ns: float) -> bool:
+        """Wait until a large response is admitted to the link.
+
+        Returns:
+            Whether it was admitted within `max_wait_ns`.
 
         Raises:
-            ClientDisconnected: it has not come, and nobody waits for the answer any more.
+            ClientDisconnected: the client disconnected before the response was admitted.
         """
-        turn = Event()
-        wake = turn.set
+        admitted = Event()
+        wake = admitted.set
         with caller.calling_on_disconnect(wake):
             if self.link_admission.acquire(size, wake):
                 return True
-            turn.wait(longest_wait_ns / NS_PER_S)
+            admitted.wait(max_wait_ns / NS_PER_S)
         if not self.link_admission.cancel(wake):
             return True
         caller.raise_if_disconnected()
         return False
 
-    def try_endpoints(self, routed: RoutedRequest) -> ClientResponse:
-        """Try one endpoint after the other, as far as outcomes, time and budget allow."""
+    def attempt_endpoints(self, routed: RoutedRequest) -> ClientResponse:
+        """Attempt the request at one endpoint after another while outcome, deadline and budget allow it."""
         while True:
             routed.request.caller.raise_if_disconnected()
             now = time.monotonic_ns()
             if now >= routed.deadline:
-                return final_answer(GATEWAY_TIMEOUT if routed.sent else SERVICE_UNAVAILABLE)
-            endpoint = self.choose(routed, now)
-            if endpoint is None and self.awaits_keys(routed, now):
-                gevent.sleep(KEY_LOOK_INTERVAL_S)
-                routed.attempted.clear()
+                return final_response(GATEWAY_TIMEOUT if routed.sent_attempts else SERVICE_UNAVAILABLE)
+            endpoint = self.select_endpoint(routed, now)
+            if endpoint is None and self.should_wait_for_key(routed, now):
+                gevent.sleep(KEY_POLL_INTERVAL_S)
+                routed.attempted_endpoints.clear()
                 continue
             if endpoint is None:
                 self.metrics.count(NO_ENDPOINT)
-                return final_answer(routed.status)
-            if routed.sent and not self.take_retry(routed, now):
-                return final_answer(routed.status)
-            routed.attempted.add(endpoint.id)
-            hedged = self.attempt_hedged(routed, endpoint)
+                return final_response(routed.final_status)
+            if routed.sent_attempts and not self.spend_retry(routed, now):
+                return final_response(routed.final_status)
+            routed.attempted_endpoints.add(endpoint.id)
+            hedged = self.attempt_with_hedging(routed, endpoint)
             if hedged.outcome.kind == OutcomeKind.ANSWERED:
                 response = hedged.outcome.response
                 self.link_admission.observe(routed.route.name, len(response.body))
                 return forwarded_response(response, routed.request)
-            if not self.may_go_on(routed, hedged):
-                return final_answer(routed.status)
+            if not self.record_failed_attempt(routed, hedged):
+                return final_response(routed.final_status)
 
-    def take_retry(self, routed: RoutedRequest, now: int) -> bool:
-        """Spend a retry of the budget; False where none is left."""
-        if not routed.budget.allows(now, self.view.position.proxies):
+    def spend_retry(self, routed: RoutedRequest, now: int) -> bool:
+        """Spend one retry of the service's budget; False if the budget is exhausted."""
+        if not routed.retry_budget.allows(now, self.view.position.proxies):
             self.metrics.count(BUDGET_EXHAUSTED)
             return False
-        routed.budget.spend(now)
+        routed.retry_budget.spend(now)
         self.metrics.count(RETRIES)
         return True
 
-    def may_go_on(self, routed: RoutedRequest, hedged: HedgedOutcome) -> bool:
-        """Take in a failed attempt; whether its outcome and their number allow another one."""
+    def record_failed_attempt(self, routed: RoutedRequest, hedged: HedgedOutcome) -> bool:
+        """Record a failed attempt; return whether its outcome and the attempts so far allow another one."""
         kind = hedged.outcome.kind
         self.metrics.count(kind.value)
-        routed.sent += hedged.hedges
+        routed.sent_attempts += hedged.hedges
         if kind == OutcomeKind.UNSENT:
-            routed.unsent += 1
+            routed.unsent_attempts += 1
         else:
-            routed.sent += 1
+            routed.sent_attempts += 1
         decision = decide_retry(kind, routed.route.idempotent)
-        routed.status = decision.status
+        routed.final_status = decision.status
         return (
             decision.may_retry
-            and routed.sent < routed.route.attempts
-            and routed.unsent <= MAX_UNSENT_ATTEMPTS
+            and routed.sent_attempts < routed.route.attempts
+            and routed.unsent_attempts <= MAX_UNSENT_ATTEMPTS
         )
 
-    def awaits_keys(self, routed: RoutedRequest, now: int) -> bool:
-        """Whether the keys of a request may only be on their way from one owner to another."""
-        longest_wait_ns = int(KEY_MOVE_WAIT_FRACTION * routed.route.latency_target_ns)
-        return self.view.is_sharded(routed.service) and now < routed.request.received_at + longest_wait_ns
+    def should_wait_for_key(self, routed: RoutedRequest, now: int) -> bool:
+        """Whether to keep waiting, as the request's shard key may be moving between two owners."""
+        max_wait_ns = int(KEY_MOVE_WAIT_FRACTION * routed.route.latency_target_ns)
+        return self.view.is_sharded(routed.service) and now < routed.request.received_at + max_wait_ns
 
-    def choose(self, routed: RoutedRequest, now: int) -> EndpointView | None:
-        """The endpoint for the next attempt; None where there is none."""
+    def select_endpoint(self, routed: RoutedRequest, now: int) -> EndpointView | None:
+        """The endpoint for the next attempt; None if none is available."""
         view = self.view
         route = routed.route
         service = routed.service
         service_config = view.routes.service_configs.get(service)
         warm_up_rate_per_s = service_config.slow_start_per_s if service_config else 0.0
-        # Keys have one owner: all proxies must be able to reach it, even while it is warming up.
+        # A shard key has a single owner, so all proxies must be able to send to it, even during slow start.
         senders = view.position.proxies
         if not view.is_sharded(service):
             senders = max_warm_up_senders(
@@ -311,7 +318,7 @@
                 view.position.proxies,
             )
         return choose_endpoint(
-            view.candidates(route, service, routed.key, routed.attempted),
+            view.candidates(route, service, routed.key, routed.attempted_endpoints),
             view.position,
             route.latency_target_ns,
             self.average_latency_ns(route, service),
@@ -323,13 +330,13 @@
         )
 
     def average_latency_ns(self, route: Route, service: str) -> int:
-        """How long the requests of a service usually take."""
+        """Average latency of a service's answered attempts, or an estimate before its first response."""
         return self.endpoint_client.average_latency_ns.get(
-            service, route.latency_target_ns // ASSUMED_WORK_DIVISOR
+            service, route.latency_target_ns // DEFAULT_LATENCY_DIVISOR
         )
 
-    def attempt_hedged(self, routed: RoutedRequest, endpoint: EndpointView) -> HedgedOutcome:
-        """Make an attempt at one endpoint, and where that is allowed another one beside it."""
+    def attempt_with_hedging(self, routed: RoutedRequest, endpoint: EndpointView) -> HedgedOutcome:
+        """Attempt the request at one endpoint, with a hedged attempt at a second one if that is allowed."""
         request = routed.request
         route = routed.route
         service = routed.service
@@ -337,25 +344,25 @@
             return HedgedOutcome(self.attempt(request, service, endpoint, routed.deadline), 0)
         hedge = Hedge(request.caller, lambda chosen: self.attempt(request, service, chosen, routed.deadline))
         delay_s: float | None = None
-        if routed.sent + 1 < route.attempts:
+        if routed.sent_attempts + 1 < route.attempts:
             delay_s = (
                 hedging_delay_ns(route.latency_target_ns, self.average_latency_ns(route, service)) / NS_PER_S
             )
-        return hedge.run(endpoint, lambda: self.choose_second(routed), delay_s)
+        return hedge.run(endpoint, lambda: self.select_hedge_endpoint(routed), delay_s)
 
-    def choose_second(self, routed: RoutedRequest) -> EndpointView | None:
-        """An endpoint to ask beside a silent one, where the budget allows it."""
+    def select_hedge_endpoint(self, routed: RoutedRequest) -> EndpointView | None:
+        """Select an endpoint for a hedged attempt and charge the budget; None if either is unavailable."""
         now = time.monotonic_ns()
-        endpoint = self.choose(routed, now)
+        endpoint = self.select_endpoint(routed, now)
         if endpoint is None:
             return None
-        if not routed.budget.allows(now, self.view.position.proxies, HEDGE_BUDGET_FRACTION):
+        if not routed.retry_budget.allows(now, self.view.position.proxies, HEDGE_BUDGET_FRACTION):
             return None
-        routed.budget.spend(now)
+        routed.retry_budget.spend(now)
         self.metrics.count(HEDGED_REQUESTS)
-        routed.attempted.add(endpoint.id)
+        routed.attempted_endpoints.add(endpoint.id)
         return endpoint
 
     def attempt(self, request: Request, service: str, endpoint: EndpointView, deadline: int) -> Outcome:
-        """Make one attempt at one endpoint (`EndpointClient.attempt`); tests script outcomes here."""
+        """Make one attempt at one endpoint (`EndpointClient.attempt`); overridden in tests."""
         return self.endpoint_client.attempt(request, service, endpoint, deadline)
--- a/flintreach/proxy/hedging.py
+++ b/flintreach/proxy/hedging.py
@@ -1,7 +1,7 @@
-"""Hedged requests: a second endpoint is asked where the first stays silent, and the first answer counts.
+"""Hedged requests: if the first endpoint is slow, the request is also sent to a second one.
 
-For idempotent requests.  Attempts run in greenlets of their own, so that they can be cancelled when nobody
-waits for them any more.
+The first answer is used.  Only idempotent requests are hedged.  Attempts run in their own greenlets, so that
+they can be cancelled when the client disconnects.
 
 Source: J. Dean, L. A. Barroso, "The Tail at Scale", 2013.
 """
@@ -17,17 +17,18 @@
 from flintreach.proxy.exchange import Outcome
 from flintreach.proxy.outcome import OutcomeKind
 
-# For so long the slower of two attempts may go on when one was answered, to keep its connection.
-LOSER_GRACE_S = 0.2
+# Time for which the slower of two attempts may continue after the other was answered: if it completes, its
+# connection can be reused.
+SLOWER_ATTEMPT_GRACE_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class HedgedOutcome:
-    """What came of a request.
+    """The outcome of an attempt with its hedged attempts.
 
     Attributes:
-        outcome: of the first attempt that was answered, or of the last one.
-        hedges: how many endpoints were asked beside the first.
+        outcome: outcome of the first attempt that was answered; if none was, of the last one.
+        hedges: number of hedged attempts, besides the first attempt.
     """
 
     outcome: Outcome
@@ -35,56 +36,60 @@
 
 
 class Hedge:
-    """The attempts of one request that are under way at the same time.
+    """The concurrent attempts of one request.
 
     Args:
-        caller: who waits for the answer.
-        attempt: makes one attempt at an endpoint, until its outcome.
+        caller: the client that waits for the response.
+        attempt: makes one attempt at an endpoint and returns its outcome.
     """
 
     def __init__(self, caller: Caller, attempt: Callable[[EndpointView], Outcome]) -> None:
         self.caller = caller
         self.attempt = attempt
-        # Outcomes of attempts that are over; None wakes the one that waits when the caller leaves.
+        # Outcomes of completed attempts; None wakes the waiting greenlet when the client disconnects.
         self.outcomes: SimpleQueue = SimpleQueue()
         self.attempts: list[gevent.Greenlet] = []
 
     def run(
-        self, first: EndpointView, choose_second: Callable[[], EndpointView | None], delay_s: float | None
+        self,
+        first: EndpointView,
+        select_hedge_endpoint: Callable[[], EndpointView | None],
+        delay_s: float | None,
     ) -> HedgedOutcome:
-        """Make an attempt at `first`, and where it stays silent another one beside it.
+        """Make an attempt at `first`, and a hedged attempt if it has no outcome after `delay_s`.
 
-        The first is not cancelled for it: its endpoint may be at work, and its answer may still come first.
-        When one was answered the other is soon cancelled; both are at once when the client leaves.
+        The hedged attempt does not cancel the first one, whose endpoint may be working and may still answer
+        first.  Once one of them was answered, the other is cancelled after `SLOWER_ATTEMPT_GRACE_S`; when
+        the client disconnects, both are cancelled at once.
 
         Args:
-            first: the endpoint to ask first.
-            choose_second: chooses the endpoint to ask beside it, None for none.
-            delay_s: for how long the first must have been silent; None: it is asked alone.
+            first: the endpoint for the first attempt.
+            select_hedge_endpoint: selects the endpoint for the hedged attempt, or returns None.
+            delay_s: hedging delay; None for no hedged attempt.
 
         Raises:
-            ClientDisconnected: nobody waits for the answer any more.
+            ClientDisconnected: the client has disconnected.
         """
         self.start(first)
         try:
             with self.caller.calling_on_disconnect(self.wake):
-                return self.wait_for_outcome(choose_second, delay_s)
+                return self.wait_for_outcome(select_hedge_endpoint, delay_s)
         except ClientDisconnected:
             gevent.killall(self.attempts, block=False)
             raise
         finally:
             if len(self.attempts) > 1:
-                gevent.spawn_later(LOSER_GRACE_S, gevent.killall, self.attempts, block=False)
+                gevent.spawn_later(SLOWER_ATTEMPT_GRACE_S, gevent.killall, self.attempts, block=False)
 
     def wait_for_outcome(
-        self, choose_second: Callable[[], EndpointView | None], delay_s: float | None
+        self, select_hedge_endpoint: Callable[[], EndpointView | None], delay_s: float | None
     ) -> HedgedOutcome:
-        """Wait for the attempt under way, and begin another one after `delay_s`."""
+        """Wait for the outcome of the first attempt; start a hedged attempt after `delay_s`."""
         try:
             return HedgedOutcome(self.next_outcome(delay_s), 0)
         except Empty:
             pass
-        second = choose_second()
+        second = select_hedge_endpoint()
         if second is None:
             return HedgedOutcome(self.next_outcome(), 0)
         self.start(second)
@@ -94,29 +99,29 @@
         return HedgedOutcome(outcome, 1)
 
     def start(self, endpoint: EndpointView) -> None:
-        """Begin an attempt at an endpoint."""
+        """Start an attempt at an endpoint in its own greenlet."""
         self.attempts.append(gevent.spawn(self.run_attempt, endpoint))
 
     def run_attempt(self, endpoint: EndpointView) -> None:
-        """Make an attempt and hand its outcome over, whatever happens: somebody waits for it."""
+        """Make an attempt and queue its outcome, even if it raises: `next_outcome` waits for it."""
         outcome = Outcome(OutcomeKind.NO_VALID_RESPONSE)
         try:
             outcome = self.attempt(endpoint)
         except ClientDisconnected:
-            pass  # the caller itself wakes the one that waits
+            pass  # `wake` is called for the disconnect
         finally:
             self.outcomes.put(outcome)
 
     def wake(self) -> None:
-        """Wake the one that waits for an outcome; called when the caller leaves."""
+        """Wake the greenlet that waits for an outcome; called when the client disconnects."""
         self.outcomes.put(None)
 
     def next_outcome(self, wait_s: float | None = None) -> Outcome:
-        """The next outcome of any attempt.
+        """Wait for the next outcome of any attempt.
 
         Raises:
-            Empty: there was none within `wait_s`.
-            ClientDisconnected: nobody waits for the answer any more.
+            Empty: no attempt ended within `wait_s`.
+            ClientDisconnected: the client has disconnected.
         """
         outcome = self.outcomes.get(timeout=wait_s)
         self.caller.raise_if_disconnected()
--- a/flintreach/proxy/request.py
+++ b/flintreach/proxy/request.py
@@ -1,4 +1,4 @@
-"""Requests of clients and the answers to them, and which headers go from one side to the other.  No I/O."""
+"""Clients' requests, the responses to them, and the headers that are forwarded in each direction.  No I/O."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 NS_PER_MS = 1_000_000
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), or that this proxy sets itself.
+# Headers that apply to a single connection (RFC 9110, section 7.6.1), or that the proxy sets itself.
 HOP_BY_HOP = {
     "connection",
     "keep-alive",
@@ -25,17 +25,17 @@
     "x-time-left-ms",
 }
 
-# What a `Connection` header may not take away: these tell whose a request or an answer is.
+# Headers that a `Connection` header cannot remove: they identify a request or a response.
 END_TO_END = {"host", "x-try-id", "x-postmark", "x-shard-key"}
 
-# Methods whose requests have no body as a rule: without one they tell no length (RFC 9110, section 8.6).
+# Methods whose requests usually have no body: without one, no length is sent (RFC 9110, section 8.6).
 BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")
 
-# Statuses whose answers have no body (RFC 9110, sections 15.3.5 and 15.4.5).
+# Statuses whose responses have no body (RFC 9110, sections 15.3.5 and 15.4.5).
 NO_CONTENT = 204
 NOT_MODIFIED = 304
 
-# Seconds after which a rejected request may come again, as `Retry-After` writes it.
+# `Retry-After` value of rejected requests, in seconds.
 RETRY_AFTER_S = "0.1"
 
 REASONS = {
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request as the client sent it.
+    """A request as received from a client.
 
     Attributes:
-        method: its method.
-        target: its target, as it was sent.
-        headers: (name, value) of each header, as they were sent.
-        body: its body, without transfer coding.
-        received_at: steady clock, in nanoseconds, when it had been read.
-        headers_by_name: headers by their names in lower case, values of the same name joined.
-        connections: connections to endpoints that it went out on.
-        caller: who waits for its answer.
-        idempotent: whether its route lets it run twice.
+        method: HTTP method.
+        target: request target, not decoded.
+        headers: (name, value) of each header, as received.
+        body: body with the transfer coding removed.
+        received_at: monotonic time, in nanoseconds, when it had been read completely.
+        headers_by_name: header values by lower-case name, several values of one name joined by commas.
+        connections: endpoint connections on which it has been sent.
+        caller: the client that waits for the response.
+        idempotent: whether its route permits it to run more than once.
     """
 
     method: str
@@ -81,14 +81,14 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """An answer as it goes to the client.
+    """A response to be sent to a client.
 
     Attributes:
         status: HTTP status.
-        reason: its reason phrase.
+        reason: reason phrase.
         headers: (name, value) of each header.
-        body: its body.
-        close: whether the client's connection must end with it.
+        body: body.
+        close: whether the client's connection must be closed after it.
     """
 
     status: int
@@ -98,36 +98,36 @@
     close: bool = False
 
 
-def dropped_headers(connection: str) -> set[str]:
-    """Headers that concern one connection only, with those that its `Connection` header names."""
-    named = {name.strip().lower() for name in connection.split(",")}
-    return HOP_BY_HOP | (named - END_TO_END)
+def excluded_headers(connection: str) -> set[str]:
+    """Names of the headers that are not forwarded, given the value of the message's `Connection` header."""
+    connection_options = {name.strip().lower() for name in connection.split(",")}
+    return HOP_BY_HOP | (connection_options - END_TO_END)
 
 
 def error_response(status: int, retry_after_s: str | None = None, detail: str = "") -> ClientResponse:
-    """An answer of the proxy's own.
+    """A response that the proxy generates itself.
 
     Args:
         status: HTTP status.
-        retry_after_s: after how many seconds the request may come again; None: it isn't told.
+        retry_after_s: value of `Retry-After`, in seconds; None for no such header.
         detail: the body.
     """
     headers = [("Retry-After", retry_after_s)] if retry_after_s else []
     return ClientResponse(status, REASONS.get(status, UNKNOWN_REASON), headers, detail.encode())
 
 
-def endpoint_request_head(request: Request, endpoint_id: str, left_ns: int) -> bytes:
-    """The head of a request as it goes out to an endpoint.
+def endpoint_request_head(request: Request, endpoint_id: str, remaining_ns: int) -> bytes:
+    """The head of a request as it is sent to an endpoint.
 
     Args:
-        request: the client's.
-        endpoint_id: whom it is for; another endpoint at the same address must refuse it.
-        left_ns: time until nobody waits for the answer.
+        request: the client's request.
+        endpoint_id: id of the endpoint; a different endpoint at the same address must refuse the request.
+        remaining_ns: time left until the deadline.
     """
-    dropped = dropped_headers(request.headers_by_name.get("connection", ""))
+    excluded = excluded_headers(request.headers_by_name.get("connection", ""))
     lines = [f"{request.method} {request.target} HTTP/1.1"]
-    lines += [f"{name}: {value}" for name, value in request.headers if name.lower() not in dropped]
-    lines.append(f"X-Time-Left-Ms: {max(1, left_ns // NS_PER_MS)}")
+    lines += [f"{name}: {value}" for name, value in request.headers if name.lower() not in excluded]
+    lines.append(f"X-Time-Left-Ms: {max(1, remaining_ns // NS_PER_MS)}")
     lines.append(f"X-Expect-Endpoint: {endpoint_id}")
     if request.body or request.method not in BODILESS_METHODS:
         lines.append(f"Content-Length: {len(request.body)}")
@@ -135,12 +135,13 @@
 
 
 def forwarded_response(response: Response, request: Request) -> ClientResponse:
-    """An endpoint's response as it goes to the client."""
-    dropped = dropped_headers(response.get("connection") or "")
-    is_to_head = request.method == "HEAD"
-    if response.status == NOT_MODIFIED or (is_to_head and response.status != NO_CONTENT):
-        dropped -= {"content-length"}  # of the body that a GET would have had (RFC 9110, section 8.6)
-    headers = [(name, value) for name, value in response.headers if name.lower() not in dropped]
-    if not is_to_head and response.status not in (NO_CONTENT, NOT_MODIFIED):
+    """An endpoint's response as it is sent to the client."""
+    excluded = excluded_headers(response.get("connection") or "")
+    is_head_request = request.method == "HEAD"
+    if response.status == NOT_MODIFIED or (is_head_request and response.status != NO_CONTENT):
+        # The length of the body that a GET would have returned (RFC 9110, section 8.6).
+        excluded -= {"content-length"}
+    headers = [(name, value) for name, value in response.headers if name.lower() not in excluded]
+    if not is_head_request and response.status not in (NO_CONTENT, NOT_MODIFIED):
         headers.append(("Content-Length", str(len(response.body))))
     return ClientResponse(response.status, response.reason, headers, bytes(response.body))
--- a/flintreach/proxy/request_parser.py
+++ b/flintreach/proxy/request_parser.py
@@ -1,7 +1,7 @@
-"""Reading requests from a client's connection.
+"""Parsing of requests from a client's connection.
 
-What two readers could take for two things is refused (request smuggling: RFC 9112, section 11.2): the target
-stays raw, and a request has one length.
+Against request smuggling (RFC 9112, section 11.2), requests that another parser could read differently are
+rejected: the target is not decoded, and a request has at most one length.
 """
 
 from typing import Protocol
@@ -10,27 +10,34 @@
 
 READ_SIZE = 65536
 
-# Bytes of a chunk's first line, and of one trailer.
+# Maximum length of a chunk-size line and of one trailer, in bytes.
 MAX_CHUNK_LINE_BYTES = 256
 MAX_TRAILER_BYTES = 8192
 
-# Digits of the longest body's length, in decimal, and of the longest chunk's, in hexadecimal.
+# Maximum digits of a body's length (decimal) and of a chunk's size (hexadecimal).
 MAX_LENGTH_DIGITS = 15
 MAX_CHUNK_SIZE_DIGITS = 12
 HEXADECIMAL_DIGITS = b"0123456789abcdefABCDEF"
 
-# Headers that may stand once only: two of them could be read in two ways.
-SINGLE = {"host", "content-length", "transfer-encoding", "x-try-id", "x-time-left-ms", "x-shard-key"}
+# Headers that may occur only once, as parsers may differ in which of several values they use.
+SINGLETON_HEADERS = {
+    "host",
+    "content-length",
+    "transfer-encoding",
+    "x-try-id",
+    "x-time-left-ms",
+    "x-shard-key",
+}
 
-# Characters of a method and of a header's name (RFC 9110, section 5.6.2).
-TOKEN = frozenset("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
+# Characters allowed in a method and in a header name (RFC 9110, section 5.6.2).
+TOKEN_CHARACTERS = frozenset("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
 class BadRequest(Exception):
-    """A request that is refused before it has a route.
+    """A request that is rejected before it is routed.
 
     Attributes:
-        status: HTTP status of the refusal.
+        status: HTTP status of the response.
     """
 
     def __init__(self, status: int) -> None:
@@ -38,28 +45,28 @@
         self.status = status
 
 
-class Receiver(Protocol):
-    """What is used of a socket."""
+class ReceivingSocket(Protocol):
+    """The part of the socket interface that `ByteSource` uses."""
 
     def recv(self, size: int, /) -> bytes:
-        """Up to `size` bytes; none at the end."""
+        """Receive up to `size` bytes; empty at the end of the stream."""
 
 
 class ByteSource:
-    """The bytes of a connection, as they are read.
+    """Buffered reader of a connection.
 
     Attributes:
-        buffer: bytes that came and have not been taken.
-        ended: whether no more will come.
+        buffer: bytes that were received but not yet consumed.
+        ended: whether the end of the stream was reached.
     """
 
-    def __init__(self, sock: Receiver) -> None:
+    def __init__(self, sock: ReceivingSocket) -> None:
         self.sock = sock
         self.buffer = bytearray()
         self.ended = False
 
     def receive(self) -> bool:
-        """Wait for more bytes; False at the end."""
+        """Receive more bytes into the buffer; False at the end of the stream."""
         if self.ended:
             return False
         data = self.sock.recv(READ_SIZE)
@@ -68,27 +75,27 @@
         return bool(data)
 
     def read(self, size: int) -> bytes:
-        """Take `size` bytes; fewer at the end."""
+        """Consume `size` bytes; fewer if the stream ends first."""
         while len(self.buffer) < size and self.receive():
             pass
         taken = bytes(self.buffer[:size])
         del self.buffer[:size]
         return taken
 
-    def read_until(self, delimiter: bytes, most: int) -> bytes | None:
-        """Take what stands before a delimiter, and drop the delimiter; None at the end.
+    def read_until(self, delimiter: bytes, max_bytes: int) -> bytes | None:
+        """Consume the bytes up to a delimiter and the delimiter; return them without it, or None at the end.
 
         Raises:
-            BadRequest: it is longer than `most` bytes.
+            BadRequest: the bytes before the delimiter exceed `max_bytes`.
         """
-        searched = 0
-        while (index := self.buffer.find(delimiter, max(0, searched - len(delimiter)))) < 0:
-            searched = len(self.buffer)
-            if searched > most:
+        searched_bytes = 0
+        while (index := self.buffer.find(delimiter, max(0, searched_bytes - len(delimiter)))) < 0:
+            searched_bytes = len(self.buffer)
+            if searched_bytes > max_bytes:
                 raise BadRequest(431)
             if not self.receive():
                 return None
-        if index > most:
+        if index > max_bytes:
             raise BadRequest(431)
         taken = bytes(self.buffer[:index])
         del self.buffer[: index + len(delimiter)]
@@ -96,20 +103,20 @@
 
 
 def parse_head(head: bytes) -> Request:
-    """A request by its head, without the empty line behind it.
+    """Parse the head of a request, given without the final empty line.
 
     Raises:
-        BadRequest: two readers could take it for two things.
+        BadRequest: the head is malformed or ambiguous.
     """
     text = head.decode("latin-1")
     first_line, *header_lines = text.split("\r\n")
-    # A bare LF may end a line for another reader (RFC 9112, section 2.2).
+    # Another parser may accept a bare LF as the end of a line (RFC 9112, section 2.2).
     if "\n" in text.replace("\r\n", ""):
         raise BadRequest(400)
     request = parse_request_line(first_line)
     for line in header_lines:
         add_header(request, line)
-    # RFC 9112, section 3.2: a request without Host is refused.
+    # RFC 9112, section 3.2: a request without Host is rejected.
     if not request.headers_by_name.get("host"):
         raise BadRequest(400)
     check_framing(request)
@@ -117,16 +124,21 @@
 
 
 def parse_request_line(line: str) -> Request:
-    """A request, without headers yet, by its first line (RFC 9112, section 3).
+    """Parse a request line (RFC 9112, section 3) into a request without headers.
 
     Raises:
-        BadRequest: it isn't one, or not of HTTP/1.1, or not for a path.
+        BadRequest: the line is malformed, the version is not HTTP/1.1, or the target is not a path.
     """
     parts = line.split(" ")
     if len(parts) != 3:
         raise BadRequest(400)
     method, target, version = parts
-    if version != "HTTP/1.1" or not method or not TOKEN.issuperset(method) or not target.startswith("/"):
+    if (
+        version != "HTTP/1.1"
+        or not method
+        or not TOKEN_CHARACTERS.issuperset(method)
+        or not target.startswith("/")
+    ):
         raise BadRequest(400)
     if any(char < "!" or char > "~" for char in target):
         raise BadRequest(400)
@@ -134,23 +146,23 @@
 
 
 def add_header(request: Request, line: str) -> None:
-    """Add a header to a request.
+    """Parse a header line and add it to a request.
 
-    White space before the colon and folded lines are refused with all other names that are no tokens
-    (RFC 9112, sections 5.1 and 5.2).
+    Header names must be tokens, so white space before the colon and folded lines are rejected (RFC 9112,
+    sections 5.1 and 5.2).
 
     Raises:
-        BadRequest: it isn't a header, or one that must not stand twice.
+        BadRequest: the line is malformed, or repeats a header that may occur only once.
     """
     name, colon, value = line.partition(":")
     value = value.strip(" \t")
-    if not colon or not name or not TOKEN.issuperset(name) or "\r" in value or "\0" in value:
+    if not colon or not name or not TOKEN_CHARACTERS.issuperset(name) or "\r" in value or "\0" in value:
         raise BadRequest(400)
     lower_name = name.lower()
     earlier_value = request.headers_by_name.get(lower_name)
     if earlier_value is None:
         request.headers_by_name[lower_name] = value
-    elif lower_name in SINGLE:
+    elif lower_name in SINGLETON_HEADERS:
         raise BadRequest(400)
     else:
         request.headers_by_name[lower_name] = f"{earlier_value},{value}"
@@ -158,10 +170,10 @@
 
 
 def check_framing(request: Request) -> None:
-    """Return if a request has one length at most (RFC 9112, sections 6.1 and 6.3).
+    """Check that the length of a request's body is unambiguous (RFC 9112, sections 6.1 and 6.3).
 
     Raises:
-        BadRequest: two lengths, a length that is none, or a transfer coding other than chunked.
+        BadRequest: there are two lengths, a malformed one, or a transfer coding other than chunked.
     """
     length = request.headers_by_name.get("content-length")
     coding = request.headers_by_name.get("transfer-encoding")
@@ -173,17 +185,17 @@
             raise BadRequest(400)
 
 
-def read_body(source: ByteSource, request: Request, most: int) -> bytes:
-    """The body of a request.
+def read_body(source: ByteSource, request: Request, max_bytes: int) -> bytes:
+    """Read the body of a request.
 
     Raises:
-        BadRequest: it is longer than `most` bytes, or no body.
-        OSError: it ends too early.
+        BadRequest: the body exceeds `max_bytes` or is malformed.
+        OSError: the connection ends before the body is complete.
     """
     if "transfer-encoding" in request.headers_by_name:
-        return read_chunked_body(source, most)
+        return read_chunked_body(source, max_bytes)
     length = int(request.headers_by_name.get("content-length", 0))
-    if length > most:
+    if length > max_bytes:
         raise BadRequest(413)
     if not length:
         return b""
@@ -193,19 +205,19 @@
     return body
 
 
-def read_chunked_body(source: ByteSource, most: int) -> bytes:
-    """A body in chunks (RFC 9112, section 7.1).
+def read_chunked_body(source: ByteSource, max_bytes: int) -> bytes:
+    """Read a chunked body (RFC 9112, section 7.1).
 
     Raises:
-        BadRequest: it is longer than `most` bytes, or not in chunks.
-        OSError: it ends too early.
+        BadRequest: the body exceeds `max_bytes` or is malformed.
+        OSError: the connection ends before the body is complete.
     """
     body = bytearray()
     while True:
         size = read_chunk_size(source)
         if not size:
             break
-        if len(body) + size > most:
+        if len(body) + size > max_bytes:
             raise BadRequest(413)
         chunk = source.read(size + 2)
         if len(chunk) < size + 2:
@@ -218,11 +230,11 @@
 
 
 def read_chunk_size(source: ByteSource) -> int:
-    """The size of the next chunk, 0 of the last; its extensions are passed over (RFC 9112, section 7.1.1).
+    """Read the size of the next chunk, ignoring its extensions (RFC 9112, section 7.1.1); 0 for the last one.
 
     Raises:
-        BadRequest: there is no size.
-        OSError: the connection ends.
+        BadRequest: the size is malformed.
+        OSError: the connection ends first.
     """
     line = source.read_until(b"\r\n", MAX_CHUNK_LINE_BYTES)
     if line is None:
@@ -236,11 +248,11 @@
 
 
 def skip_trailers(source: ByteSource) -> None:
-    """Pass over the trailers behind a chunked body (RFC 9112, section 7.1.2).
+    """Discard the trailers after a chunked body (RFC 9112, section 7.1.2).
 
     Raises:
-        BadRequest: one of them is too long.
-        OSError: the connection ends.
+        BadRequest: a trailer is too long.
+        OSError: the connection ends first.
     """
     while True:
         line = source.read_until(b"\r\n", MAX_TRAILER_BYTES)
--- a/flintreach/proxy/response.py
+++ b/flintreach/proxy/response.py
@@ -1,32 +1,32 @@
-"""Responses of an endpoint, parsed by geventhttpclient's parser, one message kept apart from the next.
+"""Parsing of endpoints' responses with geventhttpclient's parser, keeping consecutive messages apart.
 
-`exchange` feeds it what it reads.  A faulty endpoint may send a second response behind the first, or an old
-one in its place.  The library's own reader would put both bodies into one: here each message ends where it
-ends, and what comes behind it is noted.
+`exchange` feeds received bytes to the parser.  A faulty endpoint may send a second response after the first,
+or a stale one in its place.  The library's own reader would merge the two bodies; this parser separates
+messages at their boundaries and records that another message followed.
 """
 
 from geventhttpclient._parser import HTTPParseError, HTTPResponseParser
 
 __all__ = ["HTTPParseError", "Response", "ResponseParser", "parse_count"]
 
-# Digits of the longest count that is read: `int` refuses thousands of them.
+# Longest count that is parsed, in digits; `int` raises for thousands of digits.
 MAX_COUNT_DIGITS = 15
 
-# From this status on a response is final (RFC 9110, section 15.2).
+# Lower statuses are interim responses (RFC 9110, section 15.2).
 FIRST_FINAL_STATUS = 200
 
-# Headers that tell where a body ends (RFC 9112, section 6.3).
+# Headers that delimit a body (RFC 9112, section 6.3).
 FRAMING_HEADERS = ("content-length", "transfer-encoding")
 
-# Names whose request a response is for.
+# Identifies the request that a response belongs to.
 REQUEST_ID_HEADER = "x-try-id"
 
 
 def parse_count(text: str) -> int | None:
-    """A count as a header gives it, in decimal digits; None where it is none.
+    """Parse a non-negative decimal count from a header; None if it is malformed.
 
-    `str.isdigit` alone takes digits that `int` refuses, and `int` refuses thousands of them: both would
-    raise in the middle of a response.
+    `str.isdigit` alone does not suffice, as it accepts digits that `int` rejects, and `int` also raises for
+    thousands of digits; either would abort the handling of a response.
     """
     if not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
         return None
@@ -34,14 +34,14 @@
 
 
 class Response:
-    """One response.
+    """An endpoint's response.
 
     Attributes:
         status: HTTP status.
-        reason: its reason phrase.
-        headers: [name, value] of each header, as they were sent.
-        body: its body, without transfer coding.
-        keep_alive: whether the connection may be used again, by HTTP's rules.
+        reason: reason phrase.
+        headers: [name, value] of each header, as received.
+        body: body with the transfer coding removed.
+        keep_alive: whether the connection is persistent according to HTTP.
     """
 
     __slots__ = ("status", "reason", "headers", "body", "keep_alive")
@@ -54,61 +54,62 @@
         self.keep_alive = False
 
     def get(self, name: str) -> str | None:
-        """The value of a header, its name in lower case; the first where it stands twice."""
+        """The first value of a header, whose name is given in lower case; None if it is absent."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
     def matches_request(self, request_id: str) -> bool:
-        """Whether it belongs to the request with this id, "" for none.
+        """Whether the response belongs to the request with this id, or to one without id if it is "".
 
-        A response that names two requests belongs to neither.
+        A response that has two different ids belongs to neither request.
         """
-        named = {value for key, value in self.headers if key.lower() == REQUEST_ID_HEADER and value}
-        return named == ({request_id} if request_id else set())
+        request_ids = {value for key, value in self.headers if key.lower() == REQUEST_ID_HEADER and value}
+        return request_ids == ({request_id} if request_id else set())
 
 
 class ResponseParser(HTTPResponseParser):
-    """Takes the bytes of a connection by `feed`, in any portions.
+    """Incremental parser; `feed` accepts a connection's bytes in pieces of any size.
 
     Args:
-        to_head: the request was a HEAD: its response has no body, whatever its length says (RFC 9112,
+        to_head: whether the request was a HEAD, whose response has no body even if it has a length (RFC 9112,
             section 6.3).
 
     Attributes:
-        complete: responses that have ended, interim ones left out.
-        begun: another one has begun behind them.
-        surplus: something that is a message came behind a complete one.
-        framed: whether the last one told where its body ends.
+        complete: complete responses, without interim ones.
+        message_in_progress: whether a message has begun and is not yet complete.
+        has_extra_message: whether a message began after a complete response.
+        has_framing_header: whether the last message has a header that delimits its body.
     """
 
     def __init__(self, to_head: bool = False) -> None:
         super().__init__()
         self.to_head = to_head
         self.complete: list[Response] = []
-        self.begun = False
-        self.surplus = False
-        self.framed = False
+        self.message_in_progress = False
+        self.has_extra_message = False
+        self.has_framing_header = False
         self.current = Response()
-        # Parser's state: whether a header's name has been seen, its value, and the end of all headers.
+        # Parser state: whether a header name, its value, and the end of the headers have been seen.
         self.in_header = False
         self.in_value = False
         self.in_body = False
 
     def _on_message_begin(self) -> None:
         self.current = Response()
-        self.begun = True
+        self.message_in_progress = True
         self.in_header = False
         self.in_value = False
-        self.framed = False
-        self.surplus = self.surplus or bool(self.complete)
+        self.has_framing_header = False
+        self.has_extra_message = self.has_extra_message or bool(self.complete)
         self.in_body = False
 
     def _on_status(self, text: str) -> None:
         self.current.reason += text
 
     def _on_header_field(self, text: str) -> None:
-        # Names and values come in portions.
-        if self.in_body:  # a trailer (RFC 9110, section 6.5): it must not pass for an id or a stamp
+        # A trailer (RFC 9110, section 6.5) must not be taken for an id or `X-Postmark` header.
+        if self.in_body:
             return
+        # The parser may deliver names and values in several pieces.
         if self.in_value or not self.in_header:
             self.current.headers.append([text, ""])
         else:
@@ -123,17 +124,17 @@
         self.in_value = True
 
     def _on_headers_complete(self) -> bool:
-        """Returns whether the parser must not expect a body."""
+        """Return whether the parser must not expect a body."""
         self.current.status = self.get_code()
         self.in_body = True
-        self.framed = any(name.lower() in FRAMING_HEADERS for name, _ in self.current.headers)
+        self.has_framing_header = any(name.lower() in FRAMING_HEADERS for name, _ in self.current.headers)
         return self.to_head
 
     def _on_body(self, data: bytes) -> None:
         self.current.body += data
 
     def _on_message_complete(self) -> None:
-        self.begun = False
+        self.message_in_progress = False
         if self.current.status >= FIRST_FINAL_STATUS:
             self.current.keep_alive = self.should_keep_alive()
             self.complete.append(self.current)
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -89,7 +89,7 @@
         self.handlers: set[ClientHandler] = set()
         self.forwarder = self
         self.requests: list[Request] = []
-        self.hangups = NoHangups()
+        self.hangup_monitor = NoHangups()
 
     def limits(self) -> RequestLimits:
         return RequestLimits(header_bytes=500, body_bytes=1000)
@@ -117,7 +117,7 @@
         requests, sent = serve(b"".join(parts), portion)
         parser = ResponseParser()
         parser.feed(sent)  # what the client gets is HTTP to the last byte
-        self.assertFalse(parser.begun)
+        self.assertFalse(parser.message_in_progress)
         self.assertLessEqual(len(requests), len(parser.complete))
 
     @EXAMPLES
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -18,7 +18,7 @@
 from flintreach.proxy.connection import Connection
 from flintreach.proxy.endpoint import EndpointView
 from flintreach.proxy.forwarding import Forwarder
-from flintreach.proxy.hedging import LOSER_GRACE_S
+from flintreach.proxy.hedging import SLOWER_ATTEMPT_GRACE_S
 from flintreach.proxy.metrics import LATE_CANCELLATION, SENT_AFTER_DISCONNECT, Metrics
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
@@ -265,12 +265,12 @@
             warm = self.site.connect()  # connections to endpoints stand, so a sending needs no wait
             self.site.send(warm)
             self.assertTrue(warm.recv(65536))
-            self.site.listener.hangups.watcher.stop()  # the event loop comes to the request first
+            self.site.listener.hangup_monitor.watcher.stop()  # the event loop comes to the request first
             id = self.site.send(warm, path, method)
             warm.close()
             gevent.sleep(0.05)
             self.assertNotIn(id, self.site.arrived(), (path, method))
-            self.site.listener.hangups.watcher.start(self.site.listener.hangups.collect)
+            self.site.listener.hangup_monitor.watcher.start(self.site.listener.hangup_monitor.process_events)
             self.assertTrue(self.settled())
 
     def test_a_request_that_is_not_idempotent_goes_on_and_is_not_retried(self) -> None:
@@ -301,7 +301,7 @@
             self.assertTrue(self.settled())
         self.assertTrue(self.endpoints_are_healthy())
         self.assertEqual(self.site.forwarder.endpoint_client.average_latency_ns, work)
-        self.assertEqual(sum(self.site.forwarder.budget("desk").retries), 0)
+        self.assertEqual(sum(self.site.forwarder.retry_budget("desk").retries), 0)
         self.assertEqual(len(self.site.cancelled()), 2)
         for endpoint in self.site.endpoints:
             endpoint.script.clear()
@@ -322,7 +322,7 @@
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
         self.assertEqual(self.site.arrived(), [id, id])
         self.assertEqual(self.site.cancelled(), [])
-        gevent.sleep(LOSER_GRACE_S + 0.1)
+        gevent.sleep(SLOWER_ATTEMPT_GRACE_S + 0.1)
         self.assertEqual(self.site.cancelled(), [id])
         self.assertTrue(self.endpoints_are_healthy())
 
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -22,7 +22,7 @@
         with self.assertRaises(HTTPParseError):
             parser.feed(self.response(b"1", b"abc") + b"\x00\x01garbage\r\n\r\n")
         self.assertEqual([bytes(response.body) for response in parser.complete], [b"abc"])
-        self.assertTrue(parser.parser_failed() or parser.begun)
+        self.assertTrue(parser.parser_failed() or parser.message_in_progress)
 
     def test_truncated_bodies_never_look_complete(self) -> None:
         whole = self.response(b"1", b"abcdef")
