--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -1,4 +1,8 @@
-"""What endpoints do, for each kind of request, over sockets: answers belong, and nothing runs twice."""
+"""A proxy with faulty endpoints, over sockets.
+
+Each response must belong to its request, and a non-idempotent request must not run twice, whatever the
+endpoints do and for each kind of request.
+"""
 
 import itertools
 import time
@@ -29,12 +33,12 @@
 EXAMPLES = settings(derandomize=True, deadline=None, max_examples=120)
 
 
-# Statuses that promise that a request has not run.
-PROMISES = (408, 421, 429, 503)
+# Statuses that guarantee that a request has not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-class Sent(NamedTuple):
-    """A request of a client, of a kind of `KINDS`."""
+class ClientRequest(NamedTuple):
+    """A client's request; `kind` is a key of `REQUEST_KINDS`."""
 
     kind: str
     id: str
@@ -43,8 +47,8 @@
     body: bytes
 
 
-class Received(NamedTuple):
-    """An answer as its client has read it; headers by their names in lower case."""
+class ClientSideResponse(NamedTuple):
+    """A response as read by the client; headers by lower-case name."""
 
     status: int
     headers: dict[str, str]
@@ -52,19 +56,19 @@
 
 
 # kind of request -> method, path, whether it is idempotent
-KINDS = {
-    "look": ("GET", "/s/%s", True),
+REQUEST_KINDS = {
+    "get": ("GET", "/s/%s", True),
     "head": ("HEAD", "/s/%s", True),
-    "book": ("POST", "/u/%s", False),
-    "odd book": ("GET", "/u/%s", False),
-    "odd head": ("HEAD", "/u/%s", False),
-    "keyed": ("POST", "/k/%s", False),
-    "put": ("POST", "/s/%s", True),
+    "post": ("POST", "/u/%s", False),
+    "unsafe get": ("GET", "/u/%s", False),
+    "unsafe head": ("HEAD", "/u/%s", False),
+    "sharded post": ("POST", "/k/%s", False),
+    "idempotent post": ("POST", "/s/%s", True),
 }
 
 
-# Acts in which an endpoint did nothing that spoils its answer.
-PLAIN = (
+# Acts after which the endpoint's response is valid.
+VALID_RESPONSE_ACTS = (
     "answer",
     "close told",
     "chunked",
@@ -79,7 +83,7 @@
 
 
 def configuration(*routes: tuple[str, str, str, int, int]) -> bytes:
-    """A configuration: (path, kind, service, latency target and deadline in ms) of each route."""
+    """An encoded configuration; each route is (name, kind, service, latency target in ms, deadline in ms)."""
     return msgspec.json.encode(
         {
             "edition": "00000001",
@@ -103,34 +107,34 @@
     )
 
 
-# Where endpoints fall silent each silence costs its deadline; where they do not, none is ever reached.
-QUICK = configuration(
+# For endpoints that may not respond, so that each such request takes its whole deadline.
+SHORT_DEADLINES = configuration(
     ("s", "safe", "desk", 20, 30), ("u", "unsafe", "desk", 20, 30), ("k", "unsafe", "lot", 400, 100)
 )
 
-
-PATIENT = configuration(
+# For endpoints that always respond: no deadline is reached.
+LONG_DEADLINES = configuration(
     ("s", "safe", "desk", 2000, 4000), ("u", "unsafe", "desk", 2000, 4000), ("k", "unsafe", "lot", 2000, 4000)
 )
 
 
 class Client:
-    """A client that knows HTTP by itself: it takes no byte for an answer that is none."""
+    """A client with its own strict HTTP parser, independent of the proxy's."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, timeout=5)
         self.buffer = b""
 
-    def send(self, sent: Sent, *more_headers: str) -> None:
+    def send(self, sent: ClientRequest, *more_headers: str) -> None:
         """Send a request."""
-        rows = [f"{sent.method} {sent.target} HTTP/1.1", "Host: a", *more_headers]
-        rows += [f"X-Try-Id: {sent.id}"] if sent.id else []
+        lines = [f"{sent.method} {sent.target} HTTP/1.1", "Host: a", *more_headers]
+        lines += [f"X-Try-Id: {sent.id}"] if sent.id else []
         if sent.method == "POST":
-            rows.append(f"Content-Length: {len(sent.body)}")
-        self.sock.sendall("\r\n".join([*rows, "", ""]).encode("latin-1") + sent.body)
+            lines.append(f"Content-Length: {len(sent.body)}")
+        self.sock.sendall("\r\n".join([*lines, "", ""]).encode("latin-1") + sent.body)
 
     def read_until(self, is_enough: Callable[[bytes], bool]) -> bool:
-        """Read until the buffer is enough; False where the connection ends before."""
+        """Read until `is_enough` accepts the buffer; False if the connection ends first."""
         while not is_enough(self.buffer):
             data = self.sock.recv(65536)
             if not data:
@@ -138,27 +142,31 @@
             self.buffer += data
         return True
 
-    def receive(self, sent: Sent) -> Received | None:
-        """The next answer; None where the connection ended before it."""
+    def receive(self, sent: ClientRequest) -> ClientSideResponse | None:
+        """Read the next response; None if the connection ends before it is complete."""
         if not self.read_until(lambda buffer: b"\r\n\r\n" in buffer):
-            assert not self.buffer, f"half an answer: {self.buffer[:80]!r}"
+            assert not self.buffer, f"truncated response: {self.buffer[:80]!r}"
             return None
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
-        first, *rows = head.decode("latin-1").split("\r\n")
+        first, *lines = head.decode("latin-1").split("\r\n")
         version, status, _ = first.split(" ", 2)
         assert version == "HTTP/1.1" and len(status) == 3, first
-        headers = [(name.lower(), value.strip()) for name, _, value in (row.partition(":") for row in rows)]
-        found = dict(headers)
+        headers = [
+            (name.lower(), value.strip()) for name, _, value in (line.partition(":") for line in lines)
+        ]
+        headers_by_name = dict(headers)
         assert len([name for name, _ in headers if name in ("content-length", "x-try-id")]) <= 2, headers
-        size = 0 if sent.method == "HEAD" or status in ("204", "304") else int(found["content-length"])
+        size = (
+            0 if sent.method == "HEAD" or status in ("204", "304") else int(headers_by_name["content-length"])
+        )
         if not self.read_until(lambda buffer: len(buffer) >= size):
-            return None  # cut, and seen to be: its length says so
+            return None  # truncated, which its length reveals to the client
         body = self.buffer[:size]
         self.buffer = self.buffer[size:]
-        return Received(int(status), found, body)
+        return ClientSideResponse(int(status), headers_by_name, body)
 
     def end(self) -> bytes:
-        """What comes when nothing more is due."""
+        """Shut down sending, close, and return the bytes received that belong to no expected response."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
             self.read_until(lambda buffer: False)
@@ -169,7 +177,7 @@
 
 
 class ProxyAndEndpoints:
-    """A listener with its forwarder, and faulty endpoints: two alike, and one that owns all keys."""
+    """A client listener, its forwarder, two endpoints of one service, and the owner of all shard keys."""
 
     def __init__(self) -> None:
         self.endpoints = [Adversary("e0"), Adversary("e1"), Adversary("k0")]
@@ -179,14 +187,17 @@
         self.listener.start()
 
     def reset(
-        self, scripts: Iterable[Iterable[str]] = (), portion: int = 1 << 20, config: bytes = PATIENT
+        self,
+        scripts: Iterable[Iterable[str]] = (),
+        max_write_bytes: int = 1 << 20,
+        config: bytes = LONG_DEADLINES,
     ) -> None:
-        """Begin an example: no connection, count or ejection of an endpoint outlasts another one.
+        """Start an example without connections, counts or ejections of endpoints from earlier ones.
 
         Args:
-            scripts: what each endpoint does.
-            portion: bytes that an endpoint sends at once.
-            config: the configuration.
+            scripts: acts of each endpoint.
+            max_write_bytes: maximum bytes that an endpoint writes at once.
+            config: encoded configuration.
         """
         for handler in [*self.listener.handlers]:
             handler.close()
@@ -198,7 +209,7 @@
         for endpoint, script in itertools.zip_longest(self.endpoints, scripts, fillvalue=()):
             endpoint.clear()
             endpoint.script.extend(script)
-            endpoint.write_bytes = portion
+            endpoint.write_bytes = max_write_bytes
             updates.offer(
                 f"hut/{endpoint.id}",
                 [1, 0],
@@ -216,21 +227,23 @@
         bounds = TimingBounds(retry_slack=1000)
         self.listener.forwarder = self.forwarder = Forwarder(self.view, bounds, self.metrics, LoadAggregate())
 
-    def request(self, kind: str) -> Sent:
-        """A request of a kind, with an id of its own."""
+    def request(self, kind: str) -> ClientRequest:
+        """Create a request of a kind, with a unique id."""
         id = f"{next(self.numbers):016x}"
-        method, path, _ = KINDS[kind]
-        return Sent(kind, id, method, path % id, f"body of {id}".encode() if method == "POST" else b"")
+        method, path, _ = REQUEST_KINDS[kind]
+        return ClientRequest(
+            kind, id, method, path % id, f"body of {id}".encode() if method == "POST" else b""
+        )
 
-    def send(self, client: Client, sent: Sent) -> None:
-        """Send a request, with each endpoint in use whatever it did: the request meets what that left."""
+    def send(self, client: Client, sent: ClientRequest) -> None:
+        """Send a request after clearing ejections, so that it can reach endpoints that failed before."""
         for endpoint in self.view.endpoints.values():
             endpoint.record_success()
             endpoint.unanswered_since = None
-        client.send(sent, *(["X-Shard-Key: 7"] if sent.kind == "keyed" else []))
+        client.send(sent, *(["X-Shard-Key: 7"] if sent.kind == "sharded post" else []))
 
-    def settle(self) -> None:
-        """Wait until nothing is under way any more."""
+    def wait_until_idle(self) -> None:
+        """Wait until no attempt and no client connection is active, then close idle connections."""
         with gevent.Timeout(5):
             while (
                 any(endpoint.own_requests for endpoint in self.view.endpoints.values())
@@ -240,164 +253,179 @@
         for endpoint in self.view.endpoints.values():
             endpoint.pool.close()
 
-    def runs(self, sent: Sent) -> int:
-        """How often a request has run."""
+    def runs(self, sent: ClientRequest) -> int:
+        """How often a request has run at any endpoint."""
         return sum(endpoint.run_counts[sent.id] for endpoint in self.endpoints)
 
-    def fault(self, sent: Sent, received: Received | None) -> str:
-        """What is wrong with the answer to a request, empty where nothing is; asked when all is settled."""
+    def find_fault(self, sent: ClientRequest, received: ClientSideResponse | None) -> str:
+        """Describe what is wrong with a response, or return ""; to be called after `wait_until_idle`."""
         runs = self.runs(sent)
-        idempotent = KINDS[sent.kind][2]
+        idempotent = REQUEST_KINDS[sent.kind][2]
         if not idempotent and runs > 1:
             return f"run {runs} times"
         for endpoint in self.endpoints:
-            for asked in endpoint.requests:
-                if asked.id == sent.id and (asked.method, asked.target, asked.body) != sent[2:]:
-                    return f"not what was sent: {asked}"
+            for forwarded in endpoint.requests:
+                if (
+                    forwarded.id == sent.id
+                    and (forwarded.method, forwarded.target, forwarded.body) != sent[2:]
+                ):
+                    return f"forwarded request differs: {forwarded}"
         if received is None:
             return ""
         if received.headers.get("x-try-id") != sent.id:
-            return f"answer to {received.headers.get('x-try-id')}"
-        if not idempotent and received.status in PROMISES and runs:
-            return f"{received.status} promised, and it has run"
+            return f"response to {received.headers.get('x-try-id')}"
+        if not idempotent and received.status in NOT_RUN_STATUSES and runs:
+            return f"{received.status} guarantees that the request has not run, but it has"
         if 200 <= received.status < 300:
-            asked = ReceivedRequest(sent.method, sent.target, {"x-try-id": sent.id}, sent.body)
+            forwarded = ReceivedRequest(sent.method, sent.target, {"x-try-id": sent.id}, sent.body)
             bodies = {
-                f"{endpoint.id}.{sent.id}": answer_body(asked, endpoint.id) for endpoint in self.endpoints
+                f"{endpoint.id}.{sent.id}": answer_body(forwarded, endpoint.id) for endpoint in self.endpoints
             }
             stamp = received.headers.get("x-postmark")
             if stamp not in bodies or not runs:
-                return f"{received.status} with stamp {stamp}"
+                return f"{received.status} with X-Postmark {stamp}"
             is_bodiless = sent.method == "HEAD" or received.status == 204
             if received.body != (b"" if is_bodiless else bodies[stamp]):
-                return f"not its body: {received.body!r}"
+                return f"wrong body: {received.body!r}"
             if "content-encoding" in received.headers or "transfer-encoding" in received.headers:
-                return f"encoded: {received.headers}"
+                return f"unexpected coding: {received.headers}"
             if is_bodiless and received.headers.get("content-length") not in (None, str(len(bodies[stamp]))):
-                return f"not its length: {received.headers}"
+                return f"wrong Content-Length: {received.headers}"
             if received.status == 204 and "content-length" in received.headers:
-                return "a length where there is no body"
-        elif received.status not in (*PROMISES, 500, 502, 504):
-            return f"status {received.status}"
+                return "Content-Length in a response without body"
+        elif received.status not in (*NOT_RUN_STATUSES, 500, 502, 504):
+            return f"unexpected status {received.status}"
         return ""
 
 
-class OnSockets(unittest.TestCase):
-    """Cases that share a proxy and its endpoints."""
+class SocketTestCase(unittest.TestCase):
+    """Base of test cases that share a proxy and its endpoints."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.stage = ProxyAndEndpoints()
+        cls.fixture = ProxyAndEndpoints()
 
     @classmethod
     def tearDownClass(cls) -> None:
-        cls.stage.listener.stop(timeout=0)
-        for endpoint in cls.stage.endpoints:
+        cls.fixture.listener.stop(timeout=0)
+        for endpoint in cls.fixture.endpoints:
             endpoint.stop()
 
-    def play(
+    def send_requests(
         self,
         scripts: Iterable[Iterable[str]],
         kinds: Iterable[str],
-        ahead: int = 1,
-        leave: int | None = None,
-        portion: int = 1 << 20,
-        config: bytes = QUICK,
+        pipelined: int = 1,
+        disconnect_before: int | None = None,
+        max_write_bytes: int = 1 << 20,
+        config: bytes = SHORT_DEADLINES,
     ) -> list[list]:
-        """Requests on one connection.
+        """Send requests on one connection and read the responses.
 
         Args:
-            scripts: what each endpoint does.
-            kinds: of the requests.
-            ahead: how many are sent before their answers are read.
-            leave: number of the answer before which the client goes away.
-            portion: bytes that an endpoint sends at once.
-            config: the configuration.
+            scripts: acts of each endpoint.
+            kinds: kinds of the requests, in order.
+            pipelined: number of requests in flight before the next response is read.
+            disconnect_before: index of the response before which the client disconnects; None if it does not.
+            max_write_bytes: maximum bytes that an endpoint writes at once.
+            config: encoded configuration.
 
         Returns:
-            [request, its answer or None] of each that was sent.
+            [request, response or None] of each request that was sent.
         """
-        stage = self.stage
-        stage.reset(scripts, portion, config)
+        fixture = self.fixture
+        fixture.reset(scripts, max_write_bytes, config)
         with gevent.Timeout(10):
-            client = Client(stage.listener.address)
-            found = []
-            waiting = []
+            client = Client(fixture.listener.address)
+            exchanges = []
+            unanswered = []
             for kind in kinds:
-                sent = stage.request(kind)
-                waiting.append(sent)
-                found.append([sent, None])
+                sent = fixture.request(kind)
+                unanswered.append(sent)
+                exchanges.append([sent, None])
                 try:
-                    stage.send(client, sent)
-                    while len(waiting) >= ahead:
-                        if not self.receive(client, waiting, found, leave):
+                    fixture.send(client, sent)
+                    while len(unanswered) >= pipelined:
+                        if not self.receive(client, unanswered, exchanges, disconnect_before):
                             break
                 except OSError:
                     break
             try:
-                while waiting and self.receive(client, waiting, found, leave):
+                while unanswered and self.receive(client, unanswered, exchanges, disconnect_before):
                     pass
                 rest = client.end()
             except OSError:
                 rest = b""
-            stage.settle()
-        if leave is None:
+            fixture.wait_until_idle()
+        if disconnect_before is None:
             self.assertEqual(rest, b"")
-        return found
+        return exchanges
 
-    def receive(self, client: Client, waiting: list[Sent], found: list[list], leave: int | None) -> bool:
-        """Read the next answer; False where the connection ended before it."""
-        sent = waiting[0]
-        place = next(at for at, (other, _) in enumerate(found) if other is sent)
-        if place == leave:
+    def receive(
+        self,
+        client: Client,
+        unanswered: list[ClientRequest],
+        exchanges: list[list],
+        disconnect_before: int | None,
+    ) -> bool:
+        """Read the next response; False if the connection ends before it."""
+        sent = unanswered[0]
+        index = next(at for at, (other, _) in enumerate(exchanges) if other is sent)
+        if index == disconnect_before:
             client.sock.close()
             raise OSError
         received = client.receive(sent)
-        found[place][1] = received
-        waiting.pop(0)
+        exchanges[index][1] = received
+        unanswered.pop(0)
         return received is not None
 
-    def check(self, found: Sequence[list], *about: object) -> None:
-        """Assert that answers belong to their requests, and that none is missing before the end."""
+    def check_responses(self, exchanges: Sequence[list], *context: object) -> None:
+        """Assert that responses belong to their requests, and none is missing before the connection ends."""
         ended = False
-        for sent, received in found:
-            self.assertEqual(self.stage.fault(sent, received), "", (sent, received, *about))
-            self.assertTrue(received or ended, ("no answer", sent, *about))
+        for sent, received in exchanges:
+            self.assertEqual(self.fixture.find_fault(sent, received), "", (sent, received, *context))
+            self.assertTrue(received or ended, ("no response", sent, *context))
             ended = ended or received is None or "close" in received.headers.get("connection", "")
 
 
-class EachFault(OnSockets):
-    """Each fault of an endpoint by itself, then plain requests on what it left behind."""
+class SingleFaults(SocketTestCase):
+    """Each fault of an endpoint, followed by ordinary requests that may reuse its connections."""
 
-    def test_answers_belong_to_their_requests_after_each_fault_and_kind_of_request(self) -> None:
+    def test_responses_match_requests_after_each_fault_and_kind_of_request(self) -> None:
         for act in ACTS:
-            for kind in ("look", "head", "book", "keyed"):
+            for kind in ("get", "head", "post", "sharded post"):
                 with self.subTest(act=act, kind=kind):
-                    found = self.play([[act], [act], [act]], [kind, "look", "book", "keyed"])
-                    self.check(found, self.stage.metrics.counts)
-
-    def test_a_sound_answer_arrives(self) -> None:
-        for act in (act for act in PLAIN if act in ACTS):
-            for kind in KINDS:
+                    exchanges = self.send_requests(
+                        [[act], [act], [act]], [kind, "get", "post", "sharded post"]
+                    )
+                    self.check_responses(exchanges, self.fixture.metrics.counts)
+
+    def test_valid_responses_are_forwarded(self) -> None:
+        for act in (act for act in VALID_RESPONSE_ACTS if act in ACTS):
+            for kind in REQUEST_KINDS:
                 with self.subTest(act=act, kind=kind):
-                    found = self.play([[act]] * 3, [kind, "look", "book", "keyed"], config=PATIENT)
-                    self.check(found, self.stage.metrics.counts)
-                    self.assertEqual({received.status for _, received in found} - {200, 204}, set())
+                    exchanges = self.send_requests(
+                        [[act]] * 3, [kind, "get", "post", "sharded post"], config=LONG_DEADLINES
+                    )
+                    self.check_responses(exchanges, self.fixture.metrics.counts)
+                    self.assertEqual({received.status for _, received in exchanges} - {200, 204}, set())
 
-    def test_answers_belong_to_their_requests_after_two_faults_of_a_sole_owner_of_keys(self) -> None:
+    def test_responses_match_requests_after_two_faults_of_the_only_key_owner(self) -> None:
         for first in ("503", "421", "refused twice", "surplus later", "late", "earlier", "interim", "cut"):
             for second in ("refused twice", "late"):
                 with self.subTest(first=first, second=second):
-                    found = self.play([[], [], [first, second]], ["keyed"] * 3)
-                    self.check(found, self.stage.metrics.counts)
+                    exchanges = self.send_requests([[], [], [first, second]], ["sharded post"] * 3)
+                    self.check_responses(exchanges, self.fixture.metrics.counts)
 
 
-class Scenarios(OnSockets):
-    """One course of events each."""
+class Scenarios(SocketTestCase):
+    """Specific sequences of events."""
 
-    def exchange(self, sent: Sent, *more_headers: str, client: Client | None = None) -> Received | None:
-        """Send one request and read its answer, on a connection of its own unless there is a client."""
-        connection = client or Client(self.stage.listener.address)
+    def exchange(
+        self, sent: ClientRequest, *more_headers: str, client: Client | None = None
+    ) -> ClientSideResponse | None:
+        """Send one request and read its response, on a new connection unless `client` is given."""
+        connection = client or Client(self.fixture.listener.address)
         with gevent.Timeout(5):
             connection.send(sent, *more_headers)
             received = connection.receive(sent)
@@ -405,25 +433,25 @@
                 self.assertEqual(connection.end(), b"")
         return received
 
-    def test_an_exception_in_forwarding_leaves_no_gap_for_the_next_answer(self) -> None:
-        stage = self.stage
-        stage.reset()
-        sent = [stage.request("look") for _ in range(4)]
-        forward = stage.forwarder.forward
+    def test_an_exception_in_forwarding_gives_502_and_keeps_responses_in_order(self) -> None:
+        fixture = self.fixture
+        fixture.reset()
+        sent = [fixture.request("get") for _ in range(4)]
+        forward = fixture.forwarder.forward
 
         def fail_second(request: Request) -> ClientResponse:
             if request.headers_by_name["x-try-id"] == sent[1].id:
-                raise KeyError("a fault of ours")
+                raise KeyError("simulated bug")
             return forward(request)
 
-        client = Client(stage.listener.address)
+        client = Client(fixture.listener.address)
         with (
-            mock.patch.object(stage.forwarder, "forward", fail_second),
+            mock.patch.object(fixture.forwarder, "forward", fail_second),
             gevent.Timeout(5),
             mock.patch.object(gevent.get_hub(), "handle_error") as handle_error,
         ):
             for request in sent:
-                stage.send(client, request)
+                fixture.send(client, request)
             received = [client.receive(request) for request in sent]
         self.assertEqual(
             [(answer.status, answer.headers["x-try-id"]) for answer in received],
@@ -432,152 +460,161 @@
         self.assertEqual(handle_error.call_count, 1)
         client.end()
 
-    def runs_behind_an_answer_that_closes(self, **patches: Callable) -> int:
-        """How often a request that must not run twice has run, sent behind one whose answer closes: the
-        client sends it again, as nobody has read it."""
-        stage = self.stage
-        go = Event()
-        stage.reset()
-        look = stage.request("look")
-        book = stage.request("odd book")
-        forward = stage.forwarder.forward
+    def runs_after_closing_response(self, **patches: Callable) -> int:
+        """How often a non-idempotent request has run that was pipelined after one whose response closes the
+        connection.  It must not run, as the client will send it again on another connection."""
+        fixture = self.fixture
+        released = Event()
+        fixture.reset()
+        get_request = fixture.request("get")
+        unsafe_get = fixture.request("unsafe get")
+        forward = fixture.forwarder.forward
 
         def forward_late(request: Request) -> ClientResponse:
-            if request.headers_by_name["x-try-id"] == look.id:
-                go.wait()
+            if request.headers_by_name["x-try-id"] == get_request.id:
+                released.wait()
             return forward(request)
 
         def drain() -> None:
-            stage.listener.draining = True
-            go.set()
+            fixture.listener.draining = True
+            released.set()
 
-        client = Client(stage.listener.address)
-        with mock.patch.multiple(stage.forwarder, forward=forward_late, **patches), gevent.Timeout(5):
-            stage.send(client, look)
-            stage.send(client, book)
+        client = Client(fixture.listener.address)
+        with mock.patch.multiple(fixture.forwarder, forward=forward_late, **patches), gevent.Timeout(5):
+            fixture.send(client, get_request)
+            fixture.send(client, unsafe_get)
             gevent.spawn_later(0.02, drain)
             try:
-                self.assertEqual(client.receive(look).headers["connection"], "close")
-                self.assertIsNone(client.receive(book))
+                self.assertEqual(client.receive(get_request).headers["connection"], "close")
+                self.assertIsNone(client.receive(unsafe_get))
             finally:
-                stage.listener.draining = False
+                fixture.listener.draining = False
         client.end()
-        stage.settle()
-        return stage.runs(book)
+        fixture.wait_until_idle()
+        return fixture.runs(unsafe_get)
 
-    def test_what_is_not_idempotent_does_not_run_behind_an_answer_that_closes(self) -> None:
-        self.assertEqual(self.runs_behind_an_answer_that_closes(), 0)
+    def test_a_non_idempotent_request_does_not_run_after_a_closing_response(self) -> None:
+        self.assertEqual(self.runs_after_closing_response(), 0)
 
-    def test_a_configuration_may_come_between_reading_and_forwarding(self) -> None:
-        pipelined = iter([True, True, False])  # as it is read, and as it is forwarded
-        self.assertEqual(
-            self.runs_behind_an_answer_that_closes(may_pipeline=lambda request: next(pipelined)), 0
-        )
+    def test_idempotence_is_checked_again_before_forwarding(self) -> None:
+        # For both requests when they are read, then for the second one when it is forwarded.
+        pipelined = iter([True, True, False])
+        self.assertEqual(self.runs_after_closing_response(may_pipeline=lambda request: next(pipelined)), 0)
 
-    def test_an_interim_answer_of_the_proxy_stands_behind_the_answers_before_it(self) -> None:
-        stage = self.stage
-        go = Event()
-        stage.reset()
-        look = stage.request("look")
-        put = stage.request("put")
-        forward = stage.forwarder.forward
+    def test_100_continue_is_sent_after_earlier_responses(self) -> None:
+        fixture = self.fixture
+        released = Event()
+        fixture.reset()
+        get_request = fixture.request("get")
+        put_request = fixture.request("idempotent post")
+        forward = fixture.forwarder.forward
 
         def forward_late(request: Request) -> ClientResponse:
-            go.wait()
+            released.wait()
             return forward(request)
 
-        client = Client(stage.listener.address)
-        with mock.patch.object(stage.forwarder, "forward", forward_late), gevent.Timeout(5):
-            client.send(look)
+        client = Client(fixture.listener.address)
+        with mock.patch.object(fixture.forwarder, "forward", forward_late), gevent.Timeout(5):
+            client.send(get_request)
             client.send(
-                put._replace(method="PUT", body=b""),
+                put_request._replace(method="PUT", body=b""),
                 "Expect: 100-continue",
-                f"Content-Length: {len(put.body)}",
+                f"Content-Length: {len(put_request.body)}",
             )
-            gevent.spawn_later(0.02, go.set)
-            self.assertEqual(client.receive(look).headers["x-try-id"], look.id)
+            gevent.spawn_later(0.02, released.set)
+            self.assertEqual(client.receive(get_request).headers["x-try-id"], get_request.id)
             client.read_until(lambda buffer: buffer.endswith(b"\r\n\r\n"))
             self.assertEqual(client.buffer, b"HTTP/1.1 100 Continue\r\n\r\n")
             client.buffer = b""
-            client.sock.sendall(put.body)
-            received = client.receive(put)
+            client.sock.sendall(put_request.body)
+            received = client.receive(put_request)
         client.end()
-        stage.settle()
-        self.assertEqual((received.status, stage.fault(put._replace(method="PUT"), received)), (200, ""))
-
-    def test_a_request_without_an_id_shares_its_connection_with_nobody(self) -> None:
-        """Nothing tells its answer from another's."""
-        stage = self.stage
-        stage.reset([[], [], ["answer", "surplus later", "surplus later"]])
-        client = Client(stage.listener.address)
-        found = []
-        endpoint = stage.view.endpoints["k0"]
-        before = stage.endpoints[2].connections_opened
+        fixture.wait_until_idle()
+        self.assertEqual(
+            (received.status, fixture.find_fault(put_request._replace(method="PUT"), received)), (200, "")
+        )
+
+    def test_a_request_without_an_id_gets_its_own_connection(self) -> None:
+        """Responses are matched by id, so a response without one could belong to another request."""
+        fixture = self.fixture
+        fixture.reset([[], [], ["answer", "surplus later", "surplus later"]])
+        client = Client(fixture.listener.address)
+        observed = []
+        endpoint = fixture.view.endpoints["k0"]
+        before = fixture.endpoints[2].connections_opened
         for name, id in (("first", "17"), ("second", ""), ("third", ""), ("fourth", "18")):
-            sent = Sent("keyed", id, "POST", f"/k/{name}", b"")
-            found.append(self.exchange(sent, "X-Shard-Key: 7", client=client).body.split(b" ")[3])
-            found.append((stage.endpoints[2].connections_opened - before, len(endpoint.pool.idle)))
+            sent = ClientRequest("sharded post", id, "POST", f"/k/{name}", b"")
+            observed.append(self.exchange(sent, "X-Shard-Key: 7", client=client).body.split(b" ")[3])
+            observed.append((fixture.endpoints[2].connections_opened - before, len(endpoint.pool.idle)))
         client.end()
-        stage.settle()
+        fixture.wait_until_idle()
         self.assertEqual(
-            found, [b"/k/first", (1, 1), b"/k/second", (2, 1), b"/k/third", (3, 1), b"/k/fourth", (3, 1)]
+            observed, [b"/k/first", (1, 1), b"/k/second", (2, 1), b"/k/third", (3, 1), b"/k/fourth", (3, 1)]
         )
 
     def test_malformed_numbers_in_headers_of_a_client_are_ignored(self) -> None:
-        stage = self.stage
-        stage.reset()
+        fixture = self.fixture
+        fixture.reset()
         for value in ("\xb2", "9" * 5000, "-1", "1e3", ""):
-            for name, kind in (("X-Time-Left-Ms", "book"), ("X-Shard-Key", "look")):
-                sent = stage.request(kind)
+            for name, kind in (("X-Time-Left-Ms", "post"), ("X-Shard-Key", "get")):
+                sent = fixture.request(kind)
                 self.assertEqual(self.exchange(sent, f"{name}: {value}").status, 200, (name, value[:9]))
-        stage.settle()
+        fixture.wait_until_idle()
 
-    def test_a_client_cannot_have_the_id_taken_off_its_request(self) -> None:
-        stage = self.stage
-        stage.reset()
-        sent = stage.request("book")
+    def test_a_connection_header_cannot_remove_the_request_id(self) -> None:
+        fixture = self.fixture
+        fixture.reset()
+        sent = fixture.request("post")
         received = self.exchange(sent, "Connection: X-Try-Id, Host, X-Other", "X-Other: 1")
-        stage.settle()
-        self.assertEqual((received.status, stage.fault(sent, received), stage.runs(sent)), (200, "", 1))
-        (asked,) = [asked for endpoint in stage.endpoints for asked in endpoint.requests]
-        self.assertEqual(("x-other" in asked.headers, asked.headers["host"]), (False, "a"))
-
-    def test_the_next_owner_of_an_address_runs_nothing(self) -> None:
-        stage = self.stage
-        for kind in ("look", "book", "keyed"):
-            stage.reset()
-            for other in stage.endpoints:
-                warm = stage.request(kind)  # so that a connection stands
+        fixture.wait_until_idle()
+        self.assertEqual(
+            (received.status, fixture.find_fault(sent, received), fixture.runs(sent)), (200, "", 1)
+        )
+        (forwarded,) = [forwarded for endpoint in fixture.endpoints for forwarded in endpoint.requests]
+        self.assertEqual(("x-other" in forwarded.headers, forwarded.headers["host"]), (False, "a"))
+
+    def test_another_endpoint_at_the_same_address_runs_nothing(self) -> None:
+        fixture = self.fixture
+        for kind in ("get", "post", "sharded post"):
+            fixture.reset()
+            for other in fixture.endpoints:
+                warm = fixture.request(kind)  # establishes a connection
                 self.exchange(warm, "X-Shard-Key: 7")
-                old_id = other.id
+                original_id = other.id
                 other.id = "stranger"
                 try:
-                    sent = [stage.request(kind) for _ in range(3)]
+                    sent = [fixture.request(kind) for _ in range(3)]
                     received = [self.exchange(each, "X-Shard-Key: 7") for each in sent]
                 finally:
-                    other.id = old_id
-                for endpoint in stage.view.endpoints.values():
+                    other.id = original_id
+                for endpoint in fixture.view.endpoints.values():
                     endpoint.record_success()
-            stage.settle()
+            fixture.wait_until_idle()
             for each, answer in zip(sent, received):
-                self.assertEqual(stage.fault(each, answer), "")
+                self.assertEqual(fixture.find_fault(each, answer), "")
                 self.assertIn(answer.status, (200, 503))
-                self.assertLessEqual(stage.runs(each), answer.status == 200)
+                self.assertLessEqual(fixture.runs(each), answer.status == 200)
 
     def test_no_request_is_attempted_twice_on_one_connection(self) -> None:
-        """Its holder refuses it, then runs it: a surplus refusal has the id of the answer that is due."""
-        stage = self.stage
-        stage.reset([[], [], ["refused twice"]])
-        before = stage.endpoints[2].connections_opened
-        sent = stage.request("keyed")
+        """The owner of the key sends a surplus second refusal, and runs the request when it is retried.
+
+        On the same connection, the surplus refusal would be taken for the response to the retry, as both have
+        the request's id.
+        """
+        fixture = self.fixture
+        fixture.reset([[], [], ["refused twice"]])
+        before = fixture.endpoints[2].connections_opened
+        sent = fixture.request("sharded post")
         received = self.exchange(sent, "X-Shard-Key: 7")
-        stage.settle()
-        self.assertEqual((stage.fault(sent, received), received.status, stage.runs(sent)), ("", 200, 1))
-        self.assertEqual(stage.endpoints[2].connections_opened - before, 2)
+        fixture.wait_until_idle()
+        self.assertEqual(
+            (fixture.find_fault(sent, received), received.status, fixture.runs(sent)), ("", 200, 1)
+        )
+        self.assertEqual(fixture.endpoints[2].connections_opened - before, 2)
 
-    def test_only_a_connection_that_brought_one_whole_answer_is_used_again(self) -> None:
-        """The id would tell what else comes on it, but a second guard stands before that."""
-        stage = self.stage
+    def test_only_connections_with_exactly_one_complete_response_are_reused(self) -> None:
+        """The id would reveal a stale response, but such a connection must not be reused at all."""
+        fixture = self.fixture
         kept = {
             "answer": 1,
             "chunked": 1,
@@ -600,66 +637,75 @@
             "encoded": 0,
         }
         for act, count in kept.items():
-            for kind in ("book", "look"):
-                stage.reset([[act]] * 3, config=PATIENT if count else QUICK)
-                self.exchange(stage.request(kind))
-                endpoints = stage.view.endpoints.values()
+            for kind in ("post", "get"):
+                fixture.reset([[act]] * 3, config=LONG_DEADLINES if count else SHORT_DEADLINES)
+                self.exchange(fixture.request(kind))
+                endpoints = fixture.view.endpoints.values()
                 with gevent.Timeout(5):
                     while any(endpoint.own_requests for endpoint in endpoints):
                         gevent.sleep(0.001)
                 held = {len(endpoint.pool.idle) for endpoint in endpoints if endpoint.sent_at}
                 self.assertEqual(held, {count}, (act, kind))
-                stage.settle()
-
-    def test_an_idle_connection_is_checked_before_it_is_used(self) -> None:
-        """Closed, reset, or with bytes on it: what must not run twice would be lost, with no promise."""
-        stage = self.stage
-        owner = stage.endpoints[2]
-        for trouble in ("close", "reset", "bytes"):
-            stage.reset()
-            self.exchange(stage.request("keyed"), "X-Shard-Key: 7")
+                fixture.wait_until_idle()
+
+    def test_an_idle_connection_is_checked_before_reuse(self) -> None:
+        """A connection may be closed, reset, or have unexpected data on it.
+
+        A non-idempotent request sent on it would fail without a guarantee that it has not run.
+        """
+        fixture = self.fixture
+        owner = fixture.endpoints[2]
+        for event in ("close", "reset", "bytes"):
+            fixture.reset()
+            self.exchange(fixture.request("sharded post"), "X-Shard-Key: 7")
             (line,) = owner.connections
-            if trouble == "bytes":
+            if event == "bytes":
                 line.sock.sendall(owner.reply(ReceivedRequest("POST", "/k/0", {"x-try-id": "0"})))
             else:
-                if trouble == "reset":
+                if event == "reset":
                     line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 line.sock.close()
-            (idle,) = stage.view.endpoints["k0"].pool.idle
-            gevent.socket.wait_read(idle.sock.fileno(), timeout=5)  # it has come
-            sent = stage.request("keyed")
+            (idle,) = fixture.view.endpoints["k0"].pool.idle
+            gevent.socket.wait_read(idle.sock.fileno(), timeout=5)  # until the event has reached the proxy
+            sent = fixture.request("sharded post")
             received = self.exchange(sent, "X-Shard-Key: 7")
-            stage.settle()
+            fixture.wait_until_idle()
             self.assertEqual(
-                (received.status, stage.fault(sent, received), stage.runs(sent)), (200, "", 1), trouble
+                (received.status, fixture.find_fault(sent, received), fixture.runs(sent)), (200, "", 1), event
             )
 
-    def test_what_is_read_for_one_answer_is_bounded(self) -> None:
-        stage = self.stage
-        for act, most in (("many others", 1 << 20), ("never whole", 100)):
-            stage.reset([[act], [act]])
-            sent = stage.request("book")
-            with mock.patch("flintreach.proxy.exchange.MAX_RESPONSE_BYTES", most):
-                self.assertEqual(self.exchange(sent).status, 502, act)  # not 504: it was not waited for
-            stage.settle()
+    def test_bytes_read_for_one_response_are_bounded(self) -> None:
+        fixture = self.fixture
+        for act, max_bytes in (("many others", 1 << 20), ("never whole", 100)):
+            fixture.reset([[act], [act]])
+            sent = fixture.request("post")
+            with mock.patch("flintreach.proxy.exchange.MAX_RESPONSE_BYTES", max_bytes):
+                # Not 504: reading stops before the deadline.
+                self.assertEqual(self.exchange(sent).status, 502, act)
+            fixture.wait_until_idle()
 
 
-class AnyFaults(OnSockets):
-    """Faults drawn at random."""
+class RandomFaults(SocketTestCase):
+    """Random sequences of faults and requests."""
 
     @EXAMPLES
     @given(
         st.lists(st.lists(st.sampled_from([*ACTS]), max_size=5), min_size=3, max_size=3),
-        st.lists(st.sampled_from([*KINDS]), min_size=1, max_size=6),
+        st.lists(st.sampled_from([*REQUEST_KINDS]), min_size=1, max_size=6),
         st.integers(1, 6),
         st.none() | st.integers(0, 5),
         st.sampled_from([1, 7, 1 << 20]),
     )
-    def test_whatever_endpoints_do_answers_belong_and_nothing_runs_twice(
-        self, scripts: list[list[str]], kinds: list[str], ahead: int, leave: int | None, portion: int
+    def test_responses_match_requests_and_no_non_idempotent_request_runs_twice(
+        self,
+        scripts: list[list[str]],
+        kinds: list[str],
+        pipelined: int,
+        disconnect_before: int | None,
+        max_write_bytes: int,
     ) -> None:
-        found = self.play(scripts, kinds, ahead, leave, portion)
-        self.check(found[:leave], self.stage.metrics.counts)
+        exchanges = self.send_requests(scripts, kinds, pipelined, disconnect_before, max_write_bytes)
+        self.check_responses(exchanges[:disconnect_before], self.fixture.metrics.counts)
 
 
 if __name__ == "__main__":
--- a/tests/proxy/test_client_listener.py
+++ b/tests/proxy/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Clients' connections."""
+"""Tests of `ClientHandler`."""
 
 import unittest
 from types import SimpleNamespace
@@ -7,7 +7,7 @@
 
 
 class SilentSocket:
-    """A socket on which nothing comes."""
+    """A socket that never has data to read."""
 
     def recv(self, *_: int) -> bytes:
         raise BlockingIOError
@@ -15,7 +15,7 @@
 
 class ClientHandlers(unittest.TestCase):
     def test_a_connection_with_a_pending_request_is_not_idle(self) -> None:
-        """Of an incident: a draining proxy closed a connection that worked, and its request was lost."""
+        """Guards against a draining proxy that closes a connection while its request is in progress."""
         handler = ClientHandler(SimpleNamespace(_sock=SilentSocket()), None, None)
         self.assertTrue(handler.is_idle())
         handler.pending = 1
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding to scripted endpoints: what is retried, hedged, or neither; no sockets."""
+"""Retries and hedged requests of a `Forwarder` whose attempts have scripted outcomes; no sockets."""
 
 import time
 import unittest
@@ -25,30 +25,30 @@
 BROKEN = OutcomeKind.NO_VALID_RESPONSE
 TIMEOUT = OutcomeKind.TIMEOUT
 
-# In a script: the attempt waits until the test lets it go, and is broken then.
+# Script entry: the attempt blocks until the test releases it, and then has no valid response.
 HANG = "hang"
 
 
 class ScriptedForwarder(Forwarder):
-    """Its attempts end as a script says.
+    """A forwarder whose attempts have scripted outcomes.
 
     Attributes:
-        script: what comes of each attempt, in their order.
+        script: outcome of each attempt, in order.
         attempted: ids of the endpoints, in the order of the attempts.
-        let_go: ends attempts that hang.
+        released: releases the attempts that hang.
     """
 
     def __init__(self, view: RoutingView, script: Iterable[str]) -> None:
         super().__init__(view, TimingBounds(retry_slack=100), Metrics(), LoadAggregate())
         self.script = [*script]
         self.attempted: list[str] = []
-        self.let_go = Event()
+        self.released = Event()
 
     def attempt(self, request: Request, service: str, endpoint: EndpointView, deadline: int) -> Outcome:
         self.attempted.append(endpoint.id)
         kind = self.script.pop(0)
         if kind == HANG:
-            self.let_go.wait()
+            self.released.wait()
             kind = BROKEN
         response = Response()
         response.status = 200 if kind == ANSWERED else 503
@@ -56,8 +56,10 @@
         return Outcome(kind, response if kind in (ANSWERED, NOT_RUN) else None)
 
 
-def begin(script: Iterable[str], kind: str = "safe") -> tuple[gevent.Greenlet, ScriptedForwarder, Request]:
-    """A request that is being forwarded to one of five endpoints; `kind`: of its route."""
+def start_forwarding(
+    script: Iterable[str], kind: str = "safe"
+) -> tuple[gevent.Greenlet, ScriptedForwarder, Request]:
+    """Start forwarding a request to one of five endpoints, on a route of the given kind."""
     endpoints = {f"e{number}": "n" for number in range(5)}
     view, _, _ = routing_view(configuration(kind), endpoints, clock=time.monotonic_ns)
     forwarder = ScriptedForwarder(view, script)
@@ -66,14 +68,14 @@
 
 
 def forward(script: Iterable[str], kind: str = "safe") -> tuple[ClientResponse, ScriptedForwarder]:
-    """The answer to a request whose attempts end as the script says."""
-    forwarding, forwarder, _ = begin(script, kind)
+    """Forward a request whose attempts have scripted outcomes, and return the response."""
+    forwarding, forwarder, _ = start_forwarding(script, kind)
     return forwarding.get(timeout=20), forwarder
 
 
 class Retries(unittest.TestCase):
-    def test_what_follows_each_outcome(self) -> None:
-        """(kind of route, outcome of each attempt, status, endpoints asked, whether a time to come back)"""
+    def test_retries_and_final_status_by_outcome(self) -> None:
+        """Cases: (route kind, outcome of each attempt, status, endpoints attempted, has Retry-After)."""
         cases = [
             ("safe", [ANSWERED], 200, 1, False),
             ("unsafe", [ANSWERED], 200, 1, False),
@@ -86,32 +88,34 @@
             ("safe", [BROKEN, ANSWERED], 200, 2, False),
             ("unsafe", [UNSENT, ANSWERED], 200, 2, False),
         ]
-        for kind, outcomes, status, asked, may_come_back in cases:
+        for kind, outcomes, status, endpoints_attempted, has_retry_after in cases:
             answer, forwarder = forward(outcomes, kind)
             self.assertEqual(
-                (answer.status, len(set(forwarder.attempted))), (status, asked), (kind, outcomes)
+                (answer.status, len(set(forwarder.attempted))),
+                (status, endpoints_attempted),
+                (kind, outcomes),
             )
-            self.assertEqual(any(name == "Retry-After" for name, _ in answer.headers), may_come_back)
+            self.assertEqual(any(name == "Retry-After" for name, _ in answer.headers), has_retry_after)
 
-    def test_a_promise_is_never_given_for_what_may_have_run(self) -> None:
+    def test_a_request_that_may_have_run_never_gets_a_status_that_denies_it(self) -> None:
         for outcomes in ([BROKEN, NOT_RUN], [TIMEOUT, NOT_RUN], [NOT_RUN, BROKEN], [UNSENT, TIMEOUT]):
             answer, _ = forward(outcomes, "unsafe")
             self.assertNotIn(answer.status, (408, 421, 429, 503), outcomes)
 
 
 class HedgedRequests(unittest.TestCase):
-    def test_beside_a_silent_endpoint_a_second_one_is_asked(self) -> None:
-        """Of an incident: requests waited out their deadline at machines without power."""
-        forwarding, forwarder, _ = begin([HANG, ANSWERED])
+    def test_a_hedged_request_is_sent_when_the_first_endpoint_is_silent(self) -> None:
+        """Guards against requests that wait until their deadline for a machine that has lost power."""
+        forwarding, forwarder, _ = start_forwarding([HANG, ANSWERED])
         self.assertEqual(forwarding.get(timeout=20).status, 200)
         self.assertEqual(len(set(forwarder.attempted)), 2)
-        self.assertFalse(forwarder.let_go.is_set())  # the first was not cancelled for it
+        self.assertFalse(forwarder.released.is_set())  # the first attempt was not cancelled
 
-    def test_a_request_that_must_not_run_twice_is_never_hedged(self) -> None:
-        forwarding, forwarder, request = begin([HANG, ANSWERED], "unsafe")
+    def test_a_non_idempotent_request_is_never_hedged(self) -> None:
+        forwarding, forwarder, request = start_forwarding([HANG, ANSWERED], "unsafe")
         while not forwarder.attempted or time.monotonic_ns() < request.received_at + 100_000_000:
-            gevent.sleep(0)  # the hedging delay of its latency target is a quarter of that
-        forwarder.let_go.set()
+            gevent.sleep(0)  # four times the hedging delay of its latency target
+        forwarder.released.set()
         self.assertEqual((forwarding.get(timeout=20).status, len(forwarder.attempted)), (502, 1))
 
 
--- a/tests/proxy/test_fuzz.py
+++ b/tests/proxy/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes of any shape at the listener for clients."""
+"""Property-based tests of the client listener with arbitrary input."""
 
 import unittest
 
@@ -43,18 +43,18 @@
 )
 
 
-class Peer:
-    """A socket that gives bytes in portions and takes whatever is sent."""
+class FakeSocket:
+    """Delivers `data` in pieces of at most `max_read_bytes` bytes and records what is sent."""
 
-    def __init__(self, data: bytes, portion: int) -> None:
+    def __init__(self, data: bytes, max_read_bytes: int) -> None:
         self.data = data
-        self.portion = portion
+        self.max_read_bytes = max_read_bytes
         self.sent = b""
         self._sock = self
 
     def recv(self, size: int, *_: int) -> bytes:
-        received = self.data[: self.portion]
-        self.data = self.data[self.portion :]
+        received = self.data[: self.max_read_bytes]
+        self.data = self.data[self.max_read_bytes :]
         return received
 
     def sendall(self, data: bytes) -> None:
@@ -70,18 +70,18 @@
         pass
 
 
-class NoHangups:
-    """In place of the monitor: a peer made of bytes has no descriptor, and stays."""
+class FakeHangupMonitor:
+    """Replaces `HangupMonitor`, as a fake socket has no file descriptor and never disconnects."""
 
-    def add(self, sock: Peer, caller: Caller) -> None:
+    def add(self, sock: FakeSocket, caller: Caller) -> None:
         pass
 
-    def remove(self, sock: Peer) -> None:
+    def remove(self, sock: FakeSocket) -> None:
         pass
 
 
-class Server:
-    """Counts what reaches the forwarder."""
+class FakeServer:
+    """Fake `ClientListener` and forwarder that records the requests it receives."""
 
     draining = False
 
@@ -89,7 +89,7 @@
         self.handlers: set[ClientHandler] = set()
         self.forwarder = self
         self.requests: list[Request] = []
-        self.hangup_monitor = NoHangups()
+        self.hangup_monitor = FakeHangupMonitor()
 
     def limits(self) -> RequestLimits:
         return RequestLimits(header_bytes=500, body_bytes=1000)
@@ -102,54 +102,56 @@
         return ClientResponse(200, "OK", [], b"ok")
 
 
-def serve(data: bytes, portion: int) -> tuple[list[Request], bytes]:
-    """The requests in the bytes that a client sends, and the bytes that it gets."""
-    server = Server()
-    peer = Peer(data, portion)
-    gevent.spawn(ClientHandler(peer, ("10.0.0.1", 1), server).handle).get(timeout=5)
-    return server.requests, peer.sent
+def serve(data: bytes, max_read_bytes: int) -> tuple[list[Request], bytes]:
+    """Handle a connection with the given input; return the forwarded requests and the bytes sent back."""
+    server = FakeServer()
+    sock = FakeSocket(data, max_read_bytes)
+    gevent.spawn(ClientHandler(sock, ("10.0.0.1", 1), server).handle).get(timeout=5)
+    return server.requests, sock.sent
 
 
-class AnyBytes(unittest.TestCase):
+class ArbitraryInput(unittest.TestCase):
     @EXAMPLES
     @given(st.lists(FRAGMENTS | st.binary(max_size=6), max_size=30), st.integers(1, 40))
-    def test_any_bytes_end_in_answers_or_a_close(self, parts: list[bytes], portion: int) -> None:
-        requests, sent = serve(b"".join(parts), portion)
+    def test_any_input_gives_valid_responses_or_a_close(
+        self, parts: list[bytes], max_read_bytes: int
+    ) -> None:
+        requests, sent = serve(b"".join(parts), max_read_bytes)
         parser = ResponseParser()
-        parser.feed(sent)  # what the client gets is HTTP to the last byte
+        parser.feed(sent)  # raises if the output is not valid HTTP
         self.assertFalse(parser.message_in_progress)
         self.assertLessEqual(len(requests), len(parser.complete))
 
     @EXAMPLES
     @given(st.binary(max_size=300), st.integers(1, 200), st.integers(1, 50))
-    def test_a_body_is_never_read_as_a_request(self, body: bytes, size: int, portion: int) -> None:
+    def test_a_body_is_never_read_as_a_request(self, body: bytes, size: int, max_read_bytes: int) -> None:
         smuggled = b"GET /evil HTTP/1.1\r\nHost: a\r\n\r\n" + body
         plain = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % len(smuggled) + smuggled
         chunks = b"".join(
-            b"%x\r\n%b\r\n" % (len(smuggled[at : at + size]), smuggled[at : at + size])
-            for at in range(0, len(smuggled), size)
+            b"%x\r\n%b\r\n" % (len(smuggled[start : start + size]), smuggled[start : start + size])
+            for start in range(0, len(smuggled), size)
         )
         chunked = b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
         for data in (plain, chunked):
-            requests, _ = serve(data + b"GET /next HTTP/1.1\r\nHost: a\r\n\r\n", portion)
+            requests, _ = serve(data + b"GET /next HTTP/1.1\r\nHost: a\r\n\r\n", max_read_bytes)
             self.assertEqual(
                 [(request.target, request.body) for request in requests], [("/a", smuggled), ("/next", b"")]
             )
 
     @EXAMPLES
     @given(st.binary(max_size=200))
-    def test_a_head_is_read_or_refused(self, data: bytes) -> None:
+    def test_a_head_is_parsed_or_rejected(self, data: bytes) -> None:
         try:
             request = parse_head(data)
         except BadRequest:
             return
-        again = f"{request.method} {request.target} HTTP/1.1\r\n" + "\r\n".join(
+        encoded = f"{request.method} {request.target} HTTP/1.1\r\n" + "\r\n".join(
             f"{name}: {value}" for name, value in request.headers
         )
-        self.assertEqual(parse_head(again.encode("latin-1")).headers, request.headers)
+        self.assertEqual(parse_head(encoded.encode("latin-1")).headers, request.headers)
 
-    def test_portions_of_a_source_add_up(self) -> None:
-        source = ByteSource(Peer(b"abc\r\ndef", 1))
+    def test_byte_source_joins_partial_reads(self) -> None:
+        source = ByteSource(FakeSocket(b"abc\r\ndef", 1))
         self.assertEqual((source.read_until(b"\r\n", 10), source.read(9)), (b"abc", b"def"))
 
 
--- a/tests/proxy/test_hangups.py
+++ b/tests/proxy/test_hangups.py
@@ -1,4 +1,4 @@
-"""Nothing goes on for clients that have left (issue 45): a proxy on sockets and scripted endpoints."""
+"""Work for disconnected clients is cancelled (issue 45); a proxy and scripted endpoints, over sockets."""
 
 import itertools
 import time
@@ -23,10 +23,10 @@
 from flintreach.proxy.view import RoutingView
 from flintreach.standins.adversary import RESET, Adversary
 
-# So soon it must be over on this machine.
-SOON_S = 0.25
+# Time within which cancellation must complete in these tests.
+CANCEL_TIMEOUT_S = 0.25
 
-# Of the routes; and the longest time after which a hedged request is sent.
+# Latency target of the routes, and the longest hedging delay that follows from it.
 LATENCY_TARGET_MS = 400
 HEDGING_DELAY_S = 0.24
 
@@ -40,7 +40,7 @@
 
 
 def configuration() -> bytes:
-    """A configuration with a route of each kind."""
+    """An encoded configuration with one route for each entry of `ROUTES`."""
     rules = [
         {
             "name": name,
@@ -61,14 +61,14 @@
 
 
 class ProxyAndEndpoints:
-    """A listener with its forwarder and two endpoints; `mbps`: of the proxy's link."""
+    """A client listener, its forwarder and two endpoints; `mbps` is the bandwidth of the proxy's link."""
 
     def __init__(self, mbps: float = 0.0) -> None:
         self.endpoints = [Adversary("e0"), Adversary("e1")]
         self.ids = (f"{number:016x}" for number in itertools.count(1))
         self.updates = VersionedStore()
         self.metrics = Metrics()
-        # The view is confirmed all the while, unless a case says otherwise.
+        # The view is always current, unless a test replaces this.
         self.confirmed_at: Callable[[], int] = time.monotonic_ns
         bounds = TimingBounds(last_call_ms=600_000, retry_slack=1000)
         self.view = RoutingView(
@@ -89,39 +89,39 @@
         self.listener.start()
 
     def stop(self) -> None:
-        """End the listener and the endpoints."""
+        """Stop the listener and the endpoints."""
         self.listener.stop(timeout=0)
         for endpoint in self.endpoints:
             endpoint.stop()
 
     def script(self, *acts: str) -> None:
-        """What each endpoint does with the requests that come to it."""
+        """Append acts to the script of each endpoint."""
         for endpoint in self.endpoints:
             endpoint.script.extend(acts)
 
     def connect(self) -> socket.socket:
-        """A connection of a client."""
+        """Open a client connection to the proxy."""
         return socket.create_connection(self.listener.address, timeout=5)
 
     def send(self, sock: socket.socket, path: str = "/s/1", method: str = "GET", body: bytes = b"") -> str:
-        """Send one request; its id."""
+        """Send one request, and return its id."""
         id = next(self.ids)
-        rows = (
+        lines = (
             f"{method} {path} HTTP/1.1",
             "Host: a",
             f"X-Try-Id: {id}",
             "X-Shard-Key: 7",
             f"Content-Length: {len(body)}",
         )
-        sock.sendall("\r\n".join([*rows, "", ""]).encode() + body)
+        sock.sendall("\r\n".join([*lines, "", ""]).encode() + body)
         return id
 
     def arrived(self) -> list[str]:
-        """Ids of all requests that arrived at an endpoint, in the order of their sending."""
-        return sorted(asked.id for endpoint in self.endpoints for asked in endpoint.requests)
+        """Ids of all requests that arrived at an endpoint, in the order in which they were sent."""
+        return sorted(request.id for endpoint in self.endpoints for request in endpoint.requests)
 
     def cancelled(self) -> list[str]:
-        """Ids of the requests whose connection ended before the endpoint had answered."""
+        """Ids of the requests whose connection was closed before the endpoint responded."""
         return [id for endpoint in self.endpoints for id in endpoint.cancelled]
 
     def endpoint_views(self) -> Iterable[EndpointView]:
@@ -129,12 +129,12 @@
         return self.view.endpoints.values()
 
     def in_flight(self) -> int:
-        """Requests at endpoints, as the proxy counts them."""
+        """Number of requests in flight to endpoints, as counted by the proxy."""
         return sum(endpoint.own_requests for endpoint in self.endpoint_views())
 
 
-def happens(condition: Callable[[], bool], within_s: float = 5.0) -> bool:
-    """Whether a condition became true in time."""
+def becomes_true(condition: Callable[[], bool], within_s: float = 5.0) -> bool:
+    """Poll until a condition is true; return whether that was within `within_s`."""
     limit = time.monotonic() + within_s
     while not condition():
         if time.monotonic() > limit:
@@ -144,54 +144,56 @@
 
 
 def close(sock: socket.socket) -> None:
-    """The usual end."""
+    """Close the connection normally."""
     sock.close()
 
 
 def reset(sock: socket.socket) -> None:
-    """The end by a reset."""
+    """Close the connection with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     sock.close()
 
 
 def half_close(sock: socket.socket) -> None:
-    """The kernel can't tell it from a close, so it counts as one (docs/design/hangups.md)."""
+    """Shut down sending, which the kernel does not distinguish from a close (docs/design/hangups.md)."""
     sock.shutdown(socket.SHUT_WR)
 
 
-def close_behind_bytes(sock: socket.socket) -> None:
-    """The end of the stream stands behind bytes that the proxy does not read meanwhile."""
+def close_after_unread_data(sock: socket.socket) -> None:
+    """Close the connection after data that the proxy does not read while it forwards a request."""
     sock.sendall(b"POST /u/never HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
     sock.close()
 
 
-WAYS_TO_LEAVE = (close, reset, half_close, close_behind_bytes)
+WAYS_TO_DISCONNECT = (close, reset, half_close, close_after_unread_data)
 
 
 class HangupCase(unittest.TestCase):
-    """A case with a proxy and endpoints of its own; `mbps`: of the proxy's link."""
+    """Base of test cases with a proxy and endpoints for each test; `mbps` is the bandwidth of its link."""
 
     mbps = 0.0
 
     def setUp(self) -> None:
-        self.site = ProxyAndEndpoints(self.mbps)
-        self.addCleanup(self.site.stop)
+        self.fixture = ProxyAndEndpoints(self.mbps)
+        self.addCleanup(self.fixture.stop)
 
     def tearDown(self) -> None:
-        """The invariants that the code itself counts."""
+        """Check that the proxy counted no violation of its invariants."""
         for violation in (SENT_AFTER_DISCONNECT, LATE_CANCELLATION):
-            self.assertEqual(self.site.metrics.counts.get(violation, 0), 0, violation)
+            self.assertEqual(self.fixture.metrics.counts.get(violation, 0), 0, violation)
 
-    def settled(self) -> bool:
-        """Whether nothing is under way soon, and no connection of a client is left."""
-        return happens(lambda: not self.site.in_flight() and not self.site.listener.handlers, SOON_S)
+    def becomes_idle(self) -> bool:
+        """Whether all requests and client connections end within `CANCEL_TIMEOUT_S`."""
+        return becomes_true(
+            lambda: not self.fixture.in_flight() and not self.fixture.listener.handlers, CANCEL_TIMEOUT_S
+        )
 
     def arrives(self, id: str) -> bool:
-        """Whether a request arrives at an endpoint."""
-        return happens(lambda: id in self.site.arrived())
+        """Whether a request arrives at an endpoint within the default timeout."""
+        return becomes_true(lambda: id in self.fixture.arrived())
 
     def endpoints_are_healthy(self) -> bool:
-        """Whether no failure of any endpoint was recorded, and none is thought to be at work."""
+        """Whether the proxy records neither a failure nor a request in progress for any endpoint."""
         return all(
             not (
                 endpoint.consecutive_failures
@@ -199,147 +201,152 @@
                 or endpoint.own_requests
                 or endpoint.unanswered_since
             )
-            for endpoint in self.site.endpoint_views()
+            for endpoint in self.fixture.endpoint_views()
         )
 
 
 class Hangups(HangupCase):
-    def test_an_idempotent_request_is_cancelled_when_its_client_leaves(self) -> None:
-        """However it is forwarded and however the client leaves, the endpoint's connection ends."""
-        for leave, (method, path) in itertools.product(
-            WAYS_TO_LEAVE, (("GET", "/s/1"), ("HEAD", "/s/1"), ("POST", "/s/1"), ("GET", "/d/1"))
+    def test_an_idempotent_request_is_cancelled_when_its_client_disconnects(self) -> None:
+        """The endpoint's connection is closed, for each kind of request and each way to disconnect."""
+        for disconnect, (method, path) in itertools.product(
+            WAYS_TO_DISCONNECT, (("GET", "/s/1"), ("HEAD", "/s/1"), ("POST", "/s/1"), ("GET", "/d/1"))
         ):
-            case = (leave.__name__, method, path)
-            for endpoint in self.site.endpoints:
+            case = (disconnect.__name__, method, path)
+            for endpoint in self.fixture.endpoints:
                 endpoint.clear()
-            self.site.script("late", "late")
-            sock = self.site.connect()
-            id = self.site.send(sock, path, method)
+            self.fixture.script("late", "late")
+            sock = self.fixture.connect()
+            id = self.fixture.send(sock, path, method)
             self.assertTrue(self.arrives(id), case)
-            leave(sock)
-            self.assertTrue(happens(lambda: id in self.site.cancelled(), SOON_S), case)  # noqa: B023
-            self.assertTrue(self.settled(), case)
-
-    def test_nothing_is_sent_any_more_for_a_client_that_left(self) -> None:
-        """No hedged request beside a silent endpoint, no retry after a failure."""
-        sock = self.site.connect()
-        self.site.script("late")
-        id = self.site.send(sock)
+            disconnect(sock)
+            self.assertTrue(becomes_true(lambda: id in self.fixture.cancelled(), CANCEL_TIMEOUT_S), case)  # noqa: B023
+            self.assertTrue(self.becomes_idle(), case)
+
+    def test_nothing_more_is_sent_for_a_disconnected_client(self) -> None:
+        """Neither a hedged request after the hedging delay, nor a retry after a failure."""
+        sock = self.fixture.connect()
+        self.fixture.script("late")
+        id = self.fixture.send(sock)
         self.assertTrue(self.arrives(id))
         sock.close()
         gevent.sleep(HEDGING_DELAY_S + 0.1)
-        self.assertEqual(self.site.arrived(), [id], "a second endpoint was asked beside the first")
+        self.assertEqual(self.fixture.arrived(), [id], "a hedged request was sent")
 
-        self.site.script("held", "held")
-        sock = self.site.connect()
-        again = self.site.send(sock, "/u/1", "POST")
-        self.assertTrue(self.arrives(again))
+        self.fixture.script("held", "held")
+        sock = self.fixture.connect()
+        second_id = self.fixture.send(sock, "/u/1", "POST")
+        self.assertTrue(self.arrives(second_id))
         sock.close()
         gevent.sleep(0.05)
-        for endpoint in self.site.endpoints:
+        for endpoint in self.fixture.endpoints:
             endpoint.script.clear()
-            for line in endpoint.connections:
-                line.sock.shutdown(socket.SHUT_RDWR)
+            for connection in endpoint.connections:
+                connection.sock.shutdown(socket.SHUT_RDWR)
             endpoint.released.set()
         gevent.sleep(0.1)
-        self.assertEqual(self.site.arrived(), [id, again], "it was retried")
-        self.assertTrue(self.settled())
-
-    def test_pipelined_requests_of_a_connection_that_ended_are_not_forwarded(self) -> None:
-        """Requests that are read, and some that still lie in the kernel."""
-        self.site.script(*["late"] * 4)
-        sock = self.site.connect()
-        ids = [self.site.send(sock) for _ in range(4)]
-        self.assertTrue(happens(lambda: {*ids} <= {*self.site.arrived()}))
-        ids += [self.site.send(sock, "/u/1", "POST"), self.site.send(sock)]
+        self.assertEqual(self.fixture.arrived(), [id, second_id], "the request was retried")
+        self.assertTrue(self.becomes_idle())
+
+    def test_pipelined_requests_of_a_closed_connection_are_not_forwarded(self) -> None:
+        """This holds for requests that have been read and for those still in the socket's buffer."""
+        self.fixture.script(*["late"] * 4)
+        sock = self.fixture.connect()
+        ids = [self.fixture.send(sock) for _ in range(4)]
+        self.assertTrue(becomes_true(lambda: {*ids} <= {*self.fixture.arrived()}))
+        ids += [self.fixture.send(sock, "/u/1", "POST"), self.fixture.send(sock)]
         gevent.sleep(0.02)
         sock.close()
-        self.assertTrue(self.settled())
+        self.assertTrue(self.becomes_idle())
         gevent.sleep(HEDGING_DELAY_S + 0.1)
-        self.assertFalse({*ids[4:]} & {*self.site.arrived()})
-        self.assertEqual(len(self.site.arrived()), 4)
+        self.assertFalse({*ids[4:]} & {*self.fixture.arrived()})
+        self.assertEqual(len(self.fixture.arrived()), 4)
 
-    def test_a_request_whose_client_left_before_the_event_loop_looked_is_not_sent(self) -> None:
-        """The process stood still: a request and its client's end lie in the kernel together."""
+    def test_a_disconnect_that_the_event_loop_has_not_seen_prevents_sending(self) -> None:
+        """After the process was suspended, a request and its client's disconnect are pending together."""
         for path, method in (("/s/1", "GET"), ("/s/1", "POST"), ("/u/1", "POST")):
-            warm = self.site.connect()  # connections to endpoints stand, so a sending needs no wait
-            self.site.send(warm)
-            self.assertTrue(warm.recv(65536))
-            self.site.listener.hangup_monitor.watcher.stop()  # the event loop comes to the request first
-            id = self.site.send(warm, path, method)
-            warm.close()
+            sock = self.fixture.connect()
+            self.fixture.send(sock)  # establishes connections to endpoints, so that sending does not wait
+            self.assertTrue(sock.recv(65536))
+            self.fixture.listener.hangup_monitor.watcher.stop()  # the event loop handles the request first
+            id = self.fixture.send(sock, path, method)
+            sock.close()
             gevent.sleep(0.05)
-            self.assertNotIn(id, self.site.arrived(), (path, method))
-            self.site.listener.hangup_monitor.watcher.start(self.site.listener.hangup_monitor.process_events)
-            self.assertTrue(self.settled())
-
-    def test_a_request_that_is_not_idempotent_goes_on_and_is_not_retried(self) -> None:
-        """Cancelling it would leave its end unknown to everybody."""
-        self.site.script("held", "held")
-        sock = self.site.connect()
-        id = self.site.send(sock, "/u/1", "POST")
+            self.assertNotIn(id, self.fixture.arrived(), (path, method))
+            self.fixture.listener.hangup_monitor.watcher.start(
+                self.fixture.listener.hangup_monitor.process_events
+            )
+            self.assertTrue(self.becomes_idle())
+
+    def test_a_non_idempotent_request_continues_and_is_not_retried(self) -> None:
+        """Cancelling it would make it unknown whether it has run."""
+        self.fixture.script("held", "held")
+        sock = self.fixture.connect()
+        id = self.fixture.send(sock, "/u/1", "POST")
         self.assertTrue(self.arrives(id))
         sock.close()
-        gevent.sleep(SOON_S)
-        self.assertEqual((self.site.cancelled(), self.site.in_flight()), ([], 1))
-        for endpoint in self.site.endpoints:
+        gevent.sleep(CANCEL_TIMEOUT_S)
+        self.assertEqual((self.fixture.cancelled(), self.fixture.in_flight()), ([], 1))
+        for endpoint in self.fixture.endpoints:
             endpoint.released.set()
-        self.assertTrue(self.settled())
-        self.assertEqual(self.site.arrived(), [id])
-        self.assertEqual([len(endpoint.pool.idle) for endpoint in self.site.endpoint_views()].count(1), 1)
+        self.assertTrue(self.becomes_idle())
+        self.assertEqual(self.fixture.arrived(), [id])
+        self.assertEqual([len(endpoint.pool.idle) for endpoint in self.fixture.endpoint_views()].count(1), 1)
         self.assertTrue(self.endpoints_are_healthy())
 
-    def test_a_cancelled_attempt_tells_nothing_of_its_endpoint(self) -> None:
-        """Nor of the usual work, nor does it use up a budget; the next client is served there."""
-        self.site.script("late", "late")
-        work = dict(self.site.forwarder.endpoint_client.average_latency_ns)
+    def test_a_cancelled_attempt_does_not_affect_its_endpoint(self) -> None:
+        """It does not change the endpoint's health, the average latency or the retry budget.
+
+        The endpoint serves the next client.
+        """
+        self.fixture.script("late", "late")
+        latencies = dict(self.fixture.forwarder.endpoint_client.average_latency_ns)
         for _ in range(2):
-            sock = self.site.connect()
-            id = self.site.send(sock)
+            sock = self.fixture.connect()
+            id = self.fixture.send(sock)
             self.assertTrue(self.arrives(id))
             sock.close()
-            self.assertTrue(self.settled())
+            self.assertTrue(self.becomes_idle())
         self.assertTrue(self.endpoints_are_healthy())
-        self.assertEqual(self.site.forwarder.endpoint_client.average_latency_ns, work)
-        self.assertEqual(sum(self.site.forwarder.retry_budget("desk").retries), 0)
-        self.assertEqual(len(self.site.cancelled()), 2)
-        for endpoint in self.site.endpoints:
+        self.assertEqual(self.fixture.forwarder.endpoint_client.average_latency_ns, latencies)
+        self.assertEqual(sum(self.fixture.forwarder.retry_budget("desk").retries), 0)
+        self.assertEqual(len(self.fixture.cancelled()), 2)
+        for endpoint in self.fixture.endpoints:
             endpoint.script.clear()
-        sock = self.site.connect()
-        self.site.send(sock)
+        sock = self.fixture.connect()
+        self.fixture.send(sock)
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
 
-    def test_the_slower_of_two_hedged_attempts_ends_soon_after_the_answer(self) -> None:
-        self.site.script("late")
-        # Whichever is asked first is silent, the other answers.
-        self.site.endpoints[0].script.append("answer")
-        self.site.endpoints[1].script.append("answer")
-        sock = self.site.connect()
-        id = self.site.send(sock)
+    def test_the_slower_of_two_hedged_attempts_is_cancelled_after_the_response(self) -> None:
+        self.fixture.script("late")
+        # The endpoint attempted first does not respond; the other one does.
+        self.fixture.endpoints[0].script.append("answer")
+        self.fixture.endpoints[1].script.append("answer")
+        sock = self.fixture.connect()
+        id = self.fixture.send(sock)
         self.assertTrue(self.arrives(id))
-        for endpoint in self.site.endpoints:
+        for endpoint in self.fixture.endpoints:
             endpoint.script.clear()
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
-        self.assertEqual(self.site.arrived(), [id, id])
-        self.assertEqual(self.site.cancelled(), [])
+        self.assertEqual(self.fixture.arrived(), [id, id])
+        self.assertEqual(self.fixture.cancelled(), [])
         gevent.sleep(SLOWER_ATTEMPT_GRACE_S + 0.1)
-        self.assertEqual(self.site.cancelled(), [id])
+        self.assertEqual(self.fixture.cancelled(), [id])
         self.assertTrue(self.endpoints_are_healthy())
 
-    def test_a_draining_proxy_does_not_wait_for_clients_that_left(self) -> None:
-        self.site.script("late", "late")
-        sock = self.site.connect()
-        self.assertTrue(self.arrives(self.site.send(sock)))
-        self.site.listener.draining = True
+    def test_a_draining_proxy_does_not_wait_for_disconnected_clients(self) -> None:
+        self.fixture.script("late", "late")
+        sock = self.fixture.connect()
+        self.assertTrue(self.arrives(self.fixture.send(sock)))
+        self.fixture.listener.draining = True
         gevent.sleep(0.02)
-        self.assertTrue(self.site.listener.handlers)
+        self.assertTrue(self.fixture.listener.handlers)
         sock.close()
-        self.assertTrue(self.settled())
+        self.assertTrue(self.becomes_idle())
 
-    def test_a_client_whose_machine_vanishes_is_noticed_by_probes(self) -> None:
-        sock = self.site.connect()
-        self.assertTrue(happens(lambda: self.site.listener.handlers))
-        (handler,) = self.site.listener.handlers
+    def test_keep_alive_probes_detect_an_unreachable_client_machine(self) -> None:
+        sock = self.fixture.connect()
+        self.assertTrue(becomes_true(lambda: self.fixture.listener.handlers))
+        (handler,) = self.fixture.listener.handlers
         self.assertTrue(handler.socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
         idle = handler.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
         interval = handler.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
@@ -349,67 +356,67 @@
 
 
 class HangupsWhileWaiting(HangupCase):
-    """Whatever a request waits for before it is sent: nothing is sent once its client has left."""
+    """A request that waits before it is sent is not sent once its client has disconnected."""
 
     mbps = 8.0
 
-    def leave_while_waiting(self, path: str, method: str = "GET") -> str:
-        """Send a request, and leave before it can go out; its id."""
-        sock = self.site.connect()
-        id = self.site.send(sock, path, method)
+    def disconnect_while_waiting(self, path: str, method: str = "GET") -> str:
+        """Send a request, disconnect before the proxy can send it to an endpoint, and return its id."""
+        sock = self.fixture.connect()
+        id = self.fixture.send(sock, path, method)
         gevent.sleep(0.03)
-        self.assertEqual(self.site.arrived(), [])
+        self.assertEqual(self.fixture.arrived(), [])
         sock.close()
         gevent.sleep(0.02)
         return id
 
-    def test_for_admission_among_large_answers(self) -> None:
-        admission = self.site.forwarder.link_admission
+    def test_for_link_admission(self) -> None:
+        admission = self.fixture.forwarder.link_admission
         reserved = 1 << 40
         admission.in_flight_bytes = reserved
-        self.leave_while_waiting("/d/1")
-        self.assertTrue(self.settled())
+        self.disconnect_while_waiting("/d/1")
+        self.assertTrue(self.becomes_idle())
         self.assertEqual((len(admission.queue), admission.in_flight_bytes), (0, reserved))
         admission.release(reserved)
         gevent.sleep(0.05)
-        self.assertEqual((self.site.arrived(), admission.in_flight_bytes), ([], 0))
+        self.assertEqual((self.fixture.arrived(), admission.in_flight_bytes), ([], 0))
 
     def test_for_a_connection(self) -> None:
-        for endpoint in self.site.endpoint_views():
+        for endpoint in self.fixture.endpoint_views():
             endpoint.pool.connect = delayed(endpoint.pool.connect)
         for path, method in (("/s/1", "GET"), ("/u/1", "POST")):
-            self.leave_while_waiting(path, method)
-            self.assertTrue(self.settled())
+            self.disconnect_while_waiting(path, method)
+            self.assertTrue(self.becomes_idle())
         gevent.sleep(0.1)
-        self.assertEqual(self.site.arrived(), [])
+        self.assertEqual(self.fixture.arrived(), [])
         self.assertTrue(self.endpoints_are_healthy())
 
     def test_for_a_health_check(self) -> None:
-        """The check goes on, as others wait for it too."""
-        self.site.confirmed_at = lambda: time.monotonic_ns() - 601_000_000_000
-        for endpoint in self.site.endpoints:
+        """The health check itself continues, as other requests may wait for it."""
+        self.fixture.confirmed_at = lambda: time.monotonic_ns() - 601_000_000_000
+        for endpoint in self.fixture.endpoints:
             endpoint.delays_health = True
-        gone = self.leave_while_waiting("/s/1")
-        sock = self.site.connect()
-        id = self.site.send(sock, "/u/1", "POST")
+        disconnected_id = self.disconnect_while_waiting("/s/1")
+        sock = self.fixture.connect()
+        id = self.fixture.send(sock, "/u/1", "POST")
         gevent.sleep(0.02)
-        for endpoint in self.site.endpoints:
+        for endpoint in self.fixture.endpoints:
             endpoint.released.set()
         self.assertTrue(self.arrives(id))
-        self.assertNotIn(gone, self.site.arrived())
+        self.assertNotIn(disconnected_id, self.fixture.arrived())
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200"))
 
-    def test_for_keys_between_two_owners(self) -> None:
-        self.leave_while_waiting("/k/1")
-        fields = {"line": "lot", "addr": self.site.endpoints[0].addr, "zone": "n", "berths": 4}
-        self.site.updates.offer("hut/e0", [1, 1], {**fields, "state": "ready", "cold": 0})
-        self.site.updates.offer("bunks/lot", [1, 1], [[0, 65535, "e0", "held"]])
+    def test_for_a_key_that_moves_between_owners(self) -> None:
+        self.disconnect_while_waiting("/k/1")
+        fields = {"line": "lot", "addr": self.fixture.endpoints[0].addr, "zone": "n", "berths": 4}
+        self.fixture.updates.offer("hut/e0", [1, 1], {**fields, "state": "ready", "cold": 0})
+        self.fixture.updates.offer("bunks/lot", [1, 1], [[0, 65535, "e0", "held"]])
         gevent.sleep(0.1)
-        self.assertEqual(self.site.arrived(), [])
+        self.assertEqual(self.fixture.arrived(), [])
 
 
 def delayed(connect: Callable[[float], Connection]) -> Callable[[float], Connection]:
-    """Connections that are set up, but late."""
+    """Wrap `ConnectionPool.connect` so that connections are established with a delay."""
 
     def connect_late(timeout_s: float) -> Connection:
         gevent.sleep(0.15)
