--- a/flintreach/proxy/client_listener.py
+++ b/flintreach/proxy/client_listener.py
@@ -139,7 +139,7 @@
         try:
             with gevent.Timeout(limits.header_ms / MS_PER_S):
                 request = self.read_head(limits)
-            if request is None or not self.send_continue(request):
+            if request is None or not self.send_continue_if_expected(request):
                 return None
             with gevent.Timeout(limits.idle_ms / MS_PER_S):
                 request.body = read_body(source, request, limits.body_bytes)
@@ -167,7 +167,7 @@
         request.caller = self.caller
         return request
 
-    def send_continue(self, request: Request) -> bool:
+    def send_continue_if_expected(self, request: Request) -> bool:
         """Send 100 Continue if the request expects it (RFC 9110, section 10.1.1).
 
         Returns:
--- a/flintreach/proxy/exchange.py
+++ b/flintreach/proxy/exchange.py
@@ -133,7 +133,7 @@
         "connection",
         "request_id",
         "options",
-        "unsent",
+        "unsent_data",
         "sending_started",
         "is_acknowledged",
         "parser",
@@ -147,7 +147,7 @@
         self.connection = connection
         self.request_id = request_id
         self.options = options
-        self.unsent = memoryview(data)
+        self.unsent_data = memoryview(data)
         self.sending_started = False  # some bytes have been sent
         self.is_acknowledged = False  # the endpoint's machine has acknowledged all bytes
         self.parser = ResponseParser(to_head=data.startswith(b"HEAD "))
@@ -181,11 +181,11 @@
 
     def send(self) -> None:
         """Write the remaining bytes of the request to the socket."""
-        if not self.unsent:
+        if not self.unsent_data:
             return
-        while self.unsent:
-            sent_bytes = self.connection.sock.send(self.unsent)
-            self.unsent = self.unsent[sent_bytes:]
+        while self.unsent_data:
+            sent_bytes = self.connection.sock.send(self.unsent_data)
+            self.unsent_data = self.unsent_data[sent_bytes:]
             self.sending_started = True
         self.options.on_written()
 
@@ -227,7 +227,7 @@
         now = time.monotonic_ns()
         if now >= self.options.deadline:
             return Outcome(OutcomeKind.TIMEOUT)
-        self.is_acknowledged = not self.unsent and not self.connection.unacknowledged_bytes()
+        self.is_acknowledged = not self.unsent_data and not self.connection.unacknowledged_bytes()
         if self.is_acknowledged or now < self.options.arrive_by():
             return None
         # If some bytes were sent, they may have arrived, and the request may have run.
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -107,7 +107,7 @@
     )
 
 
-# For endpoints that may not respond, so that each such request takes its whole deadline.
+# For endpoints that may not respond: such a request takes its whole deadline, so deadlines are short.
 SHORT_DEADLINES = configuration(
     ("s", "safe", "desk", 20, 30), ("u", "unsafe", "desk", 20, 30), ("k", "unsafe", "lot", 400, 100)
 )
@@ -615,7 +615,7 @@
     def test_only_connections_with_exactly_one_complete_response_are_reused(self) -> None:
         """The id would reveal a stale response, but such a connection must not be reused at all."""
         fixture = self.fixture
-        kept = {
+        expected_idle = {
             "answer": 1,
             "chunked": 1,
             "interim": 1,
@@ -636,7 +636,7 @@
             "two ids": 0,
             "encoded": 0,
         }
-        for act, count in kept.items():
+        for act, count in expected_idle.items():
             for kind in ("post", "get"):
                 fixture.reset([[act]] * 3, config=LONG_DEADLINES if count else SHORT_DEADLINES)
                 self.exchange(fixture.request(kind))
@@ -644,8 +644,8 @@
                 with gevent.Timeout(5):
                     while any(endpoint.own_requests for endpoint in endpoints):
                         gevent.sleep(0.001)
-                held = {len(endpoint.pool.idle) for endpoint in endpoints if endpoint.sent_at}
-                self.assertEqual(held, {count}, (act, kind))
+                idle_counts = {len(endpoint.pool.idle) for endpoint in endpoints if endpoint.sent_at}
+                self.assertEqual(idle_counts, {count}, (act, kind))
                 fixture.wait_until_idle()
 
     def test_an_idle_connection_is_checked_before_reuse(self) -> None:
@@ -658,13 +658,15 @@
         for event in ("close", "reset", "bytes"):
             fixture.reset()
             self.exchange(fixture.request("sharded post"), "X-Shard-Key: 7")
-            (line,) = owner.connections
+            (served_connection,) = owner.connections
             if event == "bytes":
-                line.sock.sendall(owner.reply(ReceivedRequest("POST", "/k/0", {"x-try-id": "0"})))
+                served_connection.sock.sendall(
+                    owner.reply(ReceivedRequest("POST", "/k/0", {"x-try-id": "0"}))
+                )
             else:
                 if event == "reset":
-                    line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                line.sock.close()
+                    served_connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                served_connection.sock.close()
             (idle,) = fixture.view.endpoints["k0"].pool.idle
             gevent.socket.wait_read(idle.sock.fileno(), timeout=5)  # until the event has reached the proxy
             sent = fixture.request("sharded post")
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -22,7 +22,7 @@
 ANSWERED = OutcomeKind.ANSWERED
 UNSENT = OutcomeKind.UNSENT
 NOT_RUN = OutcomeKind.NOT_RUN
-BROKEN = OutcomeKind.NO_VALID_RESPONSE
+NO_VALID_RESPONSE = OutcomeKind.NO_VALID_RESPONSE
 TIMEOUT = OutcomeKind.TIMEOUT
 
 # Script entry: the attempt blocks until the test releases it, and then has no valid response.
@@ -49,7 +49,7 @@
         kind = self.script.pop(0)
         if kind == HANG:
             self.released.wait()
-            kind = BROKEN
+            kind = NO_VALID_RESPONSE
         response = Response()
         response.status = 200 if kind == ANSWERED else 503
         response.headers = [["X-Postmark", endpoint.id]]
@@ -79,13 +79,13 @@
         cases = [
             ("safe", [ANSWERED], 200, 1, False),
             ("unsafe", [ANSWERED], 200, 1, False),
-            ("safe", [BROKEN, BROKEN], 502, 2, False),
-            ("unsafe", [BROKEN], 502, 1, False),
+            ("safe", [NO_VALID_RESPONSE, NO_VALID_RESPONSE], 502, 2, False),
+            ("unsafe", [NO_VALID_RESPONSE], 502, 1, False),
             ("unsafe", [TIMEOUT], 504, 1, False),
             ("safe", [TIMEOUT], 504, 1, False),
             ("unsafe", [NOT_RUN, NOT_RUN], 503, 2, True),
             ("unsafe", [UNSENT] * 4, 503, 4, True),
-            ("safe", [BROKEN, ANSWERED], 200, 2, False),
+            ("safe", [NO_VALID_RESPONSE, ANSWERED], 200, 2, False),
             ("unsafe", [UNSENT, ANSWERED], 200, 2, False),
         ]
         for kind, outcomes, status, endpoints_attempted, has_retry_after in cases:
@@ -98,7 +98,12 @@
             self.assertEqual(any(name == "Retry-After" for name, _ in answer.headers), has_retry_after)
 
     def test_a_request_that_may_have_run_never_gets_a_status_that_denies_it(self) -> None:
-        for outcomes in ([BROKEN, NOT_RUN], [TIMEOUT, NOT_RUN], [NOT_RUN, BROKEN], [UNSENT, TIMEOUT]):
+        for outcomes in (
+            [NO_VALID_RESPONSE, NOT_RUN],
+            [TIMEOUT, NOT_RUN],
+            [NOT_RUN, NO_VALID_RESPONSE],
+            [UNSENT, TIMEOUT],
+        ):
             answer, _ = forward(outcomes, "unsafe")
             self.assertNotIn(answer.status, (408, 421, 429, 503), outcomes)
 
@@ -114,7 +119,7 @@
     def test_a_non_idempotent_request_is_never_hedged(self) -> None:
         forwarding, forwarder, request = start_forwarding([HANG, ANSWERED], "unsafe")
         while not forwarder.attempted or time.monotonic_ns() < request.received_at + 100_000_000:
-            gevent.sleep(0)  # four times the hedging delay of its latency target
+            gevent.sleep(0)  # 100 ms are four times the route's hedging delay
         forwarder.released.set()
         self.assertEqual((forwarding.get(timeout=20).status, len(forwarder.attempted)), (502, 1))
 
