--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
 """Tests known to be red: those that KNOWN-RED.txt lists may fail, are named at the end, and must not pass.
 
 One line each: `test id: cause (issue)`; three at the most.  There is no such file while nothing is red.  A
-cause that begins with "intermittent" is of a fault that shows in some runs only: that test alone may also pass.
+cause that begins with "intermittent" is of a fault that shows in some runs only: that test alone may pass.
 """
 
 from pathlib import Path
