--- a/flintreach/evidence/__init__.py
+++ b/flintreach/evidence/__init__.py
@@ -1,1 +1,4 @@
-"""What others measure of the servers' hosts, as evidence: delayed, doubted, no reason to pour load."""
+"""Host loads measured by collectd, received over the network and judged by age and plausibility.
+
+Such figures arrive late and may be wrong, so they can take load off a host but never add any.
+"""
--- a/flintreach/evidence/block.py
+++ b/flintreach/evidence/block.py
@@ -1,4 +1,4 @@
-"""What the operator sets of others' figures: the block `evidence`."""
+"""Settings for host loads from collectd: the block `evidence` of the operator's file."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Block:
-    """Addresses are numeric: names are not looked up."""
+    """The fields of the block; addresses are numeric because host names are not resolved.
 
-    listen: str = address()  # for datagrams
-    lines: str = address()  # for Graphite lines
-    keys: str = string("")  # collectd's file of users and passwords, read again when it changes
-    accept: str = one_of("signed", "signed", "any")  # of datagrams; lines need "any"
-    hosts: dict = string_map({})  # collectd's name of a host, to the list's of its server
-    packets: int = integer(1000, 1, 1_000_000)  # a second from one address; what is more is dropped unread
-    interval: int = integer(10, 1, 600)  # seconds between lines of one series: lines do not tell it
+    Attributes:
+        listen: UDP address for datagrams of collectd's network plugin.
+        lines: TCP address for lines of collectd's `write_graphite` plugin.
+        keys: collectd's file of users and passwords; it is reloaded when it changes.
+        accept: Which datagrams are accepted. Graphite lines need `any`.
+        hosts: Maps collectd's host names to the names of the servers that run on them.
+        packets: Datagrams accepted per second and source address; the excess is dropped before parsing.
+        interval: Seconds between the lines of one series, since Graphite lines do not state it.
+    """
+
+    listen: str = address()
+    lines: str = address()
+    keys: str = string("")
+    accept: str = one_of("signed", "signed", "any")
+    hosts: dict = string_map({})
+    packets: int = integer(1000, 1, 1_000_000)
+    interval: int = integer(10, 1, 600)
 
     def __post_init__(self) -> None:
+        """Check the fields against each other."""
         if not self.listen and not self.lines:
             raise ValueError("listen: expected an address here or in lines")
         if self.lines and self.accept != "any":
--- a/flintreach/evidence/packet.py
+++ b/flintreach/evidence/packet.py
@@ -1,7 +1,8 @@
-"""collectd's binary network protocol: one datagram, its parts, its signature or its encryption.  Pure.
+"""Parser for collectd's binary network protocol, including signed and encrypted datagrams.
 
-Source: collectd's published description of the binary protocol.  A part is a type, a length over all of it,
-and its content; what a part says holds until another of its type.  Times are whole nanoseconds.
+The format follows collectd's published description of the binary protocol. A part consists of a type, a
+length that includes the part header, and the content; it applies until the next part of the same type.
+All times are integer nanoseconds. The module performs no I/O.
 """
 
 import hashlib
@@ -16,7 +17,7 @@
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL = range(8)
 TIME_HR, INTERVAL_HR = 0x0008, 0x0009
 MESSAGE, SEVERITY, SIGNED, ENCRYPTED = 0x0100, 0x0101, 0x0200, 0x0210
-NAMES = {
+STRING_FIELDS = {
     HOST: "host",
     PLUGIN: "plugin",
     PLUGIN_INSTANCE: "plugin_instance",
@@ -30,163 +31,231 @@
     DERIVE: struct.Struct(">q"),
     ABSOLUTE: struct.Struct(">Q"),
 }
-PART_HEADER, WORD, LONG = struct.Struct(">HH"), struct.Struct(">H"), struct.Struct(">Q")
-MAC, IV_SIZE, SUM = 32, 16, 20  # bytes
-NAME = 128  # bytes of a name, at the most
-LONGEST = 24 * 3600 * SECOND  # an interval beyond this is none
+PART_HEADER, UINT16, UINT64 = struct.Struct(">HH"), struct.Struct(">H"), struct.Struct(">Q")
+MAC_SIZE, IV_SIZE, CHECKSUM_SIZE = 32, 16, 20  # bytes
+MAX_STRING_BYTES = 128
+MAX_INTERVAL = 24 * 3600 * SECOND  # longer intervals are rejected
 
 
-class Bad(ValueError):
-    """A datagram that can't be read, or that nobody vouches for; its text is what is counted."""
+class InputRejected(ValueError):
+    """A datagram or line that is malformed or not authenticated.
+
+    The message is the name under which the rejection is counted, so it contains no variable data.
+    """
 
 
 @dataclass(slots=True)
 class ValueList:
-    """One value list: one figure or more of one series, at one time."""
+    """One or more values of one series at one time.
+
+    Attributes:
+        time: Nanoseconds since 1970 by the sender's clock.
+        interval: Nanoseconds until the next value list of the series is due.
+        kinds: The type of each value: COUNTER, GAUGE, DERIVE or ABSOLUTE.
+        figures: The values; a gauge is NaN where the sender had no reading.
+    """
 
     host: str
     plugin: str
     plugin_instance: str
     type: str
     type_instance: str
-    time: int  # nanoseconds since 1970, by the sender's clock
+    time: int
     interval: int
     kinds: tuple[int, ...]
-    figures: tuple[float, ...]  # gauges may be NaN: no figure was had
+    figures: tuple[float, ...]
 
 
-def parts(data: bytes) -> Iterator[tuple[int, bytes, int]]:
-    """Type, content, and where the part ends."""
-    at = 0
-    while at < len(data):
-        if len(data) - at < PART_HEADER.size:
-            raise Bad("truncated")
-        kind, length = PART_HEADER.unpack_from(data, at)
-        if length < PART_HEADER.size or at + length > len(data):
-            raise Bad("truncated")
-        at += length
-        yield kind, data[at - length + PART_HEADER.size : at], at
+def split_parts(data: bytes) -> Iterator[tuple[int, bytes, int]]:
+    """Yield the type, the content and the end offset of each part.
+
+    Raises:
+        InputRejected: a part header is incomplete, or its length exceeds the datagram.
+    """
+    offset = 0
+    while offset < len(data):
+        if len(data) - offset < PART_HEADER.size:
+            raise InputRejected("truncated datagram")
+        kind, length = PART_HEADER.unpack_from(data, offset)
+        if length < PART_HEADER.size or offset + length > len(data):
+            raise InputRejected("truncated datagram")
+        content = data[offset + PART_HEADER.size : offset + length]
+        offset += length
+        yield kind, content, offset
+
 
+def authenticate(data: bytes, keys: dict[str, str], accept_unsigned: bool) -> tuple[bytes, str | None]:
+    """Verify the signature of a datagram, or decrypt it.
 
-def authenticate(data: bytes, keys: dict[str, str], open_to_all: bool) -> tuple[bytes, str | None]:
-    """The datagram's open content and the user who vouches for it.  Raises Bad."""
+    Args:
+        data: The datagram as received.
+        keys: Passwords by user.
+        accept_unsigned: Whether a datagram without signature or encryption is accepted.
+
+    Returns:
+        The plain content and the authenticated user, or None for an unsigned datagram.
+
+    Raises:
+        InputRejected: the datagram is malformed or not authenticated.
+    """
     if not data:
-        raise Bad("empty")
-    kind, content, end = next(parts(data))
+        raise InputRejected("empty datagram")
+    kind, content, end = next(split_parts(data))
     if kind == SIGNED:
-        if len(content) <= MAC:
-            raise Bad("truncated")
-        user = text(content[MAC:], terminated=False)
+        if len(content) <= MAC_SIZE:
+            raise InputRejected("truncated datagram")
+        user = parse_string(content[MAC_SIZE:], terminated=False)
         if user not in keys:
-            raise Bad("unknown user")
-        mac = hmac.new(keys[user].encode(), content[MAC:] + data[end:], hashlib.sha256).digest()
-        if not hmac.compare_digest(mac, content[:MAC]):
-            raise Bad("signature does not match")
+            raise InputRejected("unknown user")
+        mac = hmac.new(keys[user].encode(), content[MAC_SIZE:] + data[end:], hashlib.sha256).digest()
+        if not hmac.compare_digest(mac, content[:MAC_SIZE]):
+            raise InputRejected("signature does not match")
         return data[end:], user
     if kind == ENCRYPTED:
-        return decrypted(content, keys)
-    if not open_to_all:
-        raise Bad("unsigned")
+        return decrypt(content, keys)
+    if not accept_unsigned:
+        raise InputRejected("unsigned datagram")
     return data, None
 
 
-def decrypted(content: bytes, keys: dict[str, str]) -> tuple[bytes, str]:
-    if len(content) < WORD.size:
-        raise Bad("truncated")
-    (length,) = WORD.unpack_from(content)
-    at = WORD.size + length
-    if len(content) < at + IV_SIZE + SUM:
-        raise Bad("truncated")
-    user = text(content[WORD.size : at], terminated=False)
+def decrypt(content: bytes, keys: dict[str, str]) -> tuple[bytes, str]:
+    """Decrypt the content of an encrypted part and verify its SHA-1 checksum.
+
+    Returns:
+        The plain content and the user whose key decrypted it.
+
+    Raises:
+        InputRejected: the part is truncated, its user is unknown or the checksum does not match.
+    """
+    if len(content) < UINT16.size:
+        raise InputRejected("truncated datagram")
+    (user_length,) = UINT16.unpack_from(content)
+    iv_start = UINT16.size + user_length
+    if len(content) < iv_start + IV_SIZE + CHECKSUM_SIZE:
+        raise InputRejected("truncated datagram")
+    user = parse_string(content[UINT16.size : iv_start], terminated=False)
     if user not in keys:
-        raise Bad("unknown user")
-    plain = cipher(keys[user], content[at : at + IV_SIZE]).decryptor().update(content[at + IV_SIZE :])
-    if hashlib.sha1(plain[SUM:]).digest() != plain[:SUM]:
-        raise Bad("does not decrypt")
-    return plain[SUM:], user
+        raise InputRejected("unknown user")
+    ciphertext_start = iv_start + IV_SIZE
+    decryptor = cipher(keys[user], content[iv_start:ciphertext_start]).decryptor()
+    plain = decryptor.update(content[ciphertext_start:])
+    if hashlib.sha1(plain[CHECKSUM_SIZE:]).digest() != plain[:CHECKSUM_SIZE]:
+        raise InputRejected("checksum mismatch after decryption")
+    return plain[CHECKSUM_SIZE:], user
 
 
 def cipher(key: str, iv: bytes):
-    """AES-256 in output feedback mode, by the hash of the user's key."""
+    """Return AES-256 in output feedback mode, keyed by the SHA-256 hash of the user's password."""
     from cryptography.hazmat.decrepit.ciphers.modes import OFB
     from cryptography.hazmat.primitives.ciphers import Cipher, algorithms
 
     return Cipher(algorithms.AES(hashlib.sha256(key.encode()).digest()), OFB(iv))
 
 
-def text(content: bytes, terminated: bool = True) -> str:
+def parse_string(content: bytes, terminated: bool = True) -> str:
+    """Decode a string field, which ends in a null byte if `terminated`.
+
+    Raises:
+        InputRejected: the field is not terminated, too long or not UTF-8.
+    """
     if terminated:
         if not content.endswith(b"\0"):
-            raise Bad("a name is no text")
+            raise InputRejected("string field is not terminated UTF-8")
         content = content[:-1]
-    if len(content) > NAME:
-        raise Bad("a name is too long")
+    if len(content) > MAX_STRING_BYTES:
+        raise InputRejected("string field too long")
     try:
         return content.decode()
     except UnicodeDecodeError:
-        raise Bad("a name is no text") from None
+        raise InputRejected("string field is not terminated UTF-8") from None
+
+
+def parse_number(content: bytes) -> int:
+    """Decode a numeric field.
+
+    Raises:
+        InputRejected: the field is not eight bytes long.
+    """
+    if len(content) != UINT64.size:
+        raise InputRejected("numeric field has the wrong length")
+    return UINT64.unpack(content)[0]
 
 
-def number(content: bytes) -> int:
-    if len(content) != LONG.size:
-        raise Bad("a number is cut off")
-    return LONG.unpack(content)[0]
+def parse_value_part(content: bytes) -> tuple[tuple[int, ...], tuple[float, ...]]:
+    """Decode the types and the values of a values part.
 
+    The part holds a count of two bytes, one byte of type for each value, then eight bytes for each value.
 
-def figures(content: bytes) -> tuple[tuple[int, ...], tuple[float, ...]]:
-    if len(content) < WORD.size:
-        raise Bad("truncated")
-    (count,) = WORD.unpack_from(content)
-    if not count or len(content) != WORD.size + 9 * count:
-        raise Bad("values and their number differ")
-    kinds = tuple(content[WORD.size : WORD.size + count])
+    Raises:
+        InputRejected: the length does not match the count, or a type is unknown.
+    """
+    if len(content) < UINT16.size:
+        raise InputRejected("truncated datagram")
+    (count,) = UINT16.unpack_from(content)
+    if not count or len(content) != UINT16.size + 9 * count:
+        raise InputRejected("value count does not match the length")
+    first_value = UINT16.size + count
+    kinds = tuple(content[UINT16.size : first_value])
     if any(kind not in VALUE_FORMATS for kind in kinds):
-        raise Bad("a value of no known type")
-    rows = enumerate(kinds, 1)
-    return kinds, tuple(
-        VALUE_FORMATS[kind].unpack_from(content, count + 8 * row - 6)[0] for row, kind in rows
+        raise InputRejected("unknown value type")
+    figures = tuple(
+        VALUE_FORMATS[kind].unpack_from(content, first_value + 8 * index)[0]
+        for index, kind in enumerate(kinds)
     )
+    return kinds, figures
 
 
 def parse_values(data: bytes) -> Iterator[ValueList]:
-    """The value lists of an open datagram, in their order.  Raises Bad where it can't be read on: what came
-    before stands.  Signed or encrypted parts within are passed over, as are kinds of later versions."""
-    names = dict.fromkeys(NAMES.values(), "")
+    """Yield the value lists of a plain datagram in their order.
+
+    Nested signed or encrypted parts and parts of unknown types are skipped.
+
+    Raises:
+        InputRejected: the datagram is malformed from here on; the value lists already yielded remain valid.
+    """
+    strings = dict.fromkeys(STRING_FIELDS.values(), "")
     time = interval = 0
-    for kind, content, _ in parts(data):
-        if kind in NAMES:
-            names[NAMES[kind]] = text(content)
+    for kind, content, _ in split_parts(data):
+        if kind in STRING_FIELDS:
+            strings[STRING_FIELDS[kind]] = parse_string(content)
         elif kind == TIME:
-            time = number(content) * SECOND
+            time = parse_number(content) * SECOND
         elif kind == TIME_HR:
-            time = number(content) * SECOND >> 30
+            time = parse_number(content) * SECOND >> 30
         elif kind == INTERVAL:
-            interval = number(content) * SECOND
+            interval = parse_number(content) * SECOND
         elif kind == INTERVAL_HR:
-            interval = number(content) * SECOND >> 30
+            interval = parse_number(content) * SECOND >> 30
         elif kind == VALUES:
-            kinds, found = figures(content)
-            if not names["host"] or not time:
-                raise Bad("values without a host or a time")
-            if not 0 < interval <= LONGEST:
-                raise Bad("an absurd interval")
-            yield ValueList(**names, time=time, interval=interval, kinds=kinds, figures=found)
+            kinds, figures = parse_value_part(content)
+            if not strings["host"] or not time:
+                raise InputRejected("values without a host or a time")
+            if not 0 < interval <= MAX_INTERVAL:
+                raise InputRejected("invalid interval")
+            yield ValueList(**strings, time=time, interval=interval, kinds=kinds, figures=figures)
+
+
+def parse_line(content: str) -> tuple[str, list[str], float, int]:
+    """Parse a line of collectd's `write_graphite` plugin, sent without a prefix.
 
+    Returns:
+        The host, the rest of the path, the value and the time in nanoseconds.
 
-def line(content: str) -> tuple[str, list[str], float, int]:
-    """A line as collectd's write_graphite sends it: prefix-free path, figure, time.
+    Raises:
+        InputRejected: the line is malformed.
 
-    >>> line("web-1.cpu-0.cpu-idle 98.5 1700000000")
+    >>> parse_line("web-1.cpu-0.cpu-idle 98.5 1700000000")
     ('web-1', ['cpu-0', 'cpu-idle'], 98.5, 1700000000000000000)
     """
-    found = content.split()
-    if len(found) != 3:
-        raise Bad("no line of Graphite")
-    host, *path = found[0].split(".")
+    fields = content.split()
+    if len(fields) != 3:
+        raise InputRejected("malformed Graphite line")
+    host, *path = fields[0].split(".")
     try:
-        figure, time = float(found[1]), int(float(found[2]) * 1000) * (SECOND // 1000)
+        value = float(fields[1])
+        time = int(float(fields[2]) * 1000) * (SECOND // 1000)
     except (ValueError, OverflowError):
-        raise Bad("no figure") from None
-    if not host or len(path) < 2 or len(found[0]) > 4 * NAME or math.isinf(figure) or time <= 0:
-        raise Bad("no line of Graphite")
-    return host, path, figure, time
+        raise InputRejected("malformed number in a Graphite line") from None
+    if not host or len(path) < 2 or len(fields[0]) > 4 * MAX_STRING_BYTES or math.isinf(value) or time <= 0:
+        raise InputRejected("malformed Graphite line")
+    return host, path, value, time
--- a/tests/net/test_outage.py
+++ b/tests/net/test_outage.py
@@ -100,7 +100,7 @@
             if n == 20_000:
                 program.discovery.tell(listing(0, 2, False, endpoints=[row(1, "draining")]))
     relay.wait(lambda calls: any({"op": "OUT", "target": "s1"} in call.orders for call in calls))
-    assert "beyond the pace" in program.logged("evidence: datagrams beyond the pace")
+    assert "over the rate limit" in program.logged("evidence: datagrams over the rate limit")
     before = len(whens(receiver, "evidence.busy"))
     receiver.wait(lambda: len(whens(receiver, "evidence.busy")) > before)
     assert relay.audit() == []
