--- a/flintreach/telemetry/__init__.py
+++ b/flintreach/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""The pilot's own figures: measured at next to no cost, sent to Graphite, kept for an hour."""
+"""The pilot's own metrics: collected at little cost, sent to Graphite and kept for an hour."""
--- a/flintreach/telemetry/metrics.py
+++ b/flintreach/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""The registry of measures.  What passes through a turn is counted; the rest is read when it is sent."""
+"""Collects the pilot's metrics: counts what passes through a turn and reads gauges when they are sent."""
 
 import os
 import time
@@ -7,33 +7,42 @@
 from hdrh.histogram import HdrHistogram
 
 from flintreach.pilot import interface
-from flintreach.telemetry.names import BY_NAME, NAMES, PARTS
+from flintreach.telemetry.names import HISTOGRAM_FIELDS, METRICS, METRICS_BY_NAME
 
-LONGEST = 60_000_000  # microseconds: the longest turn that the histogram tells apart
-ORDERS = {
+MAX_TURN_MICROSECONDS = 60_000_000  # longer turns are recorded as this long
+ORDER_COUNTERS = {
     interface.SetWeight: "orders.lines",
     interface.Withdraw: "orders.shut",
     interface.SetAdmission: "orders.levels",
     interface.Mark: "orders.marks",
     interface.Probe: "orders.probes",
 }
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
 class MetricsCollector:
-    """`snapshot()` gives the value of each path; a gauge that has none is absent, never 0."""
+    """Collects counters, histograms and gauges.
+
+    Args:
+        service: The service to observe.
+    """
 
     def __init__(self, service):
-        self.service, self.counters = service, Counter()
-        self.spans = {name.name: HdrHistogram(1, LONGEST, 2) for name in NAMES if name.kind == "histogram"}
-        service.turn_observers.append(self.tap)
+        self.service = service
+        self.counters: Counter[str] = Counter()
+        self.histograms = {
+            metric.name: HdrHistogram(1, MAX_TURN_MICROSECONDS, 2)
+            for metric in METRICS
+            if metric.kind == "histogram"
+        }
+        service.turn_observers.append(self.observe_turn)
 
-    def tap(self, now: int, events: list, orders: list, took: int) -> None:
-        """`took` in nanoseconds."""
+    def observe_turn(self, now: int, events: list, orders: list, took: int) -> None:
+        """Count the events and orders of a turn and record its duration `took`, in nanoseconds."""
         counters = self.counters
         counters["turns.count"] += 1
         counters["turns.events"] += len(events)
-        self.spans["turns.time"].record_value(max(1, min(LONGEST, took // 1000)))
+        self.histograms["turns.time"].record_value(max(1, min(MAX_TURN_MICROSECONDS, took // 1000)))
         for event in events:
             kind = type(event)
             if kind is interface.ServerReport:
@@ -43,16 +52,17 @@
             elif kind is interface.DemandReport:
                 counters["reports.slices"] += 1
         for order in orders:
-            name = ORDERS.get(type(order))
+            name = ORDER_COUNTERS.get(type(order))
             if name:
                 counters[name] += 1
 
     def gauges(self) -> dict[str, float]:
+        """Read all gauges, including those that other parts of the service provide."""
         service, pilot = self.service, self.service.pilot
-        modes = Counter(tgt.mode for tgt in pilot.state.servers.values())
-        with open("/proc/self/statm") as file:
-            resident = int(file.read().split()[1]) * PAGE / 2**20
-        found = {
+        modes = Counter(server.mode for server in pilot.state.servers.values())
+        with open("/proc/self/statm") as statm:
+            resident_mb = int(statm.read().split()[1]) * PAGE_SIZE / 2**20
+        values = {
             "turns.deepest": service.peak_pending_events,
             "turns.waiting": len(service.pending_events),
             "reports.lines": service.clients.lines_read,
@@ -72,7 +82,7 @@
             "level.fleet": pilot.dispatcher.admission_level,
             "warnings.count": sum(service.warning_counts.values()),
             "process.cpu": time.process_time(),
-            "process.memory": round(resident, 2),
+            "process.memory": round(resident_mb, 2),
             **{
                 f"servers.{mode}": modes[mode]
                 for mode in ("fit", "cold", "out", "trial", "leaving", "unknown")
@@ -80,23 +90,30 @@
             **service.clients.gauges(),
         }
         for source in service.gauge_sources:
-            found |= source()
-        return found
+            values |= source()
+        return values
 
     def snapshot(self) -> dict[str, float]:
-        """All paths and their values; histograms begin anew."""
-        found = {name.name: self.counters[name.name] for name in NAMES if name.kind == "counter"}
-        found |= {name: value for name, value in self.gauges().items() if name in BY_NAME}
-        for name, span in self.spans.items():
-            count = span.get_total_count()
-            values = (
+        """Return the value of each metric path and reset the histograms.
+
+        A gauge without a value is absent rather than 0.
+        """
+        values: dict[str, float] = {
+            metric.name: self.counters[metric.name] for metric in METRICS if metric.kind == "counter"
+        }
+        values |= {name: value for name, value in self.gauges().items() if name in METRICS_BY_NAME}
+        for name, histogram in self.histograms.items():
+            count = histogram.get_total_count()
+            fields = (
                 count,
-                span.get_value_at_percentile(50),
-                span.get_value_at_percentile(99),
-                span.get_max_value(),
+                histogram.get_value_at_percentile(50),
+                histogram.get_value_at_percentile(99),
+                histogram.get_max_value(),
             )
-            for part, value in zip(PARTS, values):
-                if part == "count" or count:  # without a turn there is no time of one
-                    found[f"{name}.{part}"] = value if part == "count" else value / 1000
-            span.reset()
-        return found
+            for field, value in zip(HISTOGRAM_FIELDS, fields):
+                if field == "count":
+                    values[f"{name}.count"] = value
+                elif count:  # an empty histogram has no durations
+                    values[f"{name}.{field}"] = value / 1000
+            histogram.reset()
+        return values
--- a/flintreach/telemetry/names.py
+++ b/flintreach/telemetry/names.py
@@ -1,90 +1,133 @@
-"""Every figure that leaves the pilot: its name, unit, kind and meaning.
+"""The metrics that the pilot exports: their names, units, kinds and meanings.
 
-A name that has been released neither changes nor vanishes without an entry in the changelog; the operators'
-page is made from this table (`python -m flintreach.telemetry.names`).
+A released name is never changed or removed without an entry in the changelog. The page for operators is
+generated from this table (`python -m flintreach.telemetry.names`).
 """
 
 from typing import NamedTuple
 
 
-class Name(NamedTuple):
+class Metric(NamedTuple):
+    """An exported metric.
+
+    Attributes:
+        name: The path below the prefix; a histogram's fields follow it.
+        unit: The unit of the value.
+        kind: `counter` (since the start), `gauge` (the current value) or `histogram` (of the time since the
+            previous transmission).
+        meaning: The description for operators.
+    """
+
     name: str
     unit: str
-    kind: str  # "counter": since the start; "gauge": as it is; "histogram": of the span between two sendings
+    kind: str
     meaning: str
 
 
-NAMES = tuple(
-    Name(*row)
+METRICS = tuple(
+    Metric(*row)
     for row in (
-        ("turns.count", "turns", "counter", "turns of the decisions"),
-        ("turns.time", "ms", "histogram", "how long the decisions held the loop in a turn"),
-        ("turns.events", "events", "counter", "events that the decisions were given"),
-        ("turns.deepest", "events", "gauge", "most events that waited for a turn, since the start"),
-        ("turns.waiting", "events", "gauge", "events that wait for a turn now"),
-        ("reports.lines", "lines", "counter", "lines that clients have sent"),
-        ("reports.servers", "rows", "counter", "rows about servers that the decisions were given"),
-        ("reports.tries", "invocations", "counter", "tries in those rows"),
-        ("reports.unanswered", "invocations", "counter", "of them without an answer"),
-        ("reports.slices", "rows", "counter", "rows about slices"),
-        ("orders.lines", "orders", "counter", "lines of tables set or removed"),
-        ("orders.shut", "orders", "counter", "servers shut out or let in again"),
-        ("orders.levels", "orders", "counter", "levels set"),
-        ("orders.marks", "orders", "counter", "marks, one for each message to proxies"),
-        ("orders.probes", "orders", "counter", "questions to servers"),
-        ("relay.waiting", "orders", "gauge", "orders that wait for a call to the relay"),
-        ("relay.flight", "orders", "gauge", "orders in the call in hand"),
-        ("relay.doubt", "0 or 1", "gauge", "a call's end is not known"),
-        ("channel.lines", "lines", "gauge", "lines to proxies that marks have not confirmed"),
-        ("probes.open", "probes", "gauge", "questions to servers that wait for their answer"),
-        ("discovery.known", "0 or 1", "gauge", "discovery has told its list"),
-        ("discovery.failures", "calls", "gauge", "calls to discovery that failed in a row"),
-        ("relay.failures", "calls", "gauge", "calls to the relay that failed in a row"),
-        ("news.failures", "connections", "gauge", "news connections that failed in a row"),
+        ("turns.count", "turns", "counter", "turns of the decision loop"),
+        ("turns.time", "ms", "histogram", "time for which the decisions of a turn blocked the event loop"),
+        ("turns.events", "events", "counter", "events processed"),
+        (
+            "turns.deepest",
+            "events",
+            "gauge",
+            "most events pending at the start of a turn, since the pilot started",
+        ),
+        ("turns.waiting", "events", "gauge", "events pending now"),
+        ("reports.lines", "lines", "counter", "lines received from clients"),
+        ("reports.servers", "rows", "counter", "report rows about servers processed"),
+        ("reports.tries", "invocations", "counter", "invocation attempts in those rows"),
+        ("reports.unanswered", "invocations", "counter", "attempts in those rows that were not answered"),
+        ("reports.slices", "rows", "counter", "report rows about slices processed"),
+        ("orders.lines", "orders", "counter", "routing table lines set or removed"),
+        ("orders.shut", "orders", "counter", "servers withdrawn or readmitted"),
+        ("orders.levels", "orders", "counter", "admission levels set"),
+        ("orders.marks", "orders", "counter", "marks, one per message to the proxies"),
+        ("orders.probes", "orders", "counter", "server probes ordered"),
+        ("relay.waiting", "orders", "gauge", "orders waiting for a call to the relay"),
+        ("relay.flight", "orders", "gauge", "orders in the current call"),
+        ("relay.doubt", "0 or 1", "gauge", "1 while the outcome of a call is not known"),
+        ("channel.lines", "lines", "gauge", "lines sent to proxies and not yet confirmed by a mark"),
+        ("probes.open", "probes", "gauge", "server probes waiting for a response"),
+        ("discovery.known", "0 or 1", "gauge", "1 once discovery has delivered its list"),
+        ("discovery.failures", "calls", "gauge", "consecutive failed calls to discovery"),
+        ("relay.failures", "calls", "gauge", "consecutive failed calls to the relay"),
+        (
+            "news.failures",
+            "connections",
+            "gauge",
+            "consecutive failed connections to the relay feed",
+        ),
         ("news.proxies", "proxies", "gauge", "proxies that have joined"),
-        ("news.slices", "slices", "gauge", "slices in this pilot's charge"),
-        ("servers.fit", "servers", "gauge", "that serve"),
-        ("servers.cold", "servers", "gauge", "that warm up"),
-        ("servers.out", "servers", "gauge", "condemned"),
-        ("servers.trial", "servers", "gauge", "on trial after that"),
-        ("servers.leaving", "servers", "gauge", "that drain or are gone"),
-        ("servers.unknown", "servers", "gauge", "that no list has shown ready"),
-        ("level.fleet", "part", "gauge", "of the cheapest operation that is let in everywhere"),
-        ("clients.collectors", "connections", "gauge", "that have named a zone"),
-        ("clients.strangers", "connections", "gauge", "that have not"),
-        ("workers.serving", "processes", "gauge", "workers that serve; 0 in one process"),
-        ("workers.waiting", "rows", "gauge", "rows that wait in workers"),
-        ("evidence.fresh", "hosts", "gauge", "hosts whose figures count now"),
-        ("evidence.hosts", "hosts", "gauge", "hosts that were ever heard of"),
-        ("evidence.busy", "part", "gauge", "of a host's processors that works; tag `host`, as the next five"),
-        ("evidence.age", "s", "gauge", "since that was true"),
-        ("evidence.load", "processes", "gauge", "load of a minute"),
+        ("news.slices", "slices", "gauge", "slices this pilot is responsible for"),
+        ("servers.fit", "servers", "gauge", "servers in normal service"),
+        ("servers.cold", "servers", "gauge", "servers warming up"),
+        ("servers.out", "servers", "gauge", "servers taken out of service as failing"),
+        ("servers.trial", "servers", "gauge", "servers on trial after having been taken out"),
+        ("servers.leaving", "servers", "gauge", "servers draining or gone"),
+        ("servers.unknown", "servers", "gauge", "servers that no server list has shown ready"),
+        ("level.fleet", "part", "gauge", "share of the cheapest operation that is admitted fleet-wide"),
+        ("clients.collectors", "connections", "gauge", "client connections that have named a zone"),
+        ("clients.strangers", "connections", "gauge", "client connections that have not named a zone"),
+        (
+            "workers.serving",
+            "processes",
+            "gauge",
+            "worker processes serving clients; 0 in single-process mode",
+        ),
+        ("workers.waiting", "rows", "gauge", "rows waiting in worker processes"),
+        ("evidence.fresh", "hosts", "gauge", "hosts whose load is used now"),
+        ("evidence.hosts", "hosts", "gauge", "hosts that have ever reported"),
+        (
+            "evidence.busy",
+            "part",
+            "gauge",
+            "busy share of a host's processors; tagged with `host`, like the next five",
+        ),
+        ("evidence.age", "s", "gauge", "age of that value"),
+        ("evidence.load", "processes", "gauge", "one-minute load average"),
         ("evidence.memory", "bytes", "gauge", "memory in use"),
-        ("evidence.octets", "bytes/s", "gauge", "received and sent, over all interfaces"),
-        ("evidence.connections", "connections", "gauge", "established, over all ports that collectd watches"),
-        ("telemetry.dropped", "batches", "counter", "batches for Graphite that found no room"),
-        ("warnings.count", "warnings", "counter", "all that the log counts"),
-        ("process.cpu", "s", "counter", "processor time of the deciding process"),
-        ("process.memory", "MB", "gauge", "resident memory of the deciding process"),
+        ("evidence.octets", "bytes/s", "gauge", "received and sent, summed over all interfaces"),
+        (
+            "evidence.connections",
+            "connections",
+            "gauge",
+            "established connections, summed over all ports that collectd watches",
+        ),
+        (
+            "telemetry.dropped",
+            "batches",
+            "counter",
+            "batches for Graphite dropped because the spool was full",
+        ),
+        ("warnings.count", "warnings", "counter", "warnings counted in the log"),
+        ("process.cpu", "s", "counter", "CPU time of the process that makes the decisions"),
+        ("process.memory", "MB", "gauge", "resident memory of the process that makes the decisions"),
     )
 )
-BY_NAME = {name.name: name for name in NAMES}
-PARTS = ("count", "p50", "p99", "max")  # of a histogram, each a name of its own
+METRICS_BY_NAME = {metric.name: metric for metric in METRICS}
+HISTOGRAM_FIELDS = ("count", "p50", "p99", "max")  # each is a path of its own
 
 
-def sent() -> list[str]:
-    """All paths below the prefix, as a receiver sees them."""
-    return [
-        path
-        for name in NAMES
-        for path in ([f"{name.name}.{part}" for part in PARTS] if name.kind == "histogram" else [name.name])
-    ]
+def metric_paths() -> list[str]:
+    """Return all paths below the prefix, as Graphite sees them."""
+    paths = []
+    for metric in METRICS:
+        if metric.kind == "histogram":
+            paths += [f"{metric.name}.{field}" for field in HISTOGRAM_FIELDS]
+        else:
+            paths.append(metric.name)
+    return paths
 
 
-def page() -> str:
-    rows = [f"| `{name.name}` | {name.unit} | {name.kind} | {name.meaning} |" for name in NAMES]
+def metrics_table() -> str:
+    """Return the Markdown table of all metrics for the operators' page."""
+    rows = [f"| `{metric.name}` | {metric.unit} | {metric.kind} | {metric.meaning} |" for metric in METRICS]
     return "\n".join(["| name | unit | kind | meaning |", "| --- | --- | --- | --- |", *rows])
 
 
 if __name__ == "__main__":
-    print(page())
+    print(metrics_table())
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -1,4 +1,4 @@
-"""The pilot's own figures: stable names, whole batches, bounded spool, gaps that are gaps."""
+"""The pilot's own metrics: stable names, complete batches, a bounded spool and recorded gaps."""
 
 import json
 import math
@@ -14,56 +14,59 @@
 from flintreach.standins.relay import Relay
 from flintreach.telemetry import names
 from flintreach.telemetry.block import Block
-from flintreach.telemetry.graphite import STATES, Graphite, Spool, pickled, plain
-from flintreach.telemetry.history import SLOTS, STEP, Disk, Ring
+from flintreach.telemetry.graphite import STATES, GraphiteClient, Spool, encode_pickle, encode_plaintext
+from flintreach.telemetry.history import SLOT_COUNT, SLOT_SECONDS, DiskHistory, Ring
 from flintreach.telemetry.sender import Telemetry
 
-KEPT = Path(__file__).with_name("kept_names.txt")
+RELEASED_NAMES = Path(__file__).with_name("kept_names.txt")
 
 
-def test_no_name_has_changed_or_vanished():
-    kept = KEPT.read_text().splitlines()
-    now = [f"{name.name} {name.kind} {name.unit}" for name in names.NAMES]
-    assert [line for line in kept if line not in now] == []
-    assert len(set(names.sent())) == len(names.sent())
-    assert all(re.fullmatch(r"[a-z]+\.[a-z]+", name.name) for name in names.NAMES)
+def test_no_released_name_has_changed_or_been_removed():
+    released = RELEASED_NAMES.read_text().splitlines()
+    current = [f"{metric.name} {metric.kind} {metric.unit}" for metric in names.METRICS]
+    assert [line for line in released if line not in current] == []
+    assert len(set(names.metric_paths())) == len(names.metric_paths())
+    assert all(re.fullmatch(r"[a-z]+\.[a-z]+", metric.name) for metric in names.METRICS)
 
 
-def test_the_operators_page_is_made_from_the_table():
-    assert names.page() in Path("docs/telemetry.md").read_text()
+def test_the_operators_page_contains_the_table():
+    assert names.metrics_table() in Path("docs/telemetry.md").read_text()
 
 
-class Clock:
+class FakeClock:
+    """Records what is scheduled; nothing fires by itself."""
+
     def __init__(self):
-        self.due = []
+        self.scheduled = []
 
-    def retry_later(self, failures, do):
-        self.due.append((failures, do))
+    def retry_later(self, failures, callback):
+        self.scheduled.append((failures, callback))
 
-    def start_timeout(self, wait, do):
-        timer = type("Timer", (), {"off": False, "cancel": lambda timer: setattr(timer, "off", True)})()
-        self.due.append((timer, do))
+    def start_timeout(self, wait, callback):
+        attributes = {"cancelled": False, "cancel": lambda timer: setattr(timer, "cancelled", True)}
+        timer = type("Timer", (), attributes)()
+        self.scheduled.append((timer, callback))
         return timer
 
 
-class Transport:
-    """It takes so many bytes at once; the rest waits."""
+class FakeTransport:
+    """Writes up to `write_limit` bytes of each call at once and leaves the rest in the buffer."""
 
-    def __init__(self, takes=10**9):
-        self.taken, self.waits, self.takes, self.closed = b"", b"", takes, False
+    def __init__(self, write_limit=10**9):
+        self.written, self.buffered, self.write_limit, self.closed = b"", b"", write_limit, False
 
     def set_write_buffer_limits(self, high):
         assert high == 0
 
     def write(self, data):
-        self.waits += data
-        self.drain(self.takes)
+        self.buffered += data
+        self.flush(self.write_limit)
 
-    def drain(self, number):
-        self.taken, self.waits = self.taken + self.waits[:number], self.waits[number:]
+    def flush(self, number):
+        self.written, self.buffered = self.written + self.buffered[:number], self.buffered[number:]
 
     def get_write_buffer_size(self):
-        return len(self.waits)
+        return len(self.buffered)
 
     def abort(self):
         self.closed = True
@@ -71,230 +74,236 @@
 
 @pytest.fixture
 def graphite():
-    service = type("Service", (), {"clock": Clock(), "modes": []})()
-    service.log_state = lambda *told: service.modes.append(told)
-    made = Graphite(service, "127.0.0.1:9", 1000)
-    made.state = "dialling"
-    return made
+    """Return a client whose connection is being established."""
+    service = type("Service", (), {"clock": FakeClock(), "logged": []})()
+    service.log_state = lambda *entry: service.logged.append(entry)
+    client = GraphiteClient(service, "127.0.0.1:9", 1000)
+    client.state = "dialling"
+    return client
 
 
-def test_one_batch_is_under_way_and_a_torn_one_is_sent_again_whole(graphite):
-    first, again = Transport(takes=5), Transport()
+def test_an_interrupted_batch_is_sent_again_in_full(graphite):
+    """A batch that a reset cut off must not be lost or continued in the middle of a line."""
+    first, second = FakeTransport(write_limit=5), FakeTransport()
     graphite.connection_made(first)
     graphite.put(b"a 1 1\na 2 2\n")
     graphite.put(b"b 1 1\n")
-    assert first.taken == b"a 1 1" and graphite.flight and graphite.batches == 0
+    assert first.written == b"a 1 1" and graphite.in_flight and graphite.sent_batches == 0
     graphite.connection_lost(ConnectionResetError())
     assert graphite.state == "down" and graphite.spool.batches[0] == b"a 1 1\na 2 2\n"
     graphite.state = "dialling"
-    graphite.connection_made(again)
-    assert again.taken == b"a 1 1\na 2 2\nb 1 1\n" and graphite.batches == 2
+    graphite.connection_made(second)
+    assert second.written == b"a 1 1\na 2 2\nb 1 1\n" and graphite.sent_batches == 2
 
 
-def test_a_receiver_that_reads_nothing_is_let_go_and_costs_the_oldest(graphite):
-    deaf = Transport(takes=0)
-    graphite.connection_made(deaf)
+def test_a_receiver_that_reads_nothing_is_disconnected_and_the_oldest_batches_are_dropped(graphite):
+    stalled = FakeTransport(write_limit=0)
+    graphite.connection_made(stalled)
     for n in range(50):
         graphite.put(b"%050d\n" % n)
     assert graphite.dropped > 0 and graphite.spool.size <= 1000
-    timer, do = graphite.service.clock.due[-1]
-    do()
-    assert graphite.state == "down" and deaf.closed
+    _, time_out = graphite.service.clock.scheduled[-1]
+    time_out()
+    assert graphite.state == "down" and stalled.closed
     assert len(graphite.spool.batches) * 51 == graphite.spool.size
     assert b"%050d\n" % 49 in graphite.spool.batches
 
 
-def test_pauses_grow_and_nothing_comes_back_from_a_stop(graphite):
-    graphite.lost("refused")
+def test_retry_delays_grow_and_a_stopped_client_does_not_reconnect(graphite):
+    graphite.disconnect("refused")
     graphite.state = "dialling"
-    graphite.lost("refused")
-    assert [failures for failures, _ in graphite.service.clock.due] == [4, 5]
+    graphite.disconnect("refused")
+    assert [failures for failures, _ in graphite.service.clock.scheduled] == [4, 5]
     graphite.stop()
     graphite.start()
     assert graphite.state == "stopped" and not any(state == "stopped" for state, _ in STATES)
 
 
-def test_a_spool_is_bounded_whatever_comes():
+def test_a_spool_stays_within_its_size_limit():
     spool = Spool(100)
     dropped = sum(spool.put(b"x" * n) for n in (*range(0, 60, 7), 200, 99, 1))
     assert spool.size <= 100 and dropped > 0 and spool.size == sum(map(len, spool.batches))
 
 
-def test_both_protocols_say_the_same():
+def test_both_protocols_carry_the_same_points():
     import pickle
 
     rows = [("a.b;x=y", 17, 2.5), ("c", 17, 3)]
-    assert [line.split() for line in plain(rows).decode().splitlines()] == [
+    assert [line.split() for line in encode_plaintext(rows).decode().splitlines()] == [
         ["a.b;x=y", "2.5", "17"],
         ["c", "3", "17"],
     ]
-    assert pickle.loads(pickled(rows)[4:]) == [(name, (when, value)) for name, when, value in rows]
+    assert pickle.loads(encode_pickle(rows)[4:]) == [(path, (time, value)) for path, time, value in rows]
 
 
 # The history.
 
 
-def test_a_gap_is_a_gap_in_memory_and_on_disk(tmp_path):
-    ring, disk, now = Ring(), Disk(str(tmp_path)), 1_700_000_000
-    for slot in (*range(0, 10), *range(40, 50)):  # five minutes without a point between
-        ring.put(now + slot * STEP, float(slot))
-        disk.put(now + slot * STEP, {"a.b": float(slot), "c": 1.0})
-    end = now + 49 * STEP
-    held = [value for _, value in ring.last(end, 50)]
-    assert [slot for slot, value in enumerate(held) if math.isnan(value)] == list(range(10, 40))
-    found = disk.read(end, 50 * STEP)
-    assert set(found) == {"a.b", "c"}
-    values = [value for _, value in found["a.b"]]
-    assert values.count(None) == 30 and 0.0 not in values[1:] and values[-1] == 49.0
-
-
-def test_the_history_holds_an_hour_and_no_more(tmp_path):
-    ring, disk, now = Ring(), Disk(str(tmp_path)), 1_700_000_000
-    for slot in range(2 * SLOTS):
-        ring.put(now + slot * STEP, float(slot))
-    assert ring.last(now + (2 * SLOTS - 1) * STEP, SLOTS)[0][1] == float(SLOTS)
-    disk.put(now, {"a": 1.0})
+def test_gaps_are_recorded_in_memory_and_on_disk(tmp_path):
+    ring, disk, now = Ring(), DiskHistory(str(tmp_path)), 1_700_000_000
+    for slot in (*range(0, 10), *range(40, 50)):  # five minutes without a point in between
+        ring.put(now + slot * SLOT_SECONDS, float(slot))
+        disk.write(now + slot * SLOT_SECONDS, {"a.b": float(slot), "c": 1.0})
+    end = now + 49 * SLOT_SECONDS
+    in_memory = [value for _, value in ring.latest(end, 50)]
+    assert [slot for slot, value in enumerate(in_memory) if math.isnan(value)] == list(range(10, 40))
+    history = disk.read(end, 50 * SLOT_SECONDS)
+    assert set(history) == {"a.b", "c"}
+    on_disk = [value for _, value in history["a.b"]]
+    assert on_disk.count(None) == 30 and 0.0 not in on_disk[1:] and on_disk[-1] == 49.0
+
+
+def test_the_history_is_limited_to_an_hour(tmp_path):
+    ring, disk, now = Ring(), DiskHistory(str(tmp_path)), 1_700_000_000
+    for slot in range(2 * SLOT_COUNT):
+        ring.put(now + slot * SLOT_SECONDS, float(slot))
+    assert ring.latest(now + (2 * SLOT_COUNT - 1) * SLOT_SECONDS, SLOT_COUNT)[0][1] == float(SLOT_COUNT)
+    disk.write(now, {"a": 1.0})
     size = disk.file("a").stat().st_size
-    for slot in range(0, 2 * SLOTS, 50):
-        disk.put(now + slot * STEP, {"a": 1.0})
+    for slot in range(0, 2 * SLOT_COUNT, 50):
+        disk.write(now + slot * SLOT_SECONDS, {"a": 1.0})
     assert disk.file("a").stat().st_size == size
 
 
-def test_files_torn_or_cut_off_are_made_anew(tmp_path):
-    disk, now = Disk(str(tmp_path)), 1_700_000_000
-    disk.put(now, {"a": 1.0, "b": 2.0})
+def test_empty_or_damaged_files_are_created_again(tmp_path):
+    disk, now = DiskHistory(str(tmp_path)), 1_700_000_000
+    disk.write(now, {"a": 1.0, "b": 2.0})
     disk.file("a").write_bytes(b"")
-    disk.file("b").write_bytes(b"torn")
+    disk.file("b").write_bytes(b"damaged")
     for slot in (1, 2):
-        disk.put(now + slot * STEP, {"a": 3.0, "b": 4.0})
-    found = disk.read(now + 2 * STEP, 3 * STEP)
-    assert found["a"][-1][1] == 3.0 and found["b"][-1][1] == 4.0
+        disk.write(now + slot * SLOT_SECONDS, {"a": 3.0, "b": 4.0})
+    history = disk.read(now + 2 * SLOT_SECONDS, 3 * SLOT_SECONDS)
+    assert history["a"][-1][1] == 3.0 and history["b"][-1][1] == 4.0
 
 
-def test_a_full_disk_is_said_once_and_the_hour_in_memory_goes_on(tmp_path):
+def test_a_full_disk_is_logged_and_the_history_in_memory_continues(tmp_path):
     service = SimpleNamespace(
-        modes=[],
+        logged=[],
         turn_observers=[],
         gauge_sources=[],
         tagged_gauge_sources=[],
         config=SimpleNamespace(name="p"),
         loop=SimpleNamespace(
-            run_in_executor=lambda pool, do, *values: do(*values),
-            call_soon_threadsafe=lambda do, *values: do(*values),
+            run_in_executor=lambda pool, function, *arguments: function(*arguments),
+            call_soon_threadsafe=lambda function, *arguments: function(*arguments),
         ),
-        clock=SimpleNamespace(call_later=lambda wait, do: None),
+        clock=SimpleNamespace(call_later=lambda wait, callback: None),
     )
-    service.log_state = lambda *told: service.modes.append(told)
+    service.log_state = lambda *entry: service.logged.append(entry)
     times = iter(range(1_700_000_000 * 10**9, 10**20, 5 * 10**9))
-    made = Telemetry(service, Block(history=str(tmp_path)), lambda: next(times))
-    made.measures.snapshot = lambda: {"turns.count": 5.0}
+    telemetry = Telemetry(service, Block(history=str(tmp_path)), lambda: next(times))
+    telemetry.metrics.snapshot = lambda: {"turns.count": 5.0}
 
-    def full(when, values):
+    def fail_write(when, values):
         raise OSError(28, "No space left on device")
 
-    write, made.disk.put = made.disk.put, full
+    write, telemetry.disk.write = telemetry.disk.write, fail_write
     for _ in range(4):
-        made.send()
-    assert {told[:2] for told in service.modes} == {("history", "not written")}
-    made.disk.put = write
-    made.send()
-    assert service.modes[-1][:2] == ("history", "written")
-    held = [value for _, value in made.rings["turns.count"].last(made.rings["turns.count"].newest * STEP, 5)]
-    assert held == [5.0] * 5 and not made.writing
+        telemetry.send()
+    assert {entry[:2] for entry in service.logged} == {("history", "not written")}
+    telemetry.disk.write = write
+    telemetry.send()
+    assert service.logged[-1][:2] == ("history", "written")
+    ring = telemetry.rings["turns.count"]
+    in_memory = [value for _, value in ring.latest(ring.newest * SLOT_SECONDS, 5)]
+    assert in_memory == [5.0] * 5 and not telemetry.is_writing
 
 
 @pytest.mark.parametrize(
-    "millis, told",
+    "milliseconds, expected",
     [
         ((999, 1009, 2000, 2999, 3010), [1, 2, 3]),
         ((1000, 2000, 1000), [1, 2, 1]),
         ((1000, 1499, 1501), [1, 2]),
     ],
 )
-def test_a_timer_that_fires_early_tells_no_second_twice(millis, told):
-    """Also with a clock that is put back: it goes on from there."""
+def test_a_timer_that_fires_early_sends_no_second_twice(milliseconds, expected):
+    """After the system clock has been set back, the timestamps continue from the new time."""
     service = SimpleNamespace(
         turn_observers=[],
         gauge_sources=[],
         tagged_gauge_sources=[],
         config=SimpleNamespace(name="p"),
-        clock=SimpleNamespace(call_later=lambda wait, do: None),
+        clock=SimpleNamespace(call_later=lambda wait, callback: None),
     )
-    times = iter([at * 10**6 for at in millis for _ in range(2)])
-    made = Telemetry(service, Block(every=10**9), lambda: next(times))
-    made.measures.snapshot = lambda: {"turns.count": 5.0}
-    seen = []
-    made.rings["turns.count"] = SimpleNamespace(put=lambda when, value: seen.append(when))
-    for _ in millis:
-        made.send()
-    assert seen == told
+    times = iter([at * 10**6 for at in milliseconds for _ in range(2)])
+    telemetry = Telemetry(service, Block(every=10**9), lambda: next(times))
+    telemetry.metrics.snapshot = lambda: {"turns.count": 5.0}
+    sent = []
+    telemetry.rings["turns.count"] = SimpleNamespace(put=lambda when, value: sent.append(when))
+    for _ in milliseconds:
+        telemetry.send()
+    assert sent == expected
 
 
-# The program with a receiver.
+# The pilot with a Graphite receiver.
 
 
 @pytest.fixture
 def start(tmp_path):
-    ends = []
+    """Return a function that starts a pilot and its Graphite receiver."""
+    started = []
 
-    def build(protocol="plaintext", more="", cores=""):
+    def start_program(protocol="plaintext", more="", cores=""):
         receiver = Receiver(protocol)
-        own = (
+        settings = (
             f'telemetry {{\n graphite = "127.0.0.1:{receiver.port}"\n every = "1s"\n'
             f' protocol = "{protocol}"\n{more}}}\n{cores}'
         )
-        program = Program(tmp_path, own, Relay(spread=lambda n: f"s{n % 4}"))
-        ends.append((program, receiver))
+        program = Program(tmp_path, settings, Relay(spread=lambda n: f"s{n % 4}"))
+        started.append((program, receiver))
         return program, receiver
 
-    yield build
-    for program, receiver in ends:
+    yield start_program
+    for program, receiver in started:
         program.end()
         program.relay.close()
         receiver.close()
 
 
 def values(receiver, name):
+    """Return the received values of a metric by their time."""
     return {
         when: value for path, value, when in receiver.lines if path.partition(";")[0] == f"flintreach.{name}"
     }
 
 
 @pytest.mark.parametrize("protocol", ["plaintext", "pickle"])
-def test_figures_come_on_whole_seconds_under_known_names(start, protocol):
+def test_metrics_arrive_once_per_second_under_known_names(start, protocol):
     program, receiver = start(protocol, ' tags = { "site" = "north" }\n')
     program.ready()
     receiver.wait(lambda: len(values(receiver, "turns.count")) >= 2)
-    known = {f"flintreach.{name};pilot=p0;site=north" for name in names.sent()}
+    known = {f"flintreach.{name};pilot=p0;site=north" for name in names.metric_paths()}
     assert {path for path, _, _ in receiver.lines} <= known
-    whens = [when for path, _, when in receiver.lines if "turns.count;" in path]
-    assert len(whens) == len(set(whens))
+    times = [when for path, _, when in receiver.lines if "turns.count;" in path]
+    assert len(times) == len(set(times))
 
 
-def test_a_receiver_that_resets_and_one_that_is_deaf_cost_no_turn_and_no_torn_line(start):
+def test_a_failing_receiver_delays_no_orders_and_receives_no_partial_lines(start):
     program, receiver = start()
-    receiver.script(cut=300)  # in the midst of each batch
+    receiver.script(cut=300)  # in the middle of each batch
     program.ready()
     receiver.wait(lambda: receiver.connections >= 2)
     program.discovery.tell(listing(0, 2, False, endpoints=[row(1, "draining")]))
     program.relay.wait(lambda calls: any({"op": "OUT", "target": "s1"} in call.orders for call in calls))
     receiver.script()
     receiver.wait(lambda: values(receiver, "orders.shut"))
-    known = {f"flintreach.{name};pilot=p0" for name in names.sent()}
-    assert {path for path, _, _ in receiver.lines} <= known  # nothing was glued together
-    count = {}
+    known = {f"flintreach.{name};pilot=p0" for name in names.metric_paths()}
+    assert {path for path, _, _ in receiver.lines} <= known  # no partial lines were joined
+    points = {}
     for path, value, when in receiver.lines:
-        assert count.setdefault((path, when), value) == value  # sent again, a point replaces itself
+        # A point that is sent again has the same value.
+        assert points.setdefault((path, when), value) == value
     receiver.script(deaf=True)
     program.discovery.tell(listing(0, 3, False, endpoints=[row(2, "draining")]))
     program.relay.wait(lambda calls: any({"op": "OUT", "target": "s2"} in call.orders for call in calls))
     assert program.relay.audit() == []
 
 
-def test_figures_of_all_workers_add_up_once(start):
+def test_the_metrics_of_all_workers_are_summed_without_duplicates(start):
     program, receiver = start(cores="cores {\n workers = 2\n}\n")
     program.ready()
-    hot = {
+    report = {
         "msg": "outcomes",
         "site": "north",
         "target": "s1",
@@ -305,10 +314,10 @@
     }
     for _ in range(4):
         peer = program.dial()
-        peer.send(b'{"msg":"agent","site":"north"}\n' + (json.dumps(hot).encode() + b"\n") * 25)
+        peer.send(b'{"msg":"agent","site":"north"}\n' + (json.dumps(report).encode() + b"\n") * 25)
     receiver.wait(lambda: max(values(receiver, "reports.tries").values(), default=0) >= 700)
     assert max(values(receiver, "reports.tries").values()) == 700
     assert max(values(receiver, "reports.unanswered").values()) == 100
     receiver.wait(lambda: max(values(receiver, "clients.collectors").values(), default=0) == 4)
     receiver.wait(lambda: max(values(receiver, "reports.lines").values(), default=0) >= 105)
-    assert max(values(receiver, "reports.lines").values()) == 105  # with the zones and the question
+    assert max(values(receiver, "reports.lines").values()) == 105  # 100 reports, 4 greetings, 1 probe
