--- a/flintreach/net/http.py
+++ b/flintreach/net/http.py
@@ -11,15 +11,15 @@
 
 # State, input, next state, and how the call ended.  A pair that is not here changes nothing.
 STATES = {
-    ("dialling", "connected"): ("asked", None),
+    ("dialling", "connected"): ("awaiting response", None),
     ("dialling", "lost"): ("closed", "unsent"),
     ("dialling", "late"): ("closed", "unsent"),
-    ("asked", "whole"): ("idle", "answered"),
-    ("asked", "last"): ("closed", "answered"),
-    ("asked", "lost"): ("closed", "broken"),
-    ("asked", "late"): ("closed", "silent"),
-    ("asked", "garbled"): ("closed", "garbled"),
-    ("idle", "call"): ("asked", None),
+    ("awaiting response", "whole"): ("idle", "answered"),
+    ("awaiting response", "last"): ("closed", "answered"),
+    ("awaiting response", "lost"): ("closed", "broken"),
+    ("awaiting response", "late"): ("closed", "silent"),
+    ("awaiting response", "garbled"): ("closed", "garbled"),
+    ("idle", "call"): ("awaiting response", None),
     ("idle", "lost"): ("closed", None),
     ("idle", "garbled"): ("closed", None),
 }
@@ -37,18 +37,21 @@
 
 
 class Connection(asyncio.Protocol):
-    """Dials at once and makes its first call; `done(how, status, body)` hears of each call's end once.
+    """Dials at once and makes its first call; `on_end(how, status, body)` hears of each call's end once.
 
-    With `piece`, the body is a stream: it is handed on as it comes and no time limit runs once it does.
+    With `on_chunk`, the body is a stream: it is handed on as it comes and no time limit runs once it does.
     """
 
-    def __init__(self, clock: Clock, limits: Limits, to: str, done: Callable, piece: Callable | None = None):
-        self.clock, self.limits, self.to, self.done, self.piece = clock, limits, to, done, piece
+    def __init__(
+        self, clock: Clock, limits: Limits, target: str, on_end: Callable, on_chunk: Callable | None = None
+    ):
+        self.clock, self.limits = clock, limits
+        self.target, self.on_end, self.on_chunk = target, on_end, on_chunk
         self.state, self.transport, self.parser = "dialling", None, None
         self.buffer, self.timer, self.request, self.wait = Buffer(limits.max_body_bytes), None, b"", 0
 
     def call(self, method: str, path: str, wait: int, body: bytes = b"") -> None:
-        head = f"{method} {path} HTTP/1.1\r\nHost: {self.to}\r\n"
+        head = f"{method} {path} HTTP/1.1\r\nHost: {self.target}\r\n"
         if body:
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         self.request, self.wait = head.encode() + b"\r\n" + body, wait
@@ -60,7 +63,7 @@
 
     async def dial(self) -> None:
         try:
-            await self.clock.loop.create_connection(lambda: self, *parse_address(self.to))
+            await self.clock.loop.create_connection(lambda: self, *parse_address(self.target))
         except OSError:
             self.step("lost")
 
@@ -72,7 +75,7 @@
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        if state == "asked":
+        if state == "awaiting response":
             self.parser, self.whole = httptools.HttpResponseParser(self), None
             self.timer = self.clock.start_timeout(self.wait, lambda: self.step("late"))
             self.transport.write(self.request)
@@ -80,7 +83,7 @@
             self.shut()
         if end:
             status, body = (self.parser.get_status_code() if end == "answered" else 0), self.buffer.take_all()
-            self.done(end, status, body if status else b"")  # part of a body is no answer
+            self.on_end(end, status, body if status else b"")  # part of a body is no answer
 
     def close(self) -> None:
         """Nothing more is heard of it."""
@@ -102,7 +105,7 @@
         self.step("connected")
 
     def data_received(self, data: bytes) -> None:
-        if self.state != "asked":
+        if self.state != "awaiting response":
             return self.step("garbled")
         try:
             self.parser.feed_data(data)
@@ -117,14 +120,14 @@
     # What the parser finds.
 
     def on_headers_complete(self) -> None:
-        if self.piece and self.parser.get_status_code() != 200:
+        if self.on_chunk and self.parser.get_status_code() != 200:
             raise ValueError("no stream")  # what it says of itself must not be read as news
-        if self.piece and self.timer:
+        if self.on_chunk and self.timer:
             self.timer.cancel()
 
     def on_body(self, body: bytes) -> None:
-        if self.piece:
-            self.piece(body)
+        if self.on_chunk:
+            self.on_chunk(body)
         else:
             self.buffer.append(body)
             self.buffer.check_limit()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -227,12 +227,12 @@
 
     created = []
 
-    def __init__(self, clock, limits, to, done, piece=None):
-        self.to, self.done, self.piece, self.state = to, done, piece, "new"
+    def __init__(self, clock, limits, target, on_end, on_chunk=None):
+        self.target, self.on_end, self.on_chunk, self.state = target, on_end, on_chunk, "new"
         self.created.append(self)
 
     def call(self, method, path, wait, body=b""):
-        self.method, self.path, self.state = method, path, "asked"
+        self.method, self.path, self.state = method, path, "awaiting response"
         self.orders = json.loads(body)["changes"] if body else []
 
     def close(self):
@@ -240,12 +240,12 @@
 
     def end(self, how="answered", status=200, body=None):
         self.state = "idle" if how == "answered" else "closed"
-        self.done(how, status, body if isinstance(body, bytes) else json.dumps(body).encode())
+        self.on_end(how, status, body if isinstance(body, bytes) else json.dumps(body).encode())
 
     def deliver(self, *items):
         for item in items:
             kind, told = item if item else (None, None)
-            self.piece(json.dumps({"type": kind, "object": told} if kind else {}).encode() + b"\n")
+            self.on_chunk(json.dumps({"type": kind, "object": told} if kind else {}).encode() + b"\n")
 
 
 class RecordingPilot:
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -304,7 +304,7 @@
     assert wire.path == "/discovery/hosts"
     wire.end(body=listing(2, 41))
     assert seen(service) == [("full", ("s0", "ready"), ("s1", "ready"))]
-    assert wire.path.startswith("/discovery/hosts?after=41&wait_ms=") and wire.state == "asked"
+    assert wire.path.startswith("/discovery/hosts?after=41&wait_ms=") and wire.state == "awaiting response"
     changed = [row(1, "draining", since_ms=1_700_000_000_123), row(7, "removed", zone="south")]
     wire.end(body=listing(0, 43, False, endpoints=changed))
     assert seen(service)[1:] == [("delta", ("s1", "draining"), ("s7", "gone"))]
@@ -356,7 +356,11 @@
     assert seen(service) == told
     service.loop.run(1)
     wire = FakeConnection.created[-1]
-    assert wire.state == "asked" and path in wire.path and (path != "hosts" or wire.path.endswith("hosts"))
+    assert (
+        wire.state == "awaiting response"
+        and path in wire.path
+        and (path != "hosts" or wire.path.endswith("hosts"))
+    )
 
 
 def test_where_the_list_must_be_asked_for_the_decisions_ask(make):
@@ -475,7 +479,7 @@
     service = make(settings=settings)
     joined(service)
     order(service, *[put(service, n, "s1") for n in range(3000)])
-    while calls()[-1].state == "asked":
+    while calls()[-1].state == "awaiting response":
         assert len(json.dumps({"changes": calls()[-1].orders}, separators=(",", ":"))) <= 60_000
         calls()[-1].end(body={"taken": len(calls()[-1].orders)})
     assert len(calls()) > 2 and sum(len(call.orders) for call in calls()) == 3001
@@ -516,7 +520,7 @@
     order(service, put(service, 2, "s3"))
     assert len(calls()) == 1  # it waits until the first is settled
     new = FakeConnection.created[-1]
-    assert new.path == "/stream" and old.state == "asked"
+    assert new.path == "/stream" and old.state == "awaiting response"
     table = "s3" if carried else "s0"
     new.deliver(
         *[
@@ -666,7 +670,7 @@
         news.deliver(("ack", {"id": 1, "seq": 9, "ms": 300.5}), ())
     assert len(FakeConnection.created) == 1 and ("applied", 1, 9) in seen(service)
     service.loop.run(4)
-    assert news.state == "closed" and FakeConnection.created[-1].state == "asked"
+    assert news.state == "closed" and FakeConnection.created[-1].state == "awaiting response"
 
 
 @pytest.mark.parametrize(
@@ -675,10 +679,10 @@
 def test_news_that_cannot_be_read_end_the_connection(make, data):
     service = make()
     news = joined(service)
-    news.piece(data)
+    news.on_chunk(data)
     assert news.state == "closed" and not seen(service)
     service.loop.run(1)
-    assert FakeConnection.created[-1].state == "asked" and FakeConnection.created[-1] is not news
+    assert FakeConnection.created[-1].state == "awaiting response" and FakeConnection.created[-1] is not news
 
 
 @pytest.mark.parametrize(
@@ -698,7 +702,7 @@
     service = make()
     news = joined(service)
     news.deliver((kind, told))
-    assert news.state == "asked" and not seen(service)
+    assert news.state == "awaiting response" and not seen(service)
 
 
 # Servers, pilots, HTTP, the loop.
@@ -721,7 +725,8 @@
     service = make()
     service.execute_orders([interface.Probe(service.registry.server("s2"))])
     assert (
-        FakeConnection.created[0].path == "/metrics/load" and FakeConnection.created[0].to == "127.0.0.1:9002"
+        FakeConnection.created[0].path == "/metrics/load"
+        and FakeConnection.created[0].target == "127.0.0.1:9002"
     )
     FakeConnection.created[0].end(how, status, body)
     (event,) = service.pending_events
