--- a/flintreach/consensus/acceptor_service.py
+++ b/flintreach/consensus/acceptor_service.py
@@ -232,7 +232,7 @@
                 complete[key] = Slot(promised, accepted.accepted, accepted.value)
 
         calls = [lambda key=key, slot=slot: fetch_value(key, slot) for key, slot in wanted]
-        self.runtime.all(calls, RELEARN_TIMEOUT_S)
+        self.runtime.run_all(calls, RELEARN_TIMEOUT_S)
         if len(complete) < len(wanted):
             return None
         return {key: complete.get(key, slot) for key, slot in slots.items()}
--- a/flintreach/consensus/reconfiguration.py
+++ b/flintreach/consensus/reconfiguration.py
@@ -122,7 +122,7 @@
                 copied.append(key)
 
         calls = [lambda key=key, newest=newest: copy(key, newest) for key, newest in copies.items()]
-        self.runtime.all(calls, COPY_TIMEOUT_S)
+        self.runtime.run_all(calls, COPY_TIMEOUT_S)
         return len(copied) >= len(copies) and self.register.voters == voters
 
     def copy_key(self, key: str, newest: NewestCopy, voters: Voters) -> bool:
@@ -240,7 +240,7 @@
             if register.read(key, timeout).done:
                 rewritten.append(key)
 
-        self.runtime.all([lambda key=key: rewrite_key(key) for key in sorted(keys)], timeout)
+        self.runtime.run_all([lambda key=key: rewrite_key(key) for key in sorted(keys)], timeout)
         return len(rewritten) == len(keys) and register.voters == voters
 
     def leave_joint(self) -> bool:
--- a/flintreach/consensus/register.py
+++ b/flintreach/consensus/register.py
@@ -147,7 +147,7 @@
             self.runtime.sleep(RETRY_DELAY_S)
             return
         longest_s = max(MIN_BACKOFF_RANGE_S, BACKOFF_PER_ATTEMPT * attempt_s)
-        self.runtime.sleep(self.runtime.chance.uniform(MIN_BACKOFF_S, longest_s))
+        self.runtime.sleep(self.runtime.rng.uniform(MIN_BACKOFF_S, longest_s))
 
     def attempt(self, proposal: Proposal, key: str, timeout: float, voters: Voters) -> None:
         """Run both phases of one proposal.
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -140,8 +140,8 @@
         """
         known = {member.address for member in self.member_list.members.values()}
         known |= {*self.voter_addresses, *self.seeds()}
-        for address in sorted(self.peer_pool.locks.keys() - known):
-            self.peer_pool.forget(address)
+        for address in sorted(self.peer_pool.dial_locks.keys() - known):
+            self.peer_pool.disconnect(address)
 
     # Staleness.
 
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -170,7 +170,7 @@
         for table in (self.lease_owners, self.region_biases, self.key_load.keys, self.key_load.bytes):
             for service in table.keys() - sharded:
                 del table[service]
-        for service in sorted(self.updates.under(KEY_RANGES_PREFIX).keys() - sharded):
+        for service in sorted(self.updates.with_prefix(KEY_RANGES_PREFIX).keys() - sharded):
             key = f"{KEY_RANGES_PREFIX}{service}"
             version = self.updates.entries[key][0]
             # Later than the last owner's version, earlier than any version of the next owner.
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -116,7 +116,7 @@
 
     def add_load(self, body: dict) -> None:
         """Add a load aggregate of proxies or of another controller."""
-        self.load_aggregate.add(body)
+        self.load_aggregate.add_report(body)
 
     # The directory.
 
@@ -138,7 +138,7 @@
         """
         while True:
             self.runtime.sleep(INTERVAL_S)
-            load = self.load_aggregate.take()
+            load = self.load_aggregate.flush()
             routes = self.plane.routes
             leader = placement_leader(self.member_list.alive(ROLE_CONTROLLER))
             if leader is not self.member_list.local_member:
@@ -167,12 +167,12 @@
         number = self.updates.get(ASSIGNMENT_KEY, 0)
         request_counts = load["came"] if load else {}
         endpoint_load = load["load"] if load else {}
-        self.placer.configure(slices, self.updates.under(SLICE_KEY_PREFIX))
+        self.placer.configure(slices, self.updates.with_prefix(SLICE_KEY_PREFIX))
         self.placer.record_demand(request_counts, self.runtime.now_ns())
         for _ in self.placer.run(self.candidates(endpoint_load), self.runtime.now_ns()):
             self.runtime.sleep(0)  # the search is long: yield to other tasks
         slice_names = {name for name, _, _ in slices}
-        if self.placer.changed or self.updates.under(SLICE_KEY_PREFIX).keys() - slice_names:
+        if self.placer.changed or self.updates.with_prefix(SLICE_KEY_PREFIX).keys() - slice_names:
             self.write_assignment(number, slice_names, self.placer.changed)
 
     @staticmethod
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -84,7 +84,7 @@
         updates = self.plane.updates
         if not updates.offer(ASSIGNMENT_KEY, number, number):
             return
-        removed_slices = updates.under(SLICE_KEY_PREFIX).keys() - assignment.keys()
+        removed_slices = updates.with_prefix(SLICE_KEY_PREFIX).keys() - assignment.keys()
         for name in sorted(removed_slices):
             updates.offer(f"{SLICE_KEY_PREFIX}{name}", number, None)
         changed = [
--- a/flintreach/controller/peer_exchange.py
+++ b/flintreach/controller/peer_exchange.py
@@ -13,7 +13,7 @@
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.operator_requests import REGISTER_TIMEOUT_S, OperatorRequests
 from flintreach.controller.quorum_contact import NO_BALLOT, REPORTED_KEYS, Ballot, QuorumContact
-from flintreach.dissemination.relay import ASK_TIMEOUT_S, FRESHNESS_POLL_S, Subscription
+from flintreach.dissemination.relay import FRESHNESS_POLL_S, REQUEST_TIMEOUT_S, Subscription
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection
 from flintreach.transport.peer_pool import PeerPool
@@ -82,7 +82,7 @@
             while True:
                 # Polled on the connection that carries the updates, which detects that it stopped responding.
                 asked_at = self.runtime.now()
-                ballots = subscription.link.ask(ACCEPTED_BALLOTS_MESSAGE, None, ASK_TIMEOUT_S)
+                ballots = subscription.link.ask(ACCEPTED_BALLOTS_MESSAGE, None, REQUEST_TIMEOUT_S)
                 self.record_ballots(address, asked_at, ballots)
                 self.runtime.sleep(FRESHNESS_POLL_S)
         except (OSError, ConnectionClosed, TypeError, ValueError):
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -74,7 +74,7 @@
 
     def start_serving(self) -> None:
         """Announce this controller as ready and start the API listeners."""
-        self.failure_detector.change(ready=True)
+        self.failure_detector.update_local(ready=True)
         for listener, names in LISTENER_CALLS:
             if listener in self.node.network.posts:
                 server = listen(parse_address(self.node.network.posts[listener]), self.plane, names)
@@ -97,7 +97,7 @@
         self.stopping.wait()
         # Voting is handed over before the departure is announced to the other members.
         self.plane.repair.voter_manager.hand_over()
-        self.failure_detector.change(state=LEFT)
+        self.failure_detector.update_local(state=LEFT)
         say("stopped")
         return 0
 
--- a/flintreach/controller/repair.py
+++ b/flintreach/controller/repair.py
@@ -107,7 +107,7 @@
             if is_starting:
                 self.runtime.sleep(START_RETRY_S)
             else:
-                self.runtime.sleep(SWEEP_S * self.runtime.chance.uniform(*SWEEP_JITTER))
+                self.runtime.sleep(SWEEP_S * self.runtime.rng.uniform(*SWEEP_JITTER))
 
     def compare(self, is_quorum_enough: bool, timeout_s: float) -> bool:
         """Compare the voters, publish values that a quorum holds, and repair differing keys by reading them.
@@ -128,7 +128,7 @@
         self.lagging = {
             comparison.key: comparison.oldest for comparison in comparisons if comparison.is_lagging
         }
-        self.runtime.all(tasks, REPAIR_TIMEOUT_S)
+        self.runtime.run_all(tasks, REPAIR_TIMEOUT_S)
         return True
 
     def _gather_ballots(
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -105,7 +105,7 @@
     """Return a row for each slice with its assigned endpoints, sorted by name."""
     return [
         {"slice": name, "endpoints": len(ids), "ids": " ".join(ids)}
-        for name, ids in sorted(plane.updates.under(SLICE_KEY_PREFIX).items())
+        for name, ids in sorted(plane.updates.with_prefix(SLICE_KEY_PREFIX).items())
     ]
 
 
@@ -113,7 +113,7 @@
     """Return a row for each key range of each sharded service."""
     return [
         {"line": service, "from": low, "to": high, "holder": holder, "state": state}
-        for service, ranges in sorted(plane.updates.under(KEY_RANGES_PREFIX).items())
+        for service, ranges in sorted(plane.updates.with_prefix(KEY_RANGES_PREFIX).items())
         for low, high, holder, state in ranges
     ]
 
--- a/flintreach/dissemination/load_aggregate.py
+++ b/flintreach/dissemination/load_aggregate.py
@@ -35,20 +35,20 @@
         self.answer_bytes: dict[str, int] = {}
         self.endpoint_load: dict[str, list[float]] = {}
 
-    def request(self, slice_name: str, count: int = 1) -> None:
+    def count_request(self, slice_name: str, count: int = 1) -> None:
         """Count requests to a slice."""
         self.requests[slice_name] = self.requests.get(slice_name, 0) + count
 
-    def key(self, service: str, bucket: int, count: int = 1) -> None:
+    def count_key_request(self, service: str, bucket: int, count: int = 1) -> None:
         """Count requests for keys of one bucket of a sharded service."""
         buckets = self.key_requests.setdefault(service, {})
         buckets[bucket] = buckets.get(bucket, 0) + count
 
-    def answer(self, service: str, size: int) -> None:
+    def count_response_bytes(self, service: str, size: int) -> None:
         """Count the bytes of an answer of a sharded service."""
         self.answer_bytes[service] = self.answer_bytes.get(service, 0) + size
 
-    def reported_load(self, endpoint_id: str, load: float, count: int = 1) -> None:
+    def add_endpoint_load(self, endpoint_id: str, load: float, count: int = 1) -> None:
         """Add loads that an endpoint reported.
 
         Args:
@@ -61,23 +61,23 @@
         load_and_count[0] += load
         load_and_count[1] += count
 
-    def add(self, body: dict[str, Any]) -> None:
-        """Add the report of a child, as `take` gave it there.
+    def add_report(self, body: dict[str, Any]) -> None:
+        """Add the report of a child, as `flush` gave it there.
 
         Raises:
             KeyError, TypeError, ValueError, AttributeError: the body doesn't have the shape of a report.
         """
         for slice_name, count in body[REQUESTS_FIELD].items():
-            self.request(slice_name, count)
+            self.count_request(slice_name, count)
         for service, buckets in body[KEYS_FIELD].items():
             for bucket, count in buckets.items():
-                self.key(service, bucket, count)
+                self.count_key_request(service, bucket, count)
         for service, size in body[BYTES_FIELD].items():
-            self.answer(service, size)
+            self.count_response_bytes(service, size)
         for endpoint_id, (load, count) in body[LOAD_FIELD].items():
-            self.reported_load(endpoint_id, load, count)
+            self.add_endpoint_load(endpoint_id, load, count)
 
-    def take(self) -> dict[str, Any] | None:
+    def flush(self) -> dict[str, Any] | None:
         """Give the sums since the last call as the body of a report, and begin anew; None where all is 0."""
         if not self.requests and not self.endpoint_load:
             return None
--- a/flintreach/dissemination/relay.py
+++ b/flintreach/dissemination/relay.py
@@ -20,8 +20,8 @@
 FRESHNESS_POLL_S = 0.25
 STALE_AFTER_S = 1.2  # without fresh updates for longer, another parent is looked for
 DIAL_TIMEOUT_S = 0.7
-ASK_TIMEOUT_S = 1.0
-MIN_ASK_TIMEOUT_S = 0.05
+REQUEST_TIMEOUT_S = 1.0
+MIN_REQUEST_TIMEOUT_S = 0.05
 EXPIRY_PERIOD_S = 2.0
 MAX_AGE_S = 86400.0  # given as the age of updates that never were fresh
 NEVER_S = -MAX_AGE_S
@@ -149,13 +149,13 @@
         Returns:
             The age of the other's updates in seconds; None where that is over `max_age_s`.
         """
-        start = self.link.ask(SUBSCRIBE_KIND, store.digest(), ASK_TIMEOUT_S)
+        start = self.link.ask(SUBSCRIBE_KIND, store.digest(), REQUEST_TIMEOUT_S)
         age_s, buckets, rows = start
         if age_s > max_age_s:
             return None
         take(rows)
         while buckets:
-            rows, complete = self.link.ask(MISSING_KIND, store.versions(buckets), ASK_TIMEOUT_S)
+            rows, complete = self.link.ask(MISSING_KIND, store.versions(buckets), REQUEST_TIMEOUT_S)
             if not rows and not complete:
                 raise ValueError("a portion with nothing in it")
             take(rows)
@@ -180,7 +180,7 @@
         asked_at = self.runtime.now()
         last_contact_at = max(self.answered_at, self.began_at)
         timeout_s = last_contact_at + STALE_AFTER_S - asked_at
-        age_s = self.link.ask(FRESHNESS_KIND, None, max(timeout_s, MIN_ASK_TIMEOUT_S))
+        age_s = self.link.ask(FRESHNESS_KIND, None, max(timeout_s, MIN_REQUEST_TIMEOUT_S))
         self.fresh_at = max(self.fresh_at, asked_at - age_s)
         self.answered_at = asked_at
 
@@ -392,7 +392,7 @@
             if needs_snapshot:
                 self.taking_snapshot = False
 
-    def send_up(self, body: Any) -> None:
+    def send_report(self, body: Any) -> None:
         """Send a report to the parent with the freshest updates; drop it where there is none."""
         connected = [
             subscription
--- a/flintreach/dissemination/relay_tree.py
+++ b/flintreach/dissemination/relay_tree.py
@@ -20,7 +20,7 @@
     return max(1, CONTROLLER_FANOUT * controllers // (PARENTS * max(1, zones)))
 
 
-def parents(member: Member, controllers: Sequence[Member], proxies: Sequence[Member]) -> list[Member]:
+def choose_parents(member: Member, controllers: Sequence[Member], proxies: Sequence[Member]) -> list[Member]:
     """Choose the members to receive updates from, the best first.
 
     The place in the tree comes first, then the controllers by nearness.  The second parent is as far from the
--- a/flintreach/dissemination/versioned_store.py
+++ b/flintreach/dissemination/versioned_store.py
@@ -100,7 +100,7 @@
         clock: steady clock, in seconds.
         entries: version and value by key.
         watchers: called with (key, version, value) for each update that was new.
-        droppers: called with the key of each entry that was forgotten.
+        drop_watchers: called with the key of each entry that was forgotten.
         tombstoned_at: when each tombstone was first published, in seconds of `clock`, by key.
     """
 
@@ -113,7 +113,7 @@
         self.clock = clock
         self.entries: dict[str, VersionedValue] = {}
         self.watchers: list[UpdateWatcher] = []
-        self.droppers: list[DropWatcher] = []
+        self.drop_watchers: list[DropWatcher] = []
         self.tombstoned_at: dict[str, float] = {}
         self.bucket_keys: list[set[str]] = [set() for _ in range(BUCKETS)]
         self.bucket_hashes = array("Q", bytes(DIGEST_BYTES))
@@ -161,7 +161,7 @@
             self.bucket_keys[bucket].discard(key)
 
     def drop(self, key: str) -> None:
-        """Forget a key, and notify the droppers.
+        """Forget a key, and notify the drop watchers.
 
         Raises:
             KeyError: the store doesn't have the key.
@@ -169,7 +169,7 @@
         stored = self.entries.pop(key)
         self.tombstoned_at.pop(key, None)
         self._rehash(key, stored, None)
-        for dropper in [*self.droppers]:
+        for dropper in [*self.drop_watchers]:
             dropper(key)
 
     def expire(self) -> None:
@@ -197,7 +197,7 @@
         version, _ = self.entries[key]
         return version
 
-    def under(self, prefix: str) -> dict[str, Any]:
+    def with_prefix(self, prefix: str) -> dict[str, Any]:
         """Give the values of all keys with a prefix, by the rest of the key, without those that are None."""
         return {
             key[len(prefix) :]: value
--- a/flintreach/membership/failure_detector.py
+++ b/flintreach/membership/failure_detector.py
@@ -51,7 +51,7 @@
             runtime: clock, tasks and chance; by default those of gevent.
         """
         self.runtime = runtime or Runtime()
-        self.member_list = MemberList(local_member, self.runtime.chance.randrange, self.runtime.now_ns())
+        self.member_list = MemberList(local_member, self.runtime.rng.randrange, self.runtime.now_ns())
         self.seeds = seeds
         self.tick_ms = tick_ms
         self.watchers: list[Callable[[], None]] = []
@@ -126,7 +126,7 @@
         for watcher in self.watchers:
             watcher()
 
-    def change(self, **changes: Any) -> None:
+    def update_local(self, **changes: Any) -> None:
         """Change fields of this process, and send that at once to a few others, controllers first.
 
         Args:
@@ -135,6 +135,6 @@
         member_list = self.member_list
         member_list.update_local(self.runtime.now_ns(), **changes)
         others = [member for member in member_list.alive() if member is not member_list.local_member]
-        others.sort(key=lambda member: (member.role != ROLE_CONTROLLER, self.runtime.chance.random()))
+        others.sort(key=lambda member: (member.role != ROLE_CONTROLLER, self.runtime.rng.random()))
         for member in others[:TOLD_AT_ONCE]:
             self.send([(member.address, member_list.message(PING, 0))])
--- a/flintreach/proxy/attempt.py
+++ b/flintreach/proxy/attempt.py
@@ -214,12 +214,12 @@
             return
         running, waiting, _ = counts
         endpoint.record_reported_load(running, waiting, now)
-        self.load_aggregate.reported_load(endpoint.id, (running + waiting) / endpoint.concurrency_limit)
+        self.load_aggregate.add_endpoint_load(endpoint.id, (running + waiting) / endpoint.concurrency_limit)
 
     def record_success(self, endpoint: EndpointView, service: str, response: Response, took_ns: int) -> None:
         """Record an answer: the endpoint is healthy, and `took_ns` is a sample of its latency."""
         endpoint.record_success()
         if self.view.is_sharded(service):
-            self.load_aggregate.answer(service, len(response.body))
+            self.load_aggregate.count_response_bytes(service, len(response.body))
         previous_ns = self.average_latency_ns.get(service, took_ns)
         self.average_latency_ns[service] = (7 * previous_ns + took_ns) // 8
--- a/flintreach/proxy/forwarding.py
+++ b/flintreach/proxy/forwarding.py
@@ -198,14 +198,14 @@
         time_left_ms = parse_count(request.headers_by_name.get("x-time-left-ms", ""))
         if time_left_ms is not None:
             time_left_ns = min(time_left_ns, time_left_ms * NS_PER_MS)
-        self.load_aggregate.request(format_slice_name(route, service))
+        self.load_aggregate.count_request(format_slice_name(route, service))
         budget = self.retry_budget(service)
         budget.count_request(time.monotonic_ns())
         key = parse_count(request.headers_by_name.get("x-shard-key", ""))
         if key is not None and key >= KEYS:
             key = None
         if key is not None and self.view.is_sharded(service):
-            self.load_aggregate.key(service, key // BUCKET_KEYS)
+            self.load_aggregate.count_key_request(service, key // BUCKET_KEYS)
         deadline = request.received_at + time_left_ns
         return RoutedRequest(request, route, service, key, deadline, budget)
 
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -21,7 +21,7 @@
 from flintreach.config.settings import parse_address
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.relay import Relay
-from flintreach.dissemination.relay_tree import parents
+from flintreach.dissemination.relay_tree import choose_parents
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
@@ -101,7 +101,7 @@
         )
         self.failure_detector = FailureDetector(member, self.controller_addresses)
         self.failure_detector.watchers.append(self.update_position)
-        self.relay = Relay(self.peer_pool, self.updates, self.choose_parents, self.load_aggregate.add)
+        self.relay = Relay(self.peer_pool, self.updates, self.choose_parents, self.load_aggregate.add_report)
         self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.request_limits)
         ready_address = parse_address(node.network.posts[READY_PORT])
         self.ready_listener = pywsgi.WSGIServer(ready_address, self.serve_ready, log=None)
@@ -129,7 +129,7 @@
         controllers = [member for member in alive if member.ready] or alive
         if not controllers:
             return []
-        chosen = parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
+        chosen = choose_parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
         return [member.address for member in chosen]
 
     def update_position(self) -> None:
@@ -166,9 +166,9 @@
         """Sends load reports to the controllers periodically."""
         while True:
             gevent.sleep(LOAD_REPORT_INTERVAL_S)
-            body = self.load_aggregate.take()
+            body = self.load_aggregate.flush()
             if body:
-                self.relay.send_up(body)
+                self.relay.send_report(body)
 
     def prune_connections(self) -> None:
         """Closes idle connections to endpoints periodically."""
@@ -211,7 +211,7 @@
             return
         self.client_listener.start()
         self.is_ready = True
-        self.failure_detector.change(ready=True)
+        self.failure_detector.update_local(ready=True)
         say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
 
     def drain(self) -> int:
@@ -223,7 +223,7 @@
         say("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
         self.client_listener.draining = True
         end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
-        self.failure_detector.change(ready=False)
+        self.failure_detector.update_local(ready=False)
         if not self.is_ready:
             return 0
         gevent.sleep(DRAIN_NOTICE_S)
@@ -235,7 +235,7 @@
             if not self.client_listener.handlers:
                 break
             gevent.sleep(DRAIN_POLL_INTERVAL_S)
-        self.failure_detector.change(state=LEFT_STATE)
+        self.failure_detector.update_local(state=LEFT_STATE)
         say("stopped", counts=self.metrics.counts, greatest=self.metrics.max_values())
         return 0
 
--- a/flintreach/proxy/view.py
+++ b/flintreach/proxy/view.py
@@ -111,7 +111,7 @@
         # Subset index of the last call to `assign_subsets`; None if endpoints changed since.
         self.subset_index: SubsetIndex | None = None
         updates.watchers.append(self.apply_update)
-        updates.droppers.append(self.remove_key)
+        updates.drop_watchers.append(self.remove_key)
 
     # Updates from the control plane.
 
@@ -136,7 +136,7 @@
             self.update_key_ranges(name, value)
 
     def remove_key(self, key: str) -> None:
-        """Handles the removal of a key from the store; registered with the store's droppers."""
+        """Handles the removal of a key from the store; registered with the store's drop_watchers."""
         self.apply_update(key, None, None)
 
     def update_evacuations(self, evacuated: dict[str, bool]) -> None:
--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -65,7 +65,7 @@
         self.checker = checker
         self.sim = site.sim
         self.runtime = site.runtime
-        self.chance = site.runtime.chance
+        self.chance = site.runtime.rng
         self.number = 0
         self.salt = 0
         self.endpoint_count = 0
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -561,7 +561,7 @@
         """
         updates = self.updates(process)
         ready = {}
-        for key, view in updates.under(ENDPOINT_KEY_PREFIX).items():
+        for key, view in updates.with_prefix(ENDPOINT_KEY_PREFIX).items():
             ready[key] = view["state"] == EndpointState.READY
         steady_ready = {id: ready.get(id, False) for id in steady}
         version = updates.entries.get(CONFIGURATION_KEY, (None,))[0]
--- a/flintreach/simulation/network.py
+++ b/flintreach/simulation/network.py
@@ -4,7 +4,7 @@
 UDP socket under `membership.failure_detector.FailureDetector`.
 
 What is modelled of TCP: order within a direction, bytes that a partition holds up, an end after
-`MUTE_LIMIT_MS` without an acknowledgement (`transport/peer_connection.py` asks the system for that), resets
+`USER_TIMEOUT_MS` without an acknowledgement (`transport/peer_connection.py` asks the system for that), resets
 by a process that is gone, silence of a machine without power, a receiver that sleeps while its system still
 acknowledges.
 """
@@ -21,7 +21,7 @@
 from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND, Simulation
 from flintreach.transport.peer_connection import (
     ANSWER_KIND,
-    MUTE_LIMIT_MS,
+    USER_TIMEOUT_MS,
     Address,
     ConnectionClosed,
     MessageHandler,
@@ -333,10 +333,10 @@
         """From now on nothing is acknowledged: have `give_up` look at that when the time limit is over."""
         if link.unacknowledged_since_ns is None:
             link.unacknowledged_since_ns = self.sim.now_ns
-            self.sim.after(MUTE_LIMIT_MS * NS_PER_MS, self.give_up, link)
+            self.sim.after(USER_TIMEOUT_MS * NS_PER_MS, self.give_up, link)
 
     def give_up(self, link: PeerConnection) -> None:
-        """End a connection whose data stayed unacknowledged for `MUTE_LIMIT_MS`, if it still does."""
+        """End a connection whose data stayed unacknowledged for `USER_TIMEOUT_MS`, if it still does."""
         link.unacknowledged_since_ns = None
         receiver = link.peer.process.machine
         reachable = self.joined(link.process.machine.ip, receiver.ip) and receiver.powered
--- a/flintreach/simulation/process.py
+++ b/flintreach/simulation/process.py
@@ -316,7 +316,7 @@
     """`transport.runtime.RuntimeInterface` of one simulated process.
 
     Attributes:
-        chance: draws of the process's own, from the simulation's seed.
+        rng: draws of the process's own, from the simulation's seed.
         clock_offset_ns: from virtual time to the steady clock of the machine.
     """
 
@@ -324,7 +324,7 @@
         """Take the machine's steady clock as it stands."""
         self.process = process
         self.sim = process.sim
-        self.chance = random.Random(process.sim.chance.getrandbits(64))
+        self.rng = random.Random(process.sim.chance.getrandbits(64))
         self.clock_offset_ns = process.machine.clock_offset_ns
 
     def now(self) -> float:
@@ -351,7 +351,7 @@
         """Make a lock."""
         return Lock(self.process)
 
-    def all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
+    def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
         """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
         tasks = [self.spawn(call) for call in calls]
         left = len(tasks)
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -23,7 +23,7 @@
 from flintreach.controller.http_api import ControlApi
 from flintreach.controller.program import LISTENER_CALLS
 from flintreach.dissemination.relay import Relay
-from flintreach.dissemination.relay_tree import parents
+from flintreach.dissemination.relay_tree import choose_parents
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.endpoints.registry import EndpointRegistry
 from flintreach.membership.member_list import Member, MemberState
@@ -173,7 +173,7 @@
 
     def begin(self) -> None:
         """The control plane has caught up: answer callers from now on."""
-        self.failure_detector.change(ready=True)
+        self.failure_detector.update_local(ready=True)
         self.listening = True
         self.sim.note(self.name, "answers callers")
         self.site.checker.check_start(self)
@@ -188,7 +188,7 @@
 
         def leave() -> None:
             self.plane.repair.voter_manager.hand_over()
-            self.failure_detector.change(state=MemberState.LEFT)
+            self.failure_detector.update_local(state=MemberState.LEFT)
             self.sim.after(0, self.end, True)
             self.sim.after(0, ended)
 
@@ -236,7 +236,7 @@
         controllers = [member for member in known if member.ready] or known
         if not controllers:
             return []
-        chosen = parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
+        chosen = choose_parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
         return [member.address for member in chosen]
 
 
--- a/flintreach/transport/peer_connection.py
+++ b/flintreach/transport/peer_connection.py
@@ -27,7 +27,7 @@
 MAX_PENDING_QUESTIONS = 4096  # of ours without an answer yet
 MAX_RUNNING_HANDLERS = 1024  # the peer's questions that are worked on
 RECEIVE_BYTES = 65536
-MUTE_LIMIT_MS = 1500  # for which data may stay unacknowledged
+USER_TIMEOUT_MS = 1500  # for which data may stay unacknowledged
 
 # Kinds of answers, as earlier releases sent them.
 ANSWER_KIND = ""
@@ -86,7 +86,7 @@
         self,
         sock: socket.socket,
         handlers: MessageHandlers,
-        mute_ms: int = MUTE_LIMIT_MS,
+        mute_ms: int = USER_TIMEOUT_MS,
         meter: TrafficMeter | None = None,
     ) -> None:
         """Serve a socket that is connected.
@@ -298,7 +298,7 @@
     address: Address,
     handlers: MessageHandlers,
     timeout: float = 1.0,
-    mute_ms: int = MUTE_LIMIT_MS,
+    mute_ms: int = USER_TIMEOUT_MS,
     meter: TrafficMeter | None = None,
 ) -> PeerConnection:
     """Connect to another process.
--- a/flintreach/transport/peer_pool.py
+++ b/flintreach/transport/peer_pool.py
@@ -25,8 +25,8 @@
     Attributes:
         address: where this process listens.
         handlers: what this process answers, by kind of message.
-        links: connections that this process dialled, by address.
-        locks: held while a connection to an address is dialled.
+        connections: connections that this process dialled, by address.
+        dial_locks: held while a connection to an address is dialled.
     """
 
     def __init__(self, address: Address, runtime: RuntimeInterface | None = None) -> None:
@@ -39,8 +39,8 @@
         self.address = address
         self.handlers: MessageHandlers = {}
         self.runtime = runtime or Runtime()
-        self.links: dict[Address, PeerConnection] = {}
-        self.locks: dict[Address, LockInterface] = {}
+        self.connections: dict[Address, PeerConnection] = {}
+        self.dial_locks: dict[Address, LockInterface] = {}
 
     def start(self) -> None:
         """Listen for other processes."""
@@ -61,7 +61,7 @@
         """Give messages and bytes by kind since the start, as rows; see `TrafficMeter.rows`."""
         return self.meter.rows()
 
-    def link(self, address: Address, timeout: float) -> PeerConnection:
+    def connect(self, address: Address, timeout: float) -> PeerConnection:
         """Give the connection to a process, dialled if there is none.
 
         Args:
@@ -73,25 +73,25 @@
             ConnectionClosed: another caller was still dialling when the time was over.
         """
         deadline = self.runtime.now() + timeout
-        lock = self.locks.setdefault(address, self.runtime.lock())
+        lock = self.dial_locks.setdefault(address, self.runtime.lock())
         if not lock.acquire(timeout=timeout):
             raise ConnectionClosed
         try:
-            connection = self.links.get(address)
+            connection = self.connections.get(address)
             if connection is None or connection.closed:
                 remaining = max(MIN_DIAL_TIMEOUT_S, deadline - self.runtime.now())
                 connection = self.runtime.dial(address, self.handlers, remaining)
-                self.links[address] = connection
+                self.connections[address] = connection
             return connection
         finally:
             lock.release()
 
-    def forget(self, address: Address) -> None:
+    def disconnect(self, address: Address) -> None:
         """Close the connection to a process that has left, and keep nothing of it."""
-        connection = self.links.pop(address, None)
+        connection = self.connections.pop(address, None)
         if connection is not None:
             connection.close()
-        self.locks.pop(address, None)
+        self.dial_locks.pop(address, None)
 
     def ask(self, address: Address, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
         """Ask a process, once at the most.
@@ -107,7 +107,7 @@
         """
         asked_at = self.runtime.now()
         try:
-            connection = self.link(address, timeout)
+            connection = self.connect(address, timeout)
             remaining = asked_at + timeout - self.runtime.now()
             if remaining <= 0:
                 return None
--- a/flintreach/transport/runtime.py
+++ b/flintreach/transport/runtime.py
@@ -62,7 +62,7 @@
 class RuntimeInterface(Protocol):
     """What a process offers to the code that runs in it.  Times are seconds, if not named otherwise."""
 
-    chance: Any  # with the functions of module `random`
+    rng: Any  # with the functions of module `random`
 
     def now(self) -> float:
         """Give the steady clock in seconds."""
@@ -89,7 +89,7 @@
             OSError: no connection came up within `timeout` seconds.
         """
 
-    def all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
+    def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
         """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
 
 
@@ -113,7 +113,7 @@
         meter: counts the traffic of all connections of the process.
     """
 
-    chance = random
+    rng = random
 
     def __init__(self) -> None:
         """Begin with a meter at zero."""
@@ -151,6 +151,6 @@
         """
         return dial(address, handlers, timeout, meter=self.meter)
 
-    def all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
+    def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
         """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
         gevent.joinall([gevent.spawn(call) for call in calls], timeout=timeout)
--- a/tests/consensus/cluster_model.py
+++ b/tests/consensus/cluster_model.py
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.time_s = 0.0
-        self.chance = SimpleNamespace(uniform=lambda low, high: low)
+        self.rng = SimpleNamespace(uniform=lambda low, high: low)
 
     def now(self) -> float:
         return self.time_s
@@ -64,7 +64,7 @@
     def lock(self) -> contextlib.AbstractContextManager:
         return contextlib.nullcontext()
 
-    def all(self, calls: list[Callable[[], Any]], timeout: float) -> None:
+    def run_all(self, calls: list[Callable[[], Any]], timeout: float) -> None:
         for call in calls:
             call()
 
--- a/tests/controller/simulated_peers.py
+++ b/tests/controller/simulated_peers.py
@@ -166,7 +166,7 @@
     def __init__(self, size: int, disks: dict[Address, dict[str, Slot]] | None = None) -> None:
         self.now = 100.0
         self.blocked_links: set[tuple[Address, Address]] = set()
-        self.chance = random.Random(1)
+        self.rng = random.Random(1)
         self.addresses = [(f"10.0.0.{number}", 7) for number in range(size)]
         self.voters = Voters(1, tuple((address, "") for address in self.addresses))
         self.nodes = [Node(self, address, (disks or {}).get(address)) for address in self.addresses]
@@ -215,7 +215,7 @@
         self.cluster = cluster
         self.address = address
         self.handlers: dict[str, Callable[..., Any]] = {}
-        self.chance = cluster.chance
+        self.rng = cluster.rng
         self.updates = VersionedStore()
         self.peer_pool = self
         self.runtime = self
--- a/tests/controller/test_endpoint_service.py
+++ b/tests/controller/test_endpoint_service.py
@@ -124,7 +124,7 @@
 
     def __init__(self, size: int = 3, voters: int | None = None, seed: int = 0) -> None:
         super().__init__()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.blocked_links: set[tuple[Address, Address]] = set()
         addresses = [(f"10.0.0.{number}", 7) for number in range(size)]
         self.voters = Voters(1, tuple((address, "") for address in addresses[: voters or size]))
@@ -776,13 +776,15 @@
 
     def test_connections_to_departed_controllers_are_closed_and_removed(self) -> None:
         peer_pool, link = PeerPool(("10.0.0.1", 7), mock.Mock()), mock.Mock()
-        for table in (peer_pool.links, peer_pool.locks):
+        for table in (peer_pool.connections, peer_pool.dial_locks):
             table.update({("10.0.0.2", 7): link, ("10.0.0.3", 7): link})
         member_list = mock.Mock(members={"b": mock.Mock(address=("10.0.0.2", 7))})
         plane = mock.Mock(peer_pool=peer_pool, member_list=member_list, voter_addresses=[], seeds=list)
         ControlPlane.close_departed_connections(plane)
         ControlPlane.close_departed_connections(plane)
-        self.assertEqual([[*table] for table in (peer_pool.links, peer_pool.locks)], [[("10.0.0.2", 7)]] * 2)
+        self.assertEqual(
+            [[*table] for table in (peer_pool.connections, peer_pool.dial_locks)], [[("10.0.0.2", 7)]] * 2
+        )
         link.close.assert_called_once()
 
 
--- a/tests/controller/test_key_ranges.py
+++ b/tests/controller/test_key_ranges.py
@@ -22,7 +22,7 @@
         self.assertEqual([*key_ranges.region_biases], ["new"])
         self.assertEqual([*key_ranges.key_load.keys], [])
         self.assertEqual([*key_ranges.key_load.bytes], ["new"])
-        self.assertEqual([*updates.under("bunks/")], ["new"])
+        self.assertEqual([*updates.with_prefix("bunks/")], ["new"])
         self.assertTrue(updates.offer("bunks/old", [3, 10], []), "an update of the next owner is rejected")
 
 
--- a/tests/dissemination/test_load_aggregate.py
+++ b/tests/dissemination/test_load_aggregate.py
@@ -9,18 +9,18 @@
     def test_sums_of_relays_add_up(self) -> None:
         parent = LoadAggregate()
         child = LoadAggregate()
-        child.request("s")
-        child.key("k", 7)
-        child.answer("k", 900)
-        parent.key("k", 7, 2)
-        child.reported_load("e", 0.5)
-        parent.request("s")
-        parent.add(child.take())
+        child.count_request("s")
+        child.count_key_request("k", 7)
+        child.count_response_bytes("k", 900)
+        parent.count_key_request("k", 7, 2)
+        child.add_endpoint_load("e", 0.5)
+        parent.count_request("s")
+        parent.add_report(child.flush())
         self.assertEqual(
-            parent.take(),
+            parent.flush(),
             {"came": {"s": 2}, "keys": {"k": {7: 3}}, "bytes": {"k": 900}, "load": {"e": [0.5, 1]}},
         )
-        self.assertIsNone(parent.take())
+        self.assertIsNone(parent.flush())
 
 
 if __name__ == "__main__":
--- a/tests/dissemination/test_relay.py
+++ b/tests/dissemination/test_relay.py
@@ -268,7 +268,7 @@
             updates.offer("timetable", 3, b"conf")
         self.second.offer("hut/both", [2, 0], endpoint_update("closing"))
         dropped: list[str] = []
-        self.second.droppers.append(dropped.append)
+        self.second.drop_watchers.append(dropped.append)
         self.first.offer("hut/old", [1, 2], endpoint_update("gone"))
         self.runtime.at += TOMBSTONE_HORIZON_S + SNAPSHOT_AFTER_S
         self.first.expire()
--- a/tests/dissemination/test_relay_tree.py
+++ b/tests/dissemination/test_relay_tree.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
-from flintreach.dissemination.relay_tree import CONTROLLER_FANOUT, FANOUT, parents
+from flintreach.dissemination.relay_tree import CONTROLLER_FANOUT, FANOUT, choose_parents
 from flintreach.membership.member_list import Member
 
 
@@ -23,7 +23,8 @@
 def parent_names(controllers: list[Member], proxies: list[Member]) -> dict[str, list[str]]:
     """The names of each proxy's two parents, by the proxy's name."""
     return {
-        proxy.name: [parent.name for parent in parents(proxy, controllers, proxies)[:2]] for proxy in proxies
+        proxy.name: [parent.name for parent in choose_parents(proxy, controllers, proxies)[:2]]
+        for proxy in proxies
     }
 
 
--- a/tests/transport/peers.py
+++ b/tests/transport/peers.py
@@ -16,7 +16,7 @@
 
     def tearDown(self) -> None:
         for pool in self.pools:
-            for link in pool.links.values():
+            for link in pool.connections.values():
                 link.close()
             pool.server.stop(timeout=0)
         for peer in self.scripted_peers:
--- a/tests/transport/test_peer_pool.py
+++ b/tests/transport/test_peer_pool.py
@@ -33,7 +33,7 @@
             for kind in ("raises", "long", "odd", "no such kind"):
                 self.assertIsNone(asker.ask(peer.server.address, kind, None, 30.0), kind)
                 self.assertEqual(asker.ask(peer.server.address, "good"), 1)
-        self.assertEqual(len(asker.links), 1)
+        self.assertEqual(len(asker.connections), 1)
         self.assertEqual(
             peer.meter.faults, {"raises failed": 1, "too long": 1, "odd failed": 1, "unknown question": 1}
         )
@@ -44,12 +44,12 @@
         address = peer.server.address
         with mock.patch("flintreach.transport.peer_connection.MAX_MESSAGE_BYTES", 4000), gevent.Timeout(2):
             self.assertEqual(asker.ask(address, "good"), 1)
-            link = asker.links[address]
+            link = asker.connections[address]
             self.assertIsNone(asker.ask(address, "good", b"x" * 4000, 30.0))
             self.assertFalse(link.send("good", b"x" * 4000))
             self.assertTrue(link.send("good", b"x" * 3000))
             self.assertEqual(asker.ask(address, "good"), 1)
-        self.assertIs(asker.links[address], link)
+        self.assertIs(asker.connections[address], link)
         self.assertEqual(asker.meter.faults, {"too long": 2})
 
 
@@ -60,17 +60,20 @@
         with self.assertRaises(gevent.Timeout):
             with gevent.Timeout(0.02):
                 asker.ask(address, "k", None, 30.0)
-        self.assertEqual(asker.links[address].pending, {})
+        self.assertEqual(asker.connections[address].pending, {})
 
     def test_one_time_limit_holds_for_the_connection_and_the_answer(self) -> None:
         asker = self.pool()
         now = [100.0]
 
-        def link(address: Address, timeout: float) -> SimpleNamespace:
+        def connect(address: Address, timeout: float) -> SimpleNamespace:
             now[0] += 0.7
             return SimpleNamespace(ask=lambda kind, body, timeout: timeout)
 
-        with mock.patch.object(asker, "link", link), mock.patch.object(asker.runtime, "now", lambda: now[0]):
+        with (
+            mock.patch.object(asker, "connect", connect),
+            mock.patch.object(asker.runtime, "now", lambda: now[0]),
+        ):
             self.assertAlmostEqual(asker.ask(("10.0.0.1", 7), "k", None, 1.0), 0.3)
             self.assertIsNone(asker.ask(("10.0.0.1", 7), "k", None, 0.5))
 
@@ -81,7 +84,7 @@
         asker = self.pool()
         for _ in range(3):
             asker.ask(peer.server.address, "echo", b"x" * 1000)
-        asker.links[peer.server.address].send("stray", 1)
+        asker.connections[peer.server.address].send("stray", 1)
         asker.ask(peer.server.address, "echo")
         asker_rows = {row["kind"]: row for row in asker.traffic()}
         peer_rows = {row["kind"]: row for row in peer.traffic()}
