--- a/flintreach/membership/__init__.py
+++ b/flintreach/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes there are, found by probes, second opinions and suspicion (SWIM)."""
+"""Group membership and failure detection with the SWIM protocol."""
--- a/flintreach/membership/failure_detector.py
+++ b/flintreach/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The member list on a UDP socket: datagrams in, datagrams out, joining by seeds that may be old or down."""
+"""Runs the member list on a UDP socket, and joins the group through seeds, which may be outdated or down."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -19,19 +19,19 @@
 
 MAX_DATAGRAM_BYTES = 65536
 TICK_MS = 100
-JOIN_PERIOD_ALONE_MS = 100
+JOIN_PERIOD_ISOLATED_MS = 100  # while no other controller is known
 JOIN_PERIOD_MS = 3000
-TOLD_AT_ONCE = 6  # members that hear of a change of this process without waiting for a probe
+IMMEDIATE_UPDATE_TARGETS = 6  # members that receive a local change without waiting for a probe
 
 encode = msgspec.msgpack.encode
 decode = msgspec.msgpack.decode
 
 
 class FailureDetector:
-    """Runs a member list, and tells watchers when it changed.
+    """Runs a member list, and notifies watchers of changes.
 
     Attributes:
-        member_list: what is believed of all processes.
+        member_list: the known processes and their states.
         watchers: called without arguments after changes of the list.
     """
 
@@ -46,9 +46,9 @@
 
         Args:
             local_member: this process.
-            seeds: gives addresses to join by; asked anew each time, as the settings file may change.
+            seeds: returns the addresses to join through; called each time, as the settings file may change.
             tick_ms: milliseconds between ticks of the member list.
-            runtime: clock, tasks and chance; by default those of gevent.
+            runtime: clock, tasks and random numbers; by default those of gevent.
         """
         self.runtime = runtime or Runtime()
         self.member_list = MemberList(local_member, self.runtime.rng.randrange, self.runtime.now_ns())
@@ -59,29 +59,33 @@
         self.open()
 
     def open(self) -> None:
-        """Bind the socket to this process's address.  Raises OSError."""
+        """Bind the socket to this process's address.
+
+        Raises:
+            OSError: the address is not available.
+        """
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(self.member_list.local_member.address)
 
     def start(self) -> None:
-        """Begin to receive and to probe."""
+        """Start receiving and probing."""
         self.runtime.spawn(self.listen)
         self.runtime.spawn(self.run)
 
     def send_datagram(self, data: bytes, address: Address) -> None:
-        """Send one datagram, if that is possible now."""
+        """Send one datagram; drop it on a socket error."""
         try:
             self.sock.sendto(data, address)
-        except OSError:  # a full link drops datagrams; the next period asks again
+        except OSError:  # equivalent to packet loss: the next probe period retries
             pass
 
     def send(self, datagrams: Datagrams) -> None:
-        """Send messages of the member list."""
+        """Encode and send messages of the member list."""
         for address, message in datagrams:
             self.send_datagram(encode(message), tuple(address))
 
     def listen(self) -> None:
-        """Receive datagrams, for ever."""
+        """Receive datagrams until the process exits."""
         while True:
             try:
                 data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
@@ -90,7 +94,7 @@
             self.on_datagram(data, source)
 
     def on_datagram(self, data: bytes, source: Address) -> None:
-        """Take one datagram, whatever it holds."""
+        """Handle one datagram; malformed ones are ignored."""
         try:
             self.send(self.member_list.receive(source, decode(data), self.runtime.now_ns()))
         except (msgspec.DecodeError, TypeError, ValueError):
@@ -98,12 +102,13 @@
         self.notify()
 
     def run(self) -> None:
-        """Join, probe and notify at each tick, for ever."""
+        """Join, probe and notify watchers at each tick until the process exits."""
         joined_ns: int | None = None
         while True:
             now = self.runtime.now_ns()
-            # Alone a process asks often; later now and then, so that two halves with other seeds meet.
-            period_ms = JOIN_PERIOD_ALONE_MS if self._knows_no_other_controller() else JOIN_PERIOD_MS
+            # An isolated process joins often.  Later joins are periodic, so that two groups that formed
+            # around different seeds merge.
+            period_ms = JOIN_PERIOD_ISOLATED_MS if self._knows_no_other_controller() else JOIN_PERIOD_MS
             if joined_ns is None or now >= joined_ns + period_ms * MS:
                 joined_ns = now
                 self.send(self.member_list.join(self.seeds()))
@@ -112,14 +117,14 @@
             self.runtime.sleep(self.tick_ms / 1000)
 
     def _knows_no_other_controller(self) -> bool:
-        """Whether no controller but this process is believed alive."""
+        """Whether no controller other than this process is considered alive."""
         controllers = len(self.member_list.alive(ROLE_CONTROLLER))
         if self.member_list.local_member.role == ROLE_CONTROLLER:
             controllers -= 1
         return controllers < 1
 
     def notify(self) -> None:
-        """Call the watchers if the list has changed since they were called last."""
+        """Call the watchers if the list has changed since the last notification."""
         if self.member_list.version == self.notified_version:
             return
         self.notified_version = self.member_list.version
@@ -127,7 +132,7 @@
             watcher()
 
     def update_local(self, **changes: Any) -> None:
-        """Change fields of this process, and send that at once to a few others, controllers first.
+        """Change fields of this process, and send the change immediately to a few members, controllers first.
 
         Args:
             **changes: new values by field of `Member`.
@@ -136,5 +141,5 @@
         member_list.update_local(self.runtime.now_ns(), **changes)
         others = [member for member in member_list.alive() if member is not member_list.local_member]
         others.sort(key=lambda member: (member.role != ROLE_CONTROLLER, self.runtime.rng.random()))
-        for member in others[:TOLD_AT_ONCE]:
+        for member in others[:IMMEDIATE_UPDATE_TARGETS]:
             self.send([(member.address, member_list.message(PING, 0))])
