--- a/flintreach/dissemination/__init__.py
+++ b/flintreach/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned updates down a tree of relays, load figures up it."""
+"""Distribution of versioned updates down a tree of relays, and aggregation of load reports up it."""
--- a/flintreach/dissemination/load_aggregate.py
+++ b/flintreach/dissemination/load_aggregate.py
@@ -1,13 +1,13 @@
-"""Load figures that proxies report upward, summed up at each relay.  Pure: no I/O.
+"""Aggregation of load reports on their way from the proxies to the controllers.  Pure: no I/O.
 
-Proxies count requests, keys and bytes as they serve, and note the load that endpoints report.  Each sends its
-aggregate to its parent every so often; a relay adds it to its own, so one report a link reaches the
-controllers, which place by it.
+Proxies count requests, keys and response bytes, and record the load that endpoints report.  Each proxy
+periodically sends its aggregate to its parent, which adds it to its own.  Each connection therefore carries
+only one report per period.  The controllers use the sums for placement.
 """
 
 from typing import Any
 
-# Keys of a report's body on the wire, as earlier releases wrote them.
+# Keys of a report's body on the wire; fixed for compatibility with earlier releases.
 REQUESTS_FIELD = "came"
 KEYS_FIELD = "keys"
 BYTES_FIELD = "bytes"
@@ -19,53 +19,53 @@
 
     Attributes:
         requests: number of requests by slice.
-        key_requests: number of requests by bucket of keys, by sharded service.
-        answer_bytes: bytes of answers by sharded service.
-        endpoint_load: by endpoint the sum of its reported loads, each divided by the endpoint's concurrency
+        key_requests: number of requests by key bucket, by sharded service.
+        response_bytes: bytes of responses by sharded service.
+        endpoint_load: by endpoint, the sum of its reported loads, each divided by the endpoint's concurrency
             limit, and the number of reports.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Create an empty aggregate."""
         self._clear()
 
     def _clear(self) -> None:
         self.requests: dict[str, int] = {}
         self.key_requests: dict[str, dict[int, int]] = {}
-        self.answer_bytes: dict[str, int] = {}
+        self.response_bytes: dict[str, int] = {}
         self.endpoint_load: dict[str, list[float]] = {}
 
     def count_request(self, slice_name: str, count: int = 1) -> None:
-        """Count requests to a slice."""
+        """Add requests to the count of a slice."""
         self.requests[slice_name] = self.requests.get(slice_name, 0) + count
 
     def count_key_request(self, service: str, bucket: int, count: int = 1) -> None:
-        """Count requests for keys of one bucket of a sharded service."""
+        """Add requests to the count of a key bucket of a sharded service."""
         buckets = self.key_requests.setdefault(service, {})
         buckets[bucket] = buckets.get(bucket, 0) + count
 
     def count_response_bytes(self, service: str, size: int) -> None:
-        """Count the bytes of an answer of a sharded service."""
-        self.answer_bytes[service] = self.answer_bytes.get(service, 0) + size
+        """Add the size of a response to the count of a sharded service."""
+        self.response_bytes[service] = self.response_bytes.get(service, 0) + size
 
     def add_endpoint_load(self, endpoint_id: str, load: float, count: int = 1) -> None:
-        """Add loads that an endpoint reported.
+        """Add loads reported by an endpoint.
 
         Args:
-            endpoint_id: which endpoint.
-            load: requests running and waiting over the endpoint's concurrency limit; of several reports, the
-                sum.
-            count: how many reports.
+            endpoint_id: ID of the endpoint.
+            load: running and waiting requests divided by the endpoint's concurrency limit; the sum for
+                several reports.
+            count: number of reports.
         """
         load_and_count = self.endpoint_load.setdefault(endpoint_id, [0.0, 0])
         load_and_count[0] += load
         load_and_count[1] += count
 
     def add_report(self, body: dict[str, Any]) -> None:
-        """Add the report of a child, as `flush` gave it there.
+        """Add the report of a child, as returned by its `flush`.
 
         Raises:
-            KeyError, TypeError, ValueError, AttributeError: the body doesn't have the shape of a report.
+            KeyError, TypeError, ValueError, AttributeError: the report is malformed.
         """
         for slice_name, count in body[REQUESTS_FIELD].items():
             self.count_request(slice_name, count)
@@ -78,7 +78,11 @@
             self.add_endpoint_load(endpoint_id, load, count)
 
     def flush(self) -> dict[str, Any] | None:
-        """Give the sums since the last call as the body of a report, and begin anew; None where all is 0."""
+        """Return the sums since the last call as the body of a report, and reset them.
+
+        Returns:
+            None if neither requests nor endpoint loads were recorded.
+        """
         if not self.requests and not self.endpoint_load:
             return None
         rounded_load = {
@@ -87,7 +91,7 @@
         body = {
             REQUESTS_FIELD: self.requests,
             KEYS_FIELD: self.key_requests,
-            BYTES_FIELD: self.answer_bytes,
+            BYTES_FIELD: self.response_bytes,
             LOAD_FIELD: rounded_load,
         }
         self._clear()
--- a/flintreach/dissemination/versioned_store.py
+++ b/flintreach/dissemination/versioned_store.py
@@ -1,17 +1,20 @@
-"""The updates that a process has: for each key the one with the highest version.  Pure: no I/O.
-
-Every process of the system keeps such a store; relays (`relay.py`) carry updates from the controllers' stores
-down to those of the proxies.  Versions are compared as they come (numbers or lists of them), so an update
-may arrive twice, late, or by several ways: the version of a key never goes back while its process runs.
-
-An update that says that its subject has ended is a tombstone.  It stands for TOMBSTONE_HORIZON_S after it was
-first published anywhere (it travels with its age), rejects older updates of its key, and is then forgotten:
-the size of a store is bounded by what exists.  A process that received nothing for more than SNAPSHOT_AFTER_S
-may have updates whose tombstones the others are about to forget: it takes a snapshot of a store that has the
-tombstones, and drops what that store lacks (`docs/design/endpoints.md` has the proof).
-
-Anti-entropy: two stores find out where they differ by digests, one hash of the keys and versions of each
-bucket.  The first message does not grow with the store; only buckets that differ are compared key by key.
+"""Versioned key-value store: keeps the update with the highest version of each key.  Pure: no I/O.
+
+Every process of the system has such a store; relays (`relay.py`) propagate updates from the controllers'
+stores to those of the proxies.  Versions are numbers or lists of numbers, and are compared directly.  Updates
+may therefore arrive repeatedly, late, or over several paths: the version of a key never decreases while its
+process runs.
+
+An update that reports the end of its subject is a tombstone.  It is kept for TOMBSTONE_HORIZON_S after it was
+first published anywhere (it is sent with its age), rejects older updates of its key, and is then removed, so
+that the size of a store is bounded by the number of live subjects.  A process that received nothing for more
+than SNAPSHOT_AFTER_S may hold updates whose tombstones other processes are about to remove.  It fetches a
+snapshot of a store that has the tombstones, and drops the keys that the snapshot lacks
+(`docs/design/endpoints.md` has the proof).
+
+Anti-entropy: two stores detect differences by digests, which hold one hash of the keys and versions per
+bucket.  The size of the first message does not depend on the size of the store; only buckets that differ are
+compared key by key.
 """
 
 from array import array
@@ -23,12 +26,12 @@
 
 from flintreach.common.keys import ENDPOINT_KEY_PREFIX
 
-TOMBSTONE_HORIZON_S = 120.0  # how long a tombstone stands after it was first published
-SNAPSHOT_AFTER_S = 60.0  # without updates for longer, a process needs a snapshot
-BUCKETS = 256  # by the first byte of a key's hash
+TOMBSTONE_HORIZON_S = 120.0  # lifetime of a tombstone since it was first published
+SNAPSHOT_AFTER_S = 60.0  # a process without updates for longer needs a snapshot
+BUCKETS = 256  # numbered by the first byte of a key's hash
 DIGEST_BYTES = 8 * BUCKETS
 MAX_PORTION_ROWS = 500
-MAX_PORTION_BYTES = 128 << 10  # of one portion; a single larger update goes alone
+MAX_PORTION_BYTES = 128 << 10  # a single larger update is sent in a portion of its own
 
 ENDPOINT_GONE = "gone"  # the state in an endpoint's update that makes it a tombstone
 
@@ -36,9 +39,9 @@
 
 
 class UpdateRow(NamedTuple):
-    """An update as it goes over the wire: an array of four.
+    """An update in its wire representation, an array of four.
 
-    `age_s`: seconds since a tombstone was first published; 0 for any other update.
+    `age_s`: seconds since a tombstone was first published; 0 for other updates.
     """
 
     key: str
@@ -48,10 +51,10 @@
 
 
 class StoreComparison(NamedTuple):
-    """What a peer's digest showed; sent as the end of the answer to a new subscriber.
+    """Result of comparing a peer's digest; sent as the last fields of the response to a new subscriber.
 
-    `buckets`: numbers of the buckets that the peer must still send the versions of; `rows`: updates for
-    buckets in which the peer has nothing, so that no versions need be sent.
+    `buckets`: numbers of the buckets for which the peer must still send its versions; `rows`: updates of
+    buckets that are empty at the peer, for which no versions are needed.
     """
 
     buckets: list[int]
@@ -59,21 +62,21 @@
 
 
 class Portion(NamedTuple):
-    """Some of the updates that a peer lacks, and the buckets that are complete with it: sent as an array."""
+    """Some of the updates that a peer lacks, and the buckets that they complete; sent as an array."""
 
     rows: list[UpdateRow]
     complete_buckets: list[int]
 
 
 # Version and value of a key; a value of None is a tombstone, or "not set" for a system-wide key.  A plain
-# tuple, as one is made for every update that comes.
+# tuple, because one is created for every received update.
 VersionedValue = tuple[Any, Any]
 UpdateWatcher = Callable[[str, Any, Any], None]  # called with key, version, value
 DropWatcher = Callable[[str], None]  # called with the key
 
 
 def is_tombstone(key: str, value: Any) -> bool:
-    """Whether an update is a tombstone.  Keys without a slash are system-wide, and never end."""
+    """Whether an update is a tombstone.  Keys without a slash are system-wide and have no tombstones."""
     if "/" not in key:
         return False
     if value is None:
@@ -82,14 +85,14 @@
 
 
 def hash_version(key: str, version: Any) -> tuple[int, int]:
-    """Give the bucket of a key, and a 64-bit hash of the key with its version."""
+    """Return the bucket of a key, and a 64-bit hash of the key with its version."""
     key_hash = blake2b(key.encode(), digest_size=8).digest()
     version_hash = blake2b(encode(version), digest_size=8, key=key_hash).digest()
     return key_hash[0], int.from_bytes(version_hash, "big")
 
 
-def no_clock() -> float:
-    """Stand still: the clock of a store whose tombstones need not age."""
+def frozen_clock() -> float:
+    """Clock of a store whose tombstones do not age."""
     return 0.0
 
 
@@ -97,18 +100,18 @@
     """Versioned values by key, with tombstones, digests and notification of changes.
 
     Attributes:
-        clock: steady clock, in seconds.
+        clock: monotonic clock in seconds.
         entries: version and value by key.
-        watchers: called with (key, version, value) for each update that was new.
-        drop_watchers: called with the key of each entry that was forgotten.
-        tombstoned_at: when each tombstone was first published, in seconds of `clock`, by key.
+        watchers: called with (key, version, value) for each accepted update.
+        drop_watchers: called with the key of each dropped entry.
+        tombstoned_at: time at which each tombstone was first published, in seconds of `clock`, by key.
     """
 
-    def __init__(self, clock: Callable[[], float] = no_clock) -> None:
-        """Make an empty store.
+    def __init__(self, clock: Callable[[], float] = frozen_clock) -> None:
+        """Create an empty store.
 
         Args:
-            clock: steady clock, in seconds.
+            clock: monotonic clock in seconds.
         """
         self.clock = clock
         self.entries: dict[str, VersionedValue] = {}
@@ -122,33 +125,33 @@
         """Store an update if its version is higher than the stored one, and notify the watchers.
 
         Args:
-            key: what the update is about.
+            key: key of the update.
             version: a number or a list of numbers.
             value: the content; None for a tombstone.
             age: seconds since a tombstone was first published.
 
         Returns:
-            Whether the update was new.
+            Whether the update was accepted.
         """
         stored = self.entries.get(key)
         if stored is not None:
             stored_version, _ = stored
             if not version > stored_version:
                 return False
-        ends = is_tombstone(key, value)
-        if stored is None and ends and age >= TOMBSTONE_HORIZON_S:
-            return False  # others are about to forget it: it would go round for ever
-        self._rehash(key, stored, version)
+        ends_subject = is_tombstone(key, value)
+        if stored is None and ends_subject and age >= TOMBSTONE_HORIZON_S:
+            return False  # peers are about to remove it; accepting it would keep it circulating
+        self._update_hash(key, stored, version)
         self.entries[key] = (version, value)
         self.tombstoned_at.pop(key, None)
-        if ends:
+        if ends_subject:
             self.tombstoned_at[key] = self.clock() - age
         for watcher in [*self.watchers]:
             watcher(key, version, value)
         return True
 
-    def _rehash(self, key: str, stored: VersionedValue | None, version: Any | None) -> None:
-        """Replace a key's version in the hash of its bucket; a `version` of None drops the key."""
+    def _update_hash(self, key: str, stored: VersionedValue | None, version: Any | None) -> None:
+        """Replace a key's version in the hash of its bucket; a `version` of None removes the key."""
         if stored is not None:
             stored_version, _ = stored
             bucket, version_hash = hash_version(key, stored_version)
@@ -161,31 +164,31 @@
             self.bucket_keys[bucket].discard(key)
 
     def drop(self, key: str) -> None:
-        """Forget a key, and notify the drop watchers.
+        """Remove a key, and notify the drop watchers.
 
         Raises:
-            KeyError: the store doesn't have the key.
+            KeyError: the key is not in the store.
         """
         stored = self.entries.pop(key)
         self.tombstoned_at.pop(key, None)
-        self._rehash(key, stored, None)
-        for dropper in [*self.drop_watchers]:
-            dropper(key)
+        self._update_hash(key, stored, None)
+        for watcher in [*self.drop_watchers]:
+            watcher(key)
 
     def expire(self) -> None:
-        """Forget tombstones that are past the horizon."""
+        """Remove tombstones that are past the horizon."""
         now = self.clock()
         expired = [key for key, at in self.tombstoned_at.items() if now - at >= TOMBSTONE_HORIZON_S]
         for key in expired:
             self.drop(key)
 
     def age(self, key: str) -> float:
-        """Give the seconds since a tombstone was first published; 0 for any other key."""
+        """Return the seconds since a tombstone was first published; 0 for other keys."""
         published_at = self.tombstoned_at.get(key)
         return 0.0 if published_at is None else self.clock() - published_at
 
     def get(self, key: str, default: Any = None) -> Any:
-        """Give the value of a key, or `default` where there is none or it is None."""
+        """Return the value of a key, or `default` if the key is absent or its value is None."""
         stored = self.entries.get(key)
         if stored is None:
             return default
@@ -193,29 +196,29 @@
         return default if value is None else value
 
     def _version(self, key: str) -> Any:
-        """Give the version of a key that the store has."""
+        """Return the version of a stored key."""
         version, _ = self.entries[key]
         return version
 
     def with_prefix(self, prefix: str) -> dict[str, Any]:
-        """Give the values of all keys with a prefix, by the rest of the key, without those that are None."""
+        """Return the values other than None of all keys with a prefix, by the remainder of the key."""
         return {
             key[len(prefix) :]: value
             for key, (_, value) in self.entries.items()
             if key.startswith(prefix) and value is not None
         }
 
-    # Anti-entropy: what two stores exchange to become alike.
+    # Anti-entropy between two stores.
 
     def digest(self) -> bytes:
-        """Give one hash for each bucket: always DIGEST_BYTES bytes."""
+        """Return one hash per bucket; always DIGEST_BYTES bytes."""
         return self.bucket_hashes.tobytes()
 
     def compare(self, digest: bytes) -> StoreComparison:
-        """Find out by a peer's digest what it must send the versions of, and what it certainly lacks.
+        """Determine from a peer's digest which buckets need its versions, and which updates it surely lacks.
 
         Raises:
-            ValueError: the digest has another length than DIGEST_BYTES.
+            ValueError: the digest is not DIGEST_BYTES long.
         """
         peer_hashes = array("Q")
         peer_hashes.frombytes(digest)
@@ -226,25 +229,25 @@
         remaining = sorted({*differing} - {*portion.complete_buckets})
         return StoreComparison(remaining, portion.rows)
 
-    def versions(self, buckets: Iterable[int], most: int = MAX_PORTION_ROWS) -> dict[int, dict[str, Any]]:
-        """Give the versions by key of the first of some buckets: about `most` keys, one bucket at least."""
+    def versions(self, buckets: Iterable[int], max_keys: int = MAX_PORTION_ROWS) -> dict[int, dict[str, Any]]:
+        """Return the versions by key of the leading buckets: up to `max_keys` keys, at least one bucket."""
         versions_by_bucket: dict[int, dict[str, Any]] = {}
         for bucket in buckets:
             keys = self.bucket_keys[bucket]
-            if versions_by_bucket and most < len(keys):
+            if versions_by_bucket and max_keys < len(keys):
                 break
-            most -= len(keys)
+            max_keys -= len(keys)
             versions_by_bucket[bucket] = {key: self._version(key) for key in sorted(keys)}
         return versions_by_bucket
 
     def missing(self, peer_versions: Mapping[int, Mapping[str, Any]]) -> Portion:
-        """Give a portion of the updates that a peer lacks or has in an older version.
+        """Return a portion of the updates that a peer lacks or has in an older version.
 
         Args:
             peer_versions: the peer's versions by key, by bucket (see `versions`).
 
         Returns:
-            The updates, tombstones first within each bucket, and the buckets that are complete with them.
+            The updates, tombstones first within each bucket, and the buckets that they complete.
         """
         rows: list[UpdateRow] = []
         complete: list[int] = []
@@ -263,7 +266,7 @@
         return Portion(rows, complete)
 
     def _newer_keys(self, bucket: int, peer_versions: Mapping[str, Any]) -> list[str]:
-        """Give the keys of a bucket that a peer lacks or has in an older version, tombstones first."""
+        """Return the keys of a bucket that a peer lacks or has in an older version, tombstones first."""
         newer = [
             key
             for key in self.bucket_keys[bucket]
@@ -271,23 +274,23 @@
         ]
         return sorted(newer, key=lambda key: (key not in self.tombstoned_at, key))
 
-    def take(self, rows: Iterable[UpdateRow]) -> None:
-        """Offer each of some rows.
+    def apply_rows(self, rows: Iterable[UpdateRow]) -> None:
+        """Offer each row to the store.
 
         Raises:
-            TypeError, ValueError: a row, which a peer sent, doesn't have the shape of one.
+            TypeError, ValueError: a row is malformed.
         """
         for key, version, value, age in rows:
             self.offer(key, version, value, age)
 
     def rows(self) -> list[UpdateRow]:
-        """Give all that the store has, as rows."""
+        """Return the entire content of the store as rows."""
         return [
             UpdateRow(key, version, value, self.age(key)) for key, (version, value) in self.entries.items()
         ]
 
-    def keep_only(self, snapshot: "VersionedStore") -> None:
-        """Drop the entries that a snapshot of an up-to-date store lacks; system-wide keys stay."""
+    def retain_only(self, snapshot: "VersionedStore") -> None:
+        """Drop the entries that a snapshot of an up-to-date store lacks, except system-wide keys."""
         stale = [key for key in self.entries if "/" in key and key not in snapshot.entries]
         for key in stale:
             self.drop(key)
