--- a/tests/dissemination/test_load_aggregate.py
+++ b/tests/dissemination/test_load_aggregate.py
@@ -1,12 +1,12 @@
-"""Load figures add up on their way to the controllers."""
+"""Tests that load reports are summed correctly on their way to the controllers."""
 
 import unittest
 
 from flintreach.dissemination.load_aggregate import LoadAggregate
 
 
-class LoadSums(unittest.TestCase):
-    def test_sums_of_relays_add_up(self) -> None:
+class LoadAggregation(unittest.TestCase):
+    def test_a_parent_adds_reports_of_its_children(self) -> None:
         parent = LoadAggregate()
         child = LoadAggregate()
         child.count_request("s")
--- a/tests/dissemination/test_relay_tree.py
+++ b/tests/dissemination/test_relay_tree.py
@@ -1,4 +1,4 @@
-"""Every proxy has two parents, and no loss of one process takes the updates from it."""
+"""Tests that every proxy has two parents, and that no single process failure cuts it off from updates."""
 
 import unittest
 from collections import Counter
@@ -9,7 +9,7 @@
 
 
 def fleet(proxies: int, zones: int = 4, controllers: int = 5) -> tuple[list[Member], list[Member]]:
-    """Make controllers r0, r1, ... and proxies f0000, f0001, ..., spread over zones in two regions."""
+    """Create controllers r0, r1, ... and proxies f0000, f0001, ..., distributed over zones in two regions."""
 
     def member(name: str, zone: str, role: str = ROLE_PROXY) -> Member:
         return Member(name, role, "ip-" + name, 7, zone, zone[0])
@@ -21,15 +21,15 @@
 
 
 def parent_names(controllers: list[Member], proxies: list[Member]) -> dict[str, list[str]]:
-    """The names of each proxy's two parents, by the proxy's name."""
+    """Names of each proxy's two parents, by the name of the proxy."""
     return {
         proxy.name: [parent.name for parent in choose_parents(proxy, controllers, proxies)[:2]]
         for proxy in proxies
     }
 
 
-class TreeOfRelays(unittest.TestCase):
-    def test_a_small_fleet_receives_from_controllers_and_a_large_one_through_relays(self) -> None:
+class RelayTree(unittest.TestCase):
+    def test_small_fleets_use_controllers_directly_and_large_ones_use_relays(self) -> None:
         for number, direct in ((12, True), (80, True), (1000, False)):
             controllers, proxies = fleet(number)
             names = parent_names(controllers, proxies)
@@ -39,7 +39,7 @@
                 2 * FANOUT + 2,
             )
             self.assertEqual(all(name[0] == "r" for pair in names.values() for name in pair), direct)
-            for proxy in proxies:  # relays stand before those that receive from them: nothing goes round
+            for proxy in proxies:  # parents sort before their children, so there are no cycles
                 self.assertEqual(len(set(names[proxy.name])), 2)
                 self.assertTrue(all(name[0] == "r" or name < proxy.name for name in names[proxy.name]))
             self.assertLessEqual(
@@ -47,15 +47,15 @@
                 CONTROLLER_FANOUT * len(controllers) + 2 * 4,
             )
 
-    def test_no_single_loss_takes_the_updates_from_a_proxy(self) -> None:
+    def test_no_single_failure_cuts_a_proxy_off_from_updates(self) -> None:
         controllers, proxies = fleet(1000)
         names = parent_names(controllers, proxies)
-        for lost in [member.name for member in controllers + proxies[:40]]:
-            reached = {member.name for member in controllers} - {lost}
-            for name, above in sorted(names.items()):
-                if name != lost and reached & set(above):
+        for failed in [member.name for member in controllers + proxies[:40]]:
+            reached = {member.name for member in controllers} - {failed}
+            for name, parents in sorted(names.items()):
+                if name != failed and reached & set(parents):
                     reached.add(name)
-            self.assertEqual({*names} - reached - {lost}, set())
+            self.assertEqual({*names} - reached - {failed}, set())
 
 
 if __name__ == "__main__":
--- a/tests/dissemination/test_versioned_store.py
+++ b/tests/dissemination/test_versioned_store.py
@@ -1,4 +1,4 @@
-"""A store keeps the highest version of each key, and two stores become alike by their digests."""
+"""Tests that a store keeps the highest version of each key, and that anti-entropy makes two stores equal."""
 
 import unittest
 from typing import Any
@@ -7,17 +7,17 @@
 
 
 class Versions(unittest.TestCase):
-    def test_the_version_of_a_key_never_goes_back(self) -> None:
+    def test_the_version_of_a_key_never_decreases(self) -> None:
         updates = VersionedStore()
         seen: list[tuple[str, Any]] = []
         updates.watchers.append(lambda key, version, value: seen.append((key, version)))
-        for version, value in ((2, b"new"), (1, b"old"), (2, b"twin"), (3, b"newer")):
+        for version, value in ((2, b"new"), (1, b"old"), (2, b"duplicate"), (3, b"newer")):
             updates.offer("timetable", version, value)
         self.assertEqual((seen, updates.get("timetable")), ([("timetable", 2), ("timetable", 3)], b"newer"))
 
 
 class AntiEntropy(unittest.TestCase):
-    def test_a_gap_is_filled_by_digest_and_versions(self) -> None:
+    def test_missing_updates_are_found_by_digest_and_versions(self) -> None:
         parent = VersionedStore()
         child = VersionedStore()
         for number in range(4):
@@ -27,7 +27,7 @@
         buckets, rows = parent.compare(child.digest())
         rows += parent.missing(child.versions(buckets))[0]
         self.assertEqual(sorted(row[0] for row in rows), ["hut/0", "hut/2", "hut/3"])
-        child.take(rows)
+        child.apply_rows(rows)
         self.assertEqual((child.digest(), child.entries), (parent.digest(), parent.entries))
 
 
