--- a/flintreach/transport/__init__.py
+++ b/flintreach/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes over TCP: msgpack, each behind four bytes of length."""
+"""Length-prefixed MessagePack messages between processes over TCP."""
--- a/flintreach/transport/peer_connection.py
+++ b/flintreach/transport/peer_connection.py
@@ -1,11 +1,11 @@
-"""One connection between two processes: messages both ways, questions with answers, and its end.
-
-Over TCP, each message is msgpack behind four bytes of length: [number, kind, body].  An answer is
-[-number, "", body], or [-number, "error", None] where there will be none; number 0 wants no answer.  Numbers
-are the correlation ids of one connection and are never used again, so an answer that comes late meets nobody.
-A question goes out once at the most: retries are the caller's, who knows whether they may be.  A connection
-that stays mute past its limit is closed: a peer behind a partition says nothing, and calls that hang would
-pile up.
+"""A connection between two processes: requests, responses and one-way messages in both directions.
+
+Each message is [number, kind, body] in MessagePack, preceded by its length in four bytes.  A response is
+[-number, "", body], or [-number, "error", None] if the request failed; messages with number 0 have no
+response.  Numbers are the correlation IDs of one connection and are never reused, so a late response is not
+attributed to another request.  A request is sent at most once: retries are left to the caller, who knows
+whether they are safe.  A connection whose data stays unacknowledged for too long is closed, because a
+partitioned peer sends nothing, and pending requests would accumulate.
 """
 
 import struct
@@ -20,16 +20,16 @@
 
 from flintreach.transport.traffic_meter import REPLY_SUFFIX, TrafficMeter
 
-RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: a close drops what still waits to be sent
-LENGTH = struct.Struct(">I")  # before each message
+RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close discards unsent data and resets the connection
+LENGTH = struct.Struct(">I")  # length prefix of each message
 MAX_MESSAGE_BYTES = 16 << 20
-MAX_QUEUED_BYTES = 2 * MAX_MESSAGE_BYTES  # for a peer that does not read; beyond that the connection ends
-MAX_PENDING_QUESTIONS = 4096  # of ours without an answer yet
-MAX_RUNNING_HANDLERS = 1024  # the peer's questions that are worked on
+MAX_QUEUED_BYTES = 2 * MAX_MESSAGE_BYTES  # beyond this, the peer does not read, and the connection is closed
+MAX_PENDING_REQUESTS = 4096  # requests of this process without a response
+MAX_RUNNING_HANDLERS = 1024  # requests of the peer in progress
 RECEIVE_BYTES = 65536
-USER_TIMEOUT_MS = 1500  # for which data may stay unacknowledged
+USER_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: maximum time for which data may stay unacknowledged
 
-# Kinds of answers, as earlier releases sent them.
+# Kinds of responses on the wire; fixed for compatibility with earlier releases.
 ANSWER_KIND = ""
 ERROR_KIND = "error"
 
@@ -38,123 +38,125 @@
 
 Address = tuple[str, int]  # IP address and port
 MessageHandler = Callable[["PeerConnection", Any], Any]  # called with the connection and the body
-MessageHandlers = dict[str, MessageHandler]  # by kind
+MessageHandlers = dict[str, MessageHandler]  # by kind of message
 
 
-def configure_socket(sock: socket.socket, mute_ms: int) -> socket.socket:
-    """Set what a connection between processes needs, and give the socket back.
+def configure_socket(sock: socket.socket, user_timeout_ms: int) -> socket.socket:
+    """Set the options of a connection between processes, and return the socket.
 
-    Without it a connection to a machine that lost its power hangs for good.
+    Without TCP_USER_TIMEOUT, a connection to a machine that lost power would hang indefinitely.
 
     Args:
         sock: a TCP socket.
-        mute_ms: for how many milliseconds sent data may stay unacknowledged before the kernel ends the
+        user_timeout_ms: milliseconds for which sent data may stay unacknowledged before the kernel closes the
             connection.
 
     Source: RFC 5482 (TCP_USER_TIMEOUT).
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, mute_ms)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
     return sock
 
 
 class ConnectionClosed(Exception):
-    """No answer: the connection ended, time is up, or the peer could not.
+    """No response: the connection was closed, the request timed out, or the peer failed to handle it.
 
-    Whether the peer acted on the question is not known.
+    It is not known whether the peer acted on the request.
     """
 
 
 class HandlerFailed(Exception):
-    """A handler raised, which was counted and logged."""
+    """A handler raised an exception, which was counted and logged."""
 
 
 class PeerConnection:
-    """One connection to a peer, served by two greenlets of its own.
+    """A connection to a peer, served by a reader and a writer greenlet.
 
-    `handlers[kind](connection, body)` runs in a greenlet of its own for a question, where what it returns is
-    the answer; for a message that wants no answer it runs in the reader, so these keep their order.
+    `handlers[kind](connection, body)` handles received messages.  For a request, it runs in a separate
+    greenlet, and its return value is the response.  For a one-way message it runs in the reader greenlet,
+    which preserves the order of these messages.
 
     Attributes:
-        closed: whether the connection has ended.
-        on_close: called with the connection when it ends.
+        closed: whether the connection is closed.
+        on_close: called with the connection when it is closed.
         meter: counts traffic and faults.
-        readers: the two greenlets.
+        greenlets: the reader and the writer.
     """
 
     def __init__(
         self,
         sock: socket.socket,
         handlers: MessageHandlers,
-        mute_ms: int = USER_TIMEOUT_MS,
+        user_timeout_ms: int = USER_TIMEOUT_MS,
         meter: TrafficMeter | None = None,
     ) -> None:
-        """Serve a socket that is connected.
+        """Serve a connected socket.
 
         Args:
             sock: the socket; closed with the connection.
-            handlers: by kind of message; kinds may be added later.
-            mute_ms: see `configure_socket`.
-            meter: where to count; by default a meter of its own.
+            handlers: handlers by kind of message; kinds may be added later.
+            user_timeout_ms: see `configure_socket`.
+            meter: counts traffic and faults; by default a separate meter.
         """
-        self.sock = configure_socket(sock, mute_ms)
+        self.sock = configure_socket(sock, user_timeout_ms)
         self.handlers = handlers
         self.meter = meter or TrafficMeter()
-        self.pending: dict[int, tuple[str, AsyncResult]] = {}  # number -> kind and result of a question
+        self.pending: dict[int, tuple[str, AsyncResult]] = {}  # request number -> kind and result
         self.last_number = 0
         self.outgoing: list[bytes] = []
         self.outgoing_added = Event()
-        self.queued_bytes = 0  # not yet taken by the kernel
-        self.running_handlers = 0  # questions of the peer that are worked on
+        self.queued_bytes = 0  # not yet accepted by the kernel
+        self.running_handlers = 0  # requests of the peer in progress
         self.closed = False
         self.on_close: list[Callable[[PeerConnection], None]] = []
-        self.readers = [gevent.spawn(self.read), gevent.spawn(self.write)]
+        self.greenlets = [gevent.spawn(self.read), gevent.spawn(self.write)]
 
     def send(self, kind: str, body: Any = None, number: int = 0) -> bool:
         """Queue a message.
 
         Args:
-            kind: which handler of the peer takes it.
-            body: what msgpack can encode.
-            number: correlation id; 0 wants no answer.
+            kind: selects the handler of the peer.
+            body: any object that msgpack can encode.
+            number: correlation ID; 0 for a one-way message.
 
         Returns:
-            False where it does not go out: the connection has ended, or the message is too long for the peer.
+            False if the message is not sent, because the connection is closed or the message exceeds the
+            size limit of the peer.
         """
         return self._enqueue(kind, kind, body, number)
 
     def _enqueue(self, label: str, kind: str, body: Any, number: int) -> bool:
-        """Queue a message, counted under `label`; see `send`."""
+        """Queue a message, and count it under `label`; see `send`."""
         if self.closed:
             return False
         message = ENCODER.encode([number, kind, body])
         size = len(message)
-        if size > MAX_MESSAGE_BYTES:  # the peer would end the connection over it
-            self.meter.fault("too long")
+        if size > MAX_MESSAGE_BYTES:  # the peer would close the connection
+            self.meter.count_fault("too long")
             return False
         if self.queued_bytes + size > MAX_QUEUED_BYTES:
-            self.meter.fault("peer does not read")
+            self.meter.count_fault("peer does not read")
             self.close()
             return False
         self.queued_bytes += size
         self.outgoing.append(LENGTH.pack(size) + message)
         self.outgoing_added.set()
-        self.meter.sent(label, size)
+        self.meter.count_sent(label, size)
         return True
 
     def ask(self, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
-        """Send a question, and wait for its answer.
+        """Send a request, and wait for its response.
 
         Args:
-            kind: which handler of the peer takes it.
-            body: what msgpack can encode.
+            kind: selects the handler of the peer.
+            body: any object that msgpack can encode.
             timeout: seconds to wait.
 
         Raises:
-            ConnectionClosed: the connection ended, the peer has no answer, `timeout` is over, or too many
-                questions wait already.
+            ConnectionClosed: the connection was closed, the peer failed to handle the request, the request
+                timed out, or too many requests are pending.
         """
-        if self.closed or len(self.pending) >= MAX_PENDING_QUESTIONS:
+        if self.closed or len(self.pending) >= MAX_PENDING_REQUESTS:
             raise ConnectionClosed
         self.last_number += 1
         number = self.last_number
@@ -163,7 +165,7 @@
         try:
             if not self.send(kind, body, number):
                 raise ConnectionClosed
-            result.wait(timeout)  # a gevent.Timeout of the caller's own passes through
+            result.wait(timeout)  # a gevent.Timeout of the caller propagates
             if not result.ready():
                 raise ConnectionClosed
             return result.get()
@@ -171,7 +173,7 @@
             self.pending.pop(number, None)
 
     def write(self) -> None:
-        """Send what is queued until the connection ends; all that waits goes out in one piece."""
+        """Send queued messages, joined into one write, until the connection is closed."""
         try:
             while not self.closed:
                 self.outgoing_added.wait()
@@ -186,17 +188,21 @@
             self.close()
 
     def _receive_exactly(self, size: int) -> bytes:
-        """Receive `size` bytes.  Raises OSError where the connection ends before."""
+        """Receive `size` bytes.
+
+        Raises:
+            OSError: the connection was closed or failed first.
+        """
         data = bytearray()
         while len(data) < size:
-            part = self.sock.recv(min(RECEIVE_BYTES, size - len(data)))
-            if not part:
+            chunk = self.sock.recv(min(RECEIVE_BYTES, size - len(data)))
+            if not chunk:
                 raise OSError
-            data += part
+            data += chunk
         return bytes(data)
 
     def read(self) -> None:
-        """Receive messages until the connection ends, which bytes that are no message bring about."""
+        """Receive messages until the connection is closed; a malformed message closes it."""
         try:
             while not self.closed:
                 (size,) = LENGTH.unpack(self._receive_exactly(LENGTH.size))
@@ -205,34 +211,34 @@
                 number, kind, body = DECODER.decode(self._receive_exactly(size))
                 if type(number) is not int or type(kind) is not str:
                     raise ValueError
-                self._take(number, kind, body, size)
+                self._handle_message(number, kind, body, size)
         except OSError:
             pass
         except (msgspec.DecodeError, ValueError, TypeError, RecursionError):
-            self.meter.fault("no message")
+            self.meter.count_fault("no message")
         finally:
             self.close()
 
-    def _take(self, number: int, kind: str, body: Any, size: int) -> None:
-        """Handle one message that came, of `size` bytes."""
+    def _handle_message(self, number: int, kind: str, body: Any, size: int) -> None:
+        """Handle a received message of `size` bytes."""
         if number < 0:
-            self._take_answer(-number, kind, body, size)
+            self._handle_response(-number, kind, body, size)
             return
         handler = self.handlers.get(kind)
-        self.meter.received(kind if handler else "unknown", size)  # a peer's kinds must not grow the table
+        self.meter.count_received(kind if handler else "unknown", size)  # a peer must not add rows
         if not number:
-            self._take_notice(handler, kind, body)
+            self._handle_notification(handler, kind, body)
         elif handler is None or self.running_handlers >= MAX_RUNNING_HANDLERS:
-            self.meter.fault("too many questions" if handler else "unknown question")
+            self.meter.count_fault("too many questions" if handler else "unknown question")
             self._enqueue(ERROR_KIND, ERROR_KIND, None, -number)
         else:
             self.running_handlers += 1
-            gevent.spawn(self._answer, handler, kind, number, body)
+            gevent.spawn(self._respond, handler, kind, number, body)
 
-    def _take_answer(self, number: int, kind: str, body: Any, size: int) -> None:
-        # Taken out at once: a surplus answer finds nobody, and an end of the connection takes nothing back.
-        asked_kind, result = self.pending.pop(number, ("late", None))
-        self.meter.received(f"{asked_kind}{REPLY_SUFFIX}", size)
+    def _handle_response(self, number: int, kind: str, body: Any, size: int) -> None:
+        # Remove the entry now, so that neither a duplicate response nor a close can change the result.
+        request_kind, result = self.pending.pop(number, ("late", None))
+        self.meter.count_received(f"{request_kind}{REPLY_SUFFIX}", size)
         if result is None:
             return
         if kind == ERROR_KIND:
@@ -240,47 +246,47 @@
         else:
             result.set(body)
 
-    def _take_notice(self, handler: MessageHandler | None, kind: str, body: Any) -> None:
-        """Handle a message that wants no answer."""
+    def _handle_notification(self, handler: MessageHandler | None, kind: str, body: Any) -> None:
+        """Handle a one-way message."""
         if handler is None:
             return
         try:
             self._call(handler, kind, body)
         except HandlerFailed:
-            # An update that was not taken leaves a gap: only a new connection, which begins with all,
-            # closes it.
+            # A failed update leaves a gap in the peer's updates, which only the full comparison at the start
+            # of a new connection fills.
             self.close()
 
     def _call(self, handler: MessageHandler, kind: str, body: Any) -> Any:
-        """Call a handler, and give what it returned.
+        """Call a handler, and return its result.
 
         Raises:
-            HandlerFailed: it raised; the fault was counted and handed to gevent's error log.
+            HandlerFailed: the handler raised; the fault was counted and passed to gevent's error handler.
         """
         try:
             return handler(self, body)
         except (Exception, gevent.Timeout) as error:
-            self.meter.fault(f"{kind} failed")
+            self.meter.count_fault(f"{kind} failed")
             gevent.get_hub().handle_error(self, *sys.exc_info())
             raise HandlerFailed from error
 
-    def _answer(self, handler: MessageHandler, kind: str, number: int, body: Any) -> None:
-        """Work on a question of the peer, and answer it, if only by an error."""
-        answered = False
+    def _respond(self, handler: MessageHandler, kind: str, number: int, body: Any) -> None:
+        """Handle a request of the peer, and send a response or an error."""
+        responded = False
         try:
-            answer = self._call(handler, kind, body)
-            answered = self._enqueue(f"{kind}{REPLY_SUFFIX}", ANSWER_KIND, answer, -number)
+            response = self._call(handler, kind, body)
+            responded = self._enqueue(f"{kind}{REPLY_SUFFIX}", ANSWER_KIND, response, -number)
         except HandlerFailed:
             pass
-        except (TypeError, ValueError, OverflowError):  # what msgpack can't encode
-            self.meter.fault(f"{kind} failed")
+        except (TypeError, ValueError, OverflowError):  # the response cannot be encoded
+            self.meter.count_fault(f"{kind} failed")
         finally:
             self.running_handlers -= 1
-        if not answered:
+        if not responded:
             self._enqueue(ERROR_KIND, ERROR_KIND, None, -number)
 
     def close(self) -> None:
-        """End the connection: questions fail, and `on_close` is called.  A second call does nothing."""
+        """Close the connection: fail pending requests, and call `on_close`; further calls have no effect."""
         if self.closed:
             return
         self.closed = True
@@ -298,21 +304,21 @@
     address: Address,
     handlers: MessageHandlers,
     timeout: float = 1.0,
-    mute_ms: int = USER_TIMEOUT_MS,
+    user_timeout_ms: int = USER_TIMEOUT_MS,
     meter: TrafficMeter | None = None,
 ) -> PeerConnection:
     """Connect to another process.
 
     Args:
-        address: of its listening socket.
-        handlers: for what it sends on this connection.
-        timeout: seconds in which the connection must come up.
-        mute_ms: see `configure_socket`.
-        meter: where to count traffic.
+        address: address of its listening socket.
+        handlers: handlers for messages received on this connection, by kind.
+        timeout: maximum number of seconds to establish the connection.
+        user_timeout_ms: see `configure_socket`.
+        meter: counts traffic and faults.
 
     Raises:
-        OSError: no connection came up.
+        OSError: the connection could not be established.
     """
     sock = socket.create_connection(address, timeout=timeout)
     sock.settimeout(None)
-    return PeerConnection(sock, handlers, mute_ms, meter)
+    return PeerConnection(sock, handlers, user_timeout_ms, meter)
--- a/flintreach/transport/peer_pool.py
+++ b/flintreach/transport/peer_pool.py
@@ -1,4 +1,4 @@
-"""Connections to other processes by address, opened when first used and dialled anew after their end."""
+"""Pool of connections to other processes, dialled on first use and again after they were closed."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -13,27 +13,27 @@
 
 LISTEN_BACKLOG = 256
 MIN_DIAL_TIMEOUT_S = 0.001
-GATHER_GRACE_S = 0.1  # behind the questions' own time-out, by which they normally end
+GATHER_GRACE_S = 0.1  # added to the timeout of the requests, which normally ends them
 
-Answers = list[tuple[Address, Any]]  # who answered, and what
-Ask = Callable[[Address, str, Any, float], Any]  # as `PeerPool.ask`
+Answers = list[tuple[Address, Any]]  # responses with the addresses they came from
+Ask = Callable[[Address, str, Any, float], Any]  # signature of `PeerPool.ask`
 
 
 class PeerPool:
-    """What this process asks others, and what it answers them.
+    """Sends requests to other processes, and serves theirs.
 
     Attributes:
-        address: where this process listens.
-        handlers: what this process answers, by kind of message.
-        connections: connections that this process dialled, by address.
-        dial_locks: held while a connection to an address is dialled.
+        address: address where this process listens.
+        handlers: handlers of received messages, by kind of message.
+        connections: connections dialled by this process, by address.
+        dial_locks: locks held while a connection to an address is dialled.
     """
 
     def __init__(self, address: Address, runtime: RuntimeInterface | None = None) -> None:
-        """Make a pool without connections.
+        """Create a pool without connections.
 
         Args:
-            address: where `start` listens.
+            address: address where `start` listens.
             runtime: clock, tasks and connections; by default those of gevent.
         """
         self.address = address
@@ -43,34 +43,34 @@
         self.dial_locks: dict[Address, LockInterface] = {}
 
     def start(self) -> None:
-        """Listen for other processes."""
+        """Start listening for connections of other processes."""
         self.server = StreamServer(self.address, self.serve, backlog=LISTEN_BACKLOG)
         self.server.start()
 
     def serve(self, sock: socket.socket, address: Address) -> None:
-        """Serve a connection that another process dialled, until it ends."""
-        # The server closes the socket on return.
-        gevent.joinall(PeerConnection(sock, self.handlers, meter=self.meter).readers)
+        """Serve a connection dialled by another process until it is closed."""
+        # Wait for the connection, because the server closes the socket on return.
+        gevent.joinall(PeerConnection(sock, self.handlers, meter=self.meter).greenlets)
 
     @property
     def meter(self) -> TrafficMeter:
-        """Counts the traffic of all connections of the process."""
+        """Traffic meter of all connections of the process."""
         return self.runtime.meter
 
     def traffic(self) -> list[dict[str, str | int]]:
-        """Give messages and bytes by kind since the start, as rows; see `TrafficMeter.rows`."""
+        """Return the traffic since the start of the process by kind; see `TrafficMeter.rows`."""
         return self.meter.rows()
 
     def connect(self, address: Address, timeout: float) -> PeerConnection:
-        """Give the connection to a process, dialled if there is none.
+        """Return the connection to a process, and dial it if there is none.
 
         Args:
-            address: of the process.
-            timeout: seconds in which the connection must be up.
+            address: address of the process.
+            timeout: maximum number of seconds to establish the connection.
 
         Raises:
-            OSError: no connection came up.
-            ConnectionClosed: another caller was still dialling when the time was over.
+            OSError: the connection could not be established.
+            ConnectionClosed: another caller was still dialling after `timeout` seconds.
         """
         deadline = self.runtime.now() + timeout
         lock = self.dial_locks.setdefault(address, self.runtime.lock())
@@ -87,23 +87,23 @@
             lock.release()
 
     def disconnect(self, address: Address) -> None:
-        """Close the connection to a process that has left, and keep nothing of it."""
+        """Close the connection to a process that has left, and remove its state from the pool."""
         connection = self.connections.pop(address, None)
         if connection is not None:
             connection.close()
         self.dial_locks.pop(address, None)
 
     def ask(self, address: Address, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
-        """Ask a process, once at the most.
+        """Send a request to a process, at most once.
 
         Args:
-            address: of the process.
-            kind: of the question.
-            body: of the question.
-            timeout: seconds for the connection and the answer together.
+            address: address of the process.
+            kind: kind of the request.
+            body: body of the request.
+            timeout: seconds for the connection and the response together.
 
         Returns:
-            The answer, or None if none came in time; the process may have acted all the same.
+            The response, or None if none arrived in time; the process may have acted on the request anyway.
         """
         asked_at = self.runtime.now()
         try:
@@ -124,18 +124,18 @@
         timeout: float = 1.0,
         ask: Ask | None = None,
     ) -> Answers:
-        """Ask several processes beside each other, until `enough(answers)` holds or time is up.
+        """Send a request to several processes concurrently, until `enough(answers)` or the timeout.
 
         Args:
-            addresses: of the processes.
-            kind: of the question.
-            body: of the question, or a function that gives it for an address.
-            enough: whether these answers suffice; called after each question's end.
-            timeout: seconds for each question.
-            ask: by what to ask, if not by `self.ask`.
+            addresses: addresses of the processes.
+            kind: kind of the request.
+            body: body of the request, or a function that returns it for an address.
+            enough: returns whether these responses suffice; called after the completion of each request.
+            timeout: seconds for each request.
+            ask: function that sends a request, if not `self.ask`.
 
         Returns:
-            Who answered and what, in the order of arrival.
+            The responses with their addresses, in order of arrival.
         """
         answers: Answers = []
         done = self.runtime.event()
--- a/flintreach/transport/runtime.py
+++ b/flintreach/transport/runtime.py
@@ -1,8 +1,8 @@
-"""What control-plane code takes from the process that it runs in: clock, waits, tasks, connections, chance.
+"""Runtime of control-plane code: clock, synchronization, tasks, connections and random numbers.
 
-The same code runs in a program, over gevent (`Runtime`), and in a simulation with a clock and connections of
-its own (`simulation/process.py`).  Nothing under `consensus`, `dissemination` or `controller`, except
-`controller/program.py`, reads the time, sleeps or dials by any other way than `RuntimeInterface`.
+The same code runs in a program, over gevent (`Runtime`), and in a simulation with a simulated clock and
+network (`simulation/process.py`).  Code under `consensus`, `dissemination` and `controller`, except
+`controller/program.py`, reads the time, sleeps and dials only through `RuntimeInterface`.
 """
 
 import random
@@ -20,16 +20,16 @@
 
 
 class TaskInterface(Protocol):
-    """Something under way beside its caller."""
+    """A function running concurrently with its caller."""
 
     def result(self, timeout: float) -> Any:
-        """Wait for the end, and give what it returned.
+        """Wait for the task to finish, and return its result.
 
         Args:
-            timeout: seconds to wait at most.
+            timeout: maximum number of seconds to wait.
 
         Returns:
-            None where it has not ended within `timeout`, or failed.
+            The function's return value; None if it failed or did not finish within `timeout`.
         """
 
 
@@ -37,77 +37,77 @@
     """A flag that tasks can wait for."""
 
     def set(self) -> None:
-        """Raise the flag, and wake all that wait."""
+        """Set the flag, and wake all waiting tasks."""
 
     def clear(self) -> None:
-        """Lower the flag."""
+        """Reset the flag."""
 
     def is_set(self) -> bool:
-        """Whether the flag is up."""
+        """Whether the flag is set."""
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Wait until the flag is up; False where `timeout` seconds passed before."""
+        """Wait until the flag is set; return False if `timeout` seconds pass first."""
 
 
 class LockInterface(AbstractContextManager, Protocol):
-    """A lock that the task which has it may take again."""
+    """A reentrant lock."""
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
-        """Take the lock; False where `timeout` seconds passed before it was free."""
+        """Acquire the lock; return False if `timeout` seconds pass first."""
 
     def release(self) -> None:
-        """Give the lock back."""
+        """Release the lock."""
 
 
 class RuntimeInterface(Protocol):
-    """What a process offers to the code that runs in it.  Times are seconds, if not named otherwise."""
+    """Services of a process for the code that runs in it.  Times are in seconds unless named otherwise."""
 
-    rng: Any  # with the functions of module `random`
+    rng: Any  # provides the functions of module `random`
 
     def now(self) -> float:
-        """Give the steady clock in seconds."""
+        """Return the monotonic clock in seconds."""
 
     def now_ns(self) -> int:
-        """Give the steady clock in nanoseconds."""
+        """Return the monotonic clock in nanoseconds."""
 
     def sleep(self, seconds: float) -> None:
-        """Let other tasks run for some seconds."""
+        """Suspend the current task for some seconds."""
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> TaskInterface:
-        """Run a function beside the caller."""
+        """Run a function concurrently with the caller."""
 
     def event(self) -> EventInterface:
-        """Make an event."""
+        """Create an event."""
 
     def lock(self) -> LockInterface:
-        """Make a lock."""
+        """Create a lock."""
 
     def dial(self, address: Address, handlers: MessageHandlers, timeout: float) -> PeerConnection:
         """Connect to another process.
 
         Raises:
-            OSError: no connection came up within `timeout` seconds.
+            OSError: the connection was not established within `timeout` seconds.
         """
 
     def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
-        """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
+        """Run calls concurrently; return when all have finished or `timeout` seconds have passed."""
 
 
 class Task:
     """`TaskInterface` over a greenlet."""
 
     def __init__(self, greenlet: gevent.Greenlet) -> None:
-        """Wrap a greenlet that was started."""
+        """Wrap a started greenlet."""
         self.greenlet = greenlet
 
     def result(self, timeout: float) -> Any:
-        """Wait for the end, and give what it returned; see `TaskInterface`."""
+        """Wait for the greenlet to finish, and return its result; see `TaskInterface`."""
         self.greenlet.join(timeout)
         return self.greenlet.value if self.greenlet.ready() else None
 
 
 class Runtime:
-    """`RuntimeInterface` over gevent, for a real process.
+    """`RuntimeInterface` over gevent, for real processes.
 
     Attributes:
         meter: counts the traffic of all connections of the process.
@@ -116,41 +116,41 @@
     rng = random
 
     def __init__(self) -> None:
-        """Begin with a meter at zero."""
+        """Create a runtime with all traffic counters at zero."""
         self.meter = TrafficMeter()
 
     def now(self) -> float:
-        """Give the steady clock in seconds."""
+        """Return the monotonic clock in seconds."""
         return time.monotonic()
 
     def now_ns(self) -> int:
-        """Give the steady clock in nanoseconds."""
+        """Return the monotonic clock in nanoseconds."""
         return time.monotonic_ns()
 
     def sleep(self, seconds: float) -> None:
-        """Let other tasks run for some seconds."""
+        """Suspend the current task for some seconds."""
         gevent.sleep(seconds)
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> Task:
-        """Run a function beside the caller."""
+        """Run a function concurrently with the caller."""
         return Task(gevent.spawn(function, *args))
 
     def event(self) -> Event:
-        """Make an event."""
+        """Create an event."""
         return Event()
 
     def lock(self) -> RLock:
-        """Make a lock."""
+        """Create a lock."""
         return RLock()
 
     def dial(self, address: Address, handlers: MessageHandlers, timeout: float) -> PeerConnection:
         """Connect to another process.
 
         Raises:
-            OSError: no connection came up within `timeout` seconds.
+            OSError: the connection was not established within `timeout` seconds.
         """
         return dial(address, handlers, timeout, meter=self.meter)
 
     def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
-        """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
+        """Run calls concurrently; return when all have finished or `timeout` seconds have passed."""
         gevent.joinall([gevent.spawn(call) for call in calls], timeout=timeout)
--- a/flintreach/transport/traffic_meter.py
+++ b/flintreach/transport/traffic_meter.py
@@ -1,14 +1,14 @@
-"""Counts of what goes over the connections of one process, and of what went wrong.  Pure: no I/O."""
+"""Traffic and fault counters of the connections of one process.  Pure: no I/O."""
 
 from dataclasses import dataclass
 
-REPLY_SUFFIX = " reply"  # behind the kind of a question, its answers' kind
+REPLY_SUFFIX = " reply"  # appended to the kind of a request to name its responses
 FAULT_PREFIX = "fault: "
 
 
 @dataclass(slots=True)
 class KindTraffic:
-    """Messages and bytes of one kind, in either direction."""
+    """Messages and bytes of one kind of message, by direction."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
@@ -20,39 +20,41 @@
     """Counters since the start of the process.
 
     Attributes:
-        kinds: traffic by kind of message; an answer counts under the kind of its question and REPLY_SUFFIX.
-        faults: how often something went wrong, by what it was.
+        kinds: traffic by kind of message; responses are listed under the kind of the request and
+            REPLY_SUFFIX.
+        faults: number of faults by name.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Create a meter with all counters at zero."""
         self.kinds: dict[str, KindTraffic] = {}
         self.faults: dict[str, int] = {}
 
-    def sent(self, kind: str, size: int) -> None:
-        """Count a message of `size` bytes that was queued for a peer."""
+    def count_sent(self, kind: str, size: int) -> None:
+        """Count a message of `size` bytes queued for a peer."""
         traffic = self.kinds.get(kind)
         if traffic is None:
             traffic = self.kinds[kind] = KindTraffic()
         traffic.sent_messages += 1
         traffic.sent_bytes += size
 
-    def received(self, kind: str, size: int) -> None:
-        """Count a message of `size` bytes that a peer sent."""
+    def count_received(self, kind: str, size: int) -> None:
+        """Count a message of `size` bytes received from a peer."""
         traffic = self.kinds.get(kind)
         if traffic is None:
             traffic = self.kinds[kind] = KindTraffic()
         traffic.received_messages += 1
         traffic.received_bytes += size
 
-    def fault(self, name: str) -> None:
-        """Count something that went wrong."""
+    def count_fault(self, name: str) -> None:
+        """Count a fault."""
         self.faults[name] = self.faults.get(name, 0) + 1
 
     def rows(self) -> list[dict[str, str | int]]:
-        """Give one row a kind, the most bytes first, then one a fault with its number as messages in.
+        """Return one row per kind in descending order of bytes, then one per fault.
 
-        The keys of a row are what operators' commands print, as earlier releases named them.
+        The row of a fault has its count in the field of received messages.  Operator commands print the keys
+        of the rows, which are fixed for compatibility with earlier releases.
         """
         busiest_first = sorted(
             self.kinds.items(), key=lambda item: -(item[1].sent_bytes + item[1].received_bytes)
--- a/tests/transport/peers.py
+++ b/tests/transport/peers.py
@@ -1,4 +1,4 @@
-"""Peers for tests of the transport: scripted ones that misbehave, and pools that answer."""
+"""Peers for transport tests: scripted peers that misbehave, and pools that respond."""
 
 import unittest
 
@@ -7,8 +7,8 @@
 from flintreach.transport.peer_pool import PeerPool
 
 
-class WithPeers(unittest.TestCase):
-    """Makes peers, and stops them behind each test."""
+class PeerTestCase(unittest.TestCase):
+    """Base class that starts peers, and stops them after each test."""
 
     def setUp(self) -> None:
         self.scripted_peers: list[ScriptedPeer] = []
@@ -23,12 +23,12 @@
             peer.stop()
 
     def scripted_peer(self, *script: str) -> ScriptedPeer:
-        """Start a peer that does what the script says with the messages that come, in their order."""
+        """Start a peer that applies the acts of the script to received messages in order."""
         self.scripted_peers.append(ScriptedPeer(script))
         return self.scripted_peers[-1]
 
     def pool(self, **handlers: MessageHandler) -> PeerPool:
-        """Start a pool with these handlers by kind."""
+        """Start a pool with handlers by kind of message."""
         pool = PeerPool(("127.0.0.1", 0))
         self.pools.append(pool)
         pool.handlers |= handlers
--- a/tests/transport/test_peer_connection.py
+++ b/tests/transport/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""A connection gives each question its own answer or none, whatever the peer sends, and bounds its queues."""
+"""Tests that responses match their requests whatever the peer sends, and that queues are bounded."""
 
 import unittest
 from typing import Any
@@ -12,11 +12,11 @@
 
 from flintreach.standins.scripted_peer import ScriptedPeer, encode_frame
 from flintreach.transport.peer_connection import ConnectionClosed, PeerConnection, dial
-from tests.transport.peers import WithPeers
+from tests.transport.peers import PeerTestCase
 
-CALM = settings(derandomize=True, deadline=None, max_examples=120)
+HYPOTHESIS_SETTINGS = settings(derandomize=True, deadline=None, max_examples=120)
 
-# What a scripted peer may do with a message.
+# Ways in which a scripted peer may handle a message.
 PEER_ACTS = st.sampled_from(
     [
         "answer",
@@ -34,64 +34,65 @@
 )
 
 
-def answer_or_closed(link: PeerConnection, body: Any, timeout: float = 5.0, kind: str = "k") -> Any:
-    """Ask, and give the answer, or the class ConnectionClosed where that was raised."""
+def response_or_closed(link: PeerConnection, body: Any, timeout: float = 5.0, kind: str = "k") -> Any:
+    """Send a request, and return the response, or the class ConnectionClosed if that was raised."""
     try:
         return link.ask(kind, body, timeout)
     except ConnectionClosed:
         return ConnectionClosed
 
 
-class Answers(WithPeers):
-    @settings(CALM, max_examples=60)
+class Responses(PeerTestCase):
+    @settings(HYPOTHESIS_SETTINGS, max_examples=60)
     @given(st.lists(PEER_ACTS, max_size=6), st.integers(1, 4))
-    def test_an_answer_is_the_one_to_its_question_or_there_is_none(
-        self, script: list[str], ahead: int
+    def test_a_response_belongs_to_its_request_whatever_the_peer_sends(
+        self, script: list[str], concurrency: int
     ) -> None:
         peer = ScriptedPeer(script)
         link = dial(peer.address, {})
         try:
             with gevent.Timeout(10):
-                answers = []
-                for first in range(0, 8, ahead):
-                    # Only what is never answered waits its time out; `late` comes behind the next answer.
+                responses = []
+                for first in range(0, 8, concurrency):
+                    # Only unanswered requests wait for the timeout.  A `late` response is sent after the next
+                    # response, so waiting longer would not help.
                     timeout = 0.02 if "late" in script else 5.0
                     jobs = [
-                        gevent.spawn(answer_or_closed, link, body, timeout)
-                        for body in range(first, first + ahead)
+                        gevent.spawn(response_or_closed, link, body, timeout)
+                        for body in range(first, first + concurrency)
                     ]
-                    answers += [(body, job.get()) for body, job in enumerate(jobs, first)]
-                for body, answer in answers:
-                    self.assertIn(answer, (body, ConnectionClosed))
+                    responses += [(body, job.get()) for body, job in enumerate(jobs, first)]
+                for body, response in responses:
+                    self.assertIn(response, (body, ConnectionClosed))
                 self.assertEqual(link.pending, {})
                 numbers = [number for number, _, _ in peer.received]
-                self.assertEqual(len(numbers), len({*numbers}))  # each went out once
+                self.assertEqual(len(numbers), len({*numbers}))  # each was sent once
         finally:
             link.close()
             peer.stop()
 
-    def test_an_answer_after_its_time_meets_no_later_question(self) -> None:
+    def test_a_late_response_is_not_attributed_to_a_later_request(self) -> None:
         link = dial(self.scripted_peer("late", "answer").address, {})
         self.assertEqual(
-            [answer_or_closed(link, "first", 0.02), answer_or_closed(link, "second")],
+            [response_or_closed(link, "first", 0.02), response_or_closed(link, "second")],
             [ConnectionClosed, "second"],
         )
-        self.assertEqual(answer_or_closed(link, "third"), "third")
+        self.assertEqual(response_or_closed(link, "third"), "third")
         self.assertEqual(link.meter.kinds["late reply"].received_messages, 1)
         link.close()
 
-    def test_an_answer_stands_whatever_comes_behind_it(self) -> None:
+    def test_a_response_is_not_affected_by_what_follows_it(self) -> None:
         for act in ("twice", "answer and close"):
             link = dial(self.scripted_peer(act).address, {})
-            self.assertEqual(answer_or_closed(link, "body"), "body", act)
+            self.assertEqual(response_or_closed(link, "body"), "body", act)
             link.close()
 
 
-class Faults(WithPeers):
-    @settings(CALM, max_examples=40)
+class Faults(PeerTestCase):
+    @settings(HYPOTHESIS_SETTINGS, max_examples=40)
     @given(st.binary(max_size=60), st.integers(0, 80))
-    def test_any_bytes_end_their_connection_and_nothing_else(self, data: bytes, number: int) -> None:
-        """Whole messages that say anything, with a length that is right, and bytes without one."""
+    def test_arbitrary_bytes_close_only_their_own_connection(self, data: bytes, number: int) -> None:
+        """Covers arbitrary messages with a correct length prefix, and arbitrary bytes without one."""
         peer = self.pools[0] if self.pools else self.pool(good=lambda link, body: 1)
         with mock.patch.object(gevent.get_hub(), "handle_error") as handle_error, gevent.Timeout(5):
             for sent in (
@@ -108,16 +109,16 @@
                 try:
                     while sock.recv(65536):
                         pass
-                except ConnectionResetError:  # ended over bytes that were not read
+                except ConnectionResetError:  # closed with unread data
                     pass
                 sock.close()
             link = dial(peer.server.address, {})
-            self.assertEqual(answer_or_closed(link, None, kind="good"), 1)
+            self.assertEqual(response_or_closed(link, None, kind="good"), 1)
             link.close()
         self.assertEqual(handle_error.call_count, 0)
 
-    def test_an_update_that_is_not_taken_ends_the_connection_and_is_logged(self) -> None:
-        """Passed over it would leave a gap that nothing closes: a new connection begins with all."""
+    def test_a_failed_update_closes_the_connection_and_is_logged(self) -> None:
+        """Skipping the update would leave a gap, which only the comparison on a new connection fills."""
 
         def raises(link: PeerConnection, rows: Any) -> None:
             raise KeyError(rows)
@@ -126,15 +127,15 @@
         link = dial(peer.server.address, {})
         with mock.patch.object(gevent.get_hub(), "handle_error") as handle_error, gevent.Timeout(2):
             link.send("news", [])
-            gevent.joinall(link.readers)
+            gevent.joinall(link.greenlets)
         self.assertEqual((peer.meter.faults, handle_error.call_count), ({"news failed": 1}, 1))
 
 
-class Bounds(WithPeers):
-    def test_a_peer_that_does_not_read_can_not_hold_memory_without_end(self) -> None:
+class Bounds(PeerTestCase):
+    def test_a_peer_that_does_not_read_cannot_hold_unbounded_memory(self) -> None:
         link = dial(self.scripted_peer("stops reading").address, {})
         with mock.patch("flintreach.transport.peer_connection.MAX_QUEUED_BYTES", 1 << 20), gevent.Timeout(5):
-            job = gevent.spawn(answer_or_closed, link, "held", 30.0)
+            job = gevent.spawn(response_or_closed, link, "held", 30.0)
             gevent.sleep(0)
             while link.send("news", b"x" * 65536):
                 gevent.sleep(0)
@@ -142,22 +143,22 @@
         self.assertTrue(link.closed and not link.outgoing and not link.pending)
         self.assertEqual(link.meter.faults, {"peer does not read": 1})
 
-    def test_a_peer_that_asks_without_end_is_refused(self) -> None:
+    def test_requests_beyond_the_handler_limit_are_rejected(self) -> None:
         gate = Event()
         peer = self.pool(hold=lambda link, body: gate.wait())
         link = dial(peer.server.address, {})
         with mock.patch("flintreach.transport.peer_connection.MAX_RUNNING_HANDLERS", 5), gevent.Timeout(5):
-            jobs = [gevent.spawn(answer_or_closed, link, body, 30.0, "hold") for body in range(9)]
+            jobs = [gevent.spawn(response_or_closed, link, body, 30.0, "hold") for body in range(9)]
             gevent.joinall(jobs, count=4)
             self.assertEqual([job.value for job in jobs], [None] * 5 + [ConnectionClosed] * 4)
             gate.set()
             self.assertEqual([job.get() for job in jobs], [True] * 5 + [ConnectionClosed] * 4)
         link.close()
 
-    def test_questions_without_an_answer_are_bounded(self) -> None:
+    def test_pending_requests_are_bounded(self) -> None:
         link = dial(self.scripted_peer("stops reading").address, {})
-        with mock.patch("flintreach.transport.peer_connection.MAX_PENDING_QUESTIONS", 3), gevent.Timeout(5):
-            jobs = [gevent.spawn(answer_or_closed, link, body, 30.0) for body in range(5)]
+        with mock.patch("flintreach.transport.peer_connection.MAX_PENDING_REQUESTS", 3), gevent.Timeout(5):
+            jobs = [gevent.spawn(response_or_closed, link, body, 30.0) for body in range(5)]
             gevent.joinall(jobs, count=2)
             self.assertEqual([job.value for job in jobs], [None] * 3 + [ConnectionClosed] * 2)
             link.close()
