--- a/flintreach/net/__init__.py
+++ b/flintreach/net/__init__.py
@@ -1,1 +1,1 @@
-"""The service: a real pilot's sockets round the decisions, one module a peer."""
+"""The pilot as a network service: the sockets around the decision logic, one module for each kind of peer."""
--- a/flintreach/net/buffer.py
+++ b/flintreach/net/buffer.py
@@ -1,4 +1,4 @@
-"""The one buffer of a connection: it grows as it needs and is compacted in place."""
+"""The receive buffer of a connection, which grows on demand and is compacted in place."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,8 @@
 
 
 class Buffer:
-    """
+    """Bytes that have come and are not yet read.
+
     >>> buffer = Buffer(8)
     >>> buffer.append(b"one\\ntw"); list(buffer.lines())
     [b'one']
@@ -18,50 +19,75 @@
     Traceback (most recent call last):
         ...
     flintreach.net.buffer.Overflow: 12 bytes, 8 allowed
+
+    Args:
+        max_bytes: longest line or body.
+
+    Attributes:
+        start: where the unread bytes begin in the store.
+        end: where they end.
+        scanned: up to where no line end was found.
     """
 
-    def __init__(self, most: int):
-        self.most, self.store, self.start, self.end, self.seen = most, bytearray(), 0, 0, 0
+    def __init__(self, max_bytes: int):
+        self.max_bytes = max_bytes
+        self.store = bytearray()
+        self.start = 0
+        self.end = 0
+        self.scanned = 0
 
     def __len__(self) -> int:
         return self.end - self.start
 
     @property
     def capacity(self) -> int:
-        """The memory that it takes, also where it is empty."""
+        """The memory that it takes, also while it is empty."""
         return len(self.store)
 
     def append(self, data: bytes) -> None:
-        held = len(self)
+        """Add bytes at the end."""
+        unread = len(self)
         if self.end + len(data) > len(self.store):
-            self.store[:held] = self.store[self.start : self.end]
-            self.start, self.end, self.seen = 0, held, self.seen - self.start
-            missing = held + len(data) - len(self.store)
+            self.store[:unread] = self.store[self.start : self.end]
+            self.scanned -= self.start
+            self.start = 0
+            self.end = unread
+            missing = unread + len(data) - len(self.store)
             if missing > 0:
                 self.store.extend(bytes(max(missing, len(self.store))))
         self.store[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def check_limit(self) -> None:
-        if len(self) > self.most:
-            raise Overflow(f"{len(self)} bytes, {self.most} allowed")
+        """Check the length of what is unread.
+
+        Raises:
+            Overflow: it is longer than allowed.
+        """
+        if len(self) > self.max_bytes:
+            raise Overflow(f"{len(self)} bytes, {self.max_bytes} allowed")
 
     def lines(self) -> Iterator[bytes]:
-        while (at := self.store.find(b"\n", self.seen, self.end)) >= 0:
+        """Take the complete lines, without their line ends.
+
+        Raises:
+            Overflow: a line, or the incomplete one at the end, is longer than allowed.
+        """
+        while (at := self.store.find(b"\n", self.scanned, self.end)) >= 0:
             line = bytes(self.store[self.start : at])
-            self.start = self.seen = at + 1
-            if len(line) > self.most:
-                raise Overflow(f"{len(line)} bytes, {self.most} allowed")
+            self.start = self.scanned = at + 1
+            if len(line) > self.max_bytes:
+                raise Overflow(f"{len(line)} bytes, {self.max_bytes} allowed")
             yield line
-        self.seen = self.end  # a long line's bytes are looked at once, not with each piece
+        self.scanned = self.end  # bytes of a long line are scanned once, not again with each part
         self.check_limit()
         if self.start == self.end:
-            self.start = self.end = self.seen = 0
-            if self.capacity > self.most // 16:  # a long line must not keep its memory for ever
+            self.start = self.end = self.scanned = 0
+            if self.capacity > self.max_bytes // 16:  # a long line must not keep its memory for ever
                 self.store = bytearray()
 
     def take_all(self) -> bytes:
-        """All that is held."""
+        """Take everything that is unread."""
         data = bytes(self.store[self.start : self.end])
-        self.start = self.end = self.seen = 0
+        self.start = self.end = self.scanned = 0
         return data
--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -1,4 +1,7 @@
-"""All that connects to us: collectors with their sums, questions whether we live, and strangers."""
+"""Connections of clients: collectors with their reports, liveness probes, and clients not yet identified.
+
+A client is a "stranger" until it names its zone, which makes it a collector.
+"""
 
 import asyncio
 
@@ -10,203 +13,259 @@
 
 ALIVE = b'{"msg":"alive"}\n'
 
-# State, input, next state, and what is counted.  A pair that is not here changes nothing.  Each state makes
-# room for its own: hundreds of strangers push out no collector, and no question that waits for its answer.
+# (state, input) -> (next state, warning that is counted).  A pair that is not listed changes nothing.  Each
+# state has its own limit: hundreds of strangers evict neither collectors nor probes that wait for an answer.
 STATES = {
     ("stranger", "named"): ("collector", None),
-    ("stranger", "asked too early"): ("asking", None),
+    ("stranger", "probed before ready"): ("asking", None),
     ("asking", "named"): ("collector", None),
     ("asking", "answered"): ("stranger", None),
-    ("stranger", "old"): ("dropped", "old stranger"),
+    ("stranger", "expired"): ("dropped", "stranger not identified in time"),
     ("stranger", "crowded"): ("dropped", "too many strangers"),
     ("asking", "crowded"): ("dropped", "too many strangers"),
     ("collector", "crowded"): ("dropped", "too many collectors"),
-    ("collector", "half a line"): ("dropped", "half a line"),
-    ("stranger", "not understood"): ("dropped", "stranger not understood"),
-    ("asking", "not understood"): ("dropped", "stranger not understood"),
+    ("collector", "line timeout"): ("dropped", "incomplete line timed out"),
+    ("stranger", "malformed"): ("dropped", "malformed message from a stranger"),
+    ("asking", "malformed"): ("dropped", "malformed message from a stranger"),
     **{
         (state, what): ("dropped", what)
         for state in ("stranger", "asking", "collector")
-        for what in ("unreadable", "long line", "reads nothing")
+        for what in ("undecodable data", "line too long", "client does not read")
     },
 }
 
 
 class Client(asyncio.Protocol):
+    """One connection of a client, which sends one JSON object a line.
+
+    Attributes:
+        state: "stranger", "asking" (its probe waits until the pilot is ready), "collector" or "dropped".
+        buffered_bytes: memory of its buffer, as counted in the total of all clients.
+        reading_paused: whether nothing is read from the transport.
+    """
+
     def __init__(self, clients: "Clients"):
-        self.clients, self.service, self.transport = clients, clients.service, None
-        self.state, self.timer, self.buffered_bytes, self.holding = "stranger", None, 0, False
+        self.clients = clients
+        self.service = clients.service
+        self.transport = None
+        self.state = "stranger"
+        self.timer = None
+        self.buffered_bytes = 0
+        self.reading_paused = False
         self.buffer = Buffer(self.service.limits.max_line_bytes)
 
     def connection_made(self, transport) -> None:
+        """Register the client, whose time to identify itself starts."""
         self.transport = transport
         transport.set_write_buffer_limits(high=self.service.limits.max_unread_bytes)
-        self.bound("old", self.service.limits.max_stranger_age)
+        self.set_timeout("expired", self.service.limits.max_stranger_age)
         self.clients.add(self)
 
-    def bound(self, what: str | None, wait: int = 0) -> None:
-        """The one time limit of the state.  A stranger's is its age: one may talk on for ever."""
+    def set_timeout(self, what: str | None, wait: int = 0) -> None:
+        """Replace the time limit of the state, of which there is one.
+
+        A stranger's is its age, which no data renews: otherwise one could go on sending for ever.
+
+        Args:
+            what: input of the state machine when time is up; None for no limit.
+            wait: nanoseconds.
+        """
         if self.timer:
             self.timer.cancel()
-        self.timer = self.service.clock.start_timeout(wait, lambda: self.step(what)) if what else None
+        self.timer = self.service.clock.start_timeout(wait, lambda: self.transition(what)) if what else None
 
-    def step(self, what: str) -> None:
-        state, why = STATES.get((self.state, what), (self.state, None))
+    def transition(self, what: str) -> None:
+        """Feed one input to the state machine and act on the new state."""
+        state, warning = STATES.get((self.state, what), (self.state, None))
         if state == self.state:
             return
         if state == "stranger":
-            self.bound("old", self.service.limits.max_stranger_age)
+            self.set_timeout("expired", self.service.limits.max_stranger_age)
         else:
-            self.bound(None)
+            self.set_timeout(None)
         self.clients.remove(self)
         self.state = state
-        if why:
-            self.service.count_warning(f"client dropped: {why}")
+        if warning:
+            self.service.count_warning(f"client dropped: {warning}")
             self.transport.abort()
         else:
             self.clients.add(self)
 
     def pause_writing(self) -> None:
-        self.step("reads nothing")
+        """Drop a client that leaves too many bytes unread."""
+        self.transition("client does not read")
 
     def connection_lost(self, error) -> None:
-        self.bound(None)
+        """Forget the client."""
+        self.set_timeout(None)
         self.clients.remove(self)
         self.state = "dropped"
 
     def data_received(self, data: bytes) -> None:
+        """Buffer what has come, and read it."""
         self.buffer.append(data)
         self.read()
 
     def read(self) -> None:
-        """So many lines in a turn: one that has much to say, and is read again and again while more has come,
-        would keep all others and every sign of life waiting."""
-        read, more, limits = 0, False, self.service.limits
+        """Read complete lines from the buffer, up to the limit of one turn of the event loop.
+
+        Without the limit, a client that sends without pause would hold up all others and the liveness probes.
+        """
+        lines_read = 0
+        more = False
+        limits = self.service.limits
         if self.state == "dropped":
             return
         try:
-            for line in json_lines(self.buffer):
-                read += 1
+            for message in json_lines(self.buffer):
+                lines_read += 1
                 self.clients.lines_read += 1
-                self.take(line)
+                self.on_message(message)
                 if self.state == "dropped":
                     return
-                if read >= limits.max_lines_per_read:
+                if lines_read >= limits.max_lines_per_read:
                     more = True
                     break
-            self.clients.heard(self)
+            self.clients.on_activity(self)
             if self.state != "collector" and not more and len(self.buffer) > limits.max_stranger_line_bytes:
-                raise Overflow("a stranger's long line")
+                raise Overflow("line of a stranger too long")
         except Overflow:
-            return self.step("long line")
+            return self.transition("line too long")
         except DECODE_ERRORS:
-            return self.step("unreadable")
-        full = self.service.queue_full()
+            return self.transition("undecodable data")
+        queue_full = self.service.queue_full()
         if self.state == "collector":
-            # Cut off within a line, or one that never ends: the rest would be waited for with all it holds.
-            # What waits for us is no fault of its own.
-            if read or not len(self.buffer) or full:
-                self.bound(None)
-            if len(self.buffer) and not self.timer and not more and not full:
-                self.bound("half a line", limits.line_timeout)
-        self.hold(more or full)
-        if full:
+            # A line that was cut off, or never ends, would hold its memory for ever.  While lines wait for us
+            # to read them, the client is not at fault.
+            if lines_read or not len(self.buffer) or queue_full:
+                self.set_timeout(None)
+            if len(self.buffer) and not self.timer and not more and not queue_full:
+                self.set_timeout("line timeout", limits.line_timeout)
+        self.pause_reading(more or queue_full)
+        if queue_full:
             self.clients.paused.append(self)
         elif more:
             self.service.clock.call_later(0, self.read)
 
-    def hold(self, on: bool) -> None:
-        if on != self.holding:
-            self.holding = on
-            (self.transport.pause_reading if on else self.transport.resume_reading)()
+    def pause_reading(self, on: bool) -> None:
+        """Pause or resume reading from the transport."""
+        if on == self.reading_paused:
+            return
+        self.reading_paused = on
+        if on:
+            self.transport.pause_reading()
+        else:
+            self.transport.resume_reading()
 
-    def take(self, message: object) -> None:
-        """One message is distrusted, not the collector that brings it: those around it are good."""
+    def on_message(self, message: object) -> None:
+        """Handle one message; a malformed one of a collector is skipped, since those around it are good."""
         try:
-            KINDS[message["msg"]](self, message)
+            HANDLERS[message["msg"]](self, message)
         except DECODE_ERRORS as error:
             if self.state == "collector":
-                self.service.count_warning("report not understood", repr(error))
-            self.step("not understood")
+                self.service.count_warning("malformed report", repr(error))
+            self.transition("malformed")
 
-    # One method a kind of message.
+    # One method for each kind of message.
 
-    def probe(self, message: dict) -> None:
+    def on_probe(self, message: dict) -> None:
+        """Answer a liveness probe, once the pilot is ready."""
         if self.service.ready:
             self.transport.write(ALIVE)
         else:
-            self.clients.asked[self] = None
-            self.step("asked too early")
+            self.clients.unanswered_probes[self] = None
+            self.transition("probed before ready")
+
+    def on_agent(self, message: dict) -> None:
+        """A client that names a zone we know is a collector; reports name their zone themselves."""
+        self.service.zones[message["site"]]  # raises for one that we do not know
+        self.transition("named")
 
-    def agent(self, message: dict) -> None:
-        self.service.zones[message["site"]]  # the zone of sums stands in each; here it makes a collector
-        self.step("named")
+    def parse_counts(self, message: dict) -> tuple[int, int, int]:
+        """Tries, those without an answer, and the time in nanoseconds that a report covers.
 
-    def tries(self, message: dict) -> tuple[int, int, int]:
+        Raises:
+            ValueError: a field is malformed, or the client has not named its zone.
+        """
         if self.state != "collector":
-            raise ValueError("a report before a zone is named")
-        # What came in one period may go unanswered in the next: more may fail than came.
+            raise ValueError("report from a client that has not named its zone")
+        # A try of one period may go unanswered in the next, so more may fail than were made.
         limits = self.service.limits
         span = int(nonnegative_number(message["over"], limits.max_report_span // MS) * MS)
-        return (
-            nonnegative_int(message["count"], limits.max_reported_tries),
-            nonnegative_int(message["fail"], limits.max_reported_tries),
-            span,
-        )
+        tries = nonnegative_int(message["count"], limits.max_reported_tries)
+        unanswered = nonnegative_int(message["fail"], limits.max_reported_tries)
+        return tries, unanswered, span
 
-    def outcomes(self, message: dict) -> None:
-        tries, unanswered, span = self.tries(message)
-        limits, known = self.service.limits, self.service.registry.servers
-        # No answer comes after the integration timeout: a longer mean would make the server look jammed.
-        latency = int(nonnegative_number(message["mean"], self.service.attempt_timeout * 2 // MS) * MS)
-        zone, load = self.service.zones[message["site"]], message.get("util", {})
+    def on_outcomes(self, message: dict) -> None:
+        """Take a report on a server."""
+        tries, unanswered, span = self.parse_counts(message)
+        limits = self.service.limits
+        # No answer comes after the attempt timeout: a longer mean would make the server look jammed.
+        max_latency_ms = self.service.attempt_timeout * 2 // MS
+        latency = int(nonnegative_number(message["mean"], max_latency_ms) * MS)
+        zone = self.service.zones[message["site"]]
         names = self.service.load_names
-        told = {
-            names.get(name, name): nonnegative_number(value, limits.max_load) for name, value in load.items()
+        reported = {
+            names.get(name, name): nonnegative_number(value, limits.max_load)
+            for name, value in message.get("util", {}).items()
         }
         if type(message["target"]) is not str:
-            raise ValueError("a name is no text")
-        server = known.get(message["target"])
-        if server is None:  # gone or never listed: a report must not bring it to the roster
-            return self.service.count_warning("report on an unknown endpoint")
-        load = {name: told[name] for name in self.service.settings.load_fields if name in told}
+            raise ValueError("target is not a string")
+        server = self.service.registry.servers.get(message["target"])
+        if server is None:  # gone or never listed: a report must not add it to the registry
+            return self.service.count_warning("report for an unknown server")
+        load = {name: reported[name] for name in self.service.settings.load_fields if name in reported}
         self.service.enqueue(interface.ServerReport(zone, server, tries, unanswered, latency, span, load))
 
-    def demand(self, message: dict) -> None:
-        tries, unanswered, span = self.tries(message)
-        operation, registry = self.service.operations[message["lane"]], self.service.registry
-        piece = proxy = None
+    def on_demand(self, message: dict) -> None:
+        """Take a report on the demand of a slice, or of a proxy."""
+        tries, unanswered, span = self.parse_counts(message)
+        operation = self.service.operations[message["lane"]]
+        slice_ = proxy = None
         if "range" in message:
-            piece = registry.slices[nonnegative_int(message["range"])]
+            slice_ = self.service.registry.slices[nonnegative_int(message["range"])]
         else:
             proxy = self.service.proxy(message["id"])
-        self.service.enqueue(interface.DemandReport(piece, proxy, operation, tries, unanswered, span))
+        self.service.enqueue(interface.DemandReport(slice_, proxy, operation, tries, unanswered, span))
 
 
-KINDS = {
-    "probe": Client.probe,
-    "agent": Client.agent,
-    "outcomes": Client.outcomes,
-    "hot": Client.demand,
-    "demand": Client.demand,
+HANDLERS = {
+    "probe": Client.on_probe,
+    "agent": Client.on_agent,
+    "outcomes": Client.on_outcomes,
+    "hot": Client.on_demand,
+    "demand": Client.on_demand,
 }
 
 
 class Clients:
+    """All connections of clients, within the limits on their numbers and memory.
+
+    Attributes:
+        paused: clients that are not read until the event queue has room.
+        buffered_bytes: memory of all buffers.
+        lines_read: lines that clients have sent.
+        unanswered_probes: clients whose probes wait until the pilot is ready.
+        by_state: clients of each state, those that were silent the longest first.
+        max_by_state: limit on the clients of each state.
+    """
+
     def __init__(self, service):
         limits = service.limits
-        self.service, self.paused, self.buffered_bytes = service, [], 0
-        self.lines_read = 0  # that collectors and strangers sent
-        self.asked: dict[Client, None] = {}  # whose question waits for its answer
-        self.by_state = {"stranger": {}, "asking": {}, "collector": {}}  # by state, the quietest first
-        self.most = {
+        self.service = service
+        self.paused = []
+        self.buffered_bytes = 0
+        self.lines_read = 0
+        self.unanswered_probes: dict[Client, None] = {}
+        self.by_state = {"stranger": {}, "asking": {}, "collector": {}}
+        self.max_by_state = {
             "stranger": limits.max_strangers,
             "asking": limits.max_strangers,
             "collector": limits.max_collectors,
         }
 
     async def listen(self, at: str) -> tuple[str, int]:
-        """Where it listens from now on."""
+        """Listen at an address; returns the host and port that it has become."""
         service = self.service
         self.server = await service.loop.create_server(
             lambda: Client(self), *parse_address(at), backlog=service.limits.listen_backlog
@@ -214,9 +273,10 @@
         return self.server.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
-        """Connections end with the process."""
+        """Do nothing: the connections end with the process."""
 
     def gauges(self) -> dict[str, float]:
+        """Connections by kind; without worker processes, none of those."""
         return {
             "clients.collectors": len(self.by_state["collector"]),
             "workers.serving": 0,
@@ -225,36 +285,45 @@
         }
 
     def add(self, client: Client) -> None:
-        """The oldest stranger makes room for one, and the collector silent the longest for a collector:
-        machines that vanished say nothing."""
-        mates = self.by_state[client.state]
-        if len(mates) >= self.most[client.state]:
-            next(iter(mates)).step("crowded")
-        mates[client] = None
+        """Register a client under its state; the one of it that was silent the longest makes room.
+
+        Machines that vanished give no sign: without eviction, their connections would keep new ones out.
+        """
+        others = self.by_state[client.state]
+        if len(others) >= self.max_by_state[client.state]:
+            next(iter(others)).transition("crowded")
+        others[client] = None
         self.buffered_bytes += client.buffered_bytes
 
-    def heard(self, client: Client) -> None:
-        """Each may send a long line, but all at once would take more memory than there is."""
+    def on_activity(self, client: Client) -> None:
+        """Note that a client has sent data, and check the memory of all buffers.
+
+        Raises:
+            Overflow: each client may send a long line, but all at once would take more memory than there is.
+        """
         if client.state == "collector":
             self.by_state["collector"][client] = self.by_state["collector"].pop(client)
         self.buffered_bytes += client.buffer.capacity - client.buffered_bytes
         client.buffered_bytes = client.buffer.capacity
         if self.buffered_bytes > self.service.limits.max_buffered_bytes:
-            raise Overflow("all buffers together")
+            raise Overflow("buffers of all clients too large")
 
     def remove(self, client: Client) -> None:
+        """Remove a client from those of its state."""
         if client in self.by_state.get(client.state, ()):
             del self.by_state[client.state][client]
             self.buffered_bytes -= client.buffered_bytes
 
     def notify_ready(self) -> None:
-        asked, self.asked = self.asked, {}
-        for client in asked:
+        """Answer the probes that came before the pilot was ready."""
+        waiting, self.unanswered_probes = self.unanswered_probes, {}
+        for client in waiting:
             if client.state != "dropped":
                 client.transport.write(ALIVE)
-                client.step("answered")
+                client.transition("answered")
 
     def resume(self) -> None:
+        """Read the clients that were paused while the event queue was full."""
         paused, self.paused = self.paused, []
         for client in paused:
             client.read()
--- a/flintreach/net/clock.py
+++ b/flintreach/net/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole nanoseconds, and time limits that a stall of the process does not run down."""
+"""Time in whole nanoseconds, timers, and timeouts that a stall of this process does not trigger."""
 
 import asyncio
 import time
@@ -10,44 +10,75 @@
 
 
 class Clock:
-    """The Unix clock at the start, carried on by the monotonic one: it never runs back."""
+    """The Unix time at the start, advanced by the monotonic clock, so that it never runs back.
+
+    Args:
+        loop: the event loop that runs timers.
+        seed: of the random part of retry delays.
+        limits: retry delays and the grace of timeouts.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, limits: Limits):
-        self.loop, self.seed, self.limits, self.counter = loop, seed, limits, 0
+        self.loop = loop
+        self.seed = seed
+        self.limits = limits
+        self.draws = 0
         self.base = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """Nanoseconds of Unix time."""
         return self.base + time.monotonic_ns()
 
-    def call_later(self, wait: int, do: Callable[[], None]) -> "Timer":
-        return Timer(self.loop, wait, 0, do)
+    def call_later(self, wait: int, callback: Callable[[], None]) -> "Timer":
+        """Call back after so many nanoseconds."""
+        return Timer(self.loop, wait, 0, callback)
+
+    def start_timeout(self, wait: int, callback: Callable[[], None]) -> "Timer":
+        """Call back when time is up and data that came meanwhile has been read."""
+        return Timer(self.loop, wait, self.limits.timeout_grace, callback)
 
-    def start_timeout(self, wait: int, do: Callable[[], None]) -> "Timer":
-        """Time is up only when what came meanwhile has been read."""
-        return Timer(self.loop, wait, self.limits.timeout_grace, do)
+    def random(self) -> float:
+        """The next pseudo-random number from 0 to 1."""
+        self.draws += 1
+        return zlib.crc32(b"%d %d" % (self.seed, self.draws)) / 2**32
 
-    def draw(self) -> float:
-        self.counter += 1
-        return zlib.crc32(b"%d %d" % (self.seed, self.counter)) / 2**32
+    def retry_later(self, failures: int, callback: Callable[[], None]) -> None:
+        """Call back after exponential backoff with jitter: from half of the delay to all of it.
 
-    def retry_later(self, failures: int, do: Callable[[], None]) -> None:
-        """Once more after a pause, which doubles with the failures in a row; drawn from its upper half."""
-        pause = min(self.limits.max_retry_delay, self.limits.initial_retry_delay << min(failures, 20))
-        self.call_later(int(pause * (1 + self.draw()) / 2), do)
+        Args:
+            failures: in a row; each doubles the delay, up to the limit.
+            callback: makes the next attempt.
+        """
+        delay = min(self.limits.max_retry_delay, self.limits.initial_retry_delay << min(failures, 20))
+        self.call_later(int(delay * (1 + self.random()) / 2), callback)
 
 
 class Timer:
-    def __init__(self, loop, wait: int, grace: int, do: Callable[[], None]):
-        self.loop, self.grace, self.do = loop, grace, do
-        self.handle = loop.call_later(max(0, wait) / SECOND, self.due)
+    """One call-back of the event loop, in nanoseconds.
+
+    Args:
+        loop: the event loop.
+        wait: until it is due.
+        grace: after that, before the call-back; 0 for none.
+        callback: is called once, unless the timer is cancelled.
+    """
+
+    def __init__(self, loop, wait: int, grace: int, callback: Callable[[], None]):
+        self.loop = loop
+        self.grace = grace
+        self.callback = callback
+        self.handle = loop.call_later(max(0, wait) / SECOND, self.on_due)
 
-    def due(self) -> None:
-        # A search may have held the loop beyond the limit while the answer lay unread in the socket, and
-        # timers come before sockets in a turn of the loop.
+    def on_due(self) -> None:
+        """Call back, or wait for the grace first."""
+        # A search may have held the loop beyond the timeout while the answer lay unread in the socket, and
+        # timers run before sockets in a turn of the loop.
         if self.grace:
-            self.handle, self.grace = self.loop.call_later(self.grace / SECOND, self.due), 0
+            self.handle = self.loop.call_later(self.grace / SECOND, self.on_due)
+            self.grace = 0
         else:
-            self.do()
+            self.callback()
 
     def cancel(self) -> None:
+        """Drop the call-back."""
         self.handle.cancel()
--- a/flintreach/net/http.py
+++ b/flintreach/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 calls over plain TCP, on httptools: a connection carries one call at a time."""
+"""HTTP/1.1 client over plain TCP, on httptools: a connection carries one call at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,15 +9,15 @@
 from flintreach.net.clock import Clock
 from flintreach.net.limits import Limits
 
-# State, input, next state, and how the call ended.  A pair that is not here changes nothing.
+# (state, input) -> (next state, outcome of the call).  A pair that is not listed changes nothing.
 STATES = {
     ("dialling", "connected"): ("awaiting response", None),
     ("dialling", "lost"): ("closed", "unsent"),
-    ("dialling", "late"): ("closed", "unsent"),
-    ("awaiting response", "whole"): ("idle", "answered"),
-    ("awaiting response", "last"): ("closed", "answered"),
+    ("dialling", "timeout"): ("closed", "unsent"),
+    ("awaiting response", "complete"): ("idle", "answered"),
+    ("awaiting response", "complete, not reusable"): ("closed", "answered"),
     ("awaiting response", "lost"): ("closed", "broken"),
-    ("awaiting response", "late"): ("closed", "silent"),
+    ("awaiting response", "timeout"): ("closed", "silent"),
     ("awaiting response", "garbled"): ("closed", "garbled"),
     ("idle", "call"): ("awaiting response", None),
     ("idle", "lost"): ("closed", None),
@@ -26,9 +26,13 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """
+    """Split `host:port`; an IPv6 host stands in brackets.
+
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
+
+    Raises:
+        ValueError: it is no such text.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not int(port) < 65536:
@@ -37,38 +41,66 @@
 
 
 class Connection(asyncio.Protocol):
-    """Dials at once and makes its first call; `on_end(how, status, body)` hears of each call's end once.
-
-    With `on_chunk`, the body is a stream: it is handed on as it comes and no time limit runs once it does.
+    """One client connection, which dials with its first call.
+
+    Args:
+        clock: for its timeouts.
+        limits: sizes and times that apply to it.
+        target: address to dial, as `host:port`.
+        on_end: called as `on_end(outcome, status, body)` once for each call.  The outcome is "answered",
+            "unsent", "broken", "silent" or "garbled"; status and body are empty without an answer.
+        on_chunk: makes the body a stream: called with each part as it comes; once the headers of a stream
+            have come, no timeout runs.
     """
 
     def __init__(
         self, clock: Clock, limits: Limits, target: str, on_end: Callable, on_chunk: Callable | None = None
     ):
-        self.clock, self.limits = clock, limits
-        self.target, self.on_end, self.on_chunk = target, on_end, on_chunk
-        self.state, self.transport, self.parser = "dialling", None, None
-        self.buffer, self.timer, self.request, self.wait = Buffer(limits.max_body_bytes), None, b"", 0
-
-    def call(self, method: str, path: str, wait: int, body: bytes = b"") -> None:
+        self.clock = clock
+        self.limits = limits
+        self.target = target
+        self.on_end = on_end
+        self.on_chunk = on_chunk
+        self.state = "dialling"
+        self.transport = None
+        self.parser = None
+        self.buffer = Buffer(limits.max_body_bytes)
+        self.timer = None
+        self.request = b""
+        self.timeout = 0
+
+    def call(self, method: str, path: str, timeout: int, body: bytes = b"") -> None:
+        """Send a request; only after the last call has ended.
+
+        Args:
+            method: of HTTP.
+            path: with its query.
+            timeout: nanoseconds within which the answer must come.
+            body: JSON, or nothing.
+        """
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.target}\r\n"
         if body:
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-        self.request, self.wait = head.encode() + b"\r\n" + body, wait
+        self.request = head.encode() + b"\r\n" + body
+        self.timeout = timeout
         if self.state == "idle":
-            self.step("call")
+            self.transition("call")
         else:
-            self.timer = self.clock.start_timeout(self.limits.dial_timeout, lambda: self.step("late"))
+            self.timer = self.clock.start_timeout(
+                self.limits.dial_timeout, lambda: self.transition("timeout")
+            )
             self.task = self.clock.loop.create_task(self.dial())
 
     async def dial(self) -> None:
+        """Connect to the target."""
         try:
             await self.clock.loop.create_connection(lambda: self, *parse_address(self.target))
         except OSError:
-            self.step("lost")
+            self.transition("lost")
 
-    def step(self, what: str) -> None:
-        state, end = STATES.get((self.state, what), (self.state, None))
+    def transition(self, what: str) -> None:
+        """Feed one input to the state machine and act on the new state."""
+        state, outcome = STATES.get((self.state, what), (self.state, None))
         if state == self.state:
             return
         self.state = state
@@ -76,56 +108,64 @@
             self.timer.cancel()
             self.timer = None
         if state == "awaiting response":
-            self.parser, self.whole = httptools.HttpResponseParser(self), None
-            self.timer = self.clock.start_timeout(self.wait, lambda: self.step("late"))
+            self.parser = httptools.HttpResponseParser(self)
+            self.completion = None
+            self.timer = self.clock.start_timeout(self.timeout, lambda: self.transition("timeout"))
             self.transport.write(self.request)
         elif state == "closed":
-            self.shut()
-        if end:
-            status, body = (self.parser.get_status_code() if end == "answered" else 0), self.buffer.take_all()
-            self.on_end(end, status, body if status else b"")  # part of a body is no answer
+            self.abort()
+        if outcome:
+            status = self.parser.get_status_code() if outcome == "answered" else 0
+            body = self.buffer.take_all()
+            self.on_end(outcome, status, body if status else b"")  # part of a body is no answer
 
     def close(self) -> None:
-        """Nothing more is heard of it."""
+        """Close the connection without calling `on_end`."""
         self.state = "closed"
         if self.timer:
             self.timer.cancel()
-        self.shut()
+        self.abort()
 
-    def shut(self) -> None:
+    def abort(self) -> None:
+        """Drop the transport, or give up dialling."""
         if self.transport:
             self.transport.abort()
         else:
             self.task.cancel()
 
     def connection_made(self, transport) -> None:
+        """Send the first request, unless the connection was closed meanwhile."""
         self.transport = transport
         if self.state == "closed":
             return transport.abort()
-        self.step("connected")
+        self.transition("connected")
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of the response; data that nothing was asked for ends the connection."""
         if self.state != "awaiting response":
-            return self.step("garbled")
+            return self.transition("garbled")
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            return self.step("garbled")
-        if self.whole:
-            self.step(self.whole)
+            return self.transition("garbled")
+        if self.completion:
+            self.transition(self.completion)
 
     def connection_lost(self, error) -> None:
-        self.step("lost")
+        """End the call that is under way."""
+        self.transition("lost")
 
-    # What the parser finds.
+    # Callbacks of the parser.
 
     def on_headers_complete(self) -> None:
+        """Refuse an error status in place of a stream; stop the timeout of a stream that starts."""
         if self.on_chunk and self.parser.get_status_code() != 200:
-            raise ValueError("no stream")  # what it says of itself must not be read as news
+            raise ValueError("no stream")  # the body of an error must not be read as feed messages
         if self.on_chunk and self.timer:
             self.timer.cancel()
 
     def on_body(self, body: bytes) -> None:
+        """Pass a part of a stream on, or keep it within the limit of a body."""
         if self.on_chunk:
             self.on_chunk(body)
         else:
@@ -133,5 +173,9 @@
             self.buffer.check_limit()
 
     def on_message_complete(self) -> None:
-        # The owner may call again at once: not from within the parser, which forgets this after the message.
-        self.whole = "whole" if self.parser.should_keep_alive() else "last"
+        """Note the end of the response.
+
+        `on_end` may make the next call at once, which must not happen within the parser: it resets its state
+        after the message.
+        """
+        self.completion = "complete" if self.parser.should_keep_alive() else "complete, not reusable"
--- a/flintreach/net/roster.py
+++ b/flintreach/net/roster.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list first, then watches, each at once after the last answer."""
+"""Client of discovery: fetches the whole list of servers, then long-polls for changes."""
 
 import json
 
@@ -11,16 +11,23 @@
 PATH = "/discovery/hosts"
 
 
-def entry(row: dict, config) -> tuple:
-    """What a row lists; all of it is read before any of it counts."""
+def parse_entry(row: dict, config) -> tuple:
+    """Read one entry of a list, whole or not at all.
+
+    Returns:
+        Name, address, zone, machine type, group, state, weight, and the start of the process in nanoseconds.
+
+    Raises:
+        ValueError: a field is malformed; or another of `DECODE_ERRORS`.
+    """
     if not isinstance(row["name"], str):
-        raise ValueError("a name is no text")
+        raise ValueError("name is not a string")
     parse_address(row["address"])
     return (
         row["name"],
         row["address"],
         config.zones[row["zone"]],
-        config.kinds.get(row.get("type"), 0),
+        config.machine_types.get(row.get("type"), 0),
         nonnegative_int(row.get("group", 0)),
         STATES[row["status"]],
         float(nonnegative_number(row.get("weight", 1.0))),
@@ -29,95 +36,133 @@
 
 
 class DiscoveryClient:
+    """Keeps the decision logic's list of servers up to date.
+
+    Attributes:
+        index: version of the list from which to watch; None asks for the whole list.
+        has_list: whether discovery has ever sent a list.
+        has_malformed: whether the list that was parsed last has malformed entries.
+        failures: calls that failed in a row.
+        watching: whether changes are wanted.
+    """
+
     def __init__(self, service):
-        self.service, self.index, self.has_list, self.spoilt = service, None, False, False
-        self.connection, self.failures, self.on = None, 0, not service.settings.server_list_on_request
+        self.service = service
+        self.index = None
+        self.has_list = False
+        self.has_malformed = False
+        self.connection = None
+        self.failures = 0
+        self.watching = not service.settings.server_list_on_request
+
+    def parse_list(self, answer: dict, kind: str) -> interface.ServerList:
+        """Make an event of a list, and take its servers' addresses.
 
-    def parse_list(self, answer: dict, how: str) -> interface.ServerList:
-        listed, self.spoilt = [], False
+        Args:
+            answer: the list as discovery or the configuration gives it.
+            kind: "full", "delta" or "cached".
+
+        Raises:
+            ValueError: no entry can be read.
+        """
+        entries = []
+        self.has_malformed = False
         for row in answer["endpoints"]:
             try:
-                name, place, zone, kind, cell, state, weight, started = entry(row, self.service.config)
+                name, address, zone, machine_type, cell, state, weight, started = parse_entry(
+                    row, self.service.config
+                )
             except DECODE_ERRORS as error:
-                self.spoilt = True
-                self.service.count_warning("row of the list not understood", repr(error))
+                self.has_malformed = True
+                self.service.count_warning("malformed server list entry", repr(error))
                 continue
             server = self.service.registry.server(name)
-            server.zone, server.machine_type, server.cell = zone, kind, cell
-            self.service.prober.addresses[server] = place
-            listed.append(interface.ServerEntry(server, state, weight, started))
-        if self.spoilt and not listed:
-            raise ValueError("no row is understood")
-        # What a row says that can't be read is not gone: its server stays as it was.
-        return interface.ServerList("delta" if self.spoilt and how == "full" else how, listed)
+            server.zone, server.machine_type, server.cell = zone, machine_type, cell
+            self.service.prober.addresses[server] = address
+            entries.append(interface.ServerEntry(server, state, weight, started))
+        if self.has_malformed and not entries:
+            raise ValueError("no entry can be read")
+        # The server of a malformed entry is not gone: as a delta, the list leaves it as it was.
+        if self.has_malformed and kind == "full":
+            kind = "delta"
+        return interface.ServerList(kind, entries)
 
     def start(self) -> None:
-        if self.on and not self.connection:
+        """Connect to discovery, if its list is wanted and there is no connection."""
+        if self.watching and not self.connection:
             self.connection = Connection(
-                self.service.clock, self.service.limits, self.service.discovery, self.done
+                self.service.clock, self.service.limits, self.service.discovery, self.on_call_end
             )
-            self.ask()
+            self.request()
 
-    def observe(self, on: bool) -> None:
-        self.on = on
+    def set_watching(self, on: bool) -> None:
+        """Start to watch the list, or stop after the call that is under way."""
+        self.watching = on
         self.start()
 
-    def fetch(self) -> None:
-        """The whole list once more: with the next call."""
+    def refetch(self) -> None:
+        """Fetch the whole list at once, on a new connection."""
         self.index = None
         if self.connection:
             self.connection.close()
             self.connection = None
-        self.on = True
+        self.watching = True
         self.start()
 
-    def move(self) -> None:
-        """The new address may count its versions otherwise: the whole list from there, at once."""
+    def on_address_changed(self) -> None:
+        """Fetch the whole list from the new address, which may count its versions otherwise."""
         self.failures = 0
-        if self.on:
-            self.fetch()
+        if self.watching:
+            self.refetch()
 
-    def ask(self) -> None:
+    def request(self) -> None:
+        """Ask for the whole list, or for what has changed since the last."""
         limits = self.service.limits
         if self.index is None:
             return self.connection.call("GET", PATH, limits.watch_timeout_margin)
-        # Held for a short time only: a connection that vanished tells nothing, and what discovery has to
-        # tell soon counts as told.
+        # Discovery holds the call for a short time only: a vanished connection gives no sign, and a change
+        # counts as delivered soon after discovery has it.
         path = f"{PATH}?after={self.index}&wait_ms={limits.watch_duration // MS}"
         self.connection.call("GET", path, limits.watch_duration + limits.watch_timeout_margin)
 
-    def done(self, how: str, status: int, body: bytes) -> None:
+    def on_call_end(self, outcome: str, status: int, body: bytes) -> None:
+        """Take an answer, and watch on."""
         try:
-            if how != "answered" or status != 200:
-                raise ValueError(f"{how} {status}")
+            if outcome != "answered" or status != 200:
+                raise ValueError(f"{outcome} {status}")
             answer = json.loads(body)
-            index, full = nonnegative_int(answer["index"]), answer["snapshot"] is True
+            index = nonnegative_int(answer["index"])
+            full = answer["snapshot"] is True
             if full and not answer["endpoints"]:
-                # Believed, it would take every server from every proxy at one word.
-                raise ValueError("an empty list")
+                # Accepted, one empty answer would take every server from every proxy.
+                raise ValueError("empty list")
             if not full and (self.index is None or index < self.index):
-                self.index, index = None, None  # it began anew: only the whole list says what holds
+                # Discovery has started anew: only the whole list tells what holds.
+                self.index = None
+                index = None
             else:
                 event = self.parse_list(answer, "full" if full else "delta")
                 if event.entries:
                     self.service.enqueue(event)
-                if self.spoilt and not full:
-                    index = None  # the whole list tells what the spoilt row would have
+                if self.has_malformed and not full:
+                    index = None  # the whole list tells what the malformed entry would have
         except DECODE_ERRORS as error:
-            return self.failed(f"{type(error).__name__} {error}")
-        self.index, self.failures = index, 0
+            return self.on_failure(f"{type(error).__name__} {error}")
+        self.index = index
+        self.failures = 0
         self.service.log_state("discovery", "told", f"index {index}")
         if not self.has_list and index is not None:
             self.has_list = True
             self.service.check_ready()
-        if self.on and self.connection.state == "idle":
-            self.ask()
+        if self.watching and self.connection.state == "idle":
+            self.request()
         else:
             self.connection.close()
             self.connection = None
             self.start()
 
-    def failed(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
+        """Call again after a pause; where lists come on request, tell the decision logic."""
         self.connection.close()
         self.connection = None
         self.failures += 1
--- a/flintreach/net/run.py
+++ b/flintreach/net/run.py
@@ -1,4 +1,4 @@
-"""Starts the loop, the log and the service of one pilot, and ends them."""
+"""Starts the event loop, the log and the service of one pilot, and ends them."""
 
 import os
 import select
@@ -10,48 +10,64 @@
 from flintreach.net.clients import Clients
 from flintreach.net.service import Service
 
-# structlog loads rich for a console that we do not have, if it is there: half of the CPU of a start.
+# structlog imports rich, if installed, for a console that the pilot does not have: half of a start's CPU.
 sys.modules.setdefault("rich", None)
 import structlog  # noqa: E402
 
 
-class Sink:
-    """Where log lines go.  A reader that hangs or a full disk must not stop the loop: lines are lost then."""
+class LogSink:
+    """Writes log lines to a file descriptor without ever blocking.
 
-    def __init__(self, number: int):
-        self.number, self.poll = number, select.poll()
-        self.poll.register(number, select.POLLOUT)
+    A reader that hangs or a full disk must not stop the event loop; lines are lost then.
+    """
+
+    def __init__(self, descriptor: int):
+        self.descriptor = descriptor
+        self.poll = select.poll()
+        self.poll.register(descriptor, select.POLLOUT)
 
     def write(self, text: str) -> None:
+        """Write a line, or drop it where it can't be written at once."""
         try:
             if any(event & select.POLLOUT for _, event in self.poll.poll(0)):
-                os.write(self.number, text.encode()[: select.PIPE_BUF])  # a pipe takes so much at once
+                # A writable pipe takes at least this much without blocking.
+                os.write(self.descriptor, text.encode()[: select.PIPE_BUF])
         except OSError:
             pass
 
     def flush(self) -> None:
-        pass
+        """Do nothing: lines are written at once."""
 
 
-def logger(name: str):
+def make_logger(name: str):
+    """Configure structlog for standard output, and make the logger of the named pilot."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "event"]),
         ],
-        logger_factory=structlog.WriteLoggerFactory(file=Sink(sys.stdout.fileno())),
+        logger_factory=structlog.WriteLoggerFactory(file=LogSink(sys.stdout.fileno())),
     )
     return structlog.get_logger(pilot=name)
 
 
 def run(config, front=Clients, parts=()) -> int:
-    """Until a signal ends it; `front(service)` is what takes the connections to us, each of `parts(service)`
-    starts and stops with it."""
-    log, loop = logger(config.name), uvloop.new_event_loop()
+    """Run one pilot until a signal or a failure ends it.
+
+    Args:
+        config: the platform's configuration.
+        front: makes the client side from the service.
+        parts: each makes, from the service, something that starts and stops with it.
+
+    Returns:
+        The exit status of the process.
+    """
+    log = make_logger(config.name)
+    loop = uvloop.new_event_loop()
     service = Service(config, loop, log, front)
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sign, service.stop, 0)
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, service.stop, 0)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     parts = [part(service) for part in parts]
     try:
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -469,7 +469,7 @@
     peer = collector(program)
     program.path.write_text("{")
     program.process.send_signal(signal.SIGHUP)
-    program.logged("reload: the old configuration stays")
+    program.logged("reload failed; keeping the current configuration")
     peer.send(b'{"msg":"probe"}\n')
     assert peer.until(b"\n")
     drain(program)
@@ -497,7 +497,7 @@
     peer.send(outcomes(count=-1) + outcomes("nobody") + outcomes() + b'{"msg":"probe"}\n')
     assert peer.until(b"\n")
     found = program.logged("report"), program.logged("report")
-    assert any("not understood" in line for line in found) and any("unknown" in line for line in found)
+    assert any("malformed" in line for line in found) and any("unknown" in line for line in found)
 
 
 # All of it in one loop with decisions that only record: what arrives, and how often.
@@ -594,7 +594,7 @@
     shop.until(lambda: {n: v[:2] for n, v in counted().items()} == {n: v[:2] for n, v in wanted.items()})
     assert all(abs(counted()[n][2] - wanted[n][2]) < 1e-6 * wanted[n][2] for n in wanted)
     assert len(shop.sums()) < answered  # they were summed up
-    shop.until(lambda: shop.service.warning_counts.get("report not understood") == answered)
+    shop.until(lambda: shop.service.warning_counts.get("malformed report") == answered)
 
 
 def test_a_slow_deciding_process_pushes_back_and_loses_nothing(shop):
@@ -617,7 +617,7 @@
     shop.service.pilot.handle = fail
     shop.service.enqueue(interface.TimerFired(0))
     shop.loop.run_forever()  # until it stops itself
-    assert shop.service.status == 1 and "the decisions failed" in shop.log.lines
+    assert shop.service.status == 1 and "decision logic raised an exception; stopping" in shop.log.lines
     shop.service.clients.close()
     assert all(map(gone, processes))
 
@@ -636,7 +636,7 @@
     gc.collect()
     shop.until(lambda: "s1" not in shop.service.clients.numbers)
     peer.send(outcomes("s1", 2))
-    shop.until(lambda: shop.service.warning_counts.get("report on an unknown endpoint"))
+    shop.until(lambda: shop.service.warning_counts.get("report for an unknown server"))
     fresh = shop.service.registry.server("s1")
     shop.until(lambda: shop.service.clients.numbers.get("s1", before) != before)
     shop.until(lambda: all(before not in hand.told for hand in shop.service.clients.hands))
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -37,7 +37,7 @@
 
 def joined(service):
     """Its news connection, with three proxies and all slices told."""
-    service.relay_feed.look()
+    service.relay_feed.connect()
     news = FakeConnection.created[-1]
     news.deliver(*stands(), ())
     service.loop.run(0.1)
@@ -162,7 +162,7 @@
         interface.ServerReport,
         interface.DemandReport,
     ]
-    assert service.warning_counts == {"report not understood": 1} or message == SUMS | {"target": "x"}
+    assert service.warning_counts == {"malformed report": 1} or message == SUMS | {"target": "x"}
     assert connect(service, text(message)).transport.closed
 
 
@@ -403,7 +403,7 @@
                 len(service.pilot.state.servers),
             )
         )
-    assert max(sizes) <= 12 and service.warning_counts["report on an unknown endpoint"] >= 2990
+    assert max(sizes) <= 12 and service.warning_counts["report for an unknown server"] >= 2990
 
 
 # Orders.
@@ -604,13 +604,13 @@
     order(service, put(service, 1, "s3"))
     calls()[0].end("answered", 400, {"error": "SYNTAX"})
     service.loop.run(5)
-    assert len(calls()) == 1 and "call not understood" in service.log.lines
+    assert len(calls()) == 1 and "batch rejected by the relay as malformed" in service.log.lines
 
 
 def test_what_the_protocol_cannot_carry_is_refused_plainly(make):
     service = make()
     service.execute_orders([interface.BindProxy(service.registry.slice(1), service.registry.proxy(1))])
-    assert not calls() and any("can't carry" in line for line in service.log.lines)
+    assert not calls() and any("not supported" in line for line in service.log.lines)
 
 
 # News.
@@ -740,7 +740,7 @@
     servers = [service.registry.server(f"s{n}") for n in (range(3) if known else range(90, 93))]
     service.execute_orders([interface.Probe(server) for server in servers])
     assert len(FakeConnection.created) == (2 if known else 0) and not service.pending_events
-    assert service.warning_counts == {"question not sent": 1 if known else 3}
+    assert service.warning_counts == {"probe not sent": 1 if known else 3}
 
 
 def test_datagrams_go_and_come_between_the_pilots_alone(make):
@@ -751,9 +751,9 @@
     service = make()
     pilots = PeerMessenger(service, ["127.0.0.1:1", "127.0.0.2:2"], "127.0.0.9:3")
     pilots.connection_made(Sent())
-    pilots.tell(1, b"a")
-    pilots.tell(None, b"b")
-    pilots.tell(1, bytes(257))
+    pilots.send(1, b"a")
+    pilots.send(None, b"b")
+    pilots.send(1, bytes(257))
     assert pilots.transport == [(b"a", ("127.0.0.2", 2)), (b"b", ("127.0.0.9", 3))]
     for data, source in ((b"c", ("127.0.0.2", 2)), (b"d", ("127.0.0.3", 2)), (bytes(257), ("127.0.0.2", 2))):
         pilots.datagram_received(data, source)
@@ -838,7 +838,8 @@
     service.pilot.handle = lambda now, events: 1 // 0
     service.enqueue(interface.TimerFired(1))
     service.loop.run(1)
-    assert service.loop.stopped and service.status == 1 and "the decisions failed" in service.log.lines
+    assert service.loop.stopped and service.status == 1
+    assert "decision logic raised an exception; stopping" in service.log.lines
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -128,8 +128,8 @@
     again = program.called("/stream")
     again.stream()
     again.tell(*[item for item in stands(new=True, spread=spread) if item[1].get("range") != 5], ())
-    program.logged("news: lost")
-    program.logged("news: told")
+    program.logged("relay feed: lost")
+    program.logged("relay feed: told")
     drained(program)
     assert moves(program.called("/batches")) == ({1}, {1})
 
@@ -138,7 +138,7 @@
     program = start()
     news, _ = ready(program)
     program.called("/stream").stream()
-    assert "silent" in program.logged("news: lost") and news.ended()
+    assert "silent" in program.logged("relay feed: lost") and news.ended()
 
 
 def test_discovery_silent_then_anew_with_a_lower_index(start):
@@ -201,7 +201,7 @@
     ready(program)
     program.path.unlink() if text is None else program.path.write_text(text)
     program.process.send_signal(signal.SIGHUP)
-    program.logged("reload: the old configuration stays")
+    program.logged("reload failed; keeping the current configuration")
     drained(program)
     assert moves(program.called("/batches")) == ({1, 5}, {1, 5})
 
