--- a/flintreach/adapter/__init__.py
+++ b/flintreach/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire in front of the decisions: codec, host and command."""
+"""Runs the decision logic behind the simulator's text protocol: codec, host and command."""
--- a/flintreach/adapter/__main__.py
+++ b/flintreach/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Standard input to standard output, until the input ends."""
+"""Answers the simulator's batches from standard input on standard output, until the input ends."""
 
 import io
 import sys
@@ -9,14 +9,16 @@
 from flintreach.pilot.logic import Pilot
 
 
-def complain(text: str) -> None:
+def print_error(text: str) -> None:
+    """Print a line to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 def main() -> int:
+    """Serve the input; returns the exit status, 1 where a line is malformed."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n")
-    host = Host(Pilot, complain)
+    host = Host(Pilot, print_error)
     try:
         for batch in wire.batches(source):
             for line in host.reply(batch, traceback.format_exc):
@@ -24,10 +26,10 @@
             sink.write("ACK\n")
             sink.flush()
     except wire.WireError as error:
-        complain(f"flintreach: {error}")
+        print_error(f"flintreach: {error}")
         return 1
     except UnicodeDecodeError as error:
-        complain(f"flintreach: the input is not UTF-8: {error.reason}")
+        print_error(f"flintreach: the input is not UTF-8: {error.reason}")
         return 1
     return 0
 
--- a/flintreach/adapter/host.py
+++ b/flintreach/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts instances: turns wire values into events, and orders into lines."""
+"""Hosts the simulator's instances of the pilot: turns its messages into events, and orders into lines."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from flintreach.pilot.registry import Registry
 
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
-ROSTERS = {"Partial": "delta", "Complete": "full", "Persisted": "cached", "Error": "failed"}
+LIST_KINDS = {"Partial": "delta", "Complete": "full", "Persisted": "cached", "Error": "failed"}
 STATUSES = {
     "Ok": "ok",
     "Failed": "error",
@@ -18,97 +18,131 @@
     "Canceled": "error",
     "Ignored": "error",
 }
-EVERY_TABLE = 65535
+ALL_TABLES = 65535  # number that stands for the tables of all slices
 
 
 class Instance:
-    """One pilot with the ids that it has been told."""
+    """One pilot, with the servers, proxies and slices that its events have named.
+
+    Args:
+        name: of the instance, which its lines repeat.
+        seed: of its random draws.
+        config: settings by their paths.
+        pilot: makes the decision logic from the settings.
+
+    Attributes:
+        events: those that wait for the end of the batch.
+    """
 
     def __init__(self, name: str, seed: int, config: dict[str, str], pilot: Callable):
         self.name = name
         self.settings = settings.read(seed, config)
         self.registry = Registry(self.settings)
-        self.server, self.proxy, self.piece = (self.registry.server, self.registry.proxy, self.registry.slice)
+        self.server = self.registry.server
+        self.proxy = self.registry.proxy
+        self.slice = self.registry.slice
         self.events: list = []
         self.pilot = pilot(self.settings)
 
-    def load(self, row: list[float]) -> dict[str, float]:
-        return dict(zip(self.settings.load_fields, row))
+    def load(self, values: list[float]) -> dict[str, float]:
+        """Name the figures of a load report, which come in the order of the settings."""
+        return dict(zip(self.settings.load_fields, values))
 
-    # One method an event; each gives the event for the pilot.
+    # One method for each event, named for its word in lower case; each returns the event for the pilot.
 
-    def sync(self, how, _version, records):
+    def sync(self, kind, _version, records):
+        """SYNC: a list of servers, or the changes in it."""
         entries = []
-        for name, zone, kind, cell, state, weight, started in records:
+        for name, zone, machine_type, cell, state, weight, started in records:
             server = self.server(name)
-            server.zone, server.machine_type, server.cell = zone, kind, cell
+            server.zone, server.machine_type, server.cell = zone, machine_type, cell
             entries.append(interface.ServerEntry(server, STATES[state], weight, started))
-        return interface.ServerList(ROSTERS[how], entries)
+        return interface.ServerList(LIST_KINDS[kind], entries)
 
     def wakeup(self, label):
+        """WAKEUP: a timer has fired."""
         return interface.TimerFired(label)
 
     def echo(self, name, status, latency, load):
+        """ECHO: the result of a probe."""
         return interface.ProbeResult(self.server(name), STATUSES[status], latency, self.load(load))
 
     def neighbour_says(self, pilot, data):
+        """NEIGHBOUR_SAYS: a message of another pilot."""
         return interface.PilotMessage(pilot, data)
 
     def joined(self, number, zone, rate, fresh):
+        """JOINED: a proxy has joined."""
         proxy = self.proxy(number)
         proxy.zone, proxy.rate = zone, rate
         return interface.ProxyJoined(proxy, fresh)
 
     def dropped_off(self, number):
+        """DROPPED_OFF: a proxy has left."""
         return interface.ProxyLeft(self.proxy(number))
 
     def heard(self, zone, name, tries, unanswered, latency, span, load):
+        """HEARD: a report on a server."""
         return interface.ServerReport(
             zone, self.server(name), tries, unanswered, latency, span, self.load(load)
         )
 
-    def traffic(self, proxy, place, tries, unanswered, span):
+    def traffic(self, proxy, operation, tries, unanswered, span):
+        """TRAFFIC: a report on the demand at a proxy."""
         return interface.DemandReport(
-            None, self.proxy(proxy), self.settings.operations[place], tries, unanswered, span
+            None, self.proxy(proxy), self.settings.operations[operation], tries, unanswered, span
         )
 
-    def activity(self, unanswered, span, place, number, tries):
+    def activity(self, unanswered, span, operation, number, tries):
+        """ACTIVITY: a report on the demand of a slice."""
         return interface.DemandReport(
-            self.piece(number), None, self.settings.operations[place], tries, unanswered, span
+            self.slice(number), None, self.settings.operations[operation], tries, unanswered, span
         )
 
-    def tenure(self, number, ours):
-        return interface.SliceAssignment(self.piece(number), ours)
+    def tenure(self, number, owned):
+        """TENURE: a slice is assigned to this pilot, or withdrawn."""
+        return interface.SliceAssignment(self.slice(number), owned)
 
     def held(self, name, weight, number):
-        return interface.SliceReplica(self.piece(number), self.server(name), weight)
+        """HELD: a line of a slice's table."""
+        return interface.SliceReplica(self.slice(number), self.server(name), weight)
 
     def took_effect(self, proxy, number, latency):
+        """TOOK_EFFECT: a proxy has applied the orders up to a mark."""
         return interface.OrdersApplied(self.proxy(proxy), number, latency)
 
-    # The way out.
+    # Orders.
 
-    def bits(self, operations) -> int:
+    def operation_bits(self, operations) -> int:
+        """Operations as a bit mask."""
         return sum(1 << operation.index for operation in operations)
 
-    def table(self, piece) -> int:
-        return EVERY_TABLE if piece is None else piece.number
+    def table_number(self, slice_) -> int:
+        """The number of a slice's table; without a slice, that of all tables."""
+        return ALL_TABLES if slice_ is None else slice_.number
 
     def line(self, order) -> str:
-        name, names, real = self.name, self.registry.names, wire.real
+        """Format an order as a line.
+
+        Raises:
+            TypeError: the protocol does not carry such orders.
+        """
+        name = self.name
+        names = self.registry.names
         match order:
             case interface.SetWeight():
-                return f"SET_LINE {name} {real(order.weight)} {order.slice.number} {names[order.server]}"
+                weight = wire.format_number(order.weight)
+                return f"SET_LINE {name} {weight} {order.slice.number} {names[order.server]}"
             case interface.SetTimer():
-                return f"WAKE_ME {name} {wire.seconds(order.at)} {order.label}"
+                return f"WAKE_ME {name} {wire.format_seconds(order.at)} {order.label}"
             case interface.Log():
-                return f"NOTE_DOWN {name} {wire.text(order.text)}"
+                return f"NOTE_DOWN {name} {wire.format_text(order.text)}"
             case interface.Withdraw():
                 return f"WITHDRAW {name} {names[order.server]} {order.out:d}"
             case interface.SetAdmission():
                 return (
-                    f"ADMIT {name} {self.table(order.slice)} {self.bits(order.operations)} "
-                    f"{real(order.level)} {order.resend}"
+                    f"ADMIT {name} {self.table_number(order.slice)} {self.operation_bits(order.operations)} "
+                    f"{wire.format_number(order.level)} {order.resend}"
                 )
             case interface.Mark():
                 return f"NONCE {name} {order.number} {order.everyone:d}"
@@ -116,10 +150,10 @@
                 return f"ASK_LOAD {name} {names[order.server]}"
             case interface.SendToPilot():
                 to = "all" if order.pilot is None else order.pilot
-                return f"NOTIFY {name} {to} {wire.encoded(order.data)}"
+                return f"NOTIFY {name} {to} {wire.format_bytes(order.data)}"
             case interface.BindProxy():
                 return (
-                    f"ATTACH_TABLE {name} {order.slice.number} {self.bits(order.operations)} "
+                    f"ATTACH_TABLE {name} {order.slice.number} {self.operation_bits(order.operations)} "
                     f"{order.proxy.number}"
                 )
             case interface.ClearTable():
@@ -132,16 +166,32 @@
 
 
 class Host:
-    """All instances of a process.  They share nothing but the numbered catalogs of the wire."""
+    """All instances of a process, which share nothing but the numbered catalogs of the protocol.
+
+    Args:
+        pilot: makes the decision logic of an instance from its settings.
+        report: takes the traceback of an exception in the decision logic.
+    """
 
     def __init__(self, pilot: Callable, report: Callable[[str], None]):
         self.pilot = pilot
-        self.report = report  # takes the text of a failure in the decisions
+        self.report = report
         self.instances: dict[str, Instance] = {}
         self.catalogs: dict[int, list] = {}
 
     def reply(self, batch: wire.Batch, failure: Callable[[], str]) -> list[str]:
-        """The lines that answer a batch; `failure` gives the traceback of the exception in hand."""
+        """Run a batch through the instances.
+
+        Args:
+            batch: its messages.
+            failure: returns the traceback of the exception that is being handled.
+
+        Returns:
+            The lines that answer it; an instance that failed answers with BUG.
+
+        Raises:
+            WireError: a message names an instance, a catalog or an id that does not exist.
+        """
         lines: list[str] = []
         for message in batch.messages:
             word, values = message.word, message.values
@@ -155,11 +205,13 @@
                 else:
                     instance, rest = self.instances[values[0]], values[1:]
                     if word == "SYNC":
-                        known = rest[0] != "Error"
-                        rest[2] = self.catalogs[wire.whole(rest[2])] if known else []
+                        has_list = rest[0] != "Error"
+                        rest[2] = self.catalogs[wire.parse_int(rest[2])] if has_list else []
                     instance.events.append(getattr(instance, word.lower())(*rest))
             except (KeyError, IndexError, ValueError) as error:
-                raise wire.WireError(f"line {message.line}: {word}: not known here: {error}") from None
+                raise wire.WireError(
+                    f"line {message.line}: {word}: unknown reference or value: {error}"
+                ) from None
         for instance in list(self.instances.values()):
             if not instance.events:
                 continue
@@ -168,5 +220,5 @@
                 lines += [instance.line(order) for order in instance.pilot.handle(batch.now, events)]
             except Exception as error:
                 self.report(failure())
-                lines.append(f"BUG {instance.name} {wire.text(f'{type(error).__name__}: {error}')}")
+                lines.append(f"BUG {instance.name} {wire.format_text(f'{type(error).__name__}: {error}')}")
         return lines
--- a/tests/adapter/test_adapter.py
+++ b/tests/adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire and the host, by cases."""
+"""The simulator's protocol: its codec and the host of its instances."""
 
 import io
 
@@ -17,33 +17,33 @@
 
 
 @pytest.mark.parametrize(
-    "text, what",
+    "text, message",
     [
-        ("TOCK 1\n", "line 1: a batch starts with TICK"),
+        ("TOCK 1\n", "line 1: expected TICK at the start of a batch"),
         ("TICK x\n", "line 1: TICK: not a time"),
         ("TICK 1\nNOISE pilot/1\n", "line 2: unknown event"),
-        ("TICK 1\nWAKEUP pilot/1 1.5\n", "line 2: WAKEUP: not a whole number"),
-        ("TICK 1\nWAKEUP pilot/1 1\nEOF_BATCH\n", "line 2: WAKEUP: not known here"),
+        ("TICK 1\nWAKEUP pilot/1 1.5\n", "line 2: WAKEUP: not an integer"),
+        ("TICK 1\nWAKEUP pilot/1 1\nEOF_BATCH\n", "line 2: WAKEUP: unknown reference or value"),
         ("TICK 1\nCATALOG 0 1\nEOF_BATCH\n", "line 3: unknown event"),
-        ("TICK 1\n", "the input ends within a batch"),
+        ("TICK 1\n", "input ends within a batch"),
     ],
 )
-def test_what_is_malformed_is_named(text, what):
+def test_a_malformed_input_is_reported_with_its_line(text, message):
     host = Host(lambda settings: None, print)
-    with pytest.raises(wire.WireError, match=what):
+    with pytest.raises(wire.WireError, match=message):
         for batch in wire.batches(io.StringIO(text)):
             host.reply(batch, str)
 
 
-def test_settings_keep_times_exact_and_pass_over_unknown_keys():
-    told = read(5, wire.pairs(CONFIG))
-    assert (told.number, told.pilots, told.zones, told.tick) == (1, 2, 2, 4_000_000)
-    assert told.operations[0].objective == 1_200_000_000 and told.operations[0].effect == "idempotent"
-    assert [piece.number for piece in told.slices] == [0, 1, 2]
+def test_settings_keep_times_exact_and_ignore_unknown_keys():
+    settings = read(5, wire.parse_settings(CONFIG))
+    assert (settings.number, settings.pilots, settings.zones, settings.tick) == (1, 2, 2, 4_000_000)
+    assert settings.operations[0].objective == 1_200_000_000 and settings.operations[0].effect == "idempotent"
+    assert [slice_.number for slice_ in settings.slices] == [0, 1, 2]
 
 
 class Scripted:
-    """Stands in for the decisions: gives one of each order, then fails."""
+    """Stands in for the decision logic: returns an order of most types, then raises an exception."""
 
     def __init__(self, settings):
         self.settings, self.seen = settings, []
@@ -52,9 +52,9 @@
         self.seen += events
         if any(isinstance(event, interface.TimerFired) for event in events):
             raise RuntimeError("two\nlines")
-        server, piece = events[0].entries[0].server, self.settings.slices[2]
+        server, slice_ = events[0].entries[0].server, self.settings.slices[2]
         return [
-            interface.SetWeight(piece, server, 0.75),
+            interface.SetWeight(slice_, server, 0.75),
             interface.SetTimer(now + 1, 9),
             interface.Log("a\nb"),
             interface.Mark(3),
@@ -65,7 +65,7 @@
         ]
 
 
-def test_host_turns_events_to_orders_and_failures_to_bug():
+def test_the_host_answers_events_with_orders_and_an_exception_with_a_bug_line():
     start = f"NEW_INSTANCE pilot/1 5 {CONFIG}"
     text = (
         f"TICK 1\nCATALOG 0 1\nITEM h:1 0 0 0 SERVING 1 -\n{start}\nSYNC pilot/1 Persisted 1 0\n"
