--- a/flintreach/net/relay.py
+++ b/flintreach/net/relay.py
@@ -406,7 +406,7 @@
         self.opening = None
         self.failures = 0
         self.service.log_state(
-            "relay feed", "told", f"{len(self.joined_proxies)} proxies, {len(self.tables)} slices"
+            "relay feed", "up to date", f"{len(self.joined_proxies)} proxies, {len(self.tables)} slices"
         )
         self.service.on_initial_state()
         self.settle_doubt(True)
--- a/flintreach/net/roster.py
+++ b/flintreach/net/roster.py
@@ -150,7 +150,7 @@
             return self.on_failure(f"{type(error).__name__} {error}")
         self.index = index
         self.failures = 0
-        self.service.log_state("discovery", "told", f"index {index}")
+        self.service.log_state("discovery", "up to date", f"index {index}")
         if not self.has_list and index is not None:
             self.has_list = True
             self.service.check_ready()
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -1,4 +1,4 @@
-"""The program itself: started as its operators do, and spoken to over loopback sockets."""
+"""The pilot as a process: started as operators start it, with its peers on loopback sockets."""
 
 import json
 import os
@@ -26,93 +26,94 @@
         program.end()
 
 
-def spread(number):
+def initial_server(number):
     return f"s{number % 4}"
 
 
 def ready(program):
-    """All that stands has been told, and the sign of life is given."""
-    news = program.called("/stream")
-    news.stream()
-    news.tell(*stands(new=True, spread=spread), ())
+    """Bring the whole state on the feed, and wait until a probe is answered; the feed and the client."""
+    feed = program.called("/stream")
+    feed.stream()
+    feed.tell(*stands(new=True, spread=initial_server), ())
     client = program.dial()
     client.send(b'{"msg":"probe"}\n')
     assert json.loads(client.until(b"\n")) == {"msg": "alive"}
-    return news, client
+    return feed, client
 
 
-def moves(call, server=1):
-    """Slices that a call takes off a server, and those that it puts elsewhere."""
-    sets, name = [told for told in call.orders if told["op"] == "SET"], f"s{server}"
+def moved_slices(call, server=1):
+    """Slices that a call takes off a server, and those that it assigns to others."""
+    sets, name = [order for order in call.orders if order["op"] == "SET"], f"s{server}"
     return (
-        {told["table"] for told in sets if told["target"] == name and told["rps"] == 0},
-        {told["table"] for told in sets if told["target"] != name and told["rps"] > 0},
+        {order["table"] for order in sets if order["target"] == name and order["rps"] == 0},
+        {order["table"] for order in sets if order["target"] != name and order["rps"] > 0},
     )
 
 
-def drained(program, number=1, index=2):
+def drain(program, number=1, index=2):
     program.discovery.tell(listing(0, index, False, endpoints=[row(number, "draining")]))
 
 
-@pytest.mark.parametrize("piece", [1, 100_000])
-def test_a_drain_becomes_one_call_that_moves_its_slices(start, piece):
+@pytest.mark.parametrize("chunk_bytes", [1, 100_000])
+def test_a_drain_becomes_one_call_that_moves_the_slices_of_the_server(start, chunk_bytes):
     program = start()
-    program.discovery.piece = piece
-    news, _ = ready(program)
-    news.tell(("ack", {"id": 1, "seq": 1, "ms": 3.0}), piece=piece)
-    drained(program)
+    program.discovery.piece = chunk_bytes
+    feed, _ = ready(program)
+    feed.tell(("ack", {"id": 1, "seq": 1, "ms": 3.0}), piece=chunk_bytes)
+    drain(program)
     call = program.called("/batches")
-    assert moves(call) == ({1, 5}, {1, 5})
+    assert moved_slices(call) == ({1, 5}, {1, 5})
     assert call.orders[0] == {"op": "OUT", "target": "s1"} and call.orders[-1]["op"] == "SYNC"
-    call.answer({"taken": len(call.orders)}, piece=piece)
+    call.answer({"taken": len(call.orders)}, piece=chunk_bytes)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "fail",
     [
         lambda call: call.reset(),
         lambda call: call.answer(b"{"),
         lambda call: call.send(b"what?\r\n\r\n"),
         lambda call: None,
     ],
-    ids=["reset", "half an answer", "garbage", "silence"],
+    ids=["reset", "truncated answer", "garbage", "no answer"],
 )
-@pytest.mark.parametrize("carried", [True, False])
-def test_a_spoilt_call_is_settled_by_the_store(start, spoil, carried):
+@pytest.mark.parametrize("executed", [True, False])
+def test_a_call_with_unknown_outcome_is_settled_by_the_state_of_the_store(start, fail, executed):
     program = start()
-    news, _ = ready(program)
-    drained(program)
+    feed, _ = ready(program)
+    drain(program)
     call = program.called("/batches")
-    targets = {told["table"]: told["target"] for told in call.orders if told.get("rps")}
-    spoil(call)
+    targets = {order["table"]: order["target"] for order in call.orders if order.get("rps")}
+    fail(call)
     again = program.called("/stream")
     again.stream()
-    again.tell(*stands(spread=lambda n: targets.get(n, spread(n)) if carried else spread(n)), ())
-    if carried:  # nothing is ordered again: the next call is for the next drain
-        drained(program, 2, 3)
+    held = targets if executed else {}
+    again.tell(*stands(spread=lambda n: held.get(n, initial_server(n))), ())
+    if executed:  # nothing is sent again: the next call is for the next drain
+        drain(program, 2, 3)
     second = program.called("/batches")
-    assert ({"op": "OUT", "target": "s1"} in second.orders) != carried
-    assert (moves(second)[0] == {1, 5}) != carried
+    assert ({"op": "OUT", "target": "s1"} in second.orders) != executed
+    assert (moved_slices(second)[0] == {1, 5}) != executed
 
 
-def test_a_call_reset_before_its_last_byte_is_made_again(start):
+def test_a_call_that_is_reset_while_it_is_sent_is_repeated(start):
     program = start()
     ready(program)
-    drained(program)
+    drain(program)
     peer = Peer(program.relay.accept()[0])
     peer.sock.recv(20)
     peer.reset()
     again = program.called("/stream")
     again.stream()
-    again.tell(*stands(spread=spread), ())
+    again.tell(*stands(spread=initial_server), ())
     second = program.called("/batches")
-    assert moves(second) == ({1, 5}, {1, 5}) and {"op": "OUT", "target": "s1"} in second.orders
+    assert moved_slices(second) == ({1, 5}, {1, 5}) and {"op": "OUT", "target": "s1"} in second.orders
 
 
-def test_a_call_refused_for_now_and_a_short_answer_lose_no_order(start):
+def test_no_order_is_lost_when_the_relay_is_busy_or_takes_only_some(start):
     program = start()
     ready(program)
-    drained(program)
+    drain(program)
     call = program.called("/batches")
     call.answer({"error": "BUSY"}, "429 Too Many Requests")
     second = program.called("/batches")
@@ -121,38 +122,38 @@
     assert program.called("/batches").orders == second.orders[2:]
 
 
-def test_news_that_break_go_on_and_a_lost_slice_is_left_alone(start):
+def test_a_broken_feed_is_reconnected_and_a_slice_that_is_gone_is_not_ordered(start):
     program = start()
-    news, _ = ready(program)
-    news.reset()
+    feed, _ = ready(program)
+    feed.reset()
     again = program.called("/stream")
     again.stream()
-    again.tell(*[item for item in stands(new=True, spread=spread) if item[1].get("range") != 5], ())
+    again.tell(*[item for item in stands(new=True, spread=initial_server) if item[1].get("range") != 5], ())
     program.logged("relay feed: lost")
-    program.logged("relay feed: told")
-    drained(program)
-    assert moves(program.called("/batches")) == ({1}, {1})
+    program.logged("relay feed: up to date")
+    drain(program)
+    assert moved_slices(program.called("/batches")) == ({1}, {1})
 
 
-def test_news_that_fall_silent_are_dialled_anew(start):
+def test_a_silent_feed_is_reconnected(start):
     program = start()
-    news, _ = ready(program)
+    feed, _ = ready(program)
     program.called("/stream").stream()
-    assert "silent" in program.logged("relay feed: lost") and news.ended()
+    assert "silent" in program.logged("relay feed: lost") and feed.ended()
 
 
-def test_discovery_silent_then_anew_with_a_lower_index(start):
+def test_discovery_that_falls_silent_and_restarts_with_a_lower_index_is_followed(start):
     program = start()
     ready(program)
     program.discovery.asked("after=1&")
     program.discovery.tell(mute=True)
     program.logged("discovery: lost")
-    program.discovery.asked("after=1&")  # on a fresh connection
+    program.discovery.asked("after=1&")  # on a new connection
     program.discovery.tell(listing(0, 0, endpoints=[row(0), row(1, "draining"), row(2), row(3)]))
-    assert moves(program.called("/batches")) == ({1, 5}, {1, 5})
+    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
 
 
-def test_strangers_and_a_line_of_two_mebibytes_do_not_keep_collectors_out(start):
+def test_strangers_and_an_overlong_line_do_not_keep_collectors_out(start):
     program = start()
     _, client = ready(program)
     for _ in range(300):
@@ -170,56 +171,57 @@
     assert collector.until(b"\n")
 
 
-def test_a_reload_under_load_moves_the_addresses_and_keeps_all_state(start):
+def test_a_reload_during_calls_switches_addresses_and_keeps_all_state(start):
     program = start()
-    news, client = ready(program)
-    where = {n: spread(n) for n in range(8)}
+    feed, client = ready(program)
+    servers_by_slice = {n: initial_server(n) for n in range(8)}
     for server, others in ((1, (1,)), (2, (1, 2))):
         program.discovery.tell(listing(0, 1 + server, False, endpoints=[row(server, "draining")]))
         call = program.called("/batches")
-        assert moves(call, server)[0] == {n for n in where if where[n] == f"s{server}"}  # and no other
+        slices_of_server = {n for n in servers_by_slice if servers_by_slice[n] == f"s{server}"}
+        assert moved_slices(call, server)[0] == slices_of_server  # and no other
         program.move(
             listing(4, 1 + server, endpoints=[row(n, "draining" if n in others else "up") for n in range(4)])
         )
         assert "moved=['discovery', 'store']" in program.logged("reload")
         program.discovery.asked("hosts")
         again = program.called("/stream")
-        call.answer({"taken": len(call.orders)})  # it ends where it began, and is not made again
-        where |= {told["table"]: told["target"] for told in call.orders if told.get("rps")}
+        call.answer({"taken": len(call.orders)})  # it ends on the old connection and is not repeated
+        servers_by_slice |= {order["table"]: order["target"] for order in call.orders if order.get("rps")}
         again.stream()
-        again.tell(*stands(spread=where.get), ())
-        assert news.ended()
-        news = again
+        again.tell(*stands(spread=servers_by_slice.get), ())
+        assert feed.ended()
+        feed = again
         client = program.dial()
         client.send(b'{"msg":"probe"}\n')
         assert client.until(b"\n")
 
 
 @pytest.mark.parametrize("text", [None, "", '{"name":', "[]", '{"settings": {}}'])
-def test_a_configuration_that_cannot_be_read_again_changes_nothing(start, text):
+def test_a_reload_of_an_unusable_configuration_changes_nothing(start, text):
     program = start()
     ready(program)
     program.path.unlink() if text is None else program.path.write_text(text)
     program.process.send_signal(signal.SIGHUP)
     program.logged("reload failed; keeping the current configuration")
-    drained(program)
-    assert moves(program.called("/batches")) == ({1, 5}, {1, 5})
+    drain(program)
+    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
 
 
 @pytest.mark.parametrize(
-    "sign, moved", [(signal.SIGTERM, False), (signal.SIGINT, False), (signal.SIGTERM, True)]
+    "number, moved", [(signal.SIGTERM, False), (signal.SIGINT, False), (signal.SIGTERM, True)]
 )
-def test_a_signal_ends_it_cleanly(start, sign, moved):
+def test_a_signal_ends_the_process_with_status_0(start, number, moved):
     program = start()
     ready(program)
     if moved:
         program.move()
         program.called("/stream")
-    program.process.send_signal(sign)
+    program.process.send_signal(number)
     assert program.process.wait(30) == 0
 
 
-def test_killed_and_started_again_it_takes_up_what_stands(start):
+def test_after_a_kill_a_new_process_goes_on_from_the_state_of_the_relay(start):
     program = start()
     ready(program)
     program.process.kill()
@@ -227,35 +229,35 @@
     program.process.stdout.close()
     program.start()
     ready(program)
-    drained(program)
-    assert moves(program.called("/batches")) == ({1, 5}, {1, 5})
+    drain(program)
+    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
 
 
-def test_a_log_that_nobody_reads_does_not_stop_it(start):
+def test_a_closed_log_pipe_does_not_stop_the_pilot(start):
     program = start()
     _, client = ready(program)
     program.process.stdout.close()
-    drained(program)
+    drain(program)
     call = program.called("/batches")
     call.answer({"taken": len(call.orders)})
     client.send(b'{"msg":"probe"}\n')
     assert client.until(b"\n")
 
 
-def test_the_platforms_start_loads_nothing_that_it_does_not_use():
-    ran = subprocess.run(
+def test_serve_imports_no_command_line_libraries():
+    result = subprocess.run(
         [sys.executable, "-X", "importtime", "-m", "flintreach", "serve"],
         text=True,
         capture_output=True,
         env=os.environ | {"PROXY_CONFIG": "nowhere"},
         timeout=60,
     )
-    assert ran.returncode == 2 and "uvloop" in ran.stderr and "structlog" in ran.stderr
-    assert not any(f" {name}" in ran.stderr for name in ("typer.", "rich.", "pygments."))
+    assert result.returncode == 2 and "uvloop" in result.stderr and "structlog" in result.stderr
+    assert not any(f" {name}" in result.stderr for name in ("typer.", "rich.", "pygments."))
 
 
 @pytest.mark.parametrize(
-    "arguments, changes, status, words",
+    "arguments, changes, status, message",
     [
         (["check-config"], {}, 0, "p0: 8 slices, 3 proxies, 2 operations; listens at 127.0.0.1:0"),
         (["check-config"], {"listen": 7}, 2, "flintreach: "),
@@ -264,15 +266,16 @@
         (["version"], {}, 0, "0."),
     ],
 )
-def test_commands_say_in_one_line_what_is_wrong(tmp_path, arguments, changes, status, words):
+def test_commands_report_their_result_or_error_in_one_line(tmp_path, arguments, changes, status, message):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told(**changes)))
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "flintreach", *arguments],
         capture_output=True,
         text=True,
         env=os.environ | {"PROXY_CONFIG": str(path)},
         timeout=60,
     )
-    assert ran.returncode == status and "Traceback" not in ran.stderr
-    assert (ran.stdout + ran.stderr).startswith(words) and (ran.stdout + ran.stderr).count("\n") == 1
+    assert result.returncode == status and "Traceback" not in result.stderr
+    output = result.stdout + result.stderr
+    assert output.startswith(message) and output.count("\n") == 1
