--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -28,9 +28,9 @@
     ("stranger", "malformed"): ("dropped", "malformed message from a stranger"),
     ("asking", "malformed"): ("dropped", "malformed message from a stranger"),
     **{
-        (state, what): ("dropped", what)
+        (state, fault): ("dropped", fault)
         for state in ("stranger", "asking", "collector")
-        for what in ("undecodable data", "line too long", "client does not read")
+        for fault in ("undecodable data", "line too long", "client does not read")
     },
 }
 
@@ -61,22 +61,24 @@
         self.set_timeout("expired", self.service.limits.max_stranger_age)
         self.clients.add(self)
 
-    def set_timeout(self, what: str | None, wait: int = 0) -> None:
+    def set_timeout(self, trigger: str | None, wait: int = 0) -> None:
         """Replace the time limit of the state, of which there is one.
 
         A stranger's is its age, which no data renews: otherwise one could go on sending for ever.
 
         Args:
-            what: input of the state machine when time is up; None for no limit.
+            trigger: input of the state machine when time is up; None for no limit.
             wait: nanoseconds.
         """
         if self.timer:
             self.timer.cancel()
-        self.timer = self.service.clock.start_timeout(wait, lambda: self.transition(what)) if what else None
+        self.timer = None
+        if trigger:
+            self.timer = self.service.clock.start_timeout(wait, lambda: self.transition(trigger))
 
-    def transition(self, what: str) -> None:
+    def transition(self, trigger: str) -> None:
         """Feed one input to the state machine and act on the new state."""
-        state, warning = STATES.get((self.state, what), (self.state, None))
+        state, warning = STATES.get((self.state, trigger), (self.state, None))
         if state == self.state:
             return
         if state == "stranger":
--- a/flintreach/net/http.py
+++ b/flintreach/net/http.py
@@ -98,9 +98,9 @@
         except OSError:
             self.transition("lost")
 
-    def transition(self, what: str) -> None:
+    def transition(self, trigger: str) -> None:
         """Feed one input to the state machine and act on the new state."""
-        state, outcome = STATES.get((self.state, what), (self.state, None))
+        state, outcome = STATES.get((self.state, trigger), (self.state, None))
         if state == self.state:
             return
         self.state = state
--- a/flintreach/net/relay.py
+++ b/flintreach/net/relay.py
@@ -131,9 +131,9 @@
         self.connection = Connection(self.service.clock, limits, self.service.store, self.on_call_end)
         self.connection.call("POST", "/batches", limits.call_timeout, body)
 
-    def transition(self, what: str) -> None:
+    def transition(self, trigger: str) -> None:
         """Feed one input to the state machine."""
-        self.state = STATES.get((self.state, what), self.state)
+        self.state = STATES.get((self.state, trigger), self.state)
 
     def on_call_end(self, outcome: str, status: int, body: bytes) -> None:
         """Take the outcome of the call: orders taken, a rejection to retry, or an unknown outcome."""
--- a/flintreach/net/service.py
+++ b/flintreach/net/service.py
@@ -196,12 +196,12 @@
         if before != state:
             self.log.info(f"{subject}: {state}", figures=figures)
 
-    def count_warning(self, what: str, figures: str = "", times: int = 1) -> None:
+    def count_warning(self, text: str, figures: str = "", times: int = 1) -> None:
         """Count a warning; the first, each power of ten and, at the end, the total are logged."""
-        before = self.warning_counts.get(what, 0)
-        number = self.warning_counts[what] = before + times
+        before = self.warning_counts.get(text, 0)
+        number = self.warning_counts[text] = before + times
         if len(str(number)) > len(str(before)) or not before:
-            self.log.warning(what, times=number, **{"figures": figures[:80]} if figures else {})
+            self.log.warning(text, times=number, **{"figures": figures[:80]} if figures else {})
 
     def on_loop_exception(self, loop, context: dict) -> None:
         """Log an exception that ended a callback of the event loop; the service goes on."""
@@ -293,6 +293,6 @@
             longest_ms=self.longest_turn // 1_000_000,
             deepest=self.peak_pending_events,
             lines=self.clients.lines_read,
-            **{what.replace(" ", "_"): number for what, number in self.warning_counts.items()},
+            **{text.replace(" ", "_"): number for text, number in self.warning_counts.items()},
         )
         self.loop.stop()
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -27,9 +27,8 @@
         path.write_text(json.dumps(told(**changes)))
         service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
         service.pilot = RecordingPilot()
-        service.listed = service.discovery_client.parse_list(
-            service.config.cached_list, "cached"
-        )  # holds the servers, as the decision logic would
+        # Keeps the servers referenced, as the decision logic would.
+        service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
         return service
 
     return build
@@ -483,8 +482,8 @@
     first.end("answered", 429, {"error": "BUSY"})
     service.loop.run(1)
     assert [
-        (told["op"], told.get("table"), told.get("target"), told.get("rps", told.get("stamp")))
-        for told in calls()[1].orders
+        (order["op"], order.get("table"), order.get("target"), order.get("rps", order.get("stamp")))
+        for order in calls()[1].orders
     ] == [
         ("SET", 2, "s1", 0),
         ("SET", 3, "s0", 0),
@@ -620,7 +619,7 @@
             *[item for item in stands() if item[1].get("range") != 1], *again[1:]
         )
     service.loop.run(1)
-    assert [told.get("table", told["op"]) for told in calls()[1].orders] == [2, "SYNC"]
+    assert [order.get("table", order["op"]) for order in calls()[1].orders] == [2, "SYNC"]
     assert handled(service) == [("assigned", 1, False), ("assigned", 1, True), ("replica", 1, "s2", 1.0)]
 
 
@@ -821,7 +820,7 @@
     service, ends = make(limits={"memory_mb": 1, "sockets": 64}), []
     service.loop.create_task = lambda task: task.close()
     connection = UndialledConnection(
-        service.clock, service.limits, "127.0.0.1:9", lambda *told: ends.append(told)
+        service.clock, service.limits, "127.0.0.1:9", lambda *result: ends.append(result)
     )
     connection.call("GET", "/x", SECOND)
     connection.connection_made(FakeTransport())
@@ -832,15 +831,15 @@
 
 
 def test_an_error_response_in_place_of_the_feed_is_not_read_as_feed(make):
-    service, ends, pieces = make(), [], []
+    service, ends, chunks = make(), [], []
     service.loop.create_task = lambda task: task.close()
     connection = UndialledConnection(
-        service.clock, service.limits, "127.0.0.1:9", lambda *told: ends.append(told[0]), pieces.append
+        service.clock, service.limits, "127.0.0.1:9", lambda *result: ends.append(result[0]), chunks.append
     )
     connection.call("GET", "/stream", SECOND)
     connection.connection_made(FakeTransport())
     connection.data_received(b"HTTP/1.1 429 Busy\r\nContent-Length: 2\r\n\r\n{}")
-    assert ends == ["garbled"] and not pieces
+    assert ends == ["garbled"] and not chunks
 
 
 def test_a_timeout_waits_until_data_that_came_during_a_stall_is_read(make):
