--- a/flintreach/adapter/host.py
+++ b/flintreach/adapter/host.py
@@ -1,6 +1,6 @@
 """Hosts the simulator's instances of the pilot: turns its messages into events, and orders into lines."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 
 from flintreach.adapter import wire
 from flintreach.pilot import interface, settings
@@ -34,7 +34,7 @@
         events: those that wait for the end of the batch.
     """
 
-    def __init__(self, name: str, seed: int, config: dict[str, str], pilot: Callable):
+    def __init__(self, name: str, seed: int, config: dict[str, str], pilot: Callable) -> None:
         self.name = name
         self.settings = settings.read(seed, config)
         self.registry = Registry(self.settings)
@@ -50,7 +50,7 @@
 
     # One method for each event, named for its word in lower case; each returns the event for the pilot.
 
-    def sync(self, kind, _version, records):
+    def sync(self, kind: str, _version: int, records: list[list]) -> interface.ServerList:
         """SYNC: a list of servers, or the changes in it."""
         entries = []
         for name, zone, machine_type, cell, state, weight, started in records:
@@ -59,69 +59,82 @@
             entries.append(interface.ServerEntry(server, STATES[state], weight, started))
         return interface.ServerList(LIST_KINDS[kind], entries)
 
-    def wakeup(self, label):
+    def wakeup(self, label: int) -> interface.TimerFired:
         """WAKEUP: a timer has fired."""
         return interface.TimerFired(label)
 
-    def echo(self, name, status, latency, load):
+    def echo(self, name: str, status: str, latency: int, load: list[float]) -> interface.ProbeResult:
         """ECHO: the result of a probe."""
         return interface.ProbeResult(self.server(name), STATUSES[status], latency, self.load(load))
 
-    def neighbour_says(self, pilot, data):
+    def neighbour_says(self, pilot: int, data: bytes) -> interface.PilotMessage:
         """NEIGHBOUR_SAYS: a message of another pilot."""
         return interface.PilotMessage(pilot, data)
 
-    def joined(self, number, zone, rate, fresh):
+    def joined(self, number: int, zone: int, rate: float, fresh: bool) -> interface.ProxyJoined:
         """JOINED: a proxy has joined."""
         proxy = self.proxy(number)
         proxy.zone, proxy.rate = zone, rate
         return interface.ProxyJoined(proxy, fresh)
 
-    def dropped_off(self, number):
+    def dropped_off(self, number: int) -> interface.ProxyLeft:
         """DROPPED_OFF: a proxy has left."""
         return interface.ProxyLeft(self.proxy(number))
 
-    def heard(self, zone, name, tries, unanswered, latency, span, load):
+    def heard(
+        self,
+        zone: int,
+        name: str,
+        tries: int,
+        unanswered: int,
+        latency: int,
+        span: int,
+        load: list[float],
+    ) -> interface.ServerReport:
         """HEARD: a report on a server."""
         return interface.ServerReport(
             zone, self.server(name), tries, unanswered, latency, span, self.load(load)
         )
 
-    def traffic(self, proxy, operation, tries, unanswered, span):
+    def traffic(
+        self, proxy: int, operation: int, tries: int, unanswered: int, span: int
+    ) -> interface.DemandReport:
         """TRAFFIC: a report on the demand at a proxy."""
         return interface.DemandReport(
             None, self.proxy(proxy), self.settings.operations[operation], tries, unanswered, span
         )
 
-    def activity(self, unanswered, span, operation, number, tries):
+    def activity(
+        self, unanswered: int, span: int, operation: int, number: int, tries: int
+    ) -> interface.DemandReport:
         """ACTIVITY: a report on the demand of a slice."""
         return interface.DemandReport(
             self.slice(number), None, self.settings.operations[operation], tries, unanswered, span
         )
 
-    def tenure(self, number, owned):
+    def tenure(self, number: int, owned: bool) -> interface.SliceAssignment:
         """TENURE: a slice is assigned to this pilot, or withdrawn."""
         return interface.SliceAssignment(self.slice(number), owned)
 
-    def held(self, name, weight, number):
+    def held(self, name: str, weight: float, number: int) -> interface.SliceReplica:
         """HELD: a line of a slice's table."""
         return interface.SliceReplica(self.slice(number), self.server(name), weight)
 
-    def took_effect(self, proxy, number, latency):
+    def took_effect(self, proxy: int, number: int, latency: int) -> interface.OrdersApplied:
         """TOOK_EFFECT: a proxy has applied the orders up to a mark."""
         return interface.OrdersApplied(self.proxy(proxy), number, latency)
 
     # Orders.
 
-    def operation_bits(self, operations) -> int:
+    def operation_bits(self, operations: Iterable[interface.Operation]) -> int:
         """Operations as a bit mask."""
         return sum(1 << operation.index for operation in operations)
 
-    def table_number(self, slice_) -> int:
+    def table_number(self, slice_: interface.Slice | None) -> int:
         """The number of a slice's table; without a slice, that of all tables."""
         return ALL_TABLES if slice_ is None else slice_.number
 
-    def line(self, order) -> str:
+    def line(self, order: object) -> str:
         """Format an order as a line.
 
         Raises:
@@ -173,7 +186,7 @@
         report: takes the traceback of an exception in the decision logic.
     """
 
-    def __init__(self, pilot: Callable, report: Callable[[str], None]):
+    def __init__(self, pilot: Callable, report: Callable[[str], None]) -> None:
         self.pilot = pilot
         self.report = report
         self.instances: dict[str, Instance] = {}
--- a/flintreach/adapter/wire.py
+++ b/flintreach/adapter/wire.py
@@ -177,8 +177,8 @@
         WireError: a line is malformed or out of place, or the input ends within a batch.
     """
     now, messages, missing, catalog = None, [], 0, []
-    for at, line in enumerate(source, 1):
-        line = line.rstrip("\n")
+    for at, raw_line in enumerate(source, 1):
+        line = raw_line.rstrip("\n")
         if now is None:
             word, _, rest = line.partition(" ")
             if word != "TICK":
--- a/flintreach/net/buffer.py
+++ b/flintreach/net/buffer.py
@@ -8,12 +8,12 @@
 
 
 class Buffer:
-    """Bytes that have come and are not yet read.
+    r"""Bytes that have come and are not yet read.
 
     >>> buffer = Buffer(8)
-    >>> buffer.append(b"one\\ntw"); list(buffer.lines())
+    >>> buffer.append(b"one\ntw"); list(buffer.lines())
     [b'one']
-    >>> buffer.append(b"o\\n"); list(buffer.lines()), len(buffer)
+    >>> buffer.append(b"o\n"); list(buffer.lines()), len(buffer)
     ([b'two'], 0)
     >>> buffer.append(b"far too long"); list(buffer.lines())
     Traceback (most recent call last):
@@ -29,7 +29,7 @@
         scanned: up to where no line end was found.
     """
 
-    def __init__(self, max_bytes: int):
+    def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.store = bytearray()
         self.start = 0
--- a/flintreach/net/clients.py
+++ b/flintreach/net/clients.py
@@ -44,10 +44,10 @@
         reading_paused: whether nothing is read from the transport.
     """
 
-    def __init__(self, clients: "Clients"):
+    def __init__(self, clients: "Clients") -> None:
         self.clients = clients
         self.service = clients.service
-        self.transport = None
+        self.transport: asyncio.Transport | None = None
         self.state = "stranger"
         self.timer = None
         self.buffered_bytes = 0
@@ -97,7 +97,7 @@
         """Drop a client that leaves too many bytes unread."""
         self.transition("client does not read")
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         """Forget the client."""
         self.set_timeout(None)
         self.clients.remove(self)
@@ -132,9 +132,11 @@
             if self.state != "collector" and not more and len(self.buffer) > limits.max_stranger_line_bytes:
                 raise Overflow("line of a stranger too long")
         except Overflow:
-            return self.transition("line too long")
+            self.transition("line too long")
+            return
         except DECODE_ERRORS:
-            return self.transition("undecodable data")
+            self.transition("undecodable data")
+            return
         queue_full = self.service.queue_full()
         if self.state == "collector":
             # A line that was cut off, or never ends, would hold its memory for ever.  While lines wait for us
@@ -215,7 +217,8 @@
             raise ValueError("target is not a string")
         server = self.service.registry.servers.get(message["target"])
         if server is None:  # gone or never listed: a report must not add it to the registry
-            return self.service.count_warning("report for an unknown server")
+            self.service.count_warning("report for an unknown server")
+            return
         load = {name: reported[name] for name in self.service.settings.load_fields if name in reported}
         self.service.enqueue(interface.ServerReport(zone, server, tries, unanswered, latency, span, load))
 
@@ -252,7 +255,7 @@
         max_by_state: limit on the clients of each state.
     """
 
-    def __init__(self, service):
+    def __init__(self, service) -> None:
         limits = service.limits
         self.service = service
         self.paused = []
--- a/flintreach/net/clock.py
+++ b/flintreach/net/clock.py
@@ -18,7 +18,7 @@
         limits: retry delays and the grace of timeouts.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, limits: Limits):
+    def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, limits: Limits) -> None:
         self.loop = loop
         self.seed = seed
         self.limits = limits
@@ -63,7 +63,9 @@
         callback: is called once, unless the timer is cancelled.
     """
 
-    def __init__(self, loop, wait: int, grace: int, callback: Callable[[], None]):
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, wait: int, grace: int, callback: Callable[[], None]
+    ) -> None:
         self.loop = loop
         self.grace = grace
         self.callback = callback
--- a/flintreach/net/http.py
+++ b/flintreach/net/http.py
@@ -55,15 +55,15 @@
 
     def __init__(
         self, clock: Clock, limits: Limits, target: str, on_end: Callable, on_chunk: Callable | None = None
-    ):
+    ) -> None:
         self.clock = clock
         self.limits = limits
         self.target = target
         self.on_end = on_end
         self.on_chunk = on_chunk
         self.state = "dialling"
-        self.transport = None
-        self.parser = None
+        self.transport: asyncio.Transport | None = None
+        self.parser: httptools.HttpResponseParser | None = None
         self.buffer = Buffer(limits.max_body_bytes)
         self.timer = None
         self.request = b""
@@ -137,21 +137,24 @@
         """Send the first request, unless the connection was closed meanwhile."""
         self.transport = transport
         if self.state == "closed":
-            return transport.abort()
+            transport.abort()
+            return
         self.transition("connected")
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of the response; data that nothing was asked for ends the connection."""
         if self.state != "awaiting response":
-            return self.transition("garbled")
+            self.transition("garbled")
+            return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            return self.transition("garbled")
+            self.transition("garbled")
+            return
         if self.completion:
             self.transition(self.completion)
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         """End the call that is under way."""
         self.transition("lost")
 
--- a/flintreach/net/relay.py
+++ b/flintreach/net/relay.py
@@ -38,16 +38,16 @@
         folded: whether `pending` may hold orders of several turns.
     """
 
-    def __init__(self, service):
+    def __init__(self, service) -> None:
         self.service = service
         self.state = "free"
         self.failures = 0
         self.pending: dict[tuple, dict] = {}
         self.in_flight: dict[tuple, dict] = {}
-        self.connection = None
+        self.connection: Connection | None = None
         self.folded = False
 
-    def encode(self, order) -> tuple[tuple, dict]:
+    def encode(self, order: object) -> tuple[tuple, dict]:
         """The key of an order, and the order as the relay reads it.
 
         Raises:
@@ -224,7 +224,7 @@
         table: its lines so far.
     """
 
-    def __init__(self, relay_feed: "RelayFeed"):
+    def __init__(self, relay_feed: "RelayFeed") -> None:
         self.relay_feed = relay_feed
         self.service = relay_feed.service
         limits, clock = self.service.limits, self.service.clock
@@ -271,7 +271,8 @@
         if kind != "line":
             self.finish_slice()
         if not message:
-            return self.relay_feed.on_heartbeat(self)
+            self.relay_feed.on_heartbeat(self)
+            return
         try:
             HANDLERS.get(kind, FeedConnection.on_unknown)(self, message.get("object"))
         except DECODE_ERRORS:
@@ -358,7 +359,7 @@
         opening_tables: those that the opening connection has brought.
     """
 
-    def __init__(self, service):
+    def __init__(self, service) -> None:
         self.service = service
         self.active = None
         self.opening = None
--- a/flintreach/net/roster.py
+++ b/flintreach/net/roster.py
@@ -46,12 +46,12 @@
         watching: whether changes are wanted.
     """
 
-    def __init__(self, service):
+    def __init__(self, service) -> None:
         self.service = service
         self.index = None
         self.has_list = False
         self.has_malformed = False
-        self.connection = None
+        self.connection: Connection | None = None
         self.failures = 0
         self.watching = not service.settings.server_list_on_request
 
@@ -119,7 +119,8 @@
         """Ask for the whole list, or for what has changed since the last."""
         limits = self.service.limits
         if self.index is None:
-            return self.connection.call("GET", PATH, limits.watch_timeout_margin)
+            self.connection.call("GET", PATH, limits.watch_timeout_margin)
+            return
         # Discovery holds the call for a short time only: a vanished connection gives no sign, and a change
         # counts as delivered soon after discovery has it.
         path = f"{PATH}?after={self.index}&wait_ms={limits.watch_duration // MS}"
@@ -147,7 +148,8 @@
                 if self.has_malformed and not full:
                     index = None  # the whole list tells what the malformed entry would have
         except DECODE_ERRORS as error:
-            return self.on_failure(f"{type(error).__name__} {error}")
+            self.on_failure(f"{type(error).__name__} {error}")
+            return
         self.index = index
         self.failures = 0
         self.service.log_state("discovery", "up to date", f"index {index}")
--- a/flintreach/net/run.py
+++ b/flintreach/net/run.py
@@ -21,7 +21,7 @@
     A reader that hangs or a full disk must not stop the event loop; lines are lost then.
     """
 
-    def __init__(self, descriptor: int):
+    def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
--- a/flintreach/net/servers.py
+++ b/flintreach/net/servers.py
@@ -46,7 +46,7 @@
         in_flight: connections of probes that wait for their answer.
     """
 
-    def __init__(self, service):
+    def __init__(self, service) -> None:
         self.service = service
         self.addresses = WeakKeyDictionary()
         self.in_flight = set()
--- a/flintreach/net/service.py
+++ b/flintreach/net/service.py
@@ -47,7 +47,7 @@
         status: exit status of the process.
     """
 
-    def __init__(self, config, loop: asyncio.AbstractEventLoop, log, front=Clients):
+    def __init__(self, config, loop: asyncio.AbstractEventLoop, log, front=Clients) -> None:
         self.loop = loop
         self.log = log
         self.limits = config.limits
@@ -85,7 +85,7 @@
 
     # Event queue.
 
-    def enqueue(self, event) -> None:
+    def enqueue(self, event: object) -> None:
         """Add an event to the next turn, which runs one tick from now at the latest."""
         self.pending_events.append(event)
         if not self.turn_scheduled:
@@ -131,7 +131,8 @@
             orders = self.pilot.handle(started, events)
         except Exception:
             self.log.error("decision logic raised an exception; stopping", trace=traceback.format_exc())
-            return self.stop(1)
+            self.stop(1)
+            return
         duration = self.clock.now() - started
         self.turn_count += 1
         self.longest_turn = max(self.longest_turn, duration)
@@ -203,7 +204,7 @@
         if len(str(number)) > len(str(before)) or not before:
             self.log.warning(text, times=number, **{"figures": figures[:80]} if figures else {})
 
-    def on_loop_exception(self, loop, context: dict) -> None:
+    def on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Log an exception that ended a callback of the event loop; the service goes on."""
         error = context.get("exception")
         self.log.error(
@@ -271,7 +272,8 @@
         try:
             config = load(self.config.path, again=True)
         except ConfigError as error:
-            return self.log.error("reload failed; keeping the current configuration", error=str(error))
+            self.log.error("reload failed; keeping the current configuration", error=str(error))
+            return
         old, new = self.config.document, config.document
         ignored = [name for name in sorted({*old, *new} - RELOADABLE_KEYS) if old.get(name) != new.get(name)]
         moved = [name for name in ("discovery", "store") if getattr(self, name) != getattr(config, name)]
