--- a/flintreach/cli/pilot_service.py
+++ b/flintreach/cli/pilot_service.py
@@ -70,7 +70,7 @@
     cores = operator.block("cores")
     if not cores:
         return
-    reason = cores.fits(config.document.get("limits") or {})
+    reason = cores.check_limits(config.document.get("limits") or {})
     if reason:
         end_unusable(f"{operator.path}: cores: {reason}")
 
@@ -82,10 +82,10 @@
     cores = operator.block("cores")
     if not cores or not cores.workers:
         return run.Clients
-    from flintreach.cores.front import Front
+    from flintreach.cores.worker_pool import WorkerPool
 
-    def front(service: "Service") -> Front:
-        return Front(service, cores)
+    def front(service: "Service") -> WorkerPool:
+        return WorkerPool(service, cores)
 
     return front
 
--- a/flintreach/cores/block.py
+++ b/flintreach/cores/block.py
@@ -34,13 +34,13 @@
         """Beside the deciding one."""
         return self.workers + (self.search and self.workers > 0)
 
-    def fits(self, limits: dict) -> str | None:
+    def check_limits(self, limits: dict) -> str | None:
         """Why the platform's limits, which all processes share, do not hold them; None where they do.
 
-        >>> Block(workers=3).fits({"memory_mb": 64, "sockets": 1024})
+        >>> Block(workers=3).check_limits({"memory_mb": 64, "sockets": 1024})
         'workers: 5 processes want 160 MB and 72 descriptors, of 64 and 1024 allowed'
-        >>> Block(workers=3).fits({"memory_mb": 192, "sockets": 256}), Block().fits({"memory_mb": 16})
-        (None, None)
+        >>> Block(workers=3).check_limits({"memory_mb": 192, "sockets": 256})
+        >>> Block().check_limits({"memory_mb": 16})
         """
         memory, sockets = limits.get("memory_mb", 192), limits.get("sockets", 1024)
         wanted = DECIDES_MB + WORKER_MB * self.processes, DECIDES + EACH * self.processes
--- a/flintreach/cores/link.py
+++ b/flintreach/cores/link.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from flintreach.cores import words
+from flintreach.cores import messages
 from flintreach.cores.frames import Reader, Torn, Writer
 
 
 class Link(asyncio.Protocol):
     """`take(message)` hears of each whole record; `ended(why)` once, with what was cut off."""
 
-    def __init__(self, decode: Callable, take: Callable, ended: Callable, encode: Callable = words.encode):
+    def __init__(self, decode: Callable, take: Callable, ended: Callable, encode: Callable = messages.encode):
         self.encode, self.decode, self.take, self.ended = encode, decode, take, ended
         self.reader, self.writer, self.transport, self.over = Reader(), Writer(), None, False
 
@@ -23,7 +23,7 @@
                 self.take(self.decode(body))
                 if self.over:
                     return
-        except (Torn, words.UNREADABLE) as error:
+        except (Torn, messages.UNREADABLE) as error:
             self.end(f"torn: {error}")
 
     def connection_lost(self, error) -> None:
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from flintreach.cores import words
-from flintreach.cores.fold import Fold, Pace
+from flintreach.cores import messages
+from flintreach.cores.aggregation import Fold, Pace
 from flintreach.cores.link import Link
 from flintreach.net.clients import Client, Clients
 from flintreach.net.clock import Clock
@@ -43,7 +43,7 @@
 class Desk:
     """What a connection needs of a service, in a worker."""
 
-    def __init__(self, loop, link: Link, told: words.Start):
+    def __init__(self, loop, link: Link, told: messages.Start):
         self.loop, self.link, self.told = loop, link, told
         self.limits = Limits(**told.limits)
         self.settings = settings.read(0, dict(settings.flatten(told.told["settings"])))
@@ -89,7 +89,7 @@
     # What the deciding process says.
 
     def take(self, message) -> None:
-        if isinstance(message, words.Sign):
+        if isinstance(message, messages.Sign):
             self.heard_at, self.told_ready = self.clock.now(), message.ready
             if message.took is not None:
                 self.pace.credit(self.heard_at, message.took)
@@ -97,7 +97,7 @@
                 self.stir()
             if message.ready:
                 self.clients.notify_ready()
-        elif isinstance(message, words.Names):
+        elif isinstance(message, messages.Names):
             for number, name in message.added:
                 server = self.registry.server(name)
                 self.by_number[number], self.numbers[server] = server, number
@@ -125,7 +125,7 @@
             for event in self.fold.take(self.told.rows):
                 self.row(event, servers, slices)
             self.pace.sent()
-            self.link.tell(words.Sums(servers, slices))
+            self.link.tell(messages.Sums(servers, slices))
         elif not self.pace.out and not self.timer:
             self.timer = self.clock.call_later(self.pace.next - now, self.rested)
 
@@ -136,7 +136,7 @@
     def row(self, event, servers: list, slices: list) -> None:
         if isinstance(event, interface.DemandReport):
             slices.append(
-                words.Slice(
+                messages.Slice(
                     event.slice.number if event.slice else -1,
                     event.proxy.number if event.proxy else -1,
                     event.operation.index,
@@ -149,7 +149,7 @@
             )
         elif event.server in self.numbers:
             servers.append(
-                words.Server(
+                messages.Server(
                     self.numbers[event.server],
                     event.zone,
                     event.tries,
@@ -168,7 +168,7 @@
             counts, gone, mates = self.counts, self.gone, self.clients.by_state
             self.counts, self.gone = {}, []
             self.link.tell(
-                words.Beat(
+                messages.Beat(
                     counts,
                     gone,
                     len(self.fold),
@@ -183,13 +183,13 @@
 class Worker:
     def __init__(self, loop, door: socket.socket):
         self.loop, self.door, self.desk, self.tasks = loop, door, None, set()
-        self.link = Link(words.to_worker, self.take, self.ended)
+        self.link = Link(messages.to_worker, self.take, self.ended)
 
     def take(self, message) -> None:
         if self.desk is None:
             self.desk = Desk(self.loop, self.link, message)
             self.loop.add_reader(self.door, self.open)
-            self.link.tell(words.Greet(os.getpid()))
+            self.link.tell(messages.Greet(os.getpid()))
             self.desk.beat()
             gc.freeze()
             gc.set_threshold(50_000, 20, 100)  # rows are many, and no cycles
--- a/flintreach/cores/front.py
+++ b/flintreach/cores/worker_pool.py
@@ -14,9 +14,9 @@
 import sys
 from dataclasses import asdict, replace
 
-from flintreach.cores import words
+from flintreach.cores import messages
 from flintreach.cores.block import Block
-from flintreach.cores.care import Life, Owners
+from flintreach.cores.lifecycle import Life, Owners
 from flintreach.cores.link import Link
 from flintreach.net.http import parse_address
 from flintreach.pilot import interface
@@ -33,7 +33,7 @@
 
     what = ""
 
-    def __init__(self, front: "Front", number: int, block: Block):
+    def __init__(self, front: "WorkerPool", number: int, block: Block):
         self.front, self.number, self.service = front, number, front.service
         self.life = Life(block.pause_first, block.pause_longest, block.steady)
         self.process = self.link = self.timer = self.exit = None
@@ -126,7 +126,7 @@
 class Worker(Hand):
     what = "worker"
 
-    def __init__(self, front: "Front", number: int, block: Block):
+    def __init__(self, front: "WorkerPool", number: int, block: Block):
         super().__init__(front, number, block)
         self.door, self.told = None, set()  # told: numbers of servers that it knows
         self.owed: list[int] = []  # nanoseconds that its records took, until they are handled
@@ -140,7 +140,7 @@
         self.told, self.owed = set(), []
         handles = channel, theirs
         return (
-            Link(words.to_pilot, self.take, self.lost),
+            Link(messages.to_pilot, self.take, self.lost),
             handles,
             [str(handle.fileno()) for handle in handles],
         )
@@ -151,7 +151,7 @@
     def open(self) -> None:
         self.front.owners.open(self)
         self.name()
-        self.link.tell(words.Sign(self.service.ready, 0))
+        self.link.tell(messages.Sign(self.service.ready, 0))
         self.front.accepting(True)
 
     def shut(self) -> None:
@@ -165,9 +165,9 @@
 
     def take(self, message) -> None:
         self.heard()
-        if isinstance(message, words.Sums):
+        if isinstance(message, messages.Sums):
             self.sums(message)
-        elif isinstance(message, words.Beat):
+        elif isinstance(message, messages.Beat):
             self.waiting, self.lines, self.busy = message.waiting, message.lines, message.busy
             self.open_now = message.open
             for what, (number, figures) in message.counts.items():
@@ -178,7 +178,7 @@
             self.step("greeted", f"process {message.process}")
             self.heard()
 
-    def sums(self, message: words.Sums) -> None:
+    def sums(self, message: messages.Sums) -> None:
         service, began = self.service, self.service.clock.now()
         slices, proxies = service.registry.slices, service.registry.proxies
         operations = service.settings.operations
@@ -216,7 +216,9 @@
         added, gone = names.keys() - self.told, self.told - names.keys()
         if added or gone:
             self.told = set(names)
-            self.link.tell(words.Names([(number, names[number]) for number in sorted(added)], sorted(gone)))
+            self.link.tell(
+                messages.Names([(number, names[number]) for number in sorted(added)], sorted(gone))
+            )
 
     def give(self, guest: socket.socket, number: int) -> bool:
         try:
@@ -231,7 +233,7 @@
 
     what = "solver"
 
-    def __init__(self, front: "Front", number: int, block: Block):
+    def __init__(self, front: "WorkerPool", number: int, block: Block):
         super().__init__(front, number, block)
         self.search, self.counter = None, 0
 
@@ -274,7 +276,7 @@
     return there
 
 
-class Front:
+class WorkerPool:
     def __init__(self, service, block: Block):
         self.service, self.block, self.owners = service, block, Owners()
         self.listener, self.counter, self.made, self.read = None, 0, 0, 0
@@ -290,7 +292,7 @@
             max_buffered_bytes=limits.max_buffered_bytes // part,
             max_lines_per_read=PORTION,
         )
-        self.start = words.Start(
+        self.start = messages.Start(
             service.config.document,
             asdict(shared),
             block.rows,
@@ -346,7 +348,7 @@
         self.name()
         for hand in self.hands:
             if hand.serves:
-                hand.link.tell(words.Sign(self.service.ready))
+                hand.link.tell(messages.Sign(self.service.ready))
         self.service.clock.call_later(self.block.sign, self.sign)
 
     def name(self) -> None:
@@ -375,7 +377,7 @@
         """Workers answer the questions that waited."""
         for hand in self.hands:
             if hand.serves:
-                hand.link.tell(words.Sign(True))
+                hand.link.tell(messages.Sign(True))
 
     def resume(self) -> None:
         """After a turn: who brought sums may bring the next, once these have been handled."""
@@ -383,7 +385,7 @@
             self.name()
         for hand in self.hands:
             for took in hand.owed if hand.serves else ():
-                hand.link.tell(words.Sign(self.service.ready, took))
+                hand.link.tell(messages.Sign(self.service.ready, took))
             hand.owed = []
 
     def gauges(self) -> dict[str, float]:
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -15,11 +15,11 @@
 import pytest
 import uvloop
 
+from flintreach.cores.aggregation import Fold, Pace
 from flintreach.cores.block import Block
-from flintreach.cores.care import LIFE, Life, Owners
-from flintreach.cores.fold import Fold, Pace
 from flintreach.cores.frames import MOST, Reader, Torn, Writer
-from flintreach.cores.front import Front
+from flintreach.cores.lifecycle import LIFE, Life, Owners
+from flintreach.cores.worker_pool import WorkerPool
 from flintreach.net import config as net_config
 from flintreach.net.service import Service
 from flintreach.pilot import interface, reports
@@ -520,7 +520,7 @@
         self.log = RecordingLog()
         block = Block(workers=2, rows=100)
         self.service = Service(
-            net_config.load(str(path), {}), self.loop, self.log, lambda service: Front(service, block)
+            net_config.load(str(path), {}), self.loop, self.log, lambda service: WorkerPool(service, block)
         )
         self.service.pilot = self.recorder = RecordingPilot()
         self.held = self.service.discovery_client.parse_list(self.service.config.cached_list, "cached")
