--- a/flintreach/cores/frames.py
+++ b/flintreach/cores/frames.py
@@ -1,68 +1,82 @@
-"""Records between the processes of one pilot: whole, in order and once, or not at all.  Pure.
+"""Framing of records between the processes of one pilot.
 
-A worker may be killed at any byte.  Each record has its length, its number and a checksum, so a torn one is
-found and dropped, and none can count twice.
+Each record arrives whole, in order and once, or not at all.
+A worker may be killed at any byte.  Each record has its length, a sequence number and a checksum, so that an
+incomplete one is detected and dropped, and none counts twice.
+
+Does no input or output.
 """
 
 import struct
 import zlib
 from collections.abc import Iterator
 
-HEAD = struct.Struct("<III")  # bytes of the body, the record's number, CRC-32 over number and body
-MOST = 8 << 20  # bytes of a body: what claims more is no record of ours
+HEADER = struct.Struct("<III")  # length of the body, sequence number, CRC-32 over number and body
+MAX_BODY_BYTES = 8 << 20  # a header that gives more is corrupt
+NUMBER_MASK = 0xFFFFFFFF  # sequence numbers wrap at 32 bits
 
 
-class Torn(ValueError):
-    """Bytes that are no record, or not the next one: nothing after them can be trusted."""
+class TornRecord(ValueError):
+    """The data is not the next valid record; nothing after it can be trusted."""
 
 
-def check(number: int, body: bytes) -> int:
+def checksum(number: int, body: bytes) -> int:
+    """Compute the CRC-32 of a sequence number and a body."""
     return zlib.crc32(body, zlib.crc32(number.to_bytes(4, "little")))
 
 
-class Writer:
-    """
-    >>> writer, reader = Writer(), Reader()
+class RecordWriter:
+    """Encodes bodies as records.
+
+    >>> writer, reader = RecordWriter(), RecordReader()
     >>> data = writer.pack(b"one") + writer.pack(b"two")
-    >>> list(reader.feed(data[:20])), list(reader.feed(data[20:])), reader.rest
+    >>> list(reader.feed(data[:20])), list(reader.feed(data[20:])), reader.pending_bytes
     ([b'one'], [b'two'], 0)
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.number = 0
 
     def pack(self, body: bytes) -> bytes:
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        return HEAD.pack(len(body), self.number, check(self.number, body)) + body
+        """Encode a body as the next record."""
+        self.number = (self.number + 1) & NUMBER_MASK
+        return HEADER.pack(len(body), self.number, checksum(self.number, body)) + body
 
 
-class Reader:
-    """Bytes in, bodies out.  Raises Torn; what stands before the torn record has been given."""
+class RecordReader:
+    """Decodes records from a stream of bytes."""
 
-    def __init__(self):
-        self.held, self.number = bytearray(), 0
+    def __init__(self) -> None:
+        self.buffer = bytearray()
+        self.number = 0
 
     @property
-    def rest(self) -> int:
-        """Bytes of a record that has not come whole."""
-        return len(self.held)
+    def pending_bytes(self) -> int:
+        """Bytes of a record that has not arrived in full."""
+        return len(self.buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        self.held += data
+        """Decode data and yield the bodies of all complete records.
+
+        Raises:
+            TornRecord: the data is not the next record; those before it have been yielded.
+        """
+        self.buffer += data
         at = 0
         try:
-            while len(self.held) - at >= HEAD.size:
-                length, number, sum = HEAD.unpack_from(self.held, at)
-                wanted = (self.number + 1) & 0xFFFFFFFF
-                if length > MOST or number != wanted:
-                    raise Torn(f"record {number} of {length} bytes in place of record {wanted}")
-                end = at + HEAD.size + length
-                if end > len(self.held):
+            while len(self.buffer) - at >= HEADER.size:
+                length, number, expected_checksum = HEADER.unpack_from(self.buffer, at)
+                expected = (self.number + 1) & NUMBER_MASK
+                if length > MAX_BODY_BYTES or number != expected:
+                    raise TornRecord(f"expected record {expected}, got record {number} of {length} bytes")
+                end = at + HEADER.size + length
+                if end > len(self.buffer):
                     break
-                body = bytes(self.held[at + HEAD.size : end])
-                if check(number, body) != sum:
-                    raise Torn(f"record {number} is spoilt")
-                at, self.number = end, wanted
+                body = bytes(self.buffer[at + HEADER.size : end])
+                if checksum(number, body) != expected_checksum:
+                    raise TornRecord(f"checksum mismatch in record {number}")
+                at = end
+                self.number = expected
                 yield body
         finally:
-            del self.held[:at]
+            del self.buffer[:at]
--- a/flintreach/cores/lifecycle.py
+++ b/flintreach/cores/lifecycle.py
@@ -1,89 +1,132 @@
-"""The life of a worker, and who owns which connection.  Pure."""
-
-# State, input, next state, effect.  A pair that is not here changes nothing.
-LIFE = {
-    ("absent", "start"): ("starting", "spawn"),
-    ("starting", "greeted"): ("serving", "open"),
-    ("starting", "silent"): ("ending", "kill"),
-    ("starting", "torn"): ("ending", "kill"),
-    ("serving", "silent"): ("ending", "kill"),
-    ("serving", "torn"): ("ending", "kill"),
-    ("starting", "ended"): ("held off", "pause"),
-    ("serving", "ended"): ("held off", "pause"),
-    ("ending", "ended"): ("held off", "pause"),
-    ("held off", "due"): ("starting", "spawn"),
+"""The life cycle of a child process, and the assignment of client connections to workers.
+
+Does no input or output.
+"""
+
+from collections.abc import Collection, Hashable
+
+# (state, input) to (next state, effect).  A pair that is absent changes nothing and has no effect.
+TRANSITIONS: dict[tuple[str, str], tuple[str, str | None]] = {
+    ("not started", "start"): ("starting", "spawn"),
+    ("starting", "greeted"): ("serving", "activate"),
+    ("starting", "silent"): ("terminating", "kill"),
+    ("starting", "torn"): ("terminating", "kill"),
+    ("serving", "silent"): ("terminating", "kill"),
+    ("serving", "torn"): ("terminating", "kill"),
+    ("starting", "ended"): ("backing off", "back_off"),
+    ("serving", "ended"): ("backing off", "back_off"),
+    ("terminating", "ended"): ("backing off", "back_off"),
+    ("backing off", "due"): ("starting", "spawn"),
     ("starting", "stop"): ("stopped", "kill"),
     ("serving", "stop"): ("stopped", "close"),
-    ("ending", "stop"): ("stopped", "kill"),
-    ("held off", "stop"): ("stopped", None),
-    ("absent", "stop"): ("stopped", None),
+    ("terminating", "stop"): ("stopped", "kill"),
+    ("backing off", "stop"): ("stopped", None),
+    ("not started", "stop"): ("stopped", None),
 }
+MAX_BACKOFF_DOUBLINGS = 30  # bounds the shift; the longest back-off is reached long before
+
 
+class Lifecycle:
+    """State machine of one child process, with exponential back-off between restarts.
 
-class Life:
-    """One worker's state; `step` gives the effect, `pause` how long it is held off."""
+    All times are in nanoseconds.
 
-    def __init__(self, first: int, longest: int, steady: int):
-        self.state, self.failures, self.served = "absent", 0, None
-        self.first, self.longest, self.steady = first, longest, steady
+    Attributes:
+        state: a state of `TRANSITIONS`.
+        failures: consecutive exits that count for the back-off.
+        serving_since: when the process began to serve, or None while it does not.
+    """
+
+    def __init__(self, first_backoff: int, longest_backoff: int, stable_after: int) -> None:
+        """Create the life cycle of a process that is not started.
+
+        Args:
+            first_backoff: the delay before the first restart; it doubles with each further failure.
+            longest_backoff: the upper limit of the delay.
+            stable_after: time of service after which earlier failures no longer count.
+        """
+        self.state = "not started"
+        self.failures = 0
+        self.serving_since: int | None = None
+        self.first_backoff = first_backoff
+        self.longest_backoff = longest_backoff
+        self.stable_after = stable_after
 
-    def step(self, what: str, now: int) -> str | None:
-        state, effect = LIFE.get((self.state, what), (self.state, None))
-        if what == "greeted" and state != self.state:
-            self.served = now
-        if effect == "pause":
-            # One that dies again and again must not take the core from those that serve.
-            lasted = self.served is not None and now - self.served >= self.steady
-            self.failures, self.served = 1 if lasted else self.failures + 1, None
+    def step(self, event: str, now: int) -> str | None:
+        """Apply an input and return the effect that the caller must carry out, if any."""
+        state, effect = TRANSITIONS.get((self.state, event), (self.state, None))
+        if event == "greeted" and state != self.state:
+            self.serving_since = now
+        if effect == "back_off":
+            # A process that crashes repeatedly must not take processor time from those that serve.
+            stable = self.serving_since is not None and now - self.serving_since >= self.stable_after
+            self.failures = 1 if stable else self.failures + 1
+            self.serving_since = None
         self.state = state
         return effect
 
-    def pause(self) -> int:
-        """
-        >>> life = Life(100, 1000, 5000)
-        >>> [life.pause() for life.failures in (1, 2, 3, 4, 5, 60)]
+    def backoff(self) -> int:
+        """Return the delay before the next restart.
+
+        >>> lifecycle = Lifecycle(100, 1000, 5000)
+        >>> [lifecycle.backoff() for lifecycle.failures in (1, 2, 3, 4, 5, 60)]
         [100, 200, 400, 800, 1000, 1000]
         """
-        return min(self.longest, self.first << min(self.failures - 1, 30))
+        return min(self.longest_backoff, self.first_backoff << min(self.failures - 1, MAX_BACKOFF_DOUBLINGS))
 
 
-class Owners:
-    """Each connection has one owner; the worker with the fewest gets the next.
+class ConnectionOwners:
+    """Assigns each connection to one worker: the one that has the fewest.
 
-    >>> owners = Owners()
-    >>> owners.open("a"), owners.open("b"), [owners.give(n) for n in range(5)]
+    >>> owners = ConnectionOwners()
+    >>> owners.add_worker("a"), owners.add_worker("b"), [owners.assign(n) for n in range(5)]
     (None, None, ['a', 'b', 'a', 'b', 'a'])
-    >>> owners.close("a"), owners.give(5), owners.open("a"), [owners.give(n) for n in range(6, 9)]
-    ([0, 2, 4], 'b', None, ['a', 'a', 'a'])
+    >>> owners.remove_worker("a"), owners.assign(5)
+    ([0, 2, 4], 'b')
+    >>> owners.add_worker("a"), [owners.assign(n) for n in range(6, 9)]
+    (None, ['a', 'a', 'a'])
     """
 
-    def __init__(self):
-        self.held: dict[object, dict[int, None]] = {}
-        self.owner: dict[int, object] = {}
+    def __init__(self) -> None:
+        self.connections: dict[Hashable, dict[int, None]] = {}
+        self.owner: dict[int, Hashable] = {}
 
-    def open(self, worker) -> None:
-        self.held[worker] = {}
+    def add_worker(self, worker: Hashable) -> None:
+        """Make a worker available for connections."""
+        self.connections[worker] = {}
 
-    def close(self, worker) -> list[int]:
-        """The connections that end with it."""
-        gone = [*self.held.pop(worker, ())]
-        for number in gone:
+    def remove_worker(self, worker: Hashable) -> list[int]:
+        """Remove a worker and return the numbers of the connections that it owned."""
+        closed = [*self.connections.pop(worker, ())]
+        for number in closed:
             del self.owner[number]
-        return gone
+        return closed
+
+    def assign(self, number: int, excluded: Collection = ()) -> Hashable | None:
+        """Assign a connection to the worker with the fewest, and return that worker.
+
+        Args:
+            number: the connection.
+            excluded: workers that must not get it.
 
-    def give(self, number: int, but: tuple = ()):
-        """Who gets it; None where nobody can."""
-        able = [worker for worker in self.held if worker not in but]
-        if not able:
+        Returns:
+            The new owner, or None if no worker is available.
+        """
+        available = [worker for worker in self.connections if worker not in excluded]
+        if not available:
             return None
-        worker = min(able, key=lambda worker: len(self.held[worker]))
-        self.held[worker][number] = None
+        worker = min(available, key=lambda worker: len(self.connections[worker]))
+        self.connections[worker][number] = None
         self.owner[number] = worker
         return worker
 
-    def left(self, worker, number: int) -> bool:
-        """Whether it was this worker's: the word of one about another's connection counts for nothing."""
+    def release(self, worker: Hashable, number: int) -> bool:
+        """Forget a closed connection, and return whether it belonged to this worker.
+
+        A worker's report about a connection that it does not own is ignored.
+        """
         if self.owner.get(number) is not worker:
             return False
-        del self.owner[number], self.held[worker][number]
+        del self.owner[number]
+        del self.connections[worker][number]
         return True
--- a/flintreach/cores/messages.py
+++ b/flintreach/cores/messages.py
@@ -1,37 +1,43 @@
-"""What the processes of one pilot say to each other, as typed messages in MessagePack.
+"""Messages between the pilot process and its workers, in MessagePack.
 
-Servers go by numbers that the deciding process gives; a number is never used twice.
+Servers are identified by numbers that the pilot process assigns and never reuses.  Times are in nanoseconds.
 """
 
+from typing import Any
+
 import msgspec
 
+NUMBER_BYTES = 8  # of a connection's number, in the datagram that hands it to a worker
+
 
 class Start(msgspec.Struct, tag="start", array_like=True):
-    """The first word to a worker."""
+    """The first message to a worker: its configuration."""
 
-    told: dict  # the platform's configuration, as it was read
-    limits: dict  # of this worker
-    rows: int
-    wait: int  # nanoseconds
-    ratio: float
-    sign: int  # nanoseconds
-    stale: int
+    configuration: dict  # the platform's configuration document
+    limits: dict  # of this worker, as fields of `Limits`
+    max_rows: int  # in one record
+    max_wait: int  # of ordinary rows
+    idle_ratio: float  # of the pilot process: idle time for each nanosecond of handling this worker's rows
+    heartbeat_interval: int
+    heartbeat_expiry: int  # age of the last heartbeat from which liveness probes are not answered
 
 
-class Names(msgspec.Struct, tag="names", array_like=True):
+class ServerNames(msgspec.Struct, tag="names", array_like=True):
+    """To a worker: changes of the servers that reports may name."""
+
     added: list[tuple[int, str]]
-    gone: list[int]
+    removed: list[int]
 
 
-class Sign(msgspec.Struct, tag="sign", array_like=True):
-    """The deciding process lives; with `took`, it has taken the last sums in, in so many nanoseconds."""
+class PilotHeartbeat(msgspec.Struct, tag="sign", array_like=True):
+    """To a worker: the pilot process is alive."""
 
-    ready: bool
-    took: int | None = None
+    ready: bool  # whether liveness probes may be answered
+    took: int | None = None  # time that the last record of this worker took to handle; it may send the next
 
 
-class Server(msgspec.Struct, array_like=True):
-    """One row about a server; times are nanoseconds."""
+class ServerRow(msgspec.Struct, array_like=True):
+    """Aggregated reports about a server."""
 
     number: int
     zone: int
@@ -43,8 +49,8 @@
     load: dict[str, float]
 
 
-class Slice(msgspec.Struct, array_like=True):
-    """One row about a slice, or without slices about a proxy; -1 stands for none."""
+class DemandRow(msgspec.Struct, array_like=True):
+    """Aggregated reports about a slice, or about a proxy where there are no slices; -1 stands for none."""
 
     slice: int
     proxy: int
@@ -56,29 +62,31 @@
     lines: int
 
 
-class Greet(msgspec.Struct, tag="greet", array_like=True):
-    """A worker is ready for connections."""
+class WorkerReady(msgspec.Struct, tag="greet", array_like=True):
+    """From a worker: it is ready for connections."""
+
+    process_id: int
 
-    process: int
 
+class WorkerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
+    """From a worker: it is alive, with its figures."""
 
-class Beat(msgspec.Struct, tag="beat", array_like=True):
-    """A worker lives; what it had to count and which connections have ended since its last word."""
+    warnings: dict[str, tuple[int, str]]  # since the last heartbeat: how often, and the first one's figures
+    closed: list[int]  # connections, since the last heartbeat
+    pending_rows: int
+    lines_read: int  # since the start
+    cpu_time: int  # since the start
+    open_connections: tuple[int, int]  # strangers and collectors
 
-    counts: dict[str, tuple[int, str]]
-    gone: list[int]
-    waiting: int  # rows not yet sent
-    lines: int  # read since the start
-    busy: int  # nanoseconds of processor time
-    open: tuple[int, int]  # strangers and collectors
 
+class AggregatedReports(msgspec.Struct, tag="sums", array_like=True):
+    """From a worker: reports that have been added up."""
 
-class Sums(msgspec.Struct, tag="sums", array_like=True):
-    servers: list[Server]
-    slices: list[Slice]
+    servers: list[ServerRow]
+    demand: list[DemandRow]
 
 
-encode = msgspec.msgpack.Encoder().encode
-to_worker = msgspec.msgpack.Decoder(Start | Names | Sign).decode
-to_pilot = msgspec.msgpack.Decoder(Greet | Beat | Sums).decode
-UNREADABLE = msgspec.MsgspecError
+encode: Any = msgspec.msgpack.Encoder().encode
+decode_in_worker: Any = msgspec.msgpack.Decoder(Start | ServerNames | PilotHeartbeat).decode
+decode_in_pilot: Any = msgspec.msgpack.Decoder(WorkerReady | WorkerHeartbeat | AggregatedReports).decode
+DECODE_ERROR = msgspec.MsgspecError
--- a/flintreach/cores/worker_pool.py
+++ b/flintreach/cores/worker_pool.py
@@ -1,7 +1,8 @@
-"""The deciding process's side: it accepts, hands connections to workers, and takes in what they summed up.
+"""The pilot process's side: it accepts connections, hands them to workers, and takes in aggregated reports.
 
-It stands where `flintreach.net.clients.Clients` stands in the plain service.  All that the module decides,
-and every order, stay in this process; so no two cores can order the same, or differ about a drain.
+`WorkerPool` takes the place that `flintreach.net.clients.Clients` has in a single process.  All decisions and
+all orders stay in the pilot process, so that no two processes can issue the same order or disagree about a
+drain.
 """
 
 import copy
@@ -13,193 +14,263 @@
 import subprocess
 import sys
 from dataclasses import asdict, replace
+from typing import TYPE_CHECKING, Any
 
 from flintreach.cores import messages
 from flintreach.cores.block import Block
-from flintreach.cores.lifecycle import Life, Owners
-from flintreach.cores.link import Link
+from flintreach.cores.lifecycle import ConnectionOwners, Lifecycle
+from flintreach.cores.link import TORN, Link
 from flintreach.net.http import parse_address
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
-ACCEPTED = 64  # connections in one turn of the loop
-DOOR_BYTES = 16 << 10  # of handed-over connections that wait for a worker
-PORTION = 100  # lines of one client in a turn of a worker's loop
-ENDS_WITHIN = 0.3  # seconds for workers to end by themselves
-
-
-class Hand:
-    """A process beside the deciding one, as that sees it."""
-
-    what = ""
-
-    def __init__(self, front: "WorkerPool", number: int, block: Block):
-        self.front, self.number, self.service = front, number, front.service
-        self.life = Life(block.pause_first, block.pause_longest, block.steady)
-        self.process = self.link = self.timer = self.exit = None
-
-    def step(self, what: str, why: str = "") -> None:
-        before = self.life.state
-        effect = self.life.step(what, self.service.clock.now())
+if TYPE_CHECKING:
+    from flintreach.net.service import Service
+    from flintreach.policy.search import Search
+
+MAX_ACCEPTS_PER_CALLBACK = 64
+HANDOVER_BUFFER_BYTES = 16 << 10  # of connections that wait for a worker to receive them
+WORKER_LINES_PER_READ = 100  # lines that a worker reads from one client before it turns to others
+EXIT_TIMEOUT_S = 0.3  # for child processes to exit by themselves
+START_TIMEOUT_FACTOR = 10  # a process takes longer to start than to send a heartbeat
+GC_THRESHOLDS = 5000, 20, 100  # a full collection over all windows of sums takes 50 ms
+
+
+class ChildProcess:
+    """A child process, as the pilot process sees it.
+
+    The effects of `lifecycle.TRANSITIONS` are methods, which `step` calls by name.
+
+    Attributes:
+        kind: the module of this package that the process runs, and its name in the log.
+        exit_fd: becomes readable when the process exits; None while there is no process.
+        hang_timer: fires if nothing is heard of the process.
+    """
+
+    kind = ""
+
+    def __init__(self, pool: "WorkerPool", number: int, block: Block) -> None:
+        self.pool = pool
+        self.number = number
+        self.service = pool.service
+        self.lifecycle = Lifecycle(block.pause_first, block.pause_longest, block.steady)
+        self.process: subprocess.Popen | None = None
+        self.link: Any = None
+        self.connect_task: Any = None
+        self.hang_timer: Any = None
+        self.exit_fd: int | None = None
+
+    def step(self, event: str, reason: str = "") -> None:
+        """Apply an input of the life cycle: carry out its effect and log a change of state."""
+        before = self.lifecycle.state
+        effect = self.lifecycle.step(event, self.service.clock.now())
         if effect:
             getattr(self, effect)()
-        if before != self.life.state:
-            self.service.log_state(f"{self.what} {self.number}", self.life.state, why)
+        if before != self.lifecycle.state:
+            self.service.log_state(f"{self.kind} {self.number}", self.lifecycle.state, reason)
 
     @property
     def serves(self) -> bool:
-        return self.life.state == "serving"
+        """Whether the process has started and is alive."""
+        return self.lifecycle.state == "serving"
 
     # Effects.
 
     def spawn(self) -> None:
-        block, loop = self.front.block, self.service.loop
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        self.link, handles, words = self.begin(theirs)
+        """Start the process and connect the link to it."""
+        loop = self.service.loop
+        parent_end, child_end = socket.socketpair()
+        parent_end.setblocking(False)
+        self.link, inherited, arguments = self.open_channels(child_end)
         try:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", f"flintreach.cores.{self.what}", *words],
-                pass_fds=[handle.fileno() for handle in handles],
+                [sys.executable, "-m", f"flintreach.cores.{self.kind}", *arguments],
+                pass_fds=[child_socket.fileno() for child_socket in inherited],
                 stdin=subprocess.DEVNULL,
             )
-        except OSError as error:  # no memory or no process for it: as one that dies at once
-            self.service.count_warning(f"{self.what} not started", str(error))
-            ours.close()
+        except OSError as error:
+            # Memory or processes have run out: treated as a process that exits at once.
+            self.service.count_warning(f"{self.kind} not started", str(error))
+            parent_end.close()
             self.process = None
-            return self.service.clock.call_later(0, self.reaped)
+            self.service.clock.call_later(0, self.on_exit)
+            return
         finally:
-            for handle in handles:
-                handle.close()
-        self.exit = os.pidfd_open(self.process.pid)
-        loop.add_reader(self.exit, self.reaped)
-        self.wait = loop.create_task(loop.create_connection(lambda link=self.link: link, sock=ours))
-        self.wait.add_done_callback(lambda done, link=self.link: self.opened(link))
-        self.quiet(10 * block.hang)  # a start takes longer than any silence
-
-    def quiet(self, within: int) -> None:
-        """One that is not heard of within that time hangs; our own stall must not count."""
-        if self.timer:
-            self.timer.cancel()
-        self.timer = self.service.clock.start_timeout(within, lambda: self.step("silent"))
+            for child_socket in inherited:
+                child_socket.close()
+        self.exit_fd = os.pidfd_open(self.process.pid)
+        loop.add_reader(self.exit_fd, self.on_exit)
+        link = self.link
+        self.connect_task = loop.create_task(loop.create_connection(lambda: link, sock=parent_end))
+        self.connect_task.add_done_callback(lambda done: self.on_connected(link))
+        self.restart_hang_timer(START_TIMEOUT_FACTOR * self.pool.block.hang)
+
+    def activate(self) -> None:
+        """Begin to use the process, which is ready."""
+        raise NotImplementedError
 
     def close(self) -> None:
-        self.link.end()
-        self.shut()
+        """Close the link, upon which the process exits."""
+        self.link.close()
+        self.release()
 
     def kill(self) -> None:
+        """Close the link and kill the process."""
         self.close()
         if self.process and self.process.returncode is None:
             self.process.send_signal(signal.SIGKILL)
 
-    def pause(self) -> None:
+    def back_off(self) -> None:
+        """Schedule a restart."""
         self.close()
-        self.service.clock.call_later(self.life.pause(), lambda: self.step("due"))
-
-    def shut(self) -> None:
-        if self.timer:
-            self.timer.cancel()
-
-    # What happens to it.
-
-    def lost(self, why: str) -> None:
-        if why.startswith("torn"):
-            self.service.count_warning("torn record dropped", why)
-        self.step("torn", why)
-
-    def reaped(self) -> None:
-        if self.exit is not None:
-            self.service.loop.remove_reader(self.exit)
-            os.close(self.exit)
-            self.exit = None
+        self.service.clock.call_later(self.lifecycle.backoff(), lambda: self.step("due"))
+
+    def restart_hang_timer(self, timeout: int) -> None:
+        """Set the time after which a silent process counts as hung; stalls of this process do not count."""
+        if self.hang_timer:
+            self.hang_timer.cancel()
+        self.hang_timer = self.service.clock.start_timeout(timeout, lambda: self.step("silent"))
+
+    def release(self) -> None:
+        """Release what belongs to the process that ends."""
+        if self.hang_timer:
+            self.hang_timer.cancel()
+
+    # Events.
+
+    def on_link_end(self, reason: str) -> None:
+        """Handle the end of the stream by the other side."""
+        if reason.startswith(TORN):
+            self.service.count_warning("torn record dropped", reason)
+        self.step("torn", reason)
+
+    def on_exit(self) -> None:
+        """Handle the exit of the process, or that it could not be started."""
+        if self.exit_fd is not None:
+            self.service.loop.remove_reader(self.exit_fd)
+            os.close(self.exit_fd)
+            self.exit_fd = None
             self.process.wait()
         self.step("ended", f"status {self.process.returncode}" if self.process else "not started")
 
-    def heard(self) -> None:
+    def on_alive(self) -> None:
+        """Note that the process has sent a message."""
         if self.serves:
-            self.quiet(self.front.block.hang)
-
-    def opened(self, link: Link) -> None:
-        """The first word to it."""
-
-
-class Worker(Hand):
-    what = "worker"
-
-    def __init__(self, front: "WorkerPool", number: int, block: Block):
-        super().__init__(front, number, block)
-        self.door, self.told = None, set()  # told: numbers of servers that it knows
-        self.owed: list[int] = []  # nanoseconds that its records took, until they are handled
-        self.waiting = self.lines = self.busy = 0
-        self.open_now = 0, 0  # strangers and collectors
-
-    def begin(self, channel: socket.socket) -> tuple:
-        self.door, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.door.setblocking(False)
-        self.door.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, DOOR_BYTES)
-        self.told, self.owed = set(), []
-        handles = channel, theirs
+            self.restart_hang_timer(self.pool.block.hang)
+
+    def on_connected(self, link: Link) -> None:
+        """Send the first message, if there is one."""
+
+    def open_channels(self, child_end: socket.socket) -> tuple[Link, list[socket.socket], list[str]]:
+        """Create the channels to a new process.
+
+        Args:
+            child_end: the child's end of the link.
+
+        Returns:
+            The link, the sockets that the child inherits, and the child's arguments.
+        """
+        raise NotImplementedError
+
+
+class WorkerProcess(ChildProcess):
+    """A worker process.
+
+    Attributes:
+        handover: the socket over which connections are handed to the worker.
+        known_servers: numbers of the servers that the worker knows.
+        processing_times: of the worker's records, in nanoseconds, until the pilot has handled their reports.
+        pending_rows, lines_read, cpu_time, open_connections: as in the last heartbeat.
+    """
+
+    kind = "worker"
+
+    def __init__(self, pool: "WorkerPool", number: int, block: Block) -> None:
+        super().__init__(pool, number, block)
+        self.handover: socket.socket | None = None
+        self.known_servers: set[int] = set()
+        self.processing_times: list[int] = []
+        self.pending_rows = 0
+        self.lines_read = 0
+        self.cpu_time = 0
+        self.open_connections = 0, 0
+
+    def open_channels(self, child_end: socket.socket) -> tuple[Link, list[socket.socket], list[str]]:
+        """Create the link and the socket for connections."""
+        self.handover, child_handover = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.handover.setblocking(False)
+        self.handover.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, HANDOVER_BUFFER_BYTES)
+        self.known_servers = set()
+        self.processing_times = []
+        inherited = [child_end, child_handover]
         return (
-            Link(messages.to_pilot, self.take, self.lost),
-            handles,
-            [str(handle.fileno()) for handle in handles],
+            Link(messages.decode_in_pilot, self.on_message, self.on_link_end),
+            inherited,
+            [str(child_socket.fileno()) for child_socket in inherited],
         )
 
-    def opened(self, link: Link) -> None:
-        link.tell(self.front.start)
-
-    def open(self) -> None:
-        self.front.owners.open(self)
-        self.name()
-        self.link.tell(messages.Sign(self.service.ready, 0))
-        self.front.accepting(True)
-
-    def shut(self) -> None:
-        """Its connections were reset with it, and come again to the others."""
-        super().shut()
-        self.front.read, self.lines = self.front.read + self.lines, 0
-        if self.door:
-            self.door.close()
-            self.door = None
-        self.front.owners.close(self)
-
-    def take(self, message) -> None:
-        self.heard()
-        if isinstance(message, messages.Sums):
-            self.sums(message)
-        elif isinstance(message, messages.Beat):
-            self.waiting, self.lines, self.busy = message.waiting, message.lines, message.busy
-            self.open_now = message.open
-            for what, (number, figures) in message.counts.items():
-                self.service.count_warning(what, figures, number)
-            for number in message.gone:
-                self.front.owners.left(self, number)
+    def on_connected(self, link: Link) -> None:
+        """Send the configuration."""
+        link.send(self.pool.start_message)
+
+    def activate(self) -> None:
+        """Tell the worker the servers and begin to hand connections to it."""
+        self.pool.owners.add_worker(self)
+        self.send_server_names()
+        self.link.send(messages.PilotHeartbeat(self.service.ready, 0))
+        self.pool.set_accepting(True)
+
+    def release(self) -> None:
+        """Forget the worker's connections, which are reset: their clients connect again, to other workers."""
+        super().release()
+        self.pool.lines_of_ended_workers += self.lines_read
+        self.lines_read = 0
+        if self.handover:
+            self.handover.close()
+            self.handover = None
+        self.pool.owners.remove_worker(self)
+
+    def on_message(self, message: Any) -> None:
+        """Handle a message of the worker."""
+        self.on_alive()
+        if isinstance(message, messages.AggregatedReports):
+            self.on_reports(message)
+        elif isinstance(message, messages.WorkerHeartbeat):
+            self.pending_rows = message.pending_rows
+            self.lines_read = message.lines_read
+            self.cpu_time = message.cpu_time
+            self.open_connections = message.open_connections
+            for warning, (count, figures) in message.warnings.items():
+                self.service.count_warning(warning, figures, count)
+            for number in message.closed:
+                self.pool.owners.release(self, number)
         else:
-            self.step("greeted", f"process {message.process}")
-            self.heard()
-
-    def sums(self, message: messages.Sums) -> None:
-        service, began = self.service, self.service.clock.now()
-        slices, proxies = service.registry.slices, service.registry.proxies
-        operations = service.settings.operations
+            self.step("greeted", f"process {message.process_id}")
+            self.on_alive()
+
+    def on_reports(self, message: messages.AggregatedReports) -> None:
+        """Pass aggregated reports on to the pilot, and measure how long that takes."""
+        service = self.service
+        registry = service.registry
+        began = service.clock.now()
         for row in message.servers:
-            server = self.front.servers.get(row.number)
+            server = self.pool.servers.get(row.number)
             if server is not None:
                 service.enqueue(
                     interface.ServerReport(
                         row.zone, server, row.tries, row.unanswered, row.latency, row.span, row.load, row.kind
                     )
                 )
-        for row in message.slices:
-            piece = slices[row.slice] if row.slice >= 0 else None
+        for row in message.demand:
+            reported_slice = registry.slices[row.slice] if row.slice >= 0 else None
             proxy = None
             if row.proxy >= 0:
-                proxy = proxies.get(row.proxy) or service.proxy(row.proxy)
+                proxy = registry.proxies.get(row.proxy) or service.proxy(row.proxy)
             service.enqueue(
                 interface.DemandReport(
-                    piece,
+                    reported_slice,
                     proxy,
-                    operations[row.operation],
+                    service.settings.operations[row.operation],
                     row.tries,
                     row.unanswered,
                     row.span,
@@ -207,212 +278,272 @@
                     row.lines,
                 )
             )
-        self.owed.append(service.clock.now() - began)
+        self.processing_times.append(service.clock.now() - began)
         if not service.turn_scheduled:
-            self.front.resume()
-
-    def name(self) -> None:
-        names = self.front.names
-        added, gone = names.keys() - self.told, self.told - names.keys()
-        if added or gone:
-            self.told = set(names)
-            self.link.tell(
-                messages.Names([(number, names[number]) for number in sorted(added)], sorted(gone))
+            self.pool.resume()
+
+    def send_server_names(self) -> None:
+        """Tell the worker which servers have been added and removed since the last time."""
+        names = self.pool.server_names
+        added = names.keys() - self.known_servers
+        removed = self.known_servers - names.keys()
+        if added or removed:
+            self.known_servers = set(names)
+            self.link.send(
+                messages.ServerNames([(number, names[number]) for number in sorted(added)], sorted(removed))
             )
 
-    def give(self, guest: socket.socket, number: int) -> bool:
+    def hand_over(self, connection: socket.socket, number: int) -> bool:
+        """Send a connection to the worker and return whether that worked."""
         try:
-            socket.send_fds(self.door, [number.to_bytes(8, "little")], [guest.fileno()])
+            data = number.to_bytes(messages.NUMBER_BYTES, "little")
+            socket.send_fds(self.handover, [data], [connection.fileno()])
             return True
-        except OSError:  # it takes nothing: it hangs, or has just died
+        except OSError:  # the worker hangs and its buffer is full, or it has just exited
             return False
 
 
-class Solver(Hand):
-    """It has at most one search in hand; one that it does not end is left to the decisions."""
+class SolverProcess(ChildProcess):
+    """The search process, which does one search at a time; the pilot does those that it does not finish.
 
-    what = "solver"
+    Attributes:
+        search: the search that it does, if any.
+        request_number: the number of the last request; answers to earlier ones are ignored.
+    """
 
-    def __init__(self, front: "WorkerPool", number: int, block: Block):
-        super().__init__(front, number, block)
-        self.search, self.counter = None, 0
+    kind = "solver"
 
-    def begin(self, channel: socket.socket) -> tuple:
-        link = Link(pickle.loads, self.take, self.lost, pickle.dumps)
-        return link, [channel], [str(channel.fileno()), str(self.front.block.sign / SECOND)]
+    def __init__(self, pool: "WorkerPool", number: int, block: Block) -> None:
+        super().__init__(pool, number, block)
+        self.search: Search | None = None
+        self.request_number = 0
 
-    def open(self) -> None:
-        self.quiet(self.front.block.hang)
+    def open_channels(self, child_end: socket.socket) -> tuple[Link, list[socket.socket], list[str]]:
+        """Create the link."""
+        link = Link(pickle.loads, self.on_message, self.on_link_end, pickle.dumps)
+        return link, [child_end], [str(child_end.fileno()), str(self.pool.block.sign / SECOND)]
 
-    def shut(self) -> None:
-        super().shut()
+    def activate(self) -> None:
+        """Expect heartbeats from now on."""
+        self.restart_hang_timer(self.pool.block.hang)
+
+    def release(self) -> None:
+        """Return a search that the process had not finished."""
+        super().release()
         if self.search:
-            self.answer(None, self.search.counter)
+            self.finish(None, self.search.counter)
 
-    def solve(self, search) -> None:
-        if self.search:  # given up by the decisions
-            self.search = None
+    def solve(self, search: "Search") -> None:
+        """Request a search; without a process, return it undone."""
+        self.search = None  # the pilot has abandoned an earlier one
         if not self.serves:
-            return self.service.enqueue(interface.SearchResult(search, None, search.counter))
-        self.search, self.counter = search, self.counter + 1
-        self.link.tell((self.counter, replaced(search)))
-
-    def take(self, message) -> None:
-        self.heard()
+            self.service.enqueue(interface.SearchResult(search, None, search.counter))
+            return
+        self.search = search
+        self.request_number += 1
+        self.link.send((self.request_number, local_copy(search)))
+
+    def on_message(self, message: tuple | None) -> None:
+        """Handle a heartbeat, of which the first one tells that the process is ready, or a result."""
+        self.on_alive()
         if message is None:
             self.step("greeted", f"process {self.process.pid}")
-        elif message[0] == self.counter and self.search:
-            self.answer(*message[1:])
+        elif message[0] == self.request_number and self.search:
+            self.finish(*message[1:])
 
-    def answer(self, best: tuple | None, counter: int) -> None:
+    def finish(self, best: tuple | None, counter: int) -> None:
+        """Pass the result of the current search on to the pilot."""
         search, self.search = self.search, None
         self.service.enqueue(interface.SearchResult(search, best, counter))
 
 
-def replaced(search):
-    """A copy that takes its steps where it is sent."""
-    there = copy.copy(search)
-    there.offloaded = False
-    return there
+def local_copy(search: "Search") -> "Search":
+    """Copy a search so that the process which receives it does its steps."""
+    copied = copy.copy(search)
+    copied.offloaded = False
+    return copied
 
 
 class WorkerPool:
-    def __init__(self, service, block: Block):
-        self.service, self.block, self.owners = service, block, Owners()
-        self.listener, self.counter, self.made, self.read = None, 0, 0, 0
-        self.servers, self.numbers, self.names = service.registry.weak_server_table(), {}, {}
-        self.hands = [Worker(self, number, block) for number in range(block.workers)]
-        self.solver = Solver(self, 0, block) if block.search else None
+    """The child processes and the listening socket of a pilot on several cores.
+
+    Attributes:
+        owners: the workers that serve, and their connections.
+        last_number: the last number given to a connection or a server.
+        server_numbers, server_names: numbers of the listed servers by name, and the reverse.
+        servers: servers by number, held weakly.
+        servers_created: the registry's count at the last update of names.
+        lines_of_ended_workers: lines that were read by workers which have exited since.
+    """
+
+    def __init__(self, service: "Service", block: Block) -> None:
+        self.service = service
+        self.block = block
+        self.owners = ConnectionOwners()
+        self.listener: socket.socket | None = None
+        self.last_number = 0
+        self.servers_created = 0
+        self.lines_of_ended_workers = 0
+        self.servers = service.registry.weak_server_table()
+        self.server_numbers: dict[str, int] = {}
+        self.server_names: dict[int, str] = {}
+        self.workers = [WorkerProcess(self, number, block) for number in range(block.workers)]
+        self.solver = SolverProcess(self, 0, block) if block.search else None
         service.settings.offload_search = block.search
-        limits, part = service.limits, max(1, block.workers)
-        shared = replace(
+        limits = service.limits
+        parts = max(1, block.workers)
+        worker_limits = replace(
             limits,
-            max_collectors=-(-limits.max_collectors // part),
-            max_strangers=-(-limits.max_strangers // part),
-            max_buffered_bytes=limits.max_buffered_bytes // part,
-            max_lines_per_read=PORTION,
+            max_collectors=-(-limits.max_collectors // parts),
+            max_strangers=-(-limits.max_strangers // parts),
+            max_buffered_bytes=limits.max_buffered_bytes // parts,
+            max_lines_per_read=WORKER_LINES_PER_READ,
         )
-        self.start = messages.Start(
-            service.config.document,
-            asdict(shared),
-            block.rows,
-            block.wait,
-            part / block.share,
-            block.sign,
-            block.stale,
+        self.start_message = messages.Start(
+            configuration=service.config.document,
+            limits=asdict(worker_limits),
+            max_rows=block.rows,
+            max_wait=block.wait,
+            idle_ratio=parts / block.share,
+            heartbeat_interval=block.sign,
+            heartbeat_expiry=block.stale,
         )
 
     @property
     def lines_read(self) -> int:
-        """That workers have read; those of one that ended count too."""
-        return self.read + sum(hand.lines for hand in self.hands)
+        """Lines read by all workers, with those that have exited."""
+        return self.lines_of_ended_workers + sum(worker.lines_read for worker in self.workers)
 
     async def listen(self, at: str) -> tuple[str, int]:
+        """Start the child processes and listen.
+
+        Args:
+            at: the address, as host and port.
+
+        Returns:
+            The address that the socket is bound to.
+        """
         host, port = parse_address(at)
         self.listener = socket.create_server((host, port), backlog=self.service.limits.listen_backlog)
         self.listener.setblocking(False)
-        for hand in self.all():
-            hand.step("start")
-        gc.set_threshold(5000, 20, 100)  # a full collection over all buckets of sums takes 50 ms
-        self.sign()
+        for child in self.child_processes():
+            child.step("start")
+        gc.set_threshold(*GC_THRESHOLDS)
+        self.send_heartbeats()
         return self.listener.getsockname()[:2]
 
-    def accepting(self, on: bool) -> None:
-        """Without a worker connections wait in the system's backlog."""
+    def set_accepting(self, on: bool) -> None:
+        """Start or stop accepting; without workers, connections wait in the listening socket's backlog."""
         if on:
             self.service.loop.add_reader(self.listener, self.accept)
         else:
             self.service.loop.remove_reader(self.listener)
 
     def accept(self) -> None:
-        for _ in range(ACCEPTED):
-            if not self.owners.held:
-                return self.accepting(False)
+        """Accept connections that wait, and hand each to the worker with the fewest that takes it."""
+        for _ in range(MAX_ACCEPTS_PER_CALLBACK):
+            if not self.owners.connections:
+                self.set_accepting(False)
+                return
             try:
-                guest, _ = self.listener.accept()
+                connection, _ = self.listener.accept()
             except BlockingIOError:
                 return
-            except OSError as error:  # no descriptor is left: the system holds them until one is
-                return self.service.count_warning("connection not accepted", str(error))
-            self.counter += 1
-            with guest:
-                tried = ()
-                while (hand := self.owners.give(self.counter, tried)) and not hand.give(guest, self.counter):
-                    self.owners.left(hand, self.counter)
-                    tried = *tried, hand
-                if hand is None:
-                    self.service.count_warning("connection refused: no worker takes it")
-
-    def sign(self) -> None:
-        """Signs of life to the workers, while the loop turns; and what the list names."""
-        self.name()
-        for hand in self.hands:
-            if hand.serves:
-                hand.link.tell(messages.Sign(self.service.ready))
-        self.service.clock.call_later(self.block.sign, self.sign)
-
-    def name(self) -> None:
-        """Servers that the registry holds, by numbers that are never used twice: one that was forgotten and
-        is named again is another, and reports on the old one must not reach it."""
-        held, before = dict(self.service.registry.servers), self.counter
-        self.made = self.service.registry.servers_created
-        gone = [
+            except OSError as error:  # descriptors have run out; the connection waits in the backlog
+                self.service.count_warning("connection not accepted", str(error))
+                return
+            self.last_number += 1
+            number = self.last_number
+            tried: list[WorkerProcess] = []
+            with connection:
+                worker = self.owners.assign(number, tried)
+                while worker and not worker.hand_over(connection, number):
+                    self.owners.release(worker, number)
+                    tried.append(worker)
+                    worker = self.owners.assign(number, tried)
+                if worker is None:
+                    self.service.count_warning("connection refused: no worker accepted it")
+
+    def send_heartbeats(self) -> None:
+        """Send a heartbeat to each worker at each interval, and changes of the listed servers."""
+        self.update_server_names()
+        for worker in self.workers:
+            if worker.serves:
+                worker.link.send(messages.PilotHeartbeat(self.service.ready))
+        self.service.clock.call_later(self.block.sign, self.send_heartbeats)
+
+    def update_server_names(self) -> None:
+        """Assign numbers to new servers, and tell the workers of changes.
+
+        Numbers are never reused: a server that was forgotten and is listed again is a different one, and
+        reports about the old one must not be attributed to it.
+        """
+        listed = dict(self.service.registry.servers)
+        number_before = self.last_number
+        self.servers_created = self.service.registry.servers_created
+        removed = [
             name
-            for name, number in self.numbers.items()
-            if name not in held or held[name] is not self.servers.get(number)
+            for name, number in self.server_numbers.items()
+            if name not in listed or listed[name] is not self.servers.get(number)
         ]
-        for name in gone:
-            del self.names[self.numbers.pop(name)]
-        for name in held.keys() - self.numbers.keys():
-            self.counter += 1
-            self.numbers[name] = self.counter
-            self.names[self.counter] = name
-            self.servers[self.counter] = held[name]
-        if gone or self.counter != before:
-            for hand in self.hands:
-                if hand.serves:
-                    hand.name()
+        for name in removed:
+            del self.server_names[self.server_numbers.pop(name)]
+        for name in listed.keys() - self.server_numbers.keys():
+            self.last_number += 1
+            self.server_numbers[name] = self.last_number
+            self.server_names[self.last_number] = name
+            self.servers[self.last_number] = listed[name]
+        if removed or self.last_number != number_before:
+            for worker in self.workers:
+                if worker.serves:
+                    worker.send_server_names()
 
     def notify_ready(self) -> None:
-        """Workers answer the questions that waited."""
-        for hand in self.hands:
-            if hand.serves:
-                hand.link.tell(messages.Sign(True))
+        """Let the workers answer the probes that wait."""
+        for worker in self.workers:
+            if worker.serves:
+                worker.link.send(messages.PilotHeartbeat(True))
 
     def resume(self) -> None:
-        """After a turn: who brought sums may bring the next, once these have been handled."""
-        if self.made != self.service.registry.servers_created:
-            self.name()
-        for hand in self.hands:
-            for took in hand.owed if hand.serves else ():
-                hand.link.tell(messages.Sign(self.service.ready, took))
-            hand.owed = []
+        """After a turn of the pilot: let workers whose reports have been handled send the next record."""
+        if self.servers_created != self.service.registry.servers_created:
+            self.update_server_names()
+        for worker in self.workers:
+            if worker.serves:
+                for took in worker.processing_times:
+                    worker.link.send(messages.PilotHeartbeat(self.service.ready, took))
+            worker.processing_times = []
 
     def gauges(self) -> dict[str, float]:
-        """What all workers have, once."""
-        hands = [hand for hand in self.hands if hand.serves]
-        found = {"workers.serving": len(hands), "workers.waiting": sum(hand.waiting for hand in hands)}
-        for place, name in enumerate(("clients.strangers", "clients.collectors")):
-            found[name] = sum(hand.open_now[place] for hand in hands)
-        return found
-
-    def all(self) -> list[Hand]:
-        return [*self.hands, self.solver] if self.solver else self.hands
-
-    def solve(self, search) -> None:
+        """Return the gauges, added up over all workers that serve."""
+        serving = [worker for worker in self.workers if worker.serves]
+        return {
+            "workers.serving": len(serving),
+            "workers.waiting": sum(worker.pending_rows for worker in serving),
+            "clients.strangers": sum(worker.open_connections[0] for worker in serving),
+            "clients.collectors": sum(worker.open_connections[1] for worker in serving),
+        }
+
+    def child_processes(self) -> list[ChildProcess]:
+        """Return all child processes."""
+        return [*self.workers, self.solver] if self.solver else [*self.workers]
+
+    def solve(self, search: "Search") -> None:
+        """Offload a search."""
         self.solver.solve(search)
 
     def close(self) -> None:
-        for hand in self.all():
-            hand.step("stop")
-        for hand in self.all():
-            if hand.process:
+        """Stop all child processes and close the listening socket."""
+        for child in self.child_processes():
+            child.step("stop")
+        for child in self.child_processes():
+            if child.process:
                 try:
-                    hand.process.wait(ENDS_WITHIN)
+                    child.process.wait(EXIT_TIMEOUT_S)
                 except subprocess.TimeoutExpired:
-                    hand.process.kill()
-                    hand.process.wait()
+                    child.process.kill()
+                    child.process.wait()
         if self.listener:
-            self.accepting(False)
+            self.set_accepting(False)
             self.listener.close()
             self.listener = None
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -15,10 +15,10 @@
 import pytest
 import uvloop
 
-from flintreach.cores.aggregation import Fold, Pace
+from flintreach.cores.aggregation import ReportAggregator, SendPacer
 from flintreach.cores.block import Block
-from flintreach.cores.frames import MOST, Reader, Torn, Writer
-from flintreach.cores.lifecycle import LIFE, Life, Owners
+from flintreach.cores.frames import MAX_BODY_BYTES, RecordReader, RecordWriter, TornRecord
+from flintreach.cores.lifecycle import TRANSITIONS, ConnectionOwners, Lifecycle
 from flintreach.cores.worker_pool import WorkerPool
 from flintreach.net import config as net_config
 from flintreach.net.service import Service
@@ -60,16 +60,16 @@
 
 
 def test_a_record_cut_at_any_byte_is_dropped_and_those_before_it_count_once():
-    writer, bodies = Writer(), [b"a", b"", b"x" * 300]
+    writer, bodies = RecordWriter(), [b"a", b"", b"x" * 300]
     data = b"".join(map(writer.pack, bodies))
     ends = list(itertools.accumulate(len(body) + 12 for body in bodies))
     for cut in range(len(data) + 1):
-        reader = Reader()
+        reader = RecordReader()
         whole = sum(end <= cut for end in ends)
         assert list(reader.feed(data[:cut])) == bodies[:whole]
-        assert bool(reader.rest) == (cut not in (0, *ends))
+        assert bool(reader.pending_bytes) == (cut not in (0, *ends))
     for size in (1, 5, 13):
-        reader = Reader()
+        reader = RecordReader()
         pieces = [data[at : at + size] for at in range(0, len(data), size)]
         assert [body for piece in pieces for body in reader.feed(piece)] == bodies
 
@@ -80,13 +80,13 @@
         lambda one, two: one + one,
         lambda one, two: two,
         lambda one, two: one[:12] + b"?" + one[13:],
-        lambda one, two: (MOST + 1).to_bytes(4, "little") + one[4:],
+        lambda one, two: (MAX_BODY_BYTES + 1).to_bytes(4, "little") + one[4:],
     ],
     ids=["twice", "gap", "flipped", "too long"],
 )
 def test_a_record_that_is_not_the_next_whole_one_ends_the_stream(spoil):
-    writer, reader = Writer(), Reader()
-    with pytest.raises(Torn):
+    writer, reader = RecordWriter(), RecordReader()
+    with pytest.raises(TornRecord):
         list(reader.feed(spoil(writer.pack(b"one"), writer.pack(b"two"))))
 
 
@@ -118,14 +118,14 @@
     ],
 )
 def test_lines_that_are_judged_alike_become_one_row(lines, rows):
-    fold = Fold(kind, 100)
+    fold = ReportAggregator(kind, 100)
     for line in lines:
         fold.add(line)
     assert [(row.tries, row.unanswered, row.latency) for row in fold.take(100)] == rows
 
 
 def test_the_newest_load_report_is_read_last_and_only_a_new_kind_is_urgent():
-    fold = Fold(kind, 100)
+    fold = ReportAggregator(kind, 100)
     for unanswered, util in ((0, 0.1), (9, 0.2), (0, 0.9)):
         fold.add(heard(unanswered=unanswered, load={"util": util}))
     assert [row.load["util"] for row in fold.take(100)][-1] == 0.9
@@ -137,7 +137,7 @@
 
 
 def test_a_fold_is_bounded_and_a_busy_object_starves_no_other():
-    fold, servers = Fold(kind, 50), [interface.Server(str(n)) for n in range(50)]
+    fold, servers = ReportAggregator(kind, 50), [interface.Server(str(n)) for n in range(50)]
     for server in servers:
         fold.add(heard(server))
     assert fold.full
@@ -147,8 +147,8 @@
             fold.add(heard(server))
         got += [row.server for row in fold.take(5)]
     assert set(got) == set(servers) and len(fold) <= 50
-    fold.forget(servers[0])
-    assert not any(key[0] is servers[0] for key in fold.rows) and servers[0] not in fold.kinds
+    fold.forget_server(servers[0])
+    assert not any(key[0] is servers[0] for key in fold.rows) and servers[0] not in fold.classes
 
 
 def plain(order):
@@ -166,7 +166,9 @@
 
     def play(workers):
         rnd, fleet = random.Random(3), Fleet(servers=8, slices=24, demand=30, load_fields=("util",))
-        folds = [Fold(lambda event: reports.classify(event, SECOND), 1000) for _ in range(workers)]
+        folds = [
+            ReportAggregator(lambda event: reports.classify(event, SECOND), 1000) for _ in range(workers)
+        ]
         for second in range(40):
             if second == 8:
                 fleet.failing = {fleet.servers[2]: 1.0}
@@ -199,18 +201,18 @@
 
 
 def test_a_worker_rests_as_long_as_what_it_sent_took():
-    pace = Pace(5.0, 1000)
-    assert pace.due(0, False)
-    pace.sent()
-    assert pace.due(10_000, True) and not pace.due(10_000, False)
-    pace.sent()
-    assert not pace.due(10_000, True)
-    pace.credit(50, 20)
-    pace.credit(100, 20)
-    assert [pace.due(now, False) for now in (199, 200)] == [False, True] and pace.due(100, True)
-    pace.sent()
-    pace.credit(300, 10_000)
-    assert pace.due(1300, False) and not pace.due(1299, False)
+    pacer = SendPacer(5.0, 1000)
+    assert pacer.may_send(0, False)
+    pacer.on_sent()
+    assert pacer.may_send(10_000, True) and not pacer.may_send(10_000, False)
+    pacer.on_sent()
+    assert not pacer.may_send(10_000, True)
+    pacer.on_processed(50, 20)
+    pacer.on_processed(100, 20)
+    assert [pacer.may_send(now, False) for now in (199, 200)] == [False, True] and pacer.may_send(100, True)
+    pacer.on_sent()
+    pacer.on_processed(300, 10_000)
+    assert pacer.may_send(1300, False) and not pacer.may_send(1299, False)
 
 
 # The life of workers, and who owns what.
@@ -219,64 +221,64 @@
 @pytest.mark.parametrize(
     "state, what, then, effect",
     [
-        ("starting", "greeted", "serving", "open"),
-        ("starting", "silent", "ending", "kill"),
-        ("serving", "silent", "ending", "kill"),
-        ("serving", "torn", "ending", "kill"),
-        ("ending", "ended", "held off", "pause"),
-        ("serving", "ended", "held off", "pause"),
-        ("held off", "due", "starting", "spawn"),
+        ("starting", "greeted", "serving", "activate"),
+        ("starting", "silent", "terminating", "kill"),
+        ("serving", "silent", "terminating", "kill"),
+        ("serving", "torn", "terminating", "kill"),
+        ("terminating", "ended", "backing off", "back_off"),
+        ("serving", "ended", "backing off", "back_off"),
+        ("backing off", "due", "starting", "spawn"),
         ("serving", "stop", "stopped", "close"),
         ("stopped", "ended", "stopped", None),
         ("stopped", "due", "stopped", None),
-        ("held off", "greeted", "held off", None),
+        ("backing off", "greeted", "backing off", None),
     ],
 )
 def test_the_life_of_a_worker(state, what, then, effect):
-    life = Life(100, 1000, 5000)
-    life.state = state
-    assert life.step(what, 0) == effect and life.state == then
+    lifecycle = Lifecycle(100, 1000, 5000)
+    lifecycle.state = state
+    assert lifecycle.step(what, 0) == effect and lifecycle.state == then
 
 
 def test_one_that_dies_again_and_again_is_held_off_and_one_that_served_is_not():
-    life, pauses, now = Life(100, 1000, 5000), [], 0
-    life.step("start", now)
+    lifecycle, pauses, now = Lifecycle(100, 1000, 5000), [], 0
+    lifecycle.step("start", now)
     for lasts in (0, 0, 0, 0, 6000, 0):
-        life.step("greeted", now)
+        lifecycle.step("greeted", now)
         now += lasts
-        assert life.step("ended", now) == "pause"
-        pauses.append(life.pause())
-        life.step("due", now)
+        assert lifecycle.step("ended", now) == "back_off"
+        pauses.append(lifecycle.backoff())
+        lifecycle.step("due", now)
     assert pauses == [100, 200, 400, 800, 100, 200]
 
 
 def test_every_state_can_stop_and_none_comes_back_from_it():
-    states = {state for state, _ in LIFE} - {"stopped"}
-    assert all(LIFE[state, "stop"][0] == "stopped" for state in states)
-    assert not any(state == "stopped" for state, _ in LIFE)
+    states = {state for state, _ in TRANSITIONS} - {"stopped"}
+    assert all(TRANSITIONS[state, "stop"][0] == "stopped" for state in states)
+    assert not any(state == "stopped" for state, _ in TRANSITIONS)
 
 
 def test_owners_stay_even_through_deaths_and_no_word_about_anothers_connection_counts():
-    owners, rnd = Owners(), random.Random(5)
+    owners, rnd = ConnectionOwners(), random.Random(5)
     for worker in "abc":
-        owners.open(worker)
+        owners.add_worker(worker)
     numbers = itertools.count()
     for _ in range(600):
         match rnd.choice("gggglc"):
             case "g":
-                owners.give(next(numbers))
+                owners.assign(next(numbers))
             case "l" if owners.owner:
                 number, worker = rnd.choice(list(owners.owner.items()))
-                assert not any(owners.left(other, number) for other in "abc" if other != worker)
-                assert owners.left(worker, number) and not owners.left(worker, number)
+                assert not any(owners.release(other, number) for other in "abc" if other != worker)
+                assert owners.release(worker, number) and not owners.release(worker, number)
             case "c" if rnd.random() < 0.1:
                 worker = rnd.choice("abc")
-                assert all(number not in owners.owner for number in owners.close(worker))
-                owners.open(worker)
-        assert sum(map(len, owners.held.values())) == len(owners.owner)
+                assert all(number not in owners.owner for number in owners.remove_worker(worker))
+                owners.add_worker(worker)
+        assert sum(map(len, owners.connections.values())) == len(owners.owner)
     for _ in range(200):
-        owners.give(next(numbers))
-    sizes = [len(held) for held in owners.held.values()]
+        owners.assign(next(numbers))
+    sizes = [len(held) for held in owners.connections.values()]
     assert max(sizes) - min(sizes) <= 1
 
 
@@ -382,7 +384,7 @@
     for peer in peers:
         peer.send(outcomes() * 500)  # it dies with records on their way
     os.kill(processes["0"], signal.SIGKILL)
-    program.logged("worker 0: held off")
+    program.logged("worker 0: backing off")
     fresh = program.logged("worker 0: serving")
     assert str(processes["0"]) not in fresh
     assert sum(map(lives, peers)) == 4
@@ -398,7 +400,7 @@
     processes = workers(program)
     peers = [collector(program) for _ in range(4)]
     os.kill(processes["1"], signal.SIGSTOP)
-    assert "worker 1: ending" in program.logged("worker 1: ending")
+    assert "worker 1: terminating" in program.logged("worker 1: terminating")
     program.logged("worker 1: serving")
     assert gone(processes["1"])
     assert sum(map(lives, peers)) == 2
@@ -532,7 +534,7 @@
 
         self.service.clients.listen = remember
         self.loop.run_until_complete(self.service.start())
-        self.until(lambda: len(self.service.clients.owners.held) == 2 and self.service.ready)
+        self.until(lambda: len(self.service.clients.owners.connections) == 2 and self.service.ready)
 
     def until(self, true, seconds=30):
         async def wait():
@@ -603,9 +605,9 @@
     threading.Event().wait(0.3)  # the loop does not turn: workers read, sum up and wait
     shop.until(lambda: sum(event.tries for event in shop.sums()) == 12_000)
     assert len(shop.sums()) < 2000
-    hands = shop.service.clients.hands
-    shop.until(lambda: sum(hand.lines for hand in hands) == 12_004)
-    shop.until(lambda: all(hand.waiting == 0 for hand in hands))
+    hands = shop.service.clients.workers
+    shop.until(lambda: sum(hand.lines_read for hand in hands) == 12_004)
+    shop.until(lambda: all(hand.pending_rows == 0 for hand in hands))
     assert len(peers) == 4
 
 
@@ -613,7 +615,7 @@
     def fail(now, events):
         raise RuntimeError("planted")
 
-    processes = [hand.process.pid for hand in shop.service.clients.all()]
+    processes = [hand.process.pid for hand in shop.service.clients.child_processes()]
     shop.service.pilot.handle = fail
     shop.service.enqueue(interface.TimerFired(0))
     shop.loop.run_forever()  # until it stops itself
@@ -626,7 +628,7 @@
     old = shop.service.registry.servers["s1"]
     peer = shop.dial(outcomes("s1", 1))
     shop.until(lambda: len(shop.sums()) == 1)
-    before = shop.service.clients.numbers["s1"]
+    before = shop.service.clients.server_numbers["s1"]
     # The list forgets it, then names it anew.
     shop.held.entries = [entry for entry in shop.held.entries if entry.server is not old]
     shop.recorder.seen.clear()
@@ -634,12 +636,12 @@
     import gc
 
     gc.collect()
-    shop.until(lambda: "s1" not in shop.service.clients.numbers)
+    shop.until(lambda: "s1" not in shop.service.clients.server_numbers)
     peer.send(outcomes("s1", 2))
     shop.until(lambda: shop.service.warning_counts.get("report on an unknown endpoint"))
     fresh = shop.service.registry.server("s1")
-    shop.until(lambda: shop.service.clients.numbers.get("s1", before) != before)
-    shop.until(lambda: all(before not in hand.told for hand in shop.service.clients.hands))
+    shop.until(lambda: shop.service.clients.server_numbers.get("s1", before) != before)
+    shop.until(lambda: all(before not in hand.known_servers for hand in shop.service.clients.workers))
     peer.send(outcomes("s1", 3))
     shop.until(lambda: shop.sums())
     assert [(event.server, event.tries) for event in shop.sums()] == [(fresh, 3)]
