--- a/flintreach/cores/frames.py
+++ b/flintreach/cores/frames.py
@@ -1,8 +1,8 @@
 """Framing of records between the processes of one pilot.
 
-Each record arrives whole, in order and once, or not at all.
-A worker may be killed at any byte.  Each record has its length, a sequence number and a checksum, so that an
-incomplete one is detected and dropped, and none counts twice.
+Each record arrives whole, in order and once, or not at all.  A worker may be killed at any byte: each record
+has its length, a sequence number and a checksum, so that an incomplete one is detected and dropped, and none
+counts twice.
 
 Does no input or output.
 """
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -1,7 +1,8 @@
-"""Several cores: what is decided in them by cases, and the processes over loopback sockets."""
+"""Tests of a pilot on several cores: its logic by cases, and its processes over loopback sockets."""
 
 import asyncio
 import contextlib
+import gc
 import itertools
 import json
 import os
@@ -33,11 +34,11 @@
 from flintreach.standins.relay import Relay
 from tests.helpers import Fleet, RecordingLog, RecordingPilot
 
-OWN = 'cores {\n workers = 2\n hang = "1s"\n pause_first = "50ms"\n}\n'
-AGENT = b'{"msg":"agent","site":"north"}\n'
+TWO_WORKERS = 'cores {\n workers = 2\n hang = "1s"\n pause_first = "50ms"\n}\n'
+AGENT_LINE = b'{"msg":"agent","site":"north"}\n'
 
 
-def outcomes(server="s1", count=20, fail=0, mean=100.0, **changes):
+def outcomes_line(server="s1", count=20, fail=0, mean=100.0, **changes):
     return (
         json.dumps(
             {
@@ -56,7 +57,7 @@
     )
 
 
-# Records.
+# Record framing.
 
 
 def test_a_record_cut_at_any_byte_is_dropped_and_those_before_it_count_once():
@@ -90,69 +91,72 @@
         list(reader.feed(spoil(writer.pack(b"one"), writer.pack(b"two"))))
 
 
-# Summing up.
+# Aggregation and pacing.
 
-OPS = [interface.Operation("look", 0, SECOND, 3 * SECOND)]
 ONE, TWO = interface.Server("one"), interface.Server("two")
 
 
-def heard(server=ONE, tries=10, unanswered=0, latency=SECOND // 10, span=SECOND, load=None, zone=0):
+def server_report(server=ONE, tries=10, unanswered=0, latency=SECOND // 10, span=SECOND, load=None, zone=0):
     return interface.ServerReport(zone, server, tries, unanswered, latency, span, load or {})
 
 
-def kind(event):
+def classify(event):
     return reports.classify(event, SECOND)
 
 
 @pytest.mark.parametrize(
     "lines, rows",
     [
-        ([heard(tries=10), heard(tries=30, latency=SECOND // 5)], [(40, 0, 175_000_000)]),
-        ([heard(), heard(TWO)], [(10, 0, SECOND // 10)] * 2),
-        ([heard(), heard(unanswered=5)], [(10, 0, SECOND // 10), (10, 5, SECOND // 10)]),  # suspect by itself
-        ([heard(unanswered=1), heard(unanswered=1)], [(20, 2, SECOND // 10)]),
-        ([heard(), heard(latency=SECOND)], [(10, 0, SECOND // 10), (10, 0, SECOND)]),  # jammed by itself
-        ([heard(), heard(zone=1)], [(10, 0, SECOND // 10)] * 2),
-        ([heard(), heard(span=3 * SECOND)], [(10, 0, SECOND // 10)] * 2),
-        ([heard(tries=5, unanswered=5, latency=0)] * 2, [(10, 10, 0)]),
+        ([server_report(tries=10), server_report(tries=30, latency=SECOND // 5)], [(40, 0, 175_000_000)]),
+        ([server_report(), server_report(TWO)], [(10, 0, SECOND // 10)] * 2),
+        # The second one by itself makes the server suspect.
+        ([server_report(), server_report(unanswered=5)], [(10, 0, SECOND // 10), (10, 5, SECOND // 10)]),
+        ([server_report(unanswered=1), server_report(unanswered=1)], [(20, 2, SECOND // 10)]),
+        # The second one by itself makes the server overloaded.
+        ([server_report(), server_report(latency=SECOND)], [(10, 0, SECOND // 10), (10, 0, SECOND)]),
+        ([server_report(), server_report(zone=1)], [(10, 0, SECOND // 10)] * 2),
+        ([server_report(), server_report(span=3 * SECOND)], [(10, 0, SECOND // 10)] * 2),
+        ([server_report(tries=5, unanswered=5, latency=0)] * 2, [(10, 10, 0)]),
     ],
 )
-def test_lines_that_are_judged_alike_become_one_row(lines, rows):
-    fold = ReportAggregator(kind, 100)
+def test_reports_of_one_class_are_added_up(lines, rows):
+    aggregator = ReportAggregator(classify, 100)
     for line in lines:
-        fold.add(line)
-    assert [(row.tries, row.unanswered, row.latency) for row in fold.take(100)] == rows
+        aggregator.add(line)
+    assert [(row.tries, row.unanswered, row.latency) for row in aggregator.take(100)] == rows
 
 
-def test_the_newest_load_report_is_read_last_and_only_a_new_kind_is_urgent():
-    fold = ReportAggregator(kind, 100)
+def test_the_newest_load_report_comes_last_and_only_a_change_of_class_is_urgent():
+    aggregator = ReportAggregator(classify, 100)
     for unanswered, util in ((0, 0.1), (9, 0.2), (0, 0.9)):
-        fold.add(heard(unanswered=unanswered, load={"util": util}))
-    assert [row.load["util"] for row in fold.take(100)][-1] == 0.9
-    assert not fold.urgent
-    fold.add(heard(load={"util": 0.9}))
-    assert not fold.urgent
-    fold.add(heard(unanswered=9, load={"util": 0.9}))
-    assert fold.urgent and fold.take(1)[0].unanswered == 9 and not fold.urgent and len(fold) == 1
-
-
-def test_a_fold_is_bounded_and_a_busy_object_starves_no_other():
-    fold, servers = ReportAggregator(kind, 50), [interface.Server(str(n)) for n in range(50)]
+        aggregator.add(server_report(unanswered=unanswered, load={"util": util}))
+    assert [row.load["util"] for row in aggregator.take(100)][-1] == 0.9
+    assert not aggregator.urgent
+    aggregator.add(server_report(load={"util": 0.9}))
+    assert not aggregator.urgent
+    aggregator.add(server_report(unanswered=9, load={"util": 0.9}))
+    assert aggregator.urgent
+    assert aggregator.take(1)[0].unanswered == 9
+    assert not aggregator.urgent and len(aggregator) == 1
+
+
+def test_the_aggregator_is_bounded_and_a_busy_server_starves_no_other():
+    aggregator, servers = ReportAggregator(classify, 50), [interface.Server(str(n)) for n in range(50)]
     for server in servers:
-        fold.add(heard(server))
-    assert fold.full
+        aggregator.add(server_report(server))
+    assert aggregator.full
     got = []
     for _ in range(10):
         for server in servers[:5]:
-            fold.add(heard(server))
-        got += [row.server for row in fold.take(5)]
-    assert set(got) == set(servers) and len(fold) <= 50
-    fold.forget_server(servers[0])
-    assert not any(key[0] is servers[0] for key in fold.rows) and servers[0] not in fold.classes
+            aggregator.add(server_report(server))
+        got += [row.server for row in aggregator.take(5)]
+    assert set(got) == set(servers) and len(aggregator) <= 50
+    aggregator.forget_server(servers[0])
+    assert not any(key[0] is servers[0] for key in aggregator.rows) and servers[0] not in aggregator.classes
 
 
-def plain(order):
-    """An order with numbers and names in place of objects."""
+def comparable(order):
+    """Replace the objects in an order by numbers and names, so that orders of two runs can be compared."""
     values = (getattr(order, name) for name in order.__slots__)
     return type(order).__name__, [
         len(value) if isinstance(value, tuple) else getattr(value, "number", getattr(value, "name", value))
@@ -160,13 +164,16 @@
     ]
 
 
-@pytest.mark.parametrize("workers, turned", [(1, False), (2, True), (3, False), (5, True)])
-def test_sums_through_many_workers_lead_to_the_orders_of_one_process(workers, turned):
-    """A stream with jams, deaths and a cold start, line by line and through folds, rows in either order."""
+@pytest.mark.parametrize("workers, reverse", [(1, False), (2, True), (3, False), (5, True)])
+def test_aggregation_in_workers_gives_the_same_orders_as_one_process(workers, reverse):
+    """A stream with overload, a failed and a restarted server, with and without aggregation.
+
+    The rows of the workers arrive in either order.
+    """
 
     def play(workers):
         rnd, fleet = random.Random(3), Fleet(servers=8, slices=24, demand=30, load_fields=("util",))
-        folds = [
+        aggregators = [
             ReportAggregator(lambda event: reports.classify(event, SECOND), 1000) for _ in range(workers)
         ]
         for second in range(40):
@@ -179,7 +186,7 @@
                 fleet.slow = {fleet.servers[4]: SECOND * 3 // 4}
             lines = []
             for event in fleet.reports():
-                for _ in range(3):  # three collectors tell a part each
+                for _ in range(3):  # three collectors report a part each
                     part = replace(event, tries=event.tries // 3, unanswered=event.unanswered // 3)
                     if isinstance(part, interface.ServerReport):
                         part.load = {"util": 0.3 + 0.01 * (second % 7)}
@@ -187,20 +194,22 @@
             rnd.shuffle(lines)
             if workers:
                 for place, line in enumerate(lines):
-                    folds[place % workers].add(line)
-                lines = [row for fold in folds for row in fold.take(1000)][:: -1 if turned else 1]
+                    aggregators[place % workers].add(line)
+                lines = [row for aggregator in aggregators for row in aggregator.take(1000)]
+                if reverse:
+                    lines.reverse()
             fleet.handle(*lines)
             fleet.run(1, sums=False)
         return fleet
 
-    one, three = play(0), play(workers)
-    assert sum(line.startswith("server") for line in one.log) >= 3 and one.log == three.log
-    assert [list(map(plain, orders)) for _, orders in one.replies] == [
-        list(map(plain, orders)) for _, orders in three.replies
+    single, parallel = play(0), play(workers)
+    assert sum(line.startswith("server") for line in single.log) >= 3 and single.log == parallel.log
+    assert [list(map(comparable, orders)) for _, orders in single.replies] == [
+        list(map(comparable, orders)) for _, orders in parallel.replies
     ]
 
 
-def test_a_worker_rests_as_long_as_what_it_sent_took():
+def test_a_worker_waits_in_proportion_to_the_handling_of_its_last_record():
     pacer = SendPacer(5.0, 1000)
     assert pacer.may_send(0, False)
     pacer.on_sent()
@@ -215,11 +224,11 @@
     assert pacer.may_send(1300, False) and not pacer.may_send(1299, False)
 
 
-# The life of workers, and who owns what.
+# Life cycle and connection owners.
 
 
 @pytest.mark.parametrize(
-    "state, what, then, effect",
+    "state, event, next_state, effect",
     [
         ("starting", "greeted", "serving", "activate"),
         ("starting", "silent", "terminating", "kill"),
@@ -234,31 +243,31 @@
         ("backing off", "greeted", "backing off", None),
     ],
 )
-def test_the_life_of_a_worker(state, what, then, effect):
+def test_life_cycle_transitions(state, event, next_state, effect):
     lifecycle = Lifecycle(100, 1000, 5000)
     lifecycle.state = state
-    assert lifecycle.step(what, 0) == effect and lifecycle.state == then
+    assert lifecycle.step(event, 0) == effect and lifecycle.state == next_state
 
 
-def test_one_that_dies_again_and_again_is_held_off_and_one_that_served_is_not():
-    lifecycle, pauses, now = Lifecycle(100, 1000, 5000), [], 0
+def test_the_backoff_doubles_with_each_exit_until_the_process_has_served():
+    lifecycle, backoffs, now = Lifecycle(100, 1000, 5000), [], 0
     lifecycle.step("start", now)
-    for lasts in (0, 0, 0, 0, 6000, 0):
+    for serving_time in (0, 0, 0, 0, 6000, 0):
         lifecycle.step("greeted", now)
-        now += lasts
+        now += serving_time
         assert lifecycle.step("ended", now) == "back_off"
-        pauses.append(lifecycle.backoff())
+        backoffs.append(lifecycle.backoff())
         lifecycle.step("due", now)
-    assert pauses == [100, 200, 400, 800, 100, 200]
+    assert backoffs == [100, 200, 400, 800, 100, 200]
 
 
-def test_every_state_can_stop_and_none_comes_back_from_it():
+def test_every_state_can_stop_and_stopped_is_final():
     states = {state for state, _ in TRANSITIONS} - {"stopped"}
     assert all(TRANSITIONS[state, "stop"][0] == "stopped" for state in states)
     assert not any(state == "stopped" for state, _ in TRANSITIONS)
 
 
-def test_owners_stay_even_through_deaths_and_no_word_about_anothers_connection_counts():
+def test_connections_stay_balanced_and_only_their_owner_releases_them():
     owners, rnd = ConnectionOwners(), random.Random(5)
     for worker in "abc":
         owners.add_worker(worker)
@@ -278,28 +287,28 @@
         assert sum(map(len, owners.connections.values())) == len(owners.owner)
     for _ in range(200):
         owners.assign(next(numbers))
-    sizes = [len(held) for held in owners.connections.values()]
+    sizes = [len(owned) for owned in owners.connections.values()]
     assert max(sizes) - min(sizes) <= 1
 
 
-# The processes.
+# Complete programs.
 
 
 @pytest.fixture
-def start(tmp_path):
+def start_program(tmp_path):
     with contextlib.ExitStack() as stack:
 
-        def build(own=OWN, relay=None, **changes):
+        def build(operator_file=TWO_WORKERS, relay=None, **changes):
             relay = relay or Relay(spread=lambda n: f"s{n % 4}")
-            program = Program(tmp_path, own, relay, **changes)
+            program = Program(tmp_path, operator_file, relay, **changes)
             stack.callback(program.end)
             return program
 
         yield build
 
 
-def workers(program):
-    """Process by worker, as the log names them while they come up."""
+def wait_for_workers(program):
+    """Wait until both workers serve and return their process ids by number, as the log gives them."""
     found = {}
     while len(found) < 2:
         line = program.logged(": serving")
@@ -309,8 +318,8 @@
     return found
 
 
-def gone(process):
-    """Whether a process has ended: its parent may be late to collect it."""
+def has_exited(process):
+    """Wait for the end of a process, which may remain as a zombie, and return whether it came."""
 
     def state():
         try:
@@ -325,28 +334,28 @@
     return state() in "ZX"
 
 
-def drain(program, number=1, index=2):
+def drain_server(program, number=1, index=2):
     program.discovery.tell(listing(0, index, False, endpoints=[row(number, "draining")]))
     program.relay.wait(
         lambda calls: any({"op": "OUT", "target": f"s{number}"} in call.orders for call in calls if call.done)
     )
 
 
-def collector(program, lines=1):
+def connect_collector(program, lines=1):
     peer = program.dial()
-    peer.send(AGENT + outcomes() * lines + b'{"msg":"probe"}\n')
+    peer.send(AGENT_LINE + outcomes_line() * lines + b'{"msg":"probe"}\n')
     assert json.loads(peer.until(b"\n")) == {"msg": "alive"}
     return peer
 
 
-def closed(peer):
+def wait_until_closed(peer):
     with contextlib.suppress(ConnectionError):
         while peer.sock.recv(65536):
             pass
     return True
 
 
-def lives(peer):
+def answers_probes(peer):
     try:
         peer.send(b'{"msg":"probe"}\n')
         return peer.until(b"\n") != b""
@@ -359,16 +368,16 @@
     [[], ["reset"], ["lost"], ["silence"], ["half"], ["busy", "busy"]],
     ids=lambda faults: "+".join(faults) or "none",
 )
-def test_orders_of_many_cores_have_one_owner(start, faults):
-    """Sums through both workers while servers drain: the relay's audit finds no order and no mark twice."""
-    program = start()
-    workers(program)
-    peers = [collector(program, 50) for _ in range(6)]
+def test_all_orders_come_from_one_process(start_program, faults):
+    """Both workers report while servers drain: the relay's audit finds no order and no mark twice."""
+    program = start_program()
+    wait_for_workers(program)
+    peers = [connect_collector(program, 50) for _ in range(6)]
     for index, number in enumerate((1, 2), 2):
         program.relay.faults.extend(faults)
         for peer in peers:
-            peer.send(outcomes("s3", 40, 20) + outcomes("s0", 40, 0, 900.0))
-        drain(program, number, index)
+            peer.send(outcomes_line("s3", 40, 20) + outcomes_line("s0", 40, 0, 900.0))
+        drain_server(program, number, index)
         faults = []
     program.relay.wait(
         lambda calls: not any({"s1", "s2"} & table.keys() for table in program.relay.tables.values())
@@ -377,61 +386,62 @@
     assert all(program.relay.tables.values())
 
 
-def test_a_killed_worker_costs_its_connections_alone_and_comes_back(start):
-    program = start()
-    processes = workers(program)
-    peers = [collector(program) for _ in range(8)]
+def test_a_killed_worker_loses_only_its_own_connections_and_is_restarted(start_program):
+    program = start_program()
+    processes = wait_for_workers(program)
+    peers = [connect_collector(program) for _ in range(8)]
     for peer in peers:
-        peer.send(outcomes() * 500)  # it dies with records on their way
+        peer.send(outcomes_line() * 500)  # it is killed with records on their way
     os.kill(processes["0"], signal.SIGKILL)
     program.logged("worker 0: backing off")
-    fresh = program.logged("worker 0: serving")
-    assert str(processes["0"]) not in fresh
-    assert sum(map(lives, peers)) == 4
-    again = [collector(program) for _ in range(4)]  # to the worker with the fewest
+    restarted = program.logged("worker 0: serving")
+    assert str(processes["0"]) not in restarted
+    assert sum(map(answers_probes, peers)) == 4
+    # These go to the restarted worker, which has the fewest connections.
+    reconnected = [connect_collector(program) for _ in range(4)]
     os.kill(processes["1"], signal.SIGKILL)
-    assert all(closed(peer) for peer in peers)
-    assert all(map(lives, again))
-    drain(program)
+    assert all(wait_until_closed(peer) for peer in peers)
+    assert all(map(answers_probes, reconnected))
+    drain_server(program)
 
 
-def test_a_worker_that_hangs_is_replaced(start):
-    program = start()
-    processes = workers(program)
-    peers = [collector(program) for _ in range(4)]
+def test_a_worker_that_hangs_is_replaced(start_program):
+    program = start_program()
+    processes = wait_for_workers(program)
+    peers = [connect_collector(program) for _ in range(4)]
     os.kill(processes["1"], signal.SIGSTOP)
     assert "worker 1: terminating" in program.logged("worker 1: terminating")
     program.logged("worker 1: serving")
-    assert gone(processes["1"])
-    assert sum(map(lives, peers)) == 2
-    collector(program)
-    drain(program)
+    assert has_exited(processes["1"])
+    assert sum(map(answers_probes, peers)) == 2
+    connect_collector(program)
+    drain_server(program)
 
 
-def test_the_deciding_process_killed_takes_all_with_it_and_a_new_one_serves_from_the_store(start):
-    program = start()
-    processes = workers(program)
-    peer = collector(program)
-    os.kill(processes["0"], signal.SIGSTOP)  # one that would not see the end of its channel
+def test_workers_exit_with_a_killed_pilot_and_a_new_one_serves_from_the_store(start_program):
+    program = start_program()
+    processes = wait_for_workers(program)
+    peer = connect_collector(program)
+    os.kill(processes["0"], signal.SIGSTOP)  # this one cannot notice that its link is closed
     program.process.kill()
     program.process.wait()
-    assert all(map(gone, processes.values())) and closed(peer)
+    assert all(map(has_exited, processes.values())) and wait_until_closed(peer)
     program.process.stdout.close()
     program.start()
-    workers(program)
-    collector(program)
-    drain(program)
+    wait_for_workers(program)
+    connect_collector(program)
+    drain_server(program)
     assert program.relay.audit() == []
 
 
-def test_no_sign_of_life_while_the_deciding_process_stands_and_no_worker_dies_of_it(start):
-    program = start('cores {\n workers = 2\n hang = "500ms"\n stale = "100ms"\n}\n')
-    processes = workers(program)
-    peer = collector(program)
+def test_probes_are_not_answered_and_workers_survive_while_the_pilot_process_is_stopped(start_program):
+    program = start_program('cores {\n workers = 2\n hang = "500ms"\n stale = "100ms"\n}\n')
+    processes = wait_for_workers(program)
+    peer = connect_collector(program)
     os.kill(program.process.pid, signal.SIGSTOP)
     try:
         deadline = time.monotonic() + 30
-        while time.monotonic() < deadline:  # until its last word is old
+        while time.monotonic() < deadline:  # until its last heartbeat has expired
             peer.send(b'{"msg":"probe"}\n')
             peer.sock.settimeout(0.5)
             try:
@@ -439,73 +449,75 @@
             except TimeoutError:
                 break
         else:
-            raise AssertionError("signs of life without a deciding process")
-        peer.send(outcomes() * 5000)
+            raise AssertionError("probes are answered while the pilot process is stopped")
+        peer.send(outcomes_line() * 5000)
     finally:
         os.kill(program.process.pid, signal.SIGCONT)
     peer.sock.settimeout(30)
-    assert json.loads(peer.until(b"\n")) == {"msg": "alive"}  # the question that waited
-    drain(program)
+    assert json.loads(peer.until(b"\n")) == {"msg": "alive"}  # the answer to the probe that waited
+    drain_server(program)
     assert all(os.path.exists(f"/proc/{number}") for number in processes.values())
 
 
 @pytest.mark.parametrize("sign", [signal.SIGTERM, signal.SIGINT])
-def test_signals_to_all_processes_act_once(start, sign):
-    program = start()
-    processes = workers(program)
+def test_signals_to_all_processes_act_once(start_program, sign):
+    program = start_program()
+    processes = wait_for_workers(program)
     for number in (*processes.values(), program.process.pid):
         os.kill(number, signal.SIGHUP)
     program.logged("reload")
-    collector(program)
+    connect_collector(program)
     for number in (*processes.values(), program.process.pid):
         os.kill(number, sign)
     assert program.process.wait(30) == 0
-    assert all(map(gone, processes.values()))
+    assert all(map(has_exited, processes.values()))
     program.text += os.read(program.process.stdout.fileno(), 1 << 20).decode()
     assert "reload" not in program.text and program.text.count("'stopped'") == 1
 
 
-def test_a_reload_that_cannot_be_read_changes_nothing(start):
-    program = start()
-    workers(program)
-    peer = collector(program)
+def test_an_invalid_configuration_at_reload_changes_nothing(start_program):
+    program = start_program()
+    wait_for_workers(program)
+    peer = connect_collector(program)
     program.path.write_text("{")
     program.process.send_signal(signal.SIGHUP)
     program.logged("reload: the old configuration stays")
     peer.send(b'{"msg":"probe"}\n')
     assert peer.until(b"\n")
-    drain(program)
+    drain_server(program)
 
 
-def test_strangers_starve_no_collector_on_any_worker(start):
-    program = start()
-    workers(program)
-    peers = [collector(program) for _ in range(4)]
+def test_strangers_starve_no_collector_on_any_worker(start_program):
+    program = start_program()
+    wait_for_workers(program)
+    peers = [connect_collector(program) for _ in range(4)]
     strangers = [program.dial() for _ in range(400)]
     for stranger in strangers[::2]:
         with contextlib.suppress(ConnectionError):
             stranger.send(b"x" * 100)
     program.logged("too many strangers")
-    for peer in [*peers, collector(program)]:
-        peer.send(outcomes() + b'{"msg":"probe"}\n')
+    for peer in [*peers, connect_collector(program)]:
+        peer.send(outcomes_line() + b'{"msg":"probe"}\n')
         assert peer.until(b"\n")
-    assert closed(strangers[0])
+    assert wait_until_closed(strangers[0])
 
 
-def test_a_line_that_cannot_be_read_costs_itself_alone(start):
-    program = start()
-    workers(program)
-    peer = collector(program)
-    peer.send(outcomes(count=-1) + outcomes("nobody") + outcomes() + b'{"msg":"probe"}\n')
+def test_an_invalid_report_does_not_affect_others(start_program):
+    program = start_program()
+    wait_for_workers(program)
+    peer = connect_collector(program)
+    peer.send(outcomes_line(count=-1) + outcomes_line("nobody") + outcomes_line() + b'{"msg":"probe"}\n')
     assert peer.until(b"\n")
     found = program.logged("report"), program.logged("report")
     assert any("not understood" in line for line in found) and any("unknown" in line for line in found)
 
 
-# All of it in one loop with decisions that only record: what arrives, and how often.
+# A service in the test's event loop, with real workers and a pilot that only records its events.
 
 
-class Shop:
+class ServiceHarness:
+    """A service with two workers, in the event loop of the test."""
+
     def __init__(self, folder, **changes):
         self.relay, self.discovery = Relay(), Discovery()
         path = folder / "config.json"
@@ -525,37 +537,37 @@
             net_config.load(str(path), {}), self.loop, self.log, lambda service: WorkerPool(service, block)
         )
         self.service.pilot = self.recorder = RecordingPilot()
-        self.held = self.service.discovery_client.parse_list(self.service.config.cached_list, "cached")
+        self.server_list = self.service.discovery_client.parse_list(self.service.config.cached_list, "cached")
         listen = self.service.clients.listen
 
-        async def remember(at):
-            self.at = await listen(at)
-            return self.at
+        async def listen_and_remember(at):
+            self.address = await listen(at)
+            return self.address
 
-        self.service.clients.listen = remember
+        self.service.clients.listen = listen_and_remember
         self.loop.run_until_complete(self.service.start())
-        self.until(lambda: len(self.service.clients.owners.connections) == 2 and self.service.ready)
+        self.wait_until(lambda: len(self.service.clients.owners.connections) == 2 and self.service.ready)
 
-    def until(self, true, seconds=30):
+    def wait_until(self, condition, seconds=30):
         async def wait():
             end = time.monotonic() + seconds
-            while not true():
-                assert time.monotonic() < end, "it never came"
+            while not condition():
+                assert time.monotonic() < end, f"condition not met within {seconds} s"
                 await asyncio.sleep(0.005)
 
         self.loop.run_until_complete(wait())
 
-    def sums(self, kind=interface.ServerReport):
+    def reports(self, kind=interface.ServerReport):
         return [event for event in self.recorder.seen if isinstance(event, kind)]
 
-    def dial(self, *lines):
-        peer = Peer(socket.create_connection(self.at))
-        peer.sock.sendall(AGENT)
+    def connect(self, *lines):
+        peer = Peer(socket.create_connection(self.address))
+        peer.sock.sendall(AGENT_LINE)
         for line in lines:
             peer.sock.sendall(line)
         return peer
 
-    def end(self):
+    def close(self):
         self.service.clients.close()
         self.relay.close()
         self.loop.run_until_complete(asyncio.sleep(0))
@@ -563,119 +575,119 @@
 
 
 @pytest.fixture
-def shop(tmp_path):
-    made = Shop(tmp_path)
-    yield made
-    made.end()
+def harness(tmp_path):
+    built = ServiceHarness(tmp_path)
+    yield built
+    built.close()
 
 
-def test_every_report_counts_once_over_all_workers_whatever_the_pace(shop):
+def test_every_report_counts_once_over_all_workers(harness):
     rnd, wanted, peers = random.Random(9), {}, []
-    answered = 0
+    line_count = 0
     for place in range(6):
         lines = []
         for _ in range(700):
             server, tries, bad = f"s{rnd.randrange(4)}", rnd.randrange(1, 50), rnd.random() < 0.1
             unanswered, latency = (tries // 2, 40.0) if bad else (0, rnd.choice([20.0, 90.0]))
-            lines.append(outcomes(server, tries, unanswered, latency))
-            lines.append(outcomes(server, -5))  # costs itself alone
+            lines.append(outcomes_line(server, tries, unanswered, latency))
+            lines.append(outcomes_line(server, -5))  # rejected, with no effect on others
             now = wanted.get(server, (0, 0, 0))
             add = tries, unanswered, (tries - unanswered) * int(latency) * 1_000_000
             wanted[server] = tuple(map(sum, zip(now, add)))
-            answered += 1
-        peers.append(shop.dial(b"".join(lines)))
+            line_count += 1
+        peers.append(harness.connect(b"".join(lines)))
 
     def counted():
         found = {}
-        for event in shop.sums():
+        for event in harness.reports():
             now = found.get(event.server.name, (0, 0, 0))
             add = event.tries, event.unanswered, (event.tries - event.unanswered) * event.latency
             found[event.server.name] = tuple(map(sum, zip(now, add)))
         return found
 
-    shop.until(lambda: {n: v[:2] for n, v in counted().items()} == {n: v[:2] for n, v in wanted.items()})
+    harness.wait_until(
+        lambda: {n: v[:2] for n, v in counted().items()} == {n: v[:2] for n, v in wanted.items()}
+    )
     assert all(abs(counted()[n][2] - wanted[n][2]) < 1e-6 * wanted[n][2] for n in wanted)
-    assert len(shop.sums()) < answered  # they were summed up
-    shop.until(lambda: shop.service.warning_counts.get("report not understood") == answered)
-
-
-def test_a_slow_deciding_process_pushes_back_and_loses_nothing(shop):
-    lines = b"".join(outcomes(f"s{n % 4}", 1) for n in range(3000))
-    peers = [shop.dial(lines) for _ in range(4)]
-    threading.Event().wait(0.3)  # the loop does not turn: workers read, sum up and wait
-    shop.until(lambda: sum(event.tries for event in shop.sums()) == 12_000)
-    assert len(shop.sums()) < 2000
-    hands = shop.service.clients.workers
-    shop.until(lambda: sum(hand.lines_read for hand in hands) == 12_004)
-    shop.until(lambda: all(hand.pending_rows == 0 for hand in hands))
+    assert len(harness.reports()) < line_count  # some were added up
+    harness.wait_until(lambda: harness.service.warning_counts.get("report not understood") == line_count)
+
+
+def test_a_slow_pilot_process_causes_back_pressure_and_no_loss(harness):
+    lines = b"".join(outcomes_line(f"s{n % 4}", 1) for n in range(3000))
+    peers = [harness.connect(lines) for _ in range(4)]
+    threading.Event().wait(0.3)  # the event loop is blocked: workers read, aggregate and wait
+    harness.wait_until(lambda: sum(event.tries for event in harness.reports()) == 12_000)
+    assert len(harness.reports()) < 2000
+    workers = harness.service.clients.workers
+    harness.wait_until(lambda: sum(worker.lines_read for worker in workers) == 12_004)
+    harness.wait_until(lambda: all(worker.pending_rows == 0 for worker in workers))
     assert len(peers) == 4
 
 
-def test_decisions_that_fail_end_all_processes_with_status_1(shop):
+def test_an_error_in_the_pilot_ends_all_processes_with_status_1(harness):
     def fail(now, events):
-        raise RuntimeError("planted")
-
-    processes = [hand.process.pid for hand in shop.service.clients.child_processes()]
-    shop.service.pilot.handle = fail
-    shop.service.enqueue(interface.TimerFired(0))
-    shop.loop.run_forever()  # until it stops itself
-    assert shop.service.status == 1 and "the decisions failed" in shop.log.lines
-    shop.service.clients.close()
-    assert all(map(gone, processes))
-
-
-def test_a_server_that_is_forgotten_and_named_again_is_another(shop):
-    old = shop.service.registry.servers["s1"]
-    peer = shop.dial(outcomes("s1", 1))
-    shop.until(lambda: len(shop.sums()) == 1)
-    before = shop.service.clients.server_numbers["s1"]
-    # The list forgets it, then names it anew.
-    shop.held.entries = [entry for entry in shop.held.entries if entry.server is not old]
-    shop.recorder.seen.clear()
+        raise RuntimeError("injected")
+
+    processes = [worker.process.pid for worker in harness.service.clients.child_processes()]
+    harness.service.pilot.handle = fail
+    harness.service.enqueue(interface.TimerFired(0))
+    harness.loop.run_forever()  # until the service stops it
+    assert harness.service.status == 1 and "the decisions failed" in harness.log.lines
+    harness.service.clients.close()
+    assert all(map(has_exited, processes))
+
+
+def test_a_server_that_is_removed_and_listed_again_is_a_new_one(harness):
+    old = harness.service.registry.servers["s1"]
+    peer = harness.connect(outcomes_line("s1", 1))
+    harness.wait_until(lambda: len(harness.reports()) == 1)
+    before = harness.service.clients.server_numbers["s1"]
+    # Nothing refers to the server any more, so that the registry forgets it; then it is created again.
+    harness.server_list.entries = [entry for entry in harness.server_list.entries if entry.server is not old]
+    harness.recorder.seen.clear()
     del old
-    import gc
-
     gc.collect()
-    shop.until(lambda: "s1" not in shop.service.clients.server_numbers)
-    peer.send(outcomes("s1", 2))
-    shop.until(lambda: shop.service.warning_counts.get("report on an unknown endpoint"))
-    fresh = shop.service.registry.server("s1")
-    shop.until(lambda: shop.service.clients.server_numbers.get("s1", before) != before)
-    shop.until(lambda: all(before not in hand.known_servers for hand in shop.service.clients.workers))
-    peer.send(outcomes("s1", 3))
-    shop.until(lambda: shop.sums())
-    assert [(event.server, event.tries) for event in shop.sums()] == [(fresh, 3)]
-
-
-def test_a_search_that_its_process_does_not_end_is_left_to_the_decisions(shop):
+    harness.wait_until(lambda: "s1" not in harness.service.clients.server_numbers)
+    peer.send(outcomes_line("s1", 2))
+    harness.wait_until(lambda: harness.service.warning_counts.get("report on an unknown endpoint"))
+    fresh = harness.service.registry.server("s1")
+    harness.wait_until(lambda: harness.service.clients.server_numbers.get("s1", before) != before)
+    harness.wait_until(
+        lambda: all(before not in worker.known_servers for worker in harness.service.clients.workers)
+    )
+    peer.send(outcomes_line("s1", 3))
+    harness.wait_until(lambda: harness.reports())
+    assert [(event.server, event.tries) for event in harness.reports()] == [(fresh, 3)]
+
+
+def test_an_unfinished_search_is_returned_to_the_pilot(harness):
     fleet = Fleet(servers=12, slices=60, demand=9)
     start = Partition(
         [set() for _ in range(12)], [0.0] * 12, [0.0] * 12, [(1.0, 1.0)] * 61, 1.0, {}, [False] * 12
     )
-    front, searches = (
-        shop.service.clients,
-        [Search(seed, 0, start, [(n, [], 1) for n in range(60)], 30.0, True) for seed in range(3)],
-    )
+    pool = harness.service.clients
+    searches = [Search(seed, 0, start, [(n, [], 1) for n in range(60)], 30.0, True) for seed in range(3)]
 
     def solved(search):
-        found = [event for event in shop.recorder.seen if isinstance(event, interface.SearchResult)]
+        found = [event for event in harness.recorder.seen if isinstance(event, interface.SearchResult)]
         return [event for event in found if event.search is search]
 
-    shop.until(lambda: front.solver.serves)
-    front.solve(searches[0])
-    shop.until(lambda: solved(searches[0]))
+    harness.wait_until(lambda: pool.solver.serves)
+    pool.solve(searches[0])
+    harness.wait_until(lambda: solved(searches[0]))
     (event,) = solved(searches[0])
-    here = Search(0, 0, start, [(n, [], 1) for n in range(60)], 30.0)
-    for _ in here.steps():
+    local = Search(0, 0, start, [(n, [], 1) for n in range(60)], 30.0)
+    for _ in local.steps():
         pass
-    assert event.best == here.best and event.counter == here.counter
-    process = front.solver.process
+    assert event.best == local.best and event.counter == local.counter
+    process = pool.solver.process
     os.kill(process.pid, signal.SIGSTOP)
-    front.solve(searches[1])
+    pool.solve(searches[1])
     process.kill()
-    shop.until(lambda: solved(searches[1]))
+    harness.wait_until(lambda: solved(searches[1]))
     assert solved(searches[1])[0].best is None
-    front.solve(searches[2])  # none serves now
-    shop.until(lambda: solved(searches[2]))
-    shop.until(lambda: front.solver.serves and front.solver.process is not process)
+    pool.solve(searches[2])  # no search process serves now
+    harness.wait_until(lambda: solved(searches[2]))
+    harness.wait_until(lambda: pool.solver.serves and pool.solver.process is not process)
     assert len(fleet.slices) == 60
