--- a/flintreach/cores/aggregation.py
+++ b/flintreach/cores/aggregation.py
@@ -85,10 +85,11 @@
     def add(self, event: Report) -> None:
         """Add a report, which must not be used by the caller afterwards."""
         report_class = self.classify(event)
-        is_server_report = type(event) is interface.ServerReport
         self.sequence += 1
         seconds = (event.span + SECOND // 2) // SECOND
-        if is_server_report:
+        subject: interface.Server | interface.Slice | interface.Proxy | None
+        key: tuple
+        if type(event) is interface.ServerReport:
             subject = event.server
             key = subject, event.zone, seconds, report_class
             if event.load:
@@ -105,7 +106,7 @@
             row = self.rows[key] = Row(event, self.sequence)
         else:
             row.add(event, self.sequence)
-        if is_server_report:
+        if type(event) is interface.ServerReport:
             answered = max(0, event.tries - event.unanswered)
             row.answered += answered
             row.latency += answered * event.latency
--- a/flintreach/cores/lifecycle.py
+++ b/flintreach/cores/lifecycle.py
@@ -3,7 +3,8 @@
 Does no input or output.
 """
 
-from collections.abc import Collection, Hashable
+from collections.abc import Collection
+from typing import Any
 
 # (state, input) to (next state, effect).  A pair that is absent changes nothing and has no effect.
 TRANSITIONS: dict[tuple[str, str], tuple[str, str | None]] = {
@@ -88,21 +89,21 @@
     """
 
     def __init__(self) -> None:
-        self.connections: dict[Hashable, dict[int, None]] = {}
-        self.owner: dict[int, Hashable] = {}
+        self.connections: dict[Any, dict[int, None]] = {}
+        self.owner: dict[int, Any] = {}
 
-    def add_worker(self, worker: Hashable) -> None:
+    def add_worker(self, worker: Any) -> None:
         """Make a worker available for connections."""
         self.connections[worker] = {}
 
-    def remove_worker(self, worker: Hashable) -> list[int]:
+    def remove_worker(self, worker: Any) -> list[int]:
         """Remove a worker and return the numbers of the connections that it owned."""
         closed = [*self.connections.pop(worker, ())]
         for number in closed:
             del self.owner[number]
         return closed
 
-    def assign(self, number: int, excluded: Collection = ()) -> Hashable | None:
+    def assign(self, number: int, excluded: Collection = ()) -> Any:
         """Assign a connection to the worker with the fewest, and return that worker.
 
         Args:
@@ -120,7 +121,7 @@
         self.owner[number] = worker
         return worker
 
-    def release(self, worker: Hashable, number: int) -> bool:
+    def release(self, worker: Any, number: int) -> bool:
         """Forget a closed connection, and return whether it belonged to this worker.
 
         A worker's report about a connection that it does not own is ignored.
--- a/flintreach/cores/worker.py
+++ b/flintreach/cores/worker.py
@@ -133,10 +133,10 @@
                 self.servers_by_number[number] = server
                 self.server_numbers[server] = number
             for number in message.removed:
-                server = self.servers_by_number.pop(number, None)
-                if server and self.server_numbers.get(server) == number:
-                    del self.server_numbers[server]
-                    self.aggregator.forget_server(server)
+                removed = self.servers_by_number.pop(number, None)
+                if removed and self.server_numbers.get(removed) == number:
+                    del self.server_numbers[removed]
+                    self.aggregator.forget_server(removed)
 
     # Messages to the pilot process.
 
--- a/flintreach/cores/worker_pool.py
+++ b/flintreach/cores/worker_pool.py
@@ -253,29 +253,36 @@
         service = self.service
         registry = service.registry
         began = service.clock.now()
-        for row in message.servers:
-            server = self.pool.servers.get(row.number)
+        for server_row in message.servers:
+            server = self.pool.servers.get(server_row.number)
             if server is not None:
                 service.enqueue(
                     interface.ServerReport(
-                        row.zone, server, row.tries, row.unanswered, row.latency, row.span, row.load, row.kind
+                        server_row.zone,
+                        server,
+                        server_row.tries,
+                        server_row.unanswered,
+                        server_row.latency,
+                        server_row.span,
+                        server_row.load,
+                        server_row.kind,
                     )
                 )
-        for row in message.demand:
-            reported_slice = registry.slices[row.slice] if row.slice >= 0 else None
+        for demand_row in message.demand:
+            reported_slice = registry.slices[demand_row.slice] if demand_row.slice >= 0 else None
             proxy = None
-            if row.proxy >= 0:
-                proxy = registry.proxies.get(row.proxy) or service.proxy(row.proxy)
+            if demand_row.proxy >= 0:
+                proxy = registry.proxies.get(demand_row.proxy) or service.proxy(demand_row.proxy)
             service.enqueue(
                 interface.DemandReport(
                     reported_slice,
                     proxy,
-                    service.settings.operations[row.operation],
-                    row.tries,
-                    row.unanswered,
-                    row.span,
-                    row.kind,
-                    row.lines,
+                    service.settings.operations[demand_row.operation],
+                    demand_row.tries,
+                    demand_row.unanswered,
+                    demand_row.span,
+                    demand_row.kind,
+                    demand_row.lines,
                 )
             )
         self.processing_times.append(service.clock.now() - began)
