--- a/flintreach/api/calls.py
+++ b/flintreach/api/calls.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 PARAMETER = "{}"  # in a path: any one segment, which is handed to what answers the call
-GRANT = "/v1/grant"  # a lease holder gives an endpoint a key range
-RELEASE = "/v1/release"  # it takes the range back
+GRANT_PATH = "/v1/grant"  # a lease holder gives an endpoint a key range
+RELEASE_PATH = "/v1/release"  # it takes the range back
 
 # With an older contact, other controllers may have confirmed what this one doesn't know.
 QUORUM_CONTACT_S = 1.2
@@ -19,7 +19,7 @@
 ANSWER_WITHIN_S = 0.95
 
 
-class Bounds(NamedTuple):
+class CallLimits(NamedTuple):
     """What the process that answers must be sure of, right before it answers; None: it need not be."""
 
     contact_age_s: float | None  # how old its contact with a quorum may be (`controller/quorum_contact.py`)
@@ -53,7 +53,7 @@
     order("resume", "POST", "/v1/evacuate/{}/finish"),
 )
 PATTERNS = [(call, call.path.split("/")) for call in TABLE]
-BOUNDS = {call.name: Bounds(call.contact_age_s, call.answer_within_s) for call in TABLE}
+CALL_LIMITS = {call.name: CallLimits(call.contact_age_s, call.answer_within_s) for call in TABLE}
 
 
 def find(method: str, path: str) -> tuple[str | None, list[str]]:
--- a/flintreach/cli/configuration.py
+++ b/flintreach/cli/configuration.py
@@ -82,7 +82,7 @@
 
 def settings_summary(node: "ProcessSettings") -> str:
     """One line on a process's settings."""
-    return f"{node.sender.node_name} in {node.sender.zone}, serves {' '.join(node.sender.serves)}"
+    return f"{node.identity.node_name} in {node.identity.zone}, serves {' '.join(node.identity.serves)}"
 
 
 def call(control: str, method: str, path: str, body: bytes = b"") -> bytes:
--- a/flintreach/cli/register_values.py
+++ b/flintreach/cli/register_values.py
@@ -14,7 +14,7 @@
 
 def describe_configuration(value: bytes) -> str:
     """One line on the operator's configuration."""
-    body = json.loads(ConfigurationHistory.of(value).body)
+    body = json.loads(ConfigurationHistory.decode(value).body)
     routes = sum(len(virtual_host["regulations"]) for virtual_host in body["wickets"])
     return f"edition {body['edition']}, {routes} routes, {len(body['depots'])} services"
 
--- a/flintreach/common/log.py
+++ b/flintreach/common/log.py
@@ -21,9 +21,9 @@
     log_message(message_type=what, **fields)
 
 
-teller = write  # a simulation puts its trace here
+sink = write  # a simulation puts its trace here
 
 
-def say(what: str, **fields: Any) -> None:
+def log_event(what: str, **fields: Any) -> None:
     """Log a change of state, with what caused it, as `write` does."""
-    teller(what, fields)
+    sink(what, fields)
--- a/flintreach/config/configuration_history.py
+++ b/flintreach/config/configuration_history.py
@@ -26,8 +26,8 @@
     ACCEPTED = "taken"  # the newest one: it is stored and comes into force
     REPEATED = "again"  # this version with this content was put before
     SUPERSEDED = "overtaken"  # a newer one is in force: only the digest of this one is stored
-    CONFLICTING = "other content"  # this version was put before with another content
-    FORGOTTEN = "forgotten"  # older than all that is remembered: it may have had any content
+    CONFLICT = "other content"  # this version was put before with another content
+    HISTORY_EXPIRED = "forgotten"  # older than all that is remembered: it may have had any content
 
 
 class HistoryChange(NamedTuple):
@@ -66,14 +66,14 @@
         self.history = history
 
     @classmethod
-    def of(cls, value: bytes) -> "ConfigurationHistory":
+    def decode(cls, value: bytes) -> "ConfigurationHistory":
         """Decode a value of the register; earlier releases stored the body alone, which is JSON."""
         if value[:1] == HISTORY_MARKER:
             return cls(*msgspec.msgpack.decode(value))
         number = int(msgspec.json.decode(value)["edition"], 16)
         return cls(value, ENTRY.pack(number, digest(value)))
 
-    def value(self) -> bytes:
+    def encode(self) -> bytes:
         """The value to store in the register."""
         return msgspec.msgpack.encode([self.body, self.history])
 
@@ -100,9 +100,9 @@
         index = bisect_left(range(len(self)), number, key=lambda at: self.entry(at)[0])
         if index < len(self) and self.entry(index)[0] == number:
             same = self.entry(index)[1] == digest(body)
-            return HistoryChange(PutOutcome.REPEATED if same else PutOutcome.CONFLICTING, None)
+            return HistoryChange(PutOutcome.REPEATED if same else PutOutcome.CONFLICT, None)
         if index == 0 and len(self) == MAX_ENTRIES:
-            return HistoryChange(PutOutcome.FORGOTTEN, None)
+            return HistoryChange(PutOutcome.HISTORY_EXPIRED, None)
         history = self.with_entry(index, ENTRY.pack(number, digest(body)))
         if index == len(self):
             return HistoryChange(PutOutcome.ACCEPTED, ConfigurationHistory(body, history))
@@ -134,8 +134,8 @@
     >>> repeated.value is None
     True
     """
-    current = ConfigurationHistory(b"", b"") if stored is None else ConfigurationHistory.of(stored)
+    current = ConfigurationHistory(b"", b"") if stored is None else ConfigurationHistory.decode(stored)
     change = current.put(number, body)
     if change.history is None:
         return RegisterChange(change.outcome, None)
-    return RegisterChange(change.outcome, change.history.value())
+    return RegisterChange(change.outcome, change.history.encode())
--- a/flintreach/config/routing.py
+++ b/flintreach/config/routing.py
@@ -53,21 +53,21 @@
     """All routes of one configuration, looked up by host and path: the longest prefix wins.
 
     Attributes:
-        table: the configuration.
+        configuration: the source of the routes.
         number: its version.
         service_configs: by name of the service.
         hosts: host in lower case -> its routes, those with the longest prefix first.
         all: the routes of all hosts.
     """
 
-    def __init__(self, table: Configuration) -> None:
-        self.table = table
-        self.number = table.number
+    def __init__(self, configuration: Configuration) -> None:
+        self.configuration = configuration
+        self.number = configuration.number
         self.service_configs: dict[str, ServiceConfig] = {
-            service_config.name: service_config for service_config in table.service_configs
+            service_config.name: service_config for service_config in configuration.service_configs
         }
         self.hosts: dict[str, list[Route]] = {}
-        for virtual_host in table.virtual_hosts:
+        for virtual_host in configuration.virtual_hosts:
             routes = self.hosts.setdefault(virtual_host.host.lower(), [])
             routes += [Route.of(rule) for rule in virtual_host.route_rules]
         for routes in self.hosts.values():
--- a/flintreach/config/settings.py
+++ b/flintreach/config/settings.py
@@ -44,7 +44,7 @@
     role: str = msgspec.field(default="", name="post_role")
     grade: str = ""
     serves: tuple[str, ...] = ()
-    counted: bool = False  # whether its disk may hold a vote
+    voter_eligible: bool = msgspec.field(default=False, name="counted")  # whether its disk may hold a vote
     first_run: bool = False  # the system starts for the first time: empty disks are no loss
     store_dir: str | None = None
     limits: ResourceLimits = ResourceLimits()
@@ -53,7 +53,8 @@
 class NetworkSettings(msgspec.Struct, frozen=True):
     """Addresses of this process, those of its first peers, and the region of each zone."""
 
-    posts: dict[str, str]  # name of a service of this process -> the address at which it listens
+    # name of a service of this process -> the address at which it listens
+    listen_addresses: dict[str, str] = msgspec.field(name="posts")
     spare_ports: tuple[int, int]  # first and last port that the process may use among its peers
     seed_nodes: tuple[str, ...] = ()
     zones: dict[str, str] = {}
@@ -113,7 +114,7 @@
 class ProcessSettings(msgspec.Struct, frozen=True):
     """The settings of one process."""
 
-    sender: ProcessIdentity
+    identity: ProcessIdentity = msgspec.field(name="sender")
     network: NetworkSettings
     heartbeats: HeartbeatSettings = msgspec.field(default=HeartbeatSettings(), name="carrier")
     rules: Rules = msgspec.field(default=Rules(), name="tariffs")
@@ -131,7 +132,7 @@
             port_offset: which of the spare ports, counted from the first.
         """
         first_port = self.network.spare_ports[0]
-        return self.sender.ip, first_port + port_offset
+        return self.identity.ip, first_port + port_offset
 
     def seeds(self) -> list[str]:
         """IP addresses of the machines that the settings name as first peers."""
@@ -212,12 +213,12 @@
 def reload(current: ProcessSettings) -> ProcessSettings:
     """The settings read anew, or `current` where the file can't be used: a bad file stops no process."""
     # Here, since `check` of the command line must not write a log.
-    from flintreach.common.log import say
+    from flintreach.common.log import log_event
 
     try:
         return load()
     except SettingsError as error:
-        say("settings", error=str(error))
+        log_event("settings", error=str(error))
         return current
 
 
--- a/flintreach/controller/control_plane.py
+++ b/flintreach/controller/control_plane.py
@@ -75,7 +75,7 @@
         self.member_list = member_list
         self.seeds = seeds
         self.on_serving = on_serving
-        self.first_run = node.sender.first_run
+        self.first_run = node.identity.first_run
         self.updates = VersionedStore(self.runtime.now)
         self.register = Register(peer_pool, Voters.from_facts(store.facts if store else {}), store)
         self.serving = False
--- a/flintreach/controller/http_api.py
+++ b/flintreach/controller/http_api.py
@@ -11,7 +11,7 @@
 from gevent import pywsgi
 
 from flintreach.api import calls
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config.configuration import ConfigError, check
 from flintreach.controller.endpoint_service import EndpointService
 from flintreach.controller.load_placement import LoadPlacement
@@ -234,7 +234,7 @@
 
     def _refusal_reason(self, call: Call) -> Refusal | None:
         now = self.plane.runtime.now()
-        max_contact_age_s, max_call_age_s = calls.BOUNDS[call.name]
+        max_contact_age_s, max_call_age_s = calls.CALL_LIMITS[call.name]
         if max_call_age_s is not None and not self.plane.suspend_detector.is_current(now):
             return Refusal.SUSPENDED
         if max_contact_age_s is not None and self.plane.quorum_contact_age() > max_contact_age_s:
@@ -266,7 +266,7 @@
         number = check(call.body).number
         outcome = self.plane.operator_requests.put(number, call.body, self._may_proceed(call))
         if outcome == RequestOutcome.CONFLICT:
-            say("conflict", edition=f"{number:08x}")
+            log_event("conflict", edition=f"{number:08x}")
         return OUTCOME_RESPONSES[outcome]
 
     def get_configuration(self, call: Call) -> Response:
--- a/flintreach/controller/key_ranges.py
+++ b/flintreach/controller/key_ranges.py
@@ -151,7 +151,7 @@
     def _new_lease_owner(self, service: str) -> LeaseOwner:
         node = self.plane.node
         return LeaseOwner(
-            node.sender.node_name,
+            node.identity.node_name,
             service,
             self.plane.register,
             node.bounds.max_lease_ms,
--- a/flintreach/controller/lease_owner.py
+++ b/flintreach/controller/lease_owner.py
@@ -17,14 +17,14 @@
 
 from flintreach.api import calls
 from flintreach.common.keys import KEY_RANGES_PREFIX
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config.settings import parse_address
 from flintreach.consensus.register import Register
 from flintreach.sharding.range_assignment import Allocation, LoadDistribution, Range
 from flintreach.sharding.range_lease import CallKind, RangeLeases
 from flintreach.transport.peer_connection import RESET, configure_socket
 
-PATHS = {CallKind.GRANT: calls.GRANT, CallKind.RELEASE: calls.RELEASE}
+PATHS = {CallKind.GRANT: calls.GRANT_PATH, CallKind.RELEASE: calls.RELEASE_PATH}
 REGISTER_TIMEOUT_S = 0.9  # for a change of the register
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 0.9
@@ -134,7 +134,7 @@
             self.state.record_commit_failure()
             return
         if self.state.record_commit(allocation, started_at, self.runtime.now()):
-            say("lease_acquired", service=self.service, epoch=allocation.epoch)
+            log_event("lease_acquired", service=self.service, epoch=allocation.epoch)
         self._publish(allocation)
         for kind, key_range in self.state.due_calls(self.runtime.now()):
             self.runtime.spawn(self.call, kind, key_range)
--- a/flintreach/controller/load_placement.py
+++ b/flintreach/controller/load_placement.py
@@ -103,7 +103,7 @@
         self.peer_pool = plane.peer_pool
         self.member_list = plane.member_list
         self.load_aggregate = LoadAggregate()
-        self.placer = Placer(zlib.crc32(plane.node.sender.node_name.encode()))
+        self.placer = Placer(zlib.crc32(plane.node.identity.node_name.encode()))
         self.key_ranges = KeyRanges(plane)
         self.directory = Directory(plane, self.key_ranges)
         self.peer_pool.handlers |= {LOAD_KIND: self.on_load}
--- a/flintreach/controller/operator_requests.py
+++ b/flintreach/controller/operator_requests.py
@@ -32,8 +32,8 @@
     ACCEPTED = PutOutcome.ACCEPTED
     REPEATED = PutOutcome.REPEATED  # already in force: acknowledged without a change
     SUPERSEDED = PutOutcome.SUPERSEDED  # a later version is in force
-    CONFLICT = PutOutcome.CONFLICTING  # other content was acknowledged under this version number
-    HISTORY_EXPIRED = PutOutcome.FORGOTTEN  # too old to tell which content the version number had
+    CONFLICT = PutOutcome.CONFLICT  # other content was acknowledged under this version number
+    HISTORY_EXPIRED = PutOutcome.HISTORY_EXPIRED  # too old to tell which content the version number had
     UNKNOWN = "late"  # no result within REGISTER_TIMEOUT_S: the change may or may not be committed
     ABANDONED = "dropped"  # abandoned before a value was proposed to acceptors
 
@@ -69,7 +69,7 @@
         if value is None:
             return
         if key == CONFIGURATION_KEY:
-            history = ConfigurationHistory.of(value)
+            history = ConfigurationHistory.decode(value)
             self.plane.updates.offer(key, history.number, history.body)
         elif key == EVACUATION_KEY:
             number, zones = UNPACK(value)
@@ -101,7 +101,7 @@
         if key == VOTERS_KEY:
             return Voters.from_row(UNPACK(value)).epoch <= self.plane.register.voters.epoch
         if key == CONFIGURATION_KEY:
-            number = ConfigurationHistory.of(value).number
+            number = ConfigurationHistory.decode(value).number
         else:
             number = UNPACK(value)[0]
         entry = self.plane.updates.entries.get(key)
@@ -131,7 +131,7 @@
         is_known, value = self.plane.register.read(CONFIGURATION_KEY, REGISTER_TIMEOUT_S)
         if value is None:
             return is_known, None
-        return is_known, ConfigurationHistory.of(value).body
+        return is_known, ConfigurationHistory.decode(value).body
 
     def evacuate(
         self, zone: str, is_evacuated: bool, may_proceed: MayProceed = unconditionally
--- a/flintreach/controller/program.py
+++ b/flintreach/controller/program.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 
 from flintreach.common.keys import ROLE_CONTROLLER
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config import settings
 from flintreach.config.settings import parse_address
 from flintreach.consensus.quorum import Address
@@ -41,7 +41,7 @@
             StoreError: the disk is unusable.
         """
         self.node = node
-        sender = node.sender
+        sender = node.identity
         address = node.peer_address(PEER_PORT_INDEX)
         self.peer_pool = PeerPool(address)
         store = Store(sender.store_dir, sender.node_name, sender.first_run) if sender.store_dir else None
@@ -51,8 +51,8 @@
             *address,
             sender.zone,
             sender.region,
-            dict(node.network.posts),
-            sender.counted,
+            dict(node.network.listen_addresses),
+            sender.voter_eligible,
             False,
             int(time.time() * 1000),
         )
@@ -76,11 +76,13 @@
         """Announce this controller as ready and start the API listeners."""
         self.failure_detector.update_local(ready=True)
         for listener, names in LISTENER_CALLS:
-            if listener in self.node.network.posts:
-                server = listen(parse_address(self.node.network.posts[listener]), self.plane, names)
+            if listener in self.node.network.listen_addresses:
+                server = listen(
+                    parse_address(self.node.network.listen_addresses[listener]), self.plane, names
+                )
                 server.start()
                 self.servers.append(server)
-        say("ready", endpoints=len(self.plane.registry.records))
+        log_event("ready", endpoints=len(self.plane.registry.records))
 
     def on_show(self, connection: PeerConnection, view: str) -> list[Row] | None:
         """Answer a request of `flintreach show`."""
@@ -98,7 +100,7 @@
         # Voting is handed over before the departure is announced to the other members.
         self.plane.repair.voter_manager.hand_over()
         self.failure_detector.update_local(state=LEFT)
-        say("stopped")
+        log_event("stopped")
         return 0
 
     def reload_settings(self) -> None:
--- a/flintreach/controller/views.py
+++ b/flintreach/controller/views.py
@@ -135,7 +135,7 @@
     contacts = sorted(plane.quorum_contact.confirmed_at.items())
     return [
         {
-            "node": plane.node.sender.node_name,
+            "node": plane.node.identity.node_name,
             "ready": plane.serving,
             "edition": f"{plane.routes.number:08x}" if plane.routes else "",
             "refused": ", ".join(
--- a/flintreach/controller/voter_management.py
+++ b/flintreach/controller/voter_management.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from flintreach.common.keys import ROLE_CONTROLLER
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config.settings import ProcessSettings
 from flintreach.consensus.quorum import Address, Voters
 from flintreach.consensus.reconfiguration import Reconfiguration
@@ -225,7 +225,7 @@
         store = self.register.store
         forced = store.facts.get(FORCED_FACT) if store else None
         if forced:
-            say("voters_forced", what=forced)
+            log_event("voters_forced", what=forced)
         may_decide = self.plane.first_run or (store is not None and self.register.promises_known)
         while not self.register.voters.epoch:
             self.runtime.sleep(FAST_CHECK_INTERVAL_S)
@@ -265,7 +265,7 @@
         voters = self.register.voters
         self.logged_epoch = voters.epoch
         addresses = [[f"{ip}:{port}" for ip, port in sorted(voter_set)] for voter_set in voters.sets]
-        say("voters", epoch=voters.epoch, votes=self.register.can_vote(), sets=addresses)
+        log_event("voters", epoch=voters.epoch, votes=self.register.can_vote(), sets=addresses)
 
     # Reconfiguration.
 
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -15,7 +15,7 @@
 from gevent.event import Event
 
 from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config import settings
 from flintreach.config.configuration import RequestLimits
 from flintreach.config.settings import parse_address
@@ -69,7 +69,7 @@
 
     def __init__(self, node: settings.ProcessSettings) -> None:
         self.node = node
-        sender = node.sender
+        sender = node.identity
         address = node.peer_address(PROXY_PORT_INDEX)
         self.peer_pool = PeerPool(address)
         self.updates = VersionedStore(time.monotonic)
@@ -87,7 +87,7 @@
         self.load_aggregate = LoadAggregate()
         link_mbps = sender.limits.link_mbps
         self.forwarder = Forwarder(self.view, node.bounds, self.metrics, self.load_aggregate, link_mbps)
-        client_post = node.network.posts[CLIENT_PORT]
+        client_post = node.network.listen_addresses[CLIENT_PORT]
         member = Member(
             sender.node_name,
             ROLE_PROXY,
@@ -95,7 +95,7 @@
             sender.zone,
             sender.region,
             {"front": client_post, "mbps": str(link_mbps)},
-            sender.counted,
+            sender.voter_eligible,
             False,
             int(time.time() * MS_PER_S),
         )
@@ -103,7 +103,7 @@
         self.failure_detector.watchers.append(self.update_position)
         self.relay = Relay(self.peer_pool, self.updates, self.choose_parents, self.load_aggregate.add_report)
         self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.request_limits)
-        ready_address = parse_address(node.network.posts[READY_PORT])
+        ready_address = parse_address(node.network.listen_addresses[READY_PORT])
         self.ready_listener = pywsgi.WSGIServer(ready_address, self.serve_ready, log=None)
         self.is_ready = False
         self.stopping = Event()
@@ -120,7 +120,7 @@
     def request_limits(self) -> RequestLimits:
         """Returns the request limits of the current configuration."""
         routes = self.view.routes
-        return routes.table.limits if routes else RequestLimits()
+        return routes.configuration.limits if routes else RequestLimits()
 
     def choose_parents(self) -> list[tuple[str, int]]:
         """Returns the addresses to receive updates from, in order of preference."""
@@ -212,7 +212,7 @@
         self.client_listener.start()
         self.is_ready = True
         self.failure_detector.update_local(ready=True)
-        say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
+        log_event("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
 
     def drain(self) -> int:
         """Stops accepting clients, and waits for pending responses up to the grace time.
@@ -220,7 +220,7 @@
         Returns:
             Exit status of the process.
         """
-        say("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
+        log_event("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
         self.client_listener.draining = True
         end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
         self.failure_detector.update_local(ready=False)
@@ -236,7 +236,7 @@
                 break
             gevent.sleep(DRAIN_POLL_INTERVAL_S)
         self.failure_detector.update_local(state=LEFT_STATE)
-        say("stopped", counts=self.metrics.counts, greatest=self.metrics.max_values())
+        log_event("stopped", counts=self.metrics.counts, greatest=self.metrics.max_values())
         return 0
 
 
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -190,7 +190,7 @@
 
     def mutant(self: Any, number: int, body: bytes, *may_proceed: Any) -> Any:
         outcome = put(self, number, body, *may_proceed)
-        return PutOutcome.REPEATED if outcome == PutOutcome.CONFLICTING else outcome
+        return PutOutcome.REPEATED if outcome == PutOutcome.CONFLICT else outcome
 
     return mutant
 
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -125,15 +125,15 @@
     node: settings.ProcessSettings, address: Address, role: str, machine: Machine, ready: bool
 ) -> Member:
     """The entry of a process in the member list, as it starts."""
-    sender = node.sender
+    sender = node.identity
     return Member(
         sender.node_name,
         role,
         *address,
         sender.zone,
         sender.region,
-        dict(node.network.posts),
-        sender.counted,
+        dict(node.network.listen_addresses),
+        sender.voter_eligible,
         ready,
         machine.wall_ms(),
     )
@@ -155,7 +155,7 @@
         self.listening = False
         self.node = site.node(machine, ROLE_CONTROLLER, first_run)
         self.peer_pool = PeerPool(self.node.peer_address(CONTROLLER_POST), self.runtime)
-        self.store = Store(self, site.disks[machine.ip], self.node.sender.node_name, first_run)
+        self.store = Store(self, site.disks[machine.ip], self.node.identity.node_name, first_run)
         member = member_of(self.node, self.peer_pool.address, ROLE_CONTROLLER, machine, ready=False)
         self.failure_detector = SimulatedFailureDetector(self, member, self.seeds)
         self.plane = ControlPlane(
@@ -180,7 +180,7 @@
 
     def reload_settings(self) -> None:
         """Read the settings anew, as at SIGHUP."""
-        self.node = self.site.node(self.machine, ROLE_CONTROLLER, self.node.sender.first_run)
+        self.node = self.site.node(self.machine, ROLE_CONTROLLER, self.node.identity.first_run)
         self.plane.node = self.node
 
     def stop(self, ended: Callable[[], None]) -> None:
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -271,7 +271,7 @@
     def note(what: str, fields: dict[str, Any]) -> None:
         sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
 
-    with mock.patch.object(log, "teller", note), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
+    with mock.patch.object(log, "sink", note), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
         yield
 
 
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -292,9 +292,9 @@
         path = environ["PATH_INFO"]
         method = environ["REQUEST_METHOD"]
         data = environ["wsgi.input"].read()
-        if method == "POST" and path == calls.GRANT:
+        if method == "POST" and path == calls.GRANT_PATH:
             return self.grant(msgspec.json.decode(data, type=GrantCall))
-        if method == "POST" and path == calls.RELEASE:
+        if method == "POST" and path == calls.RELEASE_PATH:
             return self.release(msgspec.json.decode(data, type=ReleaseCall))
         if method == "GET" and path == HEALTH_PATH:
             return Reply(OK if self.state == EndpointState.READY else DRAINING, [], b"")
--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -112,7 +112,7 @@
     from flintreach.__main__ import PROGRAMS, run_program
     from flintreach.config import settings
 
-    install(Partitions(os.environ[PARTITIONS_VARIABLE], settings.load().sender.ip))
+    install(Partitions(os.environ[PARTITIONS_VARIABLE], settings.load().identity.ip))
     run_program(PROGRAMS[sys.argv[1]])
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -91,7 +91,7 @@
         store = self.opened()
         self.addCleanup(self.close)
         values = {key: slot.value for key, slot in store.slots.items()}
-        standing = ConfigurationHistory.of(values["timetable"])
+        standing = ConfigurationHistory.decode(values["timetable"])
         self.assertEqual((standing.number, len(standing)), (9, 3))
         table = configuration.check(standing.body)
         self.assertEqual(
@@ -109,7 +109,7 @@
 
     def test_an_older_configuration_without_a_history_is_read(self):
         body = b'{"edition": "00000009"}'
-        self.assertEqual(ConfigurationHistory.of(body).number, 9)
+        self.assertEqual(ConfigurationHistory.decode(body).number, 9)
         self.assertEqual(configuration_history.put(body, 9, body)[0], "again")
         self.assertEqual(configuration_history.put(body, 9, b"other")[0], "other content")
 
--- a/tests/controller/test_http_api.py
+++ b/tests/controller/test_http_api.py
@@ -168,13 +168,13 @@
             ) -> tuple:
                 return call_api(api, method, path, body)[:3]
 
-            yield name, plane, make_call, *calls.BOUNDS[name]
+            yield name, plane, make_call, *calls.CALL_LIMITS[name]
 
     def test_every_call_has_a_test_request_and_limits(self) -> None:
         self.assertEqual({*REQUESTS}, ALL_CALLS)
-        self.assertEqual({*REQUESTS} | {"ready"}, {*calls.BOUNDS})
+        self.assertEqual({*REQUESTS} | {"ready"}, {*calls.CALL_LIMITS})
         for name in REQUESTS:
-            contact_s, call_age_s = calls.BOUNDS[name]
+            contact_s, call_age_s = calls.CALL_LIMITS[name]
             self.assertTrue(contact_s <= 2.0 and (name == "resolve" or call_age_s < 1.0), name)
 
     def test_each_call_is_answered_with_quorum_contact(self) -> None:
--- a/tests/controller/test_operator_requests.py
+++ b/tests/controller/test_operator_requests.py
@@ -137,13 +137,13 @@
 
     def test_values_of_earlier_releases_are_read(self) -> None:
         stored = configuration_body(6)
-        history = ConfigurationHistory.of(stored)
+        history = ConfigurationHistory.decode(stored)
         self.assertEqual((history.number, history.body, len(history)), (6, stored, 1))
         self.assertEqual(configuration_history.put(stored, 6, stored), (PutOutcome.REPEATED, None))
         other = configuration_body(6, "b.example")
-        self.assertEqual(configuration_history.put(stored, 6, other)[0], PutOutcome.CONFLICTING)
+        self.assertEqual(configuration_history.put(stored, 6, other)[0], PutOutcome.CONFLICT)
         outcome, value = configuration_history.put(stored, 8, configuration_body(8))
-        self.assertEqual((outcome, ConfigurationHistory.of(value).number), (PutOutcome.ACCEPTED, 8))
+        self.assertEqual((outcome, ConfigurationHistory.decode(value).number), (PutOutcome.ACCEPTED, 8))
         self.assertEqual(configuration_history.put(value, 6, stored), (PutOutcome.REPEATED, None))
 
     def test_the_history_stays_sorted_and_bounded_under_random_puts(self) -> None:
@@ -152,9 +152,9 @@
         for _ in range(4 * MAX_ENTRIES):
             number = draw.randrange(3 * MAX_ENTRIES)
             outcome, new_value = configuration_history.put(value, number, b"%d" % number)
-            self.assertNotEqual(outcome, PutOutcome.CONFLICTING)
+            self.assertNotEqual(outcome, PutOutcome.CONFLICT)
             value = new_value or value
-        history = ConfigurationHistory.of(value)
+        history = ConfigurationHistory.decode(value)
         numbers = [history.entry(index)[0] for index in range(len(history))]
         self.assertEqual(numbers, sorted(set(numbers)))
         self.assertEqual(len(history), MAX_ENTRIES)
--- a/tests/controller/test_peer_exchange.py
+++ b/tests/controller/test_peer_exchange.py
@@ -79,7 +79,7 @@
         cluster.nodes[0].operator_requests.put(4, BODY)
         for index in range(3):
             exchange_ballots(cluster, index, 0, 1, 2)
-        lone_value = ConfigurationHistory.of(configuration_body(9)).value()
+        lone_value = ConfigurationHistory.decode(configuration_body(9)).encode()
         slots = cluster.nodes[2].register.acceptor.slots
         slots["timetable"] = Slot((50, "x"), (50, "x"), lone_value)
         for _ in range(3):
