--- a/flintreach/demo/__init__.py
+++ b/flintreach/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system on one machine, with stand-in endpoints."""
+"""A complete local cluster on loopback addresses, with simulated endpoints."""
--- a/flintreach/demo/cluster.py
+++ b/flintreach/demo/cluster.py
@@ -1,7 +1,7 @@
-"""The whole system on this machine's loopback: controllers and proxies as processes, endpoints in this one.
+"""A local cluster on loopback: controllers and proxies as subprocesses, simulated endpoints in this process.
 
-Each machine of the deployment is an address of its own under 127.0.0.0/8, so all use the same ports, as on
-real machines.  For a first look (`flintreach demo`), the soak, and tests of the programs over sockets.
+Each machine has its own address under 127.0.0.0/8, so all of them use the same ports, as in a deployment.
+Used by `flintreach demo`, the soak tests and the end-to-end tests.
 """
 
 import json
@@ -27,17 +27,17 @@
 
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}  # zone -> its region
 
-# What the settings call a process's job, and the program's name on a command line.
-CONTROLLER_ROLE = "refuge"  # as earlier releases wrote it
+# Process roles, as named in the settings and on the command line.
+CONTROLLER_ROLE = "refuge"  # name kept from earlier releases
 PROXY_ROLE = "proxy"
-# Services of a process -> the port at which it listens, counted from the first port of the cluster.
+# Listening ports by service, as offsets from the cluster's first port.
 CONTROLLER_PORTS = {"control": 0, "directory": 1}
 PROXY_PORTS = {"front": 2, "ready": 3}
-PEER_PORT = 4  # controllers and proxies among each other
-LAST_PORT = 5
-SEEDS = 3  # controllers that the settings name as first peers
-FIRST_ENDPOINT_HOST = 100  # last number of the first endpoint's address
-REPORT_MS = 500  # between two heartbeats of an endpoint
+PEER_PORT = 4  # connections between controllers and proxies
+LAST_PEER_PORT = 5
+SEED_NODES = 3  # number of controllers listed as seed nodes
+FIRST_ENDPOINT_HOST = 100  # last octet of the first endpoint's address
+REPORT_MS = 500  # heartbeat interval of endpoints
 
 PUT_PATH = "/v1/timetable/put"
 PUT_TIMEOUT_S = 2.0
@@ -50,73 +50,73 @@
 
 @dataclass
 class Machine:
-    """One process of the system and where it runs."""
+    """A controller or proxy process and its simulated machine."""
 
     name: str
     role: str
     ip: str
     zone: str
-    folder: str
+    work_dir: str
     process: subprocess.Popen | None = None
-    posts: dict[str, str] = field(default_factory=dict)  # service -> address at which it listens
-    module: str = "flintreach"  # what is run, with the role as its argument
+    listen_addresses: dict[str, str] = field(default_factory=dict)  # by service
+    module: str = "flintreach"  # run with the role as its argument
     environ: dict[str, str] = field(default_factory=dict)
-    started_at: float = 0.0  # steady seconds
+    started_at: float = 0.0  # monotonic seconds
 
     @property
     def settings_path(self) -> str:
-        """The settings file of the process."""
-        return os.path.join(self.folder, "node.yaml")
+        """Path of the settings file."""
+        return os.path.join(self.work_dir, "node.yaml")
 
     @property
-    def store_folder(self) -> str:
-        """Where the process keeps its state."""
-        return os.path.join(self.folder, "disk")
+    def data_dir(self) -> str:
+        """Directory of the process's persistent state."""
+        return os.path.join(self.work_dir, "disk")
 
     def is_running(self) -> bool:
-        """Whether the process was started and has not ended."""
+        """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
-    def running_for(self) -> float:
-        """Seconds since its last start."""
+    def uptime(self) -> float:
+        """Return the seconds since the last start."""
         return time.monotonic() - self.started_at
 
     def start(self) -> None:
-        """Start the process; its output is added to the file `log` of its folder."""
+        """Start the process, appending its output to the file `log` in its working directory."""
         environ = {**os.environ, PATH_VARIABLE: self.settings_path, **self.environ}
         self.started_at = time.monotonic()
-        with open(os.path.join(self.folder, "log"), "ab") as log:
+        with open(os.path.join(self.work_dir, "log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, self.role], env=environ, stdout=log, stderr=log
             )
 
-    def end(self, how: signal.Signals = signal.SIGKILL) -> None:
-        """Send a signal that ends the process, and wait until it has ended."""
+    def stop(self, signum: signal.Signals = signal.SIGKILL) -> None:
+        """Send a terminating signal and wait until the process has exited."""
         process = self.process
         if process is None or process.poll() is not None:
             return
-        process.send_signal(how)
+        process.send_signal(signum)
         while process.poll() is None:
             gevent.sleep(EXIT_POLL_S)
 
 
-class ProxyAnswer(NamedTuple):
-    """A proxy's answer to one request."""
+class ProxyResponse(NamedTuple):
+    """A proxy's response to one request."""
 
     status: int
     body: bytes
-    headers: dict[str, str]  # by name in lower case
+    headers: dict[str, str]  # by lower-case name
 
 
 class DemoCluster:
-    """Machines of the system, and endpoints that serve for it.
+    """A cluster of controllers, proxies and simulated endpoints.
 
     Attributes:
-        machines: those that belong to the cluster, whether they run or not.
-        endpoints: stand-ins in this process.
-        folder: settings, disks and logs, a folder a machine.
-        owns_folder: whether `stop` removes the folder.
-        module, environ: of machines that join later, see `Machine`.
+        machines: members of the cluster, running or not.
+        endpoints: simulated endpoints, which run in this process.
+        work_dir: holds one directory per machine, with its settings, state and log.
+        removes_work_dir: whether `stop` deletes `work_dir`.
+        module, environ: used for machines that are added later; see `Machine`.
     """
 
     def __init__(
@@ -125,88 +125,90 @@
         port: int,
         controllers: int = 3,
         proxies: int = 3,
-        folder: str | None = None,
+        work_dir: str | None = None,
         first_run: bool = True,
     ) -> None:
-        """Write the settings of all machines; none is started.
+        """Write the settings of all machines without starting any.
 
         Args:
-            base: three numbers of the loopback network, such as "127.41.7".
-            port: the first of six ports that are used.
-            controllers: how many, in the zones by turns.
-            proxies: how many, in the zones by turns.
-            folder: where settings, disks and logs go; a temporary folder otherwise.
-            first_run: whether the system starts for the first time, so that empty disks are no loss.
+            base: first three octets of a loopback network, such as "127.41.7".
+            port: the first of six consecutive ports.
+            controllers: number of controllers, assigned to the zones in rotation.
+            proxies: number of proxies, assigned to the zones in rotation.
+            work_dir: directory for settings, state and logs; a temporary directory by default.
+            first_run: whether this is the cluster's first start, so that empty disks are not data loss.
         """
         self.base = base
         self.port = port
-        self.owns_folder = folder is None
-        self.folder = folder or tempfile.mkdtemp(prefix="flintreach-demo-")
+        self.removes_work_dir = work_dir is None
+        self.work_dir = work_dir or tempfile.mkdtemp(prefix="flintreach-demo-")
         self.machines: list[Machine] = []
         self.endpoints: list[Endpoint] = []
         self.module = "flintreach"
         self.environ: dict[str, str] = {}
-        self.losses = {
-            "machines": 1 if controllers >= 3 else 0,  # of three, two are a majority
+        self.tolerated_losses = {
+            "machines": 1 if controllers >= 3 else 0,  # two of three are a majority
             "zones": 1 if controllers >= len(ZONES) else 0,
         }
         zones = [*ZONES]
         for number in range(controllers):
             self.machines.append(
-                self.machine(CONTROLLER_ROLE, number, number + 1, zones[number % len(zones)])
+                self.new_machine(CONTROLLER_ROLE, number, number + 1, zones[number % len(zones)])
             )
         for index in range(proxies):
             number = controllers + index
-            self.machines.append(self.machine(PROXY_ROLE, number, number + 1, zones[index % len(zones)]))
-        self.machines_made = len(self.machines)
+            self.machines.append(self.new_machine(PROXY_ROLE, number, number + 1, zones[index % len(zones)]))
+        self.last_machine_number = len(self.machines)
         for machine in self.machines:
             self.write_settings(machine, first_run)
 
-    def machine(self, role: str, number: int, host: int, zone: str) -> Machine:
-        """A machine that has no settings yet.
+    def new_machine(self, role: str, number: int, host: int, zone: str) -> Machine:
+        """Return a machine whose settings have not been written yet.
 
         Args:
             role: CONTROLLER_ROLE or PROXY_ROLE.
-            number: the one in its name.
-            host: the last number of its address.
-            zone: where it is.
+            number: numeric suffix of its name.
+            host: last octet of its address.
+            zone: its zone.
         """
         name = f"{role}-{number}"
-        return Machine(name, role, f"{self.base}.{host}", zone, os.path.join(self.folder, name))
+        return Machine(name, role, f"{self.base}.{host}", zone, os.path.join(self.work_dir, name))
 
-    def join(self, role: str, zone: str) -> Machine:
-        """A further machine, with empty disk and at an address of its own; it is not started."""
-        self.machines_made += 1
-        machine = self.machine(role, self.machines_made, self.machines_made, zone)
+    def add_machine(self, role: str, zone: str) -> Machine:
+        """Add a machine with an empty disk and a new address, without starting it."""
+        self.last_machine_number += 1
+        machine = self.new_machine(role, self.last_machine_number, self.last_machine_number, zone)
         machine.module = self.module
         machine.environ = self.environ
         self.machines.append(machine)
         self.write_settings(machine, first_run=False)
         return machine
 
-    def of(self, role: str) -> list[Machine]:
-        """The machines with a role."""
+    def with_role(self, role: str) -> list[Machine]:
+        """Return the machines that have a role."""
         return [machine for machine in self.machines if machine.role == role]
 
     def write_settings(self, machine: Machine, first_run: bool) -> None:
-        """Write a machine's settings, as the platform does: the file is replaced as a whole.
+        """Write a machine's settings, replacing the file atomically as the platform does.
 
         Args:
-            machine: whose settings; its folders are made where they are missing.
-            first_run: whether the system starts for the first time.
+            machine: the machine, whose directories are created if missing.
+            first_run: whether this is the cluster's first start.
         """
         ports = CONTROLLER_PORTS if machine.role == CONTROLLER_ROLE else PROXY_PORTS
-        machine.posts = {name: f"{machine.ip}:{self.port + number}" for name, number in ports.items()}
-        os.makedirs(machine.store_folder, exist_ok=True)
+        machine.listen_addresses = {
+            name: f"{machine.ip}:{self.port + number}" for name, number in ports.items()
+        }
+        os.makedirs(machine.data_dir, exist_ok=True)
         new_path = machine.settings_path + ".new"
         with open(new_path, "w", encoding="utf-8") as file:
-            yaml.safe_dump(self.settings_of(machine, first_run), file)
+            yaml.safe_dump(self.settings_for(machine, first_run), file)
         os.replace(new_path, machine.settings_path)
 
-    def settings_of(self, machine: Machine, first_run: bool) -> dict[str, Any]:
-        """A machine's settings, by the names of the file (see `config/settings.py`)."""
+    def settings_for(self, machine: Machine, first_run: bool) -> dict[str, Any]:
+        """Return a machine's settings under the keys of the file (see `config/settings.py`)."""
         is_controller = machine.role == CONTROLLER_ROLE
-        seeds = self.of(CONTROLLER_ROLE)[:SEEDS]
+        seeds = self.with_role(CONTROLLER_ROLE)[:SEED_NODES]
         return {
             "sender": {
                 "node_name": machine.name,
@@ -216,36 +218,38 @@
                 "post_role": machine.role,
                 "counted": is_controller,
                 "first_run": first_run,
-                "serves": [*machine.posts],
-                "store_dir": machine.store_folder if is_controller else None,
+                "serves": [*machine.listen_addresses],
+                "store_dir": machine.data_dir if is_controller else None,
             },
             "network": {
-                "posts": machine.posts,
-                "spare_ports": [self.port + PEER_PORT, self.port + LAST_PORT],
+                "posts": machine.listen_addresses,
+                "spare_ports": [self.port + PEER_PORT, self.port + LAST_PEER_PORT],
                 "seed_nodes": [f"{seed.ip}:{self.port}" for seed in seeds],
                 "zones": ZONES,
             },
             "carrier": {"report_ms": REPORT_MS},
-            "tariffs": {"losses": self.losses},
+            "tariffs": {"losses": self.tolerated_losses},
         }
 
     def control_addresses(self) -> list[tuple[str, int]]:
-        """The control addresses of the controllers that run."""
-        return [(machine.ip, self.port) for machine in self.of(CONTROLLER_ROLE) if machine.is_running()]
+        """Return the control addresses of the running controllers."""
+        return [
+            (machine.ip, self.port) for machine in self.with_role(CONTROLLER_ROLE) if machine.is_running()
+        ]
 
     def start(self) -> None:
         """Start all machines."""
         for machine in self.machines:
             machine.start()
 
-    def add(self, service: str, number: int, zone: str, **options: Any) -> Endpoint:
-        """Start a stand-in endpoint.
+    def add_endpoint(self, service: str, number: int, zone: str, **options: Any) -> Endpoint:
+        """Start a simulated endpoint.
 
         Args:
-            service: which it serves.
-            number: which of the addresses for endpoints it listens at.
-            zone: where it says that it is.
-            options: further ones of `Endpoint`.
+            service: the service it belongs to.
+            number: index of its address among the endpoint addresses.
+            zone: the zone that it reports.
+            options: further arguments of `Endpoint`.
         """
         address = (f"{self.base}.{FIRST_ENDPOINT_HOST + number}", self.port)
         endpoint = Endpoint(service, address, zone, self.control_addresses, **options)
@@ -253,28 +257,28 @@
         endpoint.start()
         return endpoint
 
-    def add_endpoints(self, desks: int = 4, stores: int = 2) -> None:
-        """Start endpoints of both services, in the zones by turns.
+    def add_endpoints(self, plain: int = 4, sharded: int = 2) -> None:
+        """Start endpoints of both services, assigned to the zones in rotation.
 
         Args:
-            desks: how many of the plain service.
-            stores: how many of the sharded one.
+            plain: number of endpoints of the plain service.
+            sharded: number of endpoints of the sharded service.
         """
         zones = [*ZONES]
-        for number in range(desks + stores):
-            sharded = number >= desks
-            service = SHARDED_SERVICE if sharded else PLAIN_SERVICE
-            self.add(service, number, zones[number % len(zones)], sharded=sharded)
+        for number in range(plain + sharded):
+            is_sharded = number >= plain
+            service = SHARDED_SERVICE if is_sharded else PLAIN_SERVICE
+            self.add_endpoint(service, number, zones[number % len(zones)], sharded=is_sharded)
 
-    def put(self, configuration: dict[str, Any], until: float) -> bool:
-        """Put a configuration at any controller that accepts it.
+    def put_configuration(self, configuration: dict[str, Any], deadline: float) -> bool:
+        """Submit a configuration to the controllers until one acknowledges it.
 
         Args:
-            configuration: by the names of the wire.
-            until: steady seconds at which to give up.
+            configuration: in the wire format.
+            deadline: monotonic time at which to give up, in seconds.
 
         Returns:
-            Whether it was acknowledged.
+            Whether it was acknowledged before the deadline.
         """
         body = json.dumps(configuration).encode()
 
@@ -284,29 +288,29 @@
                 for ip, port in self.control_addresses()
             )
 
-        return self.wait(acknowledged, until)
+        return self.wait_for(acknowledged, deadline)
 
-    def ask(
+    def send_request(
         self,
         machine: Machine,
         target: str,
         method: str = "GET",
         headers: dict[str, str] | None = None,
         body: bytes = b"",
-    ) -> ProxyAnswer | None:
+    ) -> ProxyResponse | None:
         """Send one request to a proxy.
 
         Args:
             machine: the proxy.
             target: path and query.
-            method: the HTTP method.
-            headers: beside, or in place of, those that each request has.
-            body: the request's body.
+            method: HTTP method.
+            headers: added to the default headers, which they override.
+            body: request body.
 
         Returns:
-            Its answer, or None if there is none.
+            The response, or None if there was none.
         """
-        host, port = machine.posts["front"].split(":")
+        host, port = machine.listen_addresses["front"].split(":")
         client = HTTPClient(
             host, int(port), connection_timeout=CONNECT_TIMEOUT_S, network_timeout=ANSWER_TIMEOUT_S
         )
@@ -317,37 +321,37 @@
             **(headers or {}),
         }
         try:
-            answer = client.request(method, target, body, sent_headers)
-            data = bytes(answer.read())
-            return ProxyAnswer(
-                answer.status_code, data, {name.lower(): value for name, value in answer.items()}
+            response = client.request(method, target, body, sent_headers)
+            data = bytes(response.read())
+            return ProxyResponse(
+                response.status_code, data, {name.lower(): value for name, value in response.items()}
             )
-        except (OSError, HTTPParseError):  # also a connection that ends without an answer
+        except (OSError, HTTPParseError):  # includes connections closed without a response
             return None
         finally:
             client.close()
 
-    def wait(self, condition: Callable[[], object], until: float) -> bool:
-        """Wait for a condition.
+    def wait_for(self, condition: Callable[[], object], deadline: float) -> bool:
+        """Poll a condition until it holds.
 
         Args:
-            condition: asked again and again.
-            until: steady seconds at which to give up.
+            condition: called at each poll.
+            deadline: monotonic time at which to give up, in seconds.
 
         Returns:
-            Whether it became true in time.
+            Whether it held before the deadline.
         """
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             if condition():
                 return True
             gevent.sleep(WAIT_POLL_S)
         return False
 
     def stop(self) -> None:
-        """Stop the endpoints, kill the processes, and remove the folder if it is the cluster's own."""
+        """Stop the endpoints, kill the processes and delete `work_dir` if `removes_work_dir` is set."""
         for endpoint in self.endpoints:
             endpoint.stop()
         for machine in self.machines:
-            machine.end()
-        if self.owns_folder:
-            shutil.rmtree(self.folder, ignore_errors=True)
+            machine.stop()
+        if self.removes_work_dir:
+            shutil.rmtree(self.work_dir, ignore_errors=True)
--- a/flintreach/demo/configuration.py
+++ b/flintreach/demo/configuration.py
@@ -1,14 +1,14 @@
-"""The operator's configuration of the demo: three routes to two services, one of them sharded by key."""
+"""Demo configuration: three routes to two services, one of which is sharded by key."""
 
 from typing import Any
 
-HOST = "camp.example"  # as earlier releases called it: operators' notes and scripts have it
+HOST = "camp.example"  # kept from earlier releases, since operators' scripts use it
 PLAIN_SERVICE = "desk"
 SHARDED_SERVICE = "store"
 
 
 def route(name: str, kind: str, path_prefix: str, service: str) -> dict[str, Any]:
-    """A route as the wire has it."""
+    """Build a route in its wire format."""
     return {
         "name": name,
         "kind": kind,
--- a/flintreach/soak/__init__.py
+++ b/flintreach/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the whole system on loopback: real processes and sockets, overlapping faults from a seed."""
+"""Soak tests of a local cluster: real processes and sockets, with overlapping faults drawn from a seed."""
--- a/flintreach/soak/checker.py
+++ b/flintreach/soak/checker.py
@@ -1,7 +1,7 @@
-"""The invariants of a soak, judged from the clients' history and from what the endpoints recorded.
+"""Checks a soak's invariants against the clients' history and the endpoints' records.
 
-A proxy that was paused or killed is not judged for what is due within the bound of that rule after it: a
-process may stop between its last check and its sending.
+A time bound is not enforced on a proxy that was paused or killed within that bound before the event: the
+process may have stopped between its last check and the send.
 """
 
 import json
@@ -13,65 +13,67 @@
 from flintreach.soak.history import NS_PER_S, History, RequestKind, SentRequest
 from flintreach.standins.endpoint import Endpoint, Run, RunEnd
 
-LAST_CALL_S = 2.5  # the settings' default
-LOSS_SLACK_S = 0.5  # the settings' default of 0.2, and what a fully loaded machine needs besides
-ABANDON_S = 0.5  # by the users' rule
-PROMISES = (408, 421, 429, 503)  # statuses that promise that the request has not run
-# counters of a proxy that must stay 0
-VIOLATIONS = (SENT_AFTER_DEPARTURE, SENT_AFTER_DISCONNECT, LATE_CANCELLATION)
-REPEATABLE = (RequestKind.LOOK, RequestKind.FETCH)
-
-
-class Invariant(StrEnum):
-    """What must hold, by the name under which a verdict lists what broke it.
-
-    LATE: no request reaches an endpoint later than `last_call_ms` after its departure was acknowledged.
-    TWICE: no request that must not be repeated is run more than once.
-    REFUSED: none that was refused with a promise (`PROMISES`) has run.
-    MIXED: no answer belongs to another request.
-    LOST: no connection ends without an answer to a request that reached an endpoint, or that waited for
-        longer than `LOSS_SLACK_S`, unless the proxy was killed or paused, or the endpoint broke off.
-    GONE: `ABANDON_S` after a client left, none of its requests reaches an endpoint, and no endpoint is at
-        work on one that may be repeated.
-    ENDED: no process ends by itself, and one that is told to end does so in time and with status 0.
-    COUNTED: no proxy has counted a violation (`VIOLATIONS`).
-    ACKNOWLEDGED: the newest configuration that was acknowledged is in force at the end, at each proxy.
-    START: the system serves in time after its start.
+DEPARTURE_BOUND_S = 2.5  # default of the setting `last_call_ms`
+LOSS_SLACK_S = 0.5  # the settings' default of 0.2 s plus a margin for a fully loaded machine
+CANCELLATION_BOUND_S = 0.5  # required by the users
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee that the request has not run
+# Proxy counters that must stay 0.
+VIOLATION_COUNTERS = (SENT_AFTER_DEPARTURE, SENT_AFTER_DISCONNECT, LATE_CANCELLATION)
+REPEATABLE = (RequestKind.READ, RequestKind.SHARDED_READ)
+
+
+class Violation(StrEnum):
+    """Ways to break the invariants of a soak; the values are the keys of `broken` in a verdict.
+
+    LATE_ARRIVAL: a request reached an endpoint later than `last_call_ms` after the endpoint's departure was
+        acknowledged.
+    DUPLICATE_RUN: a non-repeatable request ran more than once.
+    RUN_AFTER_REJECTION: a request ran although its status (`NOT_RUN_STATUSES`) guarantees that it did not.
+    MISDELIVERED_ANSWER: a client received the answer to another request.
+    LOST_ANSWER: a connection closed without an answer to a request that had reached an endpoint or waited
+        for longer than `LOSS_SLACK_S`, although the proxy was not killed or paused and the endpoint did not
+        drop the answer.
+    WORK_AFTER_DISCONNECT: more than `CANCELLATION_BOUND_S` after its client disconnected, a request reached
+        an endpoint, or an endpoint was still working on a repeatable one.
+    UNEXPECTED_EXIT: a process exited by itself, or did not exit in time and with status 0 after SIGTERM.
+    COUNTED_BY_PROXY: a proxy counted a violation (`VIOLATION_COUNTERS`).
+    CONFIGURATION_LOST: at the end, the newest acknowledged configuration is not in force at some proxy.
+    STARTUP: the cluster did not serve requests in time after its start.
     """
 
-    LATE = "late"
-    TWICE = "twice"
-    REFUSED = "refused"
-    MIXED = "mixed"
-    LOST = "lost"
-    GONE = "gone"
-    ENDED = "ended"
-    COUNTED = "counted"
-    ACKNOWLEDGED = "acknowledged"
-    START = "start"
+    LATE_ARRIVAL = "late"
+    DUPLICATE_RUN = "twice"
+    RUN_AFTER_REJECTION = "refused"
+    MISDELIVERED_ANSWER = "mixed"
+    LOST_ANSWER = "lost"
+    WORK_AFTER_DISCONNECT = "gone"
+    UNEXPECTED_EXIT = "ended"
+    COUNTED_BY_PROXY = "counted"
+    CONFIGURATION_LOST = "acknowledged"
+    STARTUP = "start"
 
 
 @dataclass
 class Verdict:
-    """What a soak has shown.
+    """Result of a soak.
 
     Attributes:
-        seed: of the soak.
-        broken: invariant -> what broke it.
-        statuses: answers by their status, 0 for requests without one.
-        faults: how often each was injected.
-        departures: endpoints whose departure was acknowledged.
-        latest_arrival_s: the latest arrival after an acknowledged departure.
-        abandoned: requests whose client left.
-        cancelled_runs: runs that were ended for it.
-        longest_orphan_run_s: the longest work on a repeatable request after its client left.
-        persistent_answers: answers on connections that are used for many requests.
-        configurations: those that were acknowledged.
-        logs: the folder of the machines, kept where something broke.
+        seed: seed of the soak.
+        broken: descriptions of what broke invariants, by kind of violation.
+        statuses: number of requests by response status, with 0 for no response.
+        faults: number of injections by fault.
+        departures: number of endpoints whose departure was acknowledged.
+        latest_arrival_s: longest time from an acknowledged departure to the arrival of a request.
+        abandoned: number of requests whose client disconnected.
+        cancelled_runs: number of runs cancelled because the client disconnected.
+        longest_orphan_run_s: longest work on a repeatable request after its client disconnected.
+        persistent_answers: number of answers on persistent connections.
+        configurations: number of acknowledged configurations.
+        logs: directory of the machines' logs, which is kept if an invariant was broken.
     """
 
     seed: int
-    broken: dict[Invariant, list[str]] = field(default_factory=dict)
+    broken: dict[Violation, list[str]] = field(default_factory=dict)
     statuses: Counter[int] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     departures: int = 0
@@ -83,12 +85,12 @@
     configurations: int = 0
     logs: str = ""
 
-    def fail(self, invariant: Invariant, what: str) -> None:
-        """Note that an invariant was broken, and by what."""
-        self.broken.setdefault(invariant, []).append(what)
+    def fail(self, violation: Violation, description: str) -> None:
+        """Record a violation of an invariant, with a description of the event."""
+        self.broken.setdefault(violation, []).append(description)
 
-    def line(self) -> str:
-        """All of it as one line of JSON."""
+    def to_json(self) -> str:
+        """Return the verdict as one line of JSON."""
         fields = {
             "seed": self.seed,
             "broken": self.broken,
@@ -107,20 +109,20 @@
 
 
 class Checker:
-    """Judges a history; what it finds goes into the verdict."""
+    """Checks a history and records violations in a verdict."""
 
     def __init__(self, history: History, verdict: Verdict) -> None:
         self.history = history
         self.verdict = verdict
 
     def check(self, endpoints: list[Endpoint]) -> None:
-        """Judge all requests, once the soak is over.
+        """Check all requests after the soak.
 
         Args:
-            endpoints: all that served in it, also those that have left.
+            endpoints: all endpoints that served during the soak, including departed ones.
         """
         runs: dict[str, list[Run]] = {}
-        cancelled: dict[str, list[Run]] = {}  # requests whose connection ended before they were run
+        cancelled: dict[str, list[Run]] = {}  # cancelled before they ran
         arrivals_ns: dict[str, list[int]] = {}
         for endpoint in endpoints:
             self.check_departure(endpoint)
@@ -130,49 +132,54 @@
                 cancelled.setdefault(run.request_id, []).append(run)
             for arrived_at_ns, request_id in endpoint.arrivals:
                 arrivals_ns.setdefault(request_id, []).append(arrived_at_ns)
-        for request in self.history.sent.values():
+        for request in self.history.requests.values():
             own_runs = runs.get(request.id, [])
-            self.count(request)
+            self.count_request(request)
             self.check_executions(request, own_runs)
             self.check_loss(request, own_runs)
             self.check_abandonment(
                 request, own_runs + cancelled.get(request.id, []), arrivals_ns.get(request.id, [])
             )
 
-    def count(self, request: SentRequest) -> None:
-        """Add a request to the verdict's counts."""
+    def count_request(self, request: SentRequest) -> None:
+        """Add a request to the verdict's counters."""
         self.verdict.statuses[request.status or 0] += 1
         if request.persistent and request.status is not None:
             self.verdict.persistent_answers += 1
 
     def check_departure(self, endpoint: Endpoint) -> None:
-        """Judge `Invariant.LATE` for an endpoint."""
+        """Check `Violation.LATE_ARRIVAL` for an endpoint."""
         if endpoint.departed_at_ns is None:
             return
         self.verdict.departures += 1
         for arrived_at_ns, request_id in endpoint.arrivals:
             late_s = (arrived_at_ns - endpoint.departed_at_ns) / NS_PER_S
-            request = self.history.sent.get(request_id)
+            request = self.history.requests.get(request_id)
             if request is None:
                 continue
-            since_ns = arrived_at_ns - int(LAST_CALL_S * NS_PER_S)
+            since_ns = arrived_at_ns - int(DEPARTURE_BOUND_S * NS_PER_S)
             if self.history.disturbed(request.machine, since_ns, arrived_at_ns):
                 continue
             self.verdict.latest_arrival_s = max(self.verdict.latest_arrival_s, late_s)
-            if late_s > LAST_CALL_S:
-                self.verdict.fail(Invariant.LATE, f"{request_id} at {endpoint.id}: {late_s:.3f} s")
+            if late_s > DEPARTURE_BOUND_S:
+                self.verdict.fail(
+                    Violation.LATE_ARRIVAL,
+                    f"{request_id} reached {endpoint.id} {late_s:.3f} s after its departure",
+                )
 
     def check_executions(self, request: SentRequest, runs: list[Run]) -> None:
-        """Judge `Invariant.TWICE` and `Invariant.REFUSED` for a request and its runs."""
+        """Check `Violation.DUPLICATE_RUN` and `Violation.RUN_AFTER_REJECTION` for a request and its runs."""
         if request.kind in REPEATABLE:
             return
         if len(runs) > 1:
-            self.verdict.fail(Invariant.TWICE, f"{request.id}: {len(runs)} times")
-        if runs and request.status in PROMISES:
-            self.verdict.fail(Invariant.REFUSED, f"{request.id}: {request.status}")
+            self.verdict.fail(Violation.DUPLICATE_RUN, f"{request.id} ran {len(runs)} times")
+        if runs and request.status in NOT_RUN_STATUSES:
+            self.verdict.fail(
+                Violation.RUN_AFTER_REJECTION, f"{request.id} ran but was answered with {request.status}"
+            )
 
     def check_loss(self, request: SentRequest, runs: list[Run]) -> None:
-        """Judge `Invariant.LOST` for a request and its runs."""
+        """Check `Violation.LOST_ANSWER` for a request and its runs."""
         if not request.unanswered:
             return
         if self.history.disturbed(request.machine, request.sent_at_ns, request.ended_at_ns):
@@ -181,39 +188,46 @@
             return
         waited_s = (request.ended_at_ns - request.sent_at_ns) / NS_PER_S
         if runs or waited_s > LOSS_SLACK_S:
-            ends = [run.end.value if run.end else "at work" for run in runs]
-            self.verdict.fail(Invariant.LOST, f"{request.id} ({request.kind}) after {waited_s:.3f} s, {ends}")
+            ends = [run.end.value if run.end else "running" for run in runs]
+            self.verdict.fail(
+                Violation.LOST_ANSWER,
+                f"{request.id} ({request.kind}) lost after {waited_s:.3f} s, runs: {ends}",
+            )
 
     def check_abandonment(self, request: SentRequest, runs: list[Run], arrivals_ns: list[int]) -> None:
-        """Judge `Invariant.GONE` for a request.
+        """Check `Violation.WORK_AFTER_DISCONNECT` for a request.
 
         Args:
-            request: any one; nothing is judged unless its client left.
-            runs: the work on it, also what was cancelled in an endpoint's queue.
-            arrivals_ns: when it came to endpoints, steady nanoseconds.
+            request: a request; one whose client did not disconnect is skipped.
+            runs: its runs, including those cancelled in an endpoint's queue.
+            arrivals_ns: monotonic times of its arrival at endpoints.
         """
-        if request.left_at_ns is None:
+        if request.disconnected_at_ns is None:
             return
         self.verdict.abandoned += 1
         self.verdict.cancelled_runs += sum(run.end == RunEnd.DROPPED for run in runs)
-        limit_ns = request.left_at_ns + int(ABANDON_S * NS_PER_S)
+        limit_ns = request.disconnected_at_ns + int(CANCELLATION_BOUND_S * NS_PER_S)
         if self.history.disturbed(request.machine, request.sent_at_ns, limit_ns):
             return
         for arrived_at_ns in arrivals_ns:
             if arrived_at_ns > limit_ns:
-                after_s = (arrived_at_ns - request.left_at_ns) / NS_PER_S
-                self.verdict.fail(Invariant.GONE, f"{request.id} arrives {after_s:.3f} s later")
+                after_s = (arrived_at_ns - request.disconnected_at_ns) / NS_PER_S
+                self.verdict.fail(
+                    Violation.WORK_AFTER_DISCONNECT,
+                    f"{request.id} arrived {after_s:.3f} s after its client disconnected",
+                )
         if request.kind in REPEATABLE:
             self.check_orphan_runs(request, runs, limit_ns)
 
     def check_orphan_runs(self, request: SentRequest, runs: list[Run], limit_ns: int) -> None:
-        """Judge the work on a repeatable request whose client left; it must end by `limit_ns`."""
+        """Check that work on a repeatable request ended by `limit_ns` after its client disconnected."""
         for run in runs:
             if run.ended_at_ns is None:
                 continue
-            after_s = (run.ended_at_ns - max(run.began_at_ns, request.left_at_ns)) / NS_PER_S
+            after_s = (run.ended_at_ns - max(run.began_at_ns, request.disconnected_at_ns)) / NS_PER_S
             self.verdict.longest_orphan_run_s = max(self.verdict.longest_orphan_run_s, after_s)
             if run.ended_at_ns > limit_ns:
                 self.verdict.fail(
-                    Invariant.GONE, f"{request.id} runs on for {after_s:.3f} s ({run.end.value})"
+                    Violation.WORK_AFTER_DISCONNECT,
+                    f"{request.id} ran for {after_s:.3f} s after its client disconnected ({run.end.value})",
                 )
--- a/flintreach/soak/clients.py
+++ b/flintreach/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: some open a connection a request, some keep theirs while it stands, some leave early."""
+"""Soak clients with one connection per request, with persistent connections, or that disconnect early."""
 
 import random
 import time
@@ -10,49 +10,51 @@
 from flintreach.demo.cluster import Machine
 from flintreach.demo.configuration import HOST
 from flintreach.proxy.response import HTTPParseError, Response, ResponseParser
-from flintreach.soak.checker import Invariant, Verdict
+from flintreach.soak.checker import Verdict, Violation
 from flintreach.soak.history import History, RequestKind, SentRequest
 from flintreach.standins.adversary import RESET
 
-KINDS = (RequestKind.LOOK, RequestKind.FILE, RequestKind.FILE, RequestKind.FETCH)  # writes weigh double
-PIPELINED_KINDS = (RequestKind.LOOK, RequestKind.FETCH)
+# Writes are drawn twice as often as each kind of read.
+KINDS = (RequestKind.READ, RequestKind.WRITE, RequestKind.WRITE, RequestKind.SHARDED_READ)
+PIPELINED_KINDS = (RequestKind.READ, RequestKind.SHARDED_READ)
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = 6.0
-PAUSE_S = 0.08  # between the requests of one client
+REQUEST_INTERVAL_S = 0.08  # between requests of a client
 TIME_LEFT_MS = 3000
 READ_BYTES = 65536
-PATHS = 100  # different ones of each route
-KEYS = 65536
-PIPELINED_SHARE = 0.3  # of the connections of a client that leaves early
-RESET_SHARE = 0.3  # of its closes
-MAX_STAY_S = 0.3  # before it leaves
+PATH_COUNT = 100  # distinct paths per route
+KEY_COUNT = 65536
+# Shares of the connections of a client that disconnects early.
+PIPELINED_SHARE = 0.3  # with several requests in flight
+RESET_SHARE = 0.3  # closed by a TCP reset
+MAX_DELAY_BEFORE_CLOSE_S = 0.3  # of a client that disconnects early
 
 
 class MisdeliveredAnswer(Exception):
-    """An answer that belongs to another request, or bytes that are no answer."""
+    """An answer to another request, or data that is not a valid HTTP response."""
 
 
 class ClientConnection:
-    """One connection to a proxy."""
+    """A connection to a proxy."""
 
     def __init__(self, machine: Machine) -> None:
-        """Connect.
+        """Connect to the proxy.
 
         Raises:
-            OSError: no connection came up within `CONNECT_TIMEOUT_S`.
+            OSError: the connection was not established within `CONNECT_TIMEOUT_S`.
         """
-        host, port = machine.posts["front"].split(":")
+        host, port = machine.listen_addresses["front"].split(":")
         self.sock = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
         self.sock.settimeout(ANSWER_TIMEOUT_S)
         self.responses = ResponseParser()
 
     def send(self, request: SentRequest, path: str, key: int) -> None:
-        """Send a request, with its id and the key of its shard.
+        """Send a request with its id and shard key.
 
         Raises:
-            OSError: the connection has ended.
+            OSError: the connection is closed.
         """
-        method = "POST" if request.kind == RequestKind.FILE else "GET"
+        method = "POST" if request.kind == RequestKind.WRITE else "GET"
         body = f"body of {request.id}".encode() if method == "POST" else b""
         lines = (
             f"{method} {path} HTTP/1.1",
@@ -65,13 +67,13 @@
         self.sock.sendall("\r\n".join([*lines, "", ""]).encode() + body)
 
     def receive(self, request: SentRequest) -> Response | None:
-        """Read the next answer, which must be the one to this request.
+        """Read the next answer, which must belong to this request.
 
         Returns:
-            The answer, or None if the connection ends, or its time is over, before it.
+            The answer, or None if the connection closes or times out first.
 
         Raises:
-            MisdeliveredAnswer: it is another request's, or none.
+            MisdeliveredAnswer: the answer belongs to another request, or is malformed.
         """
         while not self.responses.complete:
             try:
@@ -83,26 +85,30 @@
             try:
                 self.responses.feed(data)
             except HTTPParseError:
-                raise MisdeliveredAnswer(f"no answer: {data[:60]!r}") from None
+                raise MisdeliveredAnswer(
+                    f"{request.id} received a malformed response: {data[:60]!r}"
+                ) from None
         response = self.responses.complete.pop(0)
         if not response.matches_request(request.id):
-            raise MisdeliveredAnswer(f"to {request.id} came {response.status} for another")
+            raise MisdeliveredAnswer(
+                f"{request.id} received the answer to another request (status {response.status})"
+            )
         return response
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection, by a TCP reset if `reset`."""
+        """Close the connection, with a TCP reset if `reset` is set."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
 
 class Client:
-    """One client; `ask_once_each`, `keep` and `leave_early` are the ways in which it may go on.
+    """A client, which runs in one of three modes, each a method `run_...`.
 
     Attributes:
-        chance: random draws of its own, from its name.
-        machines: gives the proxies to choose from.
-        ending: whether it is to stop.
+        rng: the client's own random source, seeded with its name.
+        machines: returns the proxies to choose from.
+        stopping: returns whether the client should stop.
     """
 
     def __init__(
@@ -111,114 +117,114 @@
         machines: Callable[[], list[Machine]],
         history: History,
         verdict: Verdict,
-        ending: Callable[[], bool],
+        stopping: Callable[[], bool],
     ) -> None:
-        self.chance = random.Random(name)
+        self.rng = random.Random(name)
         self.machines = machines
         self.history = history
         self.verdict = verdict
-        self.ending = ending
+        self.stopping = stopping
 
     def next_request(
         self, machine: Machine, persistent: bool = False, kinds: Sequence[RequestKind] = KINDS
     ) -> SentRequest:
-        """Make a request and note it in the history, before it is sent."""
-        request_id = f"{self.chance.getrandbits(64):016x}"
-        kind = self.chance.choice(kinds)
+        """Create a request and record it in the history before it is sent."""
+        request_id = f"{self.rng.getrandbits(64):016x}"
+        kind = self.rng.choice(kinds)
         request = SentRequest(request_id, machine, kind, time.monotonic_ns(), persistent)
-        self.history.sent[request_id] = request
+        self.history.requests[request_id] = request
         return request
 
     def send(self, connection: ClientConnection, request: SentRequest) -> None:
-        """Send a request.
+        """Send a request with a random path and shard key.
 
         Raises:
-            OSError: the connection has ended.
+            OSError: the connection is closed.
         """
         request.sent_at_ns = time.monotonic_ns()
-        path = f"/{request.kind}/{self.chance.randrange(PATHS)}"
-        connection.send(request, path, self.chance.randrange(KEYS))
+        path = f"/{request.kind}/{self.rng.randrange(PATH_COUNT)}"
+        connection.send(request, path, self.rng.randrange(KEY_COUNT))
 
-    def ask(self, connection: ClientConnection, request: SentRequest) -> Response | None:
-        """Send one request and read its answer; None where the connection ended."""
+    def exchange(self, connection: ClientConnection, request: SentRequest) -> Response | None:
+        """Send a request and return its answer, or None if the connection was closed."""
         response = None
         try:
             self.send(connection, request)
             response = connection.receive(request)
         except OSError:
-            pass  # the checker judges whether the request may be lost
+            pass  # the checker decides whether losing the request was allowed
         except MisdeliveredAnswer as misdelivered:
-            self.verdict.fail(Invariant.MIXED, str(misdelivered))
+            self.verdict.fail(Violation.MISDELIVERED_ANSWER, str(misdelivered))
         request.ended_at_ns = time.monotonic_ns()
         request.status = response.status if response else None
         return response
 
     def connect(self) -> tuple[Machine, ClientConnection] | None:
-        """Connect to any proxy; None, after a pause, where that fails."""
-        machine = self.chance.choice(self.machines())
+        """Connect to a random proxy; on failure, pause and return None."""
+        machine = self.rng.choice(self.machines())
         try:
             return machine, ClientConnection(machine)
         except OSError:
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(REQUEST_INTERVAL_S)
             return None
 
-    def ask_once_each(self) -> None:
-        """Open a connection for each request."""
-        while not self.ending():
+    def run_without_keep_alive(self) -> None:
+        """Send each request on a new connection."""
+        while not self.stopping():
             connected = self.connect()
             if connected is None:
                 continue
             machine, connection = connected
-            self.ask(connection, self.next_request(machine))
+            self.exchange(connection, self.next_request(machine))
             connection.close()
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(REQUEST_INTERVAL_S)
 
-    def keep(self) -> None:
-        """Use one connection until it ends, whatever becomes of the process behind it."""
-        while not self.ending():
+    def run_with_keep_alive(self) -> None:
+        """Send requests on a persistent connection until it closes, then open another."""
+        while not self.stopping():
             connected = self.connect()
             if connected is None:
                 continue
             machine, connection = connected
-            while not self.ending():
-                response = self.ask(connection, self.next_request(machine, persistent=True))
+            while not self.stopping():
+                response = self.exchange(connection, self.next_request(machine, persistent=True))
                 if response is None or not response.keep_alive:
                     break
-                gevent.sleep(self.chance.uniform(0, PAUSE_S))
+                gevent.sleep(self.rng.uniform(0, REQUEST_INTERVAL_S))
             connection.close()
 
-    def leave_early(self) -> None:
-        """Leave before the answer, at times with several requests in flight on the connection."""
-        while not self.ending():
+    def run_with_early_disconnect(self) -> None:
+        """Disconnect before the answer, in some cases with several pipelined requests in flight."""
+        while not self.stopping():
             connected = self.connect()
             if connected is None:
                 continue
             machine, connection = connected
-            pipelined = self.chance.random() < PIPELINED_SHARE
+            pipelined = self.rng.random() < PIPELINED_SHARE
             kinds = PIPELINED_KINDS if pipelined else KINDS
-            count = self.chance.randint(2, 6) if pipelined else 1
+            count = self.rng.randint(2, 6) if pipelined else 1
             requests = [self.next_request(machine, kinds=kinds) for _ in range(count)]
-            self.send_all_and_leave(connection, requests)
-            gevent.sleep(PAUSE_S)
+            self.send_all_and_disconnect(connection, requests)
+            gevent.sleep(REQUEST_INTERVAL_S)
 
-    def send_all_and_leave(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
-        """Send requests, read what comes in a short while, and close; at times by a reset."""
+    def send_all_and_disconnect(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
+        """Send requests, read the answers that arrive within a short delay, then close or reset."""
         try:
             for request in requests:
                 self.send(connection, request)
-            gevent.sleep(self.chance.uniform(0, MAX_STAY_S))
-            self.read_what_came(connection, requests)
+            gevent.sleep(self.rng.uniform(0, MAX_DELAY_BEFORE_CLOSE_S))
+            self.read_available_responses(connection, requests)
         except OSError:
-            pass  # the proxy was the first to close
-        left_at_ns = time.monotonic_ns()
-        connection.close(reset=self.chance.random() < RESET_SHARE)
+            pass  # the proxy closed the connection first
+        disconnected_at_ns = time.monotonic_ns()
+        connection.close(reset=self.rng.random() < RESET_SHARE)
         for request in requests:
             if request.status is None:
-                request.left_at_ns = left_at_ns
-                request.ended_at_ns = left_at_ns
+                request.disconnected_at_ns = disconnected_at_ns
+                request.ended_at_ns = disconnected_at_ns
 
-    def read_what_came(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
-        """Read the answers that are there already, in the order of their requests."""
+    def read_available_responses(self, connection: ClientConnection, requests: list[SentRequest]) -> None:
+        """Read the answers received so far, in request order, without blocking."""
         connection.sock.settimeout(0.0)
         try:
             for request in requests:
@@ -228,4 +234,4 @@
                 request.status = response.status
                 request.ended_at_ns = time.monotonic_ns()
         except MisdeliveredAnswer as misdelivered:
-            self.verdict.fail(Invariant.MIXED, str(misdelivered))
+            self.verdict.fail(Violation.MISDELIVERED_ANSWER, str(misdelivered))
--- a/flintreach/soak/faults.py
+++ b/flintreach/soak/faults.py
@@ -1,7 +1,8 @@
-"""All faults and planned work of a soak; each call is one of them and lasts some seconds.
+"""Fault injection of a soak; each fault is a call that lasts a few seconds.
 
-Planned: SIGTERM and SIGHUP, one machine or all of a role in turn; configurations; machines and endpoints that
-are replaced.  Unplanned: kills, pauses, partitions, lost answers and acknowledgements, slow endpoints.
+Planned operations: SIGTERM and SIGHUP to one machine or in turn to all of a role, configuration changes,
+replaced machines and endpoints.  Unplanned faults: kills, pauses, partitions, lost answers and
+acknowledgements.  Slow endpoints occur among both.
 """
 
 import random
@@ -18,47 +19,47 @@
 from flintreach.soak.processes import ProcessFaults
 from flintreach.standins.endpoint import EndpointState
 
-SLOW_WORK_S = 1.5  # of a request at a slow endpoint
-SLOW_SHARE = 3  # one endpoint of so many becomes slow
+SLOW_WORK_S = 1.5  # duration of a request at a slow endpoint
+SLOW_DIVISOR = 3  # one in this many endpoints becomes slow
 
 Fault = Callable[[], None]
 
 
 class FaultInjector:
-    """Injects faults into a cluster; the draws of all come from one source.
+    """Injects faults into a cluster; all faults draw from one random source.
 
     Attributes:
-        losing: whether endpoints may lose answers and acknowledgements now.
+        losing_responses: whether endpoints currently lose answers and acknowledgements.
     """
 
     def __init__(
         self,
         cluster: DemoCluster,
-        chance: random.Random,
+        rng: random.Random,
         history: History,
         verdict: Verdict,
         partitions_path: str,
     ) -> None:
-        """Make the injector.
+        """Create the injector.
 
         Args:
-            cluster: with its machines, which may not run yet.
-            chance: source of all draws.
-            history: gets the disturbances.
-            verdict: gets the counts, and broken invariants.
-            partitions_path: the file that `flintreach.standins.faulty` reads.
+            cluster: the cluster, which need not be running yet.
+            rng: random source of all faults.
+            history: receives the disturbances.
+            verdict: receives the fault counts and violations.
+            partitions_path: partitions file, which `flintreach.standins.faulty` reads.
         """
         self.cluster = cluster
-        self.chance = chance
+        self.rng = rng
         self.verdict = verdict
-        self.losing = False
-        self.processes = ProcessFaults(cluster, chance, history, verdict)
+        self.losing_responses = False
+        self.processes = ProcessFaults(cluster, rng, history, verdict)
         self.partitions = Partitions(partitions_path)
-        self.configurations = ConfigurationChanges(cluster, chance, verdict)
-        self.membership = MembershipChanges(cluster, chance, self.processes, self.partitions)
+        self.configurations = ConfigurationChanges(cluster, rng, verdict)
+        self.membership = MembershipChanges(cluster, rng, self.processes, self.partitions)
 
     def planned(self) -> list[Fault]:
-        """Planned work, each as often as it is to be drawn."""
+        """Return the planned operations, repeated according to their weight."""
         return [
             self.processes.terminate,
             self.processes.terminate,
@@ -72,47 +73,47 @@
         ]
 
     def unplanned(self) -> list[Fault]:
-        """Faults, each as often as it is to be drawn."""
+        """Return the unplanned faults, repeated according to their weight."""
         return [self.processes.kill, self.processes.pause, self.cut, self.cut, self.lose, self.slow]
 
     def inject(self, fault: Fault) -> None:
-        """Count a fault by its name, and run it to its end."""
+        """Run a fault and count it in the verdict under the name of its function."""
         self.verdict.faults[fault.__name__] += 1
         fault()
 
     def stop(self) -> None:
-        """Let faults of several steps end early."""
-        self.processes.ending = True
+        """Make faults that consist of several steps finish early."""
+        self.processes.stopping = True
 
     def cut(self) -> None:
-        """Cut a proxy off from all controllers, or any machine from some of them."""
-        controllers = self.cluster.of(CONTROLLER_ROLE)
-        if self.chance.random() < 0.5:
-            machine = self.chance.choice(self.cluster.of(PROXY_ROLE))
+        """Partition a proxy from all controllers, or any machine from some of them."""
+        controllers = self.cluster.with_role(CONTROLLER_ROLE)
+        if self.rng.random() < 0.5:
+            machine = self.rng.choice(self.cluster.with_role(PROXY_ROLE))
             others = controllers
         else:
-            machine = self.chance.choice(self.cluster.machines)
-            if self.processes.spared(machine):
+            machine = self.rng.choice(self.cluster.machines)
+            if self.processes.is_excluded(machine):
                 return
             others = [controller for controller in controllers if controller is not machine]
-            others = self.chance.sample(others, self.chance.randint(1, len(others)))
+            others = self.rng.sample(others, self.rng.randint(1, len(others)))
         pairs = [(machine.ip, other.ip) for other in others]
-        self.partitions.isolate(pairs, self.chance.uniform(1.0, 7.0))
+        self.partitions.isolate(pairs, self.rng.uniform(1.0, 7.0))
 
     def lose(self) -> None:
-        """Let endpoints lose answers and acknowledgements for a while."""
-        self.losing = True
-        gevent.sleep(self.chance.uniform(0.5, 3.0))
-        self.losing = False
+        """Make endpoints lose answers and acknowledgements for a while."""
+        self.losing_responses = True
+        gevent.sleep(self.rng.uniform(0.5, 3.0))
+        self.losing_responses = False
 
     def slow(self) -> None:
-        """Let some endpoints work slowly for a while."""
+        """Make some endpoints slow for a while."""
         ready = [endpoint for endpoint in self.cluster.endpoints if endpoint.state == EndpointState.READY]
-        chosen = self.chance.sample(ready, max(1, len(ready) // SLOW_SHARE)) if ready else []
+        chosen = self.rng.sample(ready, max(1, len(ready) // SLOW_DIVISOR)) if ready else []
         usual_work_s = [endpoint.work_s for endpoint in chosen]
         for endpoint in chosen:
             endpoint.work_s = SLOW_WORK_S
-        gevent.sleep(self.chance.uniform(1.0, 4.0))
+        gevent.sleep(self.rng.uniform(1.0, 4.0))
         for endpoint, work_s in zip(chosen, usual_work_s):
-            # The least of both: a fault that overlaps may have seen it slow, and would leave it so.
+            # An overlapping fault may have saved the slow value; the minimum keeps it from restoring that.
             endpoint.work_s = min(endpoint.work_s, work_s)
--- a/flintreach/soak/final_checks.py
+++ b/flintreach/soak/final_checks.py
@@ -1,4 +1,4 @@
-"""What is read from the running machines at the end of a soak, when its faults are over."""
+"""Checks of the running machines at the end of a soak, after fault injection has stopped."""
 
 import re
 import time
@@ -9,90 +9,97 @@
 
 from flintreach.demo.cluster import CONTROLLER_ROLE, PROXY_ROLE, DemoCluster, Machine
 from flintreach.proxy.metrics import PREFIX
-from flintreach.soak.checker import VIOLATIONS, Invariant, Verdict
+from flintreach.soak.checker import VIOLATION_COUNTERS, Verdict, Violation
 
 CONNECT_TIMEOUT_S = 1.0
 ANSWER_TIMEOUT_S = 2.0
-IN_FORCE_S = 6.0  # for an acknowledged configuration to be in force, on a machine that other work shares
+CONFIGURATION_TIMEOUT_S = 6.0  # for a configuration to come into force, on a shared machine
 CONFIGURATION_PATH = "/v1/timetable/get"
 METRICS_PATH = "/metrics"
-SHARD_KEY = {"X-Shard-Key": "7"}  # header of requests that any key would do for
+SHARD_KEY = {"X-Shard-Key": "7"}  # any key will do
 
 
 class FinalChecks:
-    """Judges `Invariant.ENDED`, `COUNTED` and `ACKNOWLEDGED` by the machines' own answers."""
+    """Checks for the violations `UNEXPECTED_EXIT`, `COUNTED_BY_PROXY` and `CONFIGURATION_LOST`."""
 
     def __init__(self, cluster: DemoCluster, verdict: Verdict) -> None:
         self.cluster = cluster
         self.verdict = verdict
 
     def get(self, machine: Machine, service: str, path: str) -> bytes | None:
-        """Read a page of a machine; None where it doesn't answer with 200."""
-        host, port = machine.posts[service].split(":")
+        """Fetch a path from a machine, or return None if it does not answer with 200."""
+        host, port = machine.listen_addresses[service].split(":")
         client = HTTPClient(
             host, int(port), connection_timeout=CONNECT_TIMEOUT_S, network_timeout=ANSWER_TIMEOUT_S
         )
         try:
-            answer = client.get(path)
-            data = bytes(answer.read())
-            return data if answer.status_code == 200 else None
+            response = client.get(path)
+            data = bytes(response.read())
+            return data if response.status_code == 200 else None
         except (OSError, HTTPParseError):
             return None
         finally:
             client.close()
 
     def check_processes(self) -> None:
-        """All machines must run."""
+        """Check that all machines are running."""
         for machine in self.cluster.machines:
             status = machine.process.poll()
             if status is not None:
-                self.verdict.fail(Invariant.ENDED, f"{machine.name}: status {status}")
+                self.verdict.fail(Violation.UNEXPECTED_EXIT, f"{machine.name} exited with status {status}")
 
     def check_counters(self) -> None:
-        """No proxy may have counted a violation."""
-        for machine in self.cluster.of(PROXY_ROLE):
+        """Check that no proxy has counted a violation."""
+        for machine in self.cluster.with_role(PROXY_ROLE):
             text = (self.get(machine, "ready", METRICS_PATH) or b"").decode()
-            for name in VIOLATIONS:
+            for name in VIOLATION_COUNTERS:
                 pattern = rf"^{PREFIX}{name.replace(' ', '_')}_total (\d+)$"
                 counter = re.search(pattern, text, re.MULTILINE)
                 if counter and int(counter[1]):
-                    self.verdict.fail(Invariant.COUNTED, f"{machine.name}: {name} {counter[1]}")
+                    self.verdict.fail(
+                        Violation.COUNTED_BY_PROXY, f"{machine.name} counted {counter[1]} of '{name}'"
+                    )
 
     def stored_configuration(self) -> bytes | None:
-        """The configuration as the first controller that answers gives it."""
-        for machine in self.cluster.of(CONTROLLER_ROLE):
+        """Return the stored configuration from the first controller that answers."""
+        for machine in self.cluster.with_role(CONTROLLER_ROLE):
             data = self.get(machine, "control", CONFIGURATION_PATH)
             if data:
                 return data
         return None
 
     def check_configuration(self, acknowledged_version: int) -> None:
-        """The newest configuration must be read back, and be in force at each proxy.
+        """Check that the newest configuration can be read back and is in force at each proxy.
 
         Args:
-            acknowledged_version: the highest version that was acknowledged; a newer one may have been
-                accepted without an acknowledgement.
+            acknowledged_version: the highest acknowledged version; a newer one may have been stored
+                without being acknowledged.
         """
         data = self.stored_configuration()
         if data is None:
-            self.verdict.fail(Invariant.ACKNOWLEDGED, "no controller gives the configuration")
+            self.verdict.fail(Violation.CONFIGURATION_LOST, "no controller returned the configuration")
             return
         configuration = msgspec.json.decode(data)
         version = int(configuration["edition"], 16)
         if version < acknowledged_version:
-            self.verdict.fail(Invariant.ACKNOWLEDGED, f"{acknowledged_version} was, {version} is stored")
+            self.verdict.fail(
+                Violation.CONFIGURATION_LOST,
+                f"version {version} is stored, but {acknowledged_version} was acknowledged",
+            )
         newest_path = configuration["wickets"][0]["regulations"][-1]["sorting"]["postcode"]
-        until = time.monotonic() + IN_FORCE_S
-        for machine in self.cluster.of(PROXY_ROLE):
-            if not self.wait_until_served(machine, newest_path, until):
-                self.verdict.fail(Invariant.ACKNOWLEDGED, f"{machine.name} does not serve {newest_path}")
+        deadline = time.monotonic() + CONFIGURATION_TIMEOUT_S
+        for machine in self.cluster.with_role(PROXY_ROLE):
+            if not self.wait_until_served(machine, newest_path, deadline):
+                self.verdict.fail(
+                    Violation.CONFIGURATION_LOST, f"{machine.name} does not serve {newest_path}"
+                )
 
-    def wait_until_served(self, machine: Machine, path: str, until: float) -> bool:
-        """Whether a proxy answers a path with 200 before `until`, steady seconds."""
-        return self.cluster.wait(lambda: serves(self.cluster, machine, path), until)
+    def wait_until_served(self, machine: Machine, path: str, deadline: float) -> bool:
+        """Return whether a proxy answers a path with 200 before `deadline`, in monotonic seconds."""
+        return self.cluster.wait_for(lambda: serves(self.cluster, machine, path), deadline)
 
 
 def serves(cluster: DemoCluster, machine: Machine, path: str) -> bool:
-    """Whether a proxy answers a path with 200 now."""
-    answer = cluster.ask(machine, path, headers=SHARD_KEY)
-    return answer is not None and answer.status == 200
+    """Return whether a proxy answers a path with 200."""
+    response = cluster.send_request(machine, path, headers=SHARD_KEY)
+    return response is not None and response.status == 200
--- a/flintreach/soak/history.py
+++ b/flintreach/soak/history.py
@@ -1,4 +1,4 @@
-"""What the clients of a soak sent and got, and when its machines were disturbed; the checker reads it."""
+"""Records of a soak for the checker: the clients' requests and the disturbances of machines."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,26 +9,26 @@
 
 
 class RequestKind(StrEnum):
-    """Routes of the demo's configuration; the first part of a request's path."""
+    """Routes of the demo configuration; the value is the first segment of a request's path."""
 
-    LOOK = "look"  # a safe read of the plain service
-    FILE = "file"  # a write to the plain service, which must not be repeated
-    FETCH = "fetch"  # a repeatable call of the sharded service
+    READ = "look"  # safe request to the plain service
+    WRITE = "file"  # non-repeatable request to the plain service
+    SHARDED_READ = "fetch"  # repeatable request to the sharded service
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request of a client.
+    """A client's request; times are monotonic nanoseconds.
 
     Attributes:
-        id: in its header `X-Try-Id`.
-        machine: the proxy to which it was sent.
+        id: value of its header `X-Try-Id`.
+        machine: the proxy it was sent to.
         kind: its route.
-        sent_at_ns: steady nanoseconds, as all times here.
-        persistent: whether its connection is used for many requests.
-        status: of its answer; None if there was none.
-        ended_at_ns: when its answer, or the end of its connection, came.
-        left_at_ns: when its client closed the connection, without an answer yet.
+        sent_at_ns: time of sending.
+        persistent: whether its connection is persistent.
+        status: status of its answer, or None if there was none.
+        ended_at_ns: when the answer arrived or the connection was closed.
+        disconnected_at_ns: when the client closed the connection before receiving an answer.
     """
 
     id: str
@@ -38,17 +38,17 @@
     persistent: bool = False
     status: int | None = None
     ended_at_ns: int | None = None
-    left_at_ns: int | None = None
+    disconnected_at_ns: int | None = None
 
     @property
     def unanswered(self) -> bool:
-        """Whether the connection ended without an answer, and not by the client."""
-        return self.status is None and self.ended_at_ns is not None and self.left_at_ns is None
+        """Whether the connection closed without an answer, and was not closed by the client."""
+        return self.status is None and self.ended_at_ns is not None and self.disconnected_at_ns is None
 
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which a machine was killed or paused; steady nanoseconds."""
+    """An interval in which a machine was killed or paused, in monotonic nanoseconds."""
 
     machine: Machine
     began_at_ns: int
@@ -56,19 +56,19 @@
 
 
 class History:
-    """All requests of the clients, and all disturbances.
+    """All client requests and all disturbances of a soak.
 
     Attributes:
-        sent: requests by their id.
-        disturbances: in the order of their ends.
+        requests: the requests, by id.
+        disturbances: in order of their end times.
     """
 
     def __init__(self) -> None:
-        self.sent: dict[str, SentRequest] = {}
+        self.requests: dict[str, SentRequest] = {}
         self.disturbances: list[Disturbance] = []
 
     def disturbed(self, machine: Machine, since_ns: int, until_ns: int) -> bool:
-        """Whether a machine was killed or paused at any moment from `since_ns` to `until_ns`."""
+        """Return whether a machine was killed or paused at any time from `since_ns` to `until_ns`."""
         return any(
             disturbance.machine is machine
             and disturbance.began_at_ns <= until_ns
--- a/flintreach/soak/membership.py
+++ b/flintreach/soak/membership.py
@@ -1,4 +1,4 @@
-"""Machines of a soak that are replaced by others at new addresses."""
+"""Replacement of machines by new ones at other addresses during a soak."""
 
 import random
 
@@ -9,61 +9,61 @@
 from flintreach.soak.partitions import Partitions
 from flintreach.soak.processes import ProcessFaults
 
-CATCH_UP_S = 4.0  # the settings' default: for which a controller still counts as lost when it is back
-COPY_S = 3.0  # for a new controller to copy what a quorum has, before an old one leaves
+CATCH_UP_S = 4.0  # the settings' default: how long a restarted controller still counts as lost
+COPY_S = 3.0  # for a new controller to copy the quorum's state before an old one leaves
 HEALTH_POLL_S = 0.1
 
 
 class MembershipChanges:
-    """Replaces one machine at a time."""
+    """Replaces machines, one at a time."""
 
     def __init__(
-        self, cluster: DemoCluster, chance: random.Random, processes: ProcessFaults, partitions: Partitions
+        self, cluster: DemoCluster, rng: random.Random, processes: ProcessFaults, partitions: Partitions
     ) -> None:
         self.cluster = cluster
-        self.chance = chance
+        self.rng = rng
         self.processes = processes
         self.partitions = partitions
         self.lock = BoundedSemaphore(1)
 
     def replace_proxy(self) -> None:
-        """A proxy joins at a new address; then one leaves for good."""
+        """Add a proxy at a new address, then remove an existing one."""
         with self.lock:
-            leaving = self.chance.choice(self.cluster.of(PROXY_ROLE))
-            self.cluster.join(PROXY_ROLE, leaving.zone).start()
-            gevent.sleep(self.chance.uniform(0.5, 2.0))
+            leaving = self.rng.choice(self.cluster.with_role(PROXY_ROLE))
+            self.cluster.add_machine(PROXY_ROLE, leaving.zone).start()
+            gevent.sleep(self.rng.uniform(0.5, 2.0))
             self.processes.remove(leaving)
 
     def replace_controller(self) -> None:
-        """An empty controller joins at a new address and copies; then an old one leaves for good.
+        """Add an empty controller at a new address, let it copy the state, then remove an existing one.
 
-        A disk that goes for good is a loss, and the settings allow one at a time: the leave waits until the
-        others have been well for `CATCH_UP_S`, and no other fault meets them until the successor has had as
-        long.
+        Removing a disk is a loss, and the settings allow one loss at a time.  The replacement therefore
+        starts once all controllers have been healthy for `CATCH_UP_S`, and other faults exclude controllers
+        until the same time has passed after the removal.
         """
         with self.lock:
-            self.processes.controllers_spared = True
-            if self.wait_until_controllers_are_well():
-                leaving = self.chance.choice(self.cluster.of(CONTROLLER_ROLE))
-                self.cluster.join(CONTROLLER_ROLE, leaving.zone).start()
+            self.processes.controllers_excluded = True
+            if self.wait_until_controllers_healthy():
+                leaving = self.rng.choice(self.cluster.with_role(CONTROLLER_ROLE))
+                self.cluster.add_machine(CONTROLLER_ROLE, leaving.zone).start()
                 gevent.sleep(COPY_S)
                 self.processes.remove(leaving)
                 gevent.sleep(CATCH_UP_S)
-            self.processes.controllers_spared = False
+            self.processes.controllers_excluded = False
 
-    def wait_until_controllers_are_well(self) -> bool:
-        """Wait; False where the soak's faults end before that."""
-        while not self.controllers_are_well():
-            if self.processes.ending:
+    def wait_until_controllers_healthy(self) -> bool:
+        """Wait until the controllers are healthy; return False if fault injection stops first."""
+        while not self.controllers_healthy():
+            if self.processes.stopping:
                 return False
             gevent.sleep(HEALTH_POLL_S)
         return True
 
-    def controllers_are_well(self) -> bool:
-        """Whether no controller is lost, by the settings' reckoning."""
-        controllers = self.cluster.of(CONTROLLER_ROLE)
+    def controllers_healthy(self) -> bool:
+        """Return whether no controller counts as lost under the settings."""
+        controllers = self.cluster.with_role(CONTROLLER_ROLE)
         for machine in controllers:
-            if machine.process.poll() is not None or machine.running_for() <= CATCH_UP_S:
+            if machine.process.poll() is not None or machine.uptime() <= CATCH_UP_S:
                 return False
             if self.processes.paused(machine):
                 return False
--- a/flintreach/soak/partitions.py
+++ b/flintreach/soak/partitions.py
@@ -1,4 +1,4 @@
-"""Network partitions between the processes of a soak, by the file that `flintreach.standins.faulty` reads."""
+"""Network partitions between the processes of a soak, set through a file read by `standins.faulty`."""
 
 import os
 
@@ -8,11 +8,11 @@
 
 
 class Partitions:
-    """The pairs of machines that are cut off from each other now.
+    """The pairs of machines that are currently partitioned from each other.
 
     Attributes:
-        path: the file that names them, one pair a line.
-        pairs: as often as faults that overlap have cut them.
+        path: the partitions file, with one pair per line.
+        pairs: the partitioned pairs, with one entry per fault if faults overlap.
     """
 
     def __init__(self, path: str) -> None:
@@ -21,14 +21,14 @@
         self.write()
 
     def write(self) -> None:
-        """Write the file; it is replaced whole, so no process reads half of it."""
+        """Write the partitions file, replacing it atomically so that no process reads a partial file."""
         new_path = self.path + ".new"
         with open(new_path, "w", encoding="ascii") as file:
             file.writelines(f"{first} {second}\n" for first, second in self.pairs)
         os.replace(new_path, self.path)
 
     def isolate(self, pairs: list[AddressPair], duration_s: float) -> None:
-        """Cut pairs off from each other, and heal the partition after `duration_s` seconds."""
+        """Partition pairs of machines for `duration_s` seconds."""
         self.pairs += pairs
         self.write()
         gevent.sleep(duration_s)
--- a/flintreach/soak/processes.py
+++ b/flintreach/soak/processes.py
@@ -1,4 +1,4 @@
-"""Faults of processes and planned work on them: kills, pauses, SIGTERM and SIGHUP, one or a role in turn."""
+"""Process faults and planned process operations: kills, pauses, SIGHUP, single and rolling restarts."""
 
 import random
 import signal
@@ -7,106 +7,105 @@
 import gevent
 
 from flintreach.demo.cluster import CONTROLLER_ROLE, PROXY_ROLE, DemoCluster, Machine
-from flintreach.soak.checker import Invariant, Verdict
+from flintreach.soak.checker import Verdict, Violation
 from flintreach.soak.history import NS_PER_S, Disturbance, History
 
-GRACE_S = 6.0  # the settings' default: within which a process ends after SIGTERM
-GRACE_SLACK_S = 1.0  # for a machine that other work shares
-START_S = 3.0  # within which a program that has just started may not take signals yet
+GRACE_S = 6.0  # the settings' default: time to exit after SIGTERM
+GRACE_SLACK_S = 1.0  # allowance for a shared machine
+SIGNAL_SETUP_S = 3.0  # a process may not handle signals yet for this long after its start
 EXIT_POLL_S = 0.02
 CLAIM_POLL_S = 0.05
-CONTROLLER_RESTART_PAUSE_S = 2.0  # between two controllers of a rolling restart
-ROLLING_ROLES = (PROXY_ROLE, PROXY_ROLE, CONTROLLER_ROLE)  # proxies weigh double
+CONTROLLER_RESTART_PAUSE_S = 2.0  # between controllers in a rolling restart
+ROLLING_ROLES = (PROXY_ROLE, PROXY_ROLE, CONTROLLER_ROLE)  # proxies are drawn twice as often
 
 
 class ProcessFaults:
-    """Ends, starts, pauses and signals; a machine is ended or started by one fault at a time.
+    """Stops, starts, pauses and signals machines; only one fault at a time may stop or start a machine.
 
     Attributes:
-        busy: names of machines that are being ended or started, and marks of those that are paused.
-        controllers_spared: whether another loss of a controller would be beyond the settings, as one of
-            them is being replaced.
-        ending: whether the soak's faults are to come to their end.
+        busy: names of machines that are being stopped or started, and the marks of paused ones.
+        controllers_excluded: whether faults must leave controllers alone because one is being replaced and
+            another loss would exceed what the settings allow.
+        stopping: whether fault injection is stopping.
     """
 
-    def __init__(
-        self, cluster: DemoCluster, chance: random.Random, history: History, verdict: Verdict
-    ) -> None:
+    def __init__(self, cluster: DemoCluster, rng: random.Random, history: History, verdict: Verdict) -> None:
         self.cluster = cluster
-        self.chance = chance
+        self.rng = rng
         self.history = history
         self.verdict = verdict
         self.busy: set[str] = set()
-        self.controllers_spared = False
-        self.ending = False
+        self.controllers_excluded = False
+        self.stopping = False
 
     # Claims on machines.
 
     def claim(self, machine: Machine) -> bool:
-        """Take a machine for a fault that ends or starts it, until `release`; whether it was free."""
+        """Reserve a machine for a fault that stops or starts it; return whether it was free."""
         if machine.name in self.busy or machine not in self.cluster.machines:
             return False
         self.busy.add(machine.name)
         return True
 
     def release(self, machine: Machine) -> None:
-        """Give a claimed machine back."""
+        """Release a claimed machine."""
         self.busy.discard(machine.name)
 
-    def spared(self, machine: Machine) -> bool:
-        """Whether a machine is to be left alone, see `controllers_spared`."""
-        return machine.role == CONTROLLER_ROLE and self.controllers_spared
+    def is_excluded(self, machine: Machine) -> bool:
+        """Return whether faults must leave a machine alone; see `controllers_excluded`."""
+        return machine.role == CONTROLLER_ROLE and self.controllers_excluded
 
-    def note_disturbance(self, machine: Machine, began_at_ns: int) -> None:
-        """Note in the history that a machine was disturbed until now."""
+    def record_disturbance(self, machine: Machine, began_at_ns: int) -> None:
+        """Record in the history that a machine was disturbed from `began_at_ns` until now."""
         self.history.disturbances.append(Disturbance(machine, began_at_ns, time.monotonic_ns()))
 
-    # Ends and starts.
+    # Stops and starts.
 
     def kill(self) -> None:
-        """SIGKILL a machine, and start it again."""
-        machine = self.chance.choice(self.cluster.machines)
-        if self.spared(machine) or not self.claim(machine):
+        """Kill a machine and start it again."""
+        machine = self.rng.choice(self.cluster.machines)
+        if self.is_excluded(machine) or not self.claim(machine):
             return
         began_at_ns = time.monotonic_ns()
-        machine.end(signal.SIGKILL)
-        gevent.sleep(self.chance.uniform(0.1, 1.5))
+        machine.stop(signal.SIGKILL)
+        gevent.sleep(self.rng.uniform(0.1, 1.5))
         machine.start()
         self.release(machine)
-        self.note_disturbance(machine, began_at_ns)
+        self.record_disturbance(machine, began_at_ns)
 
     def terminate(self) -> None:
-        """SIGTERM one machine, and start it again when it has ended."""
-        self.restart(self.chance.choice(self.cluster.machines))
+        """Restart one machine with SIGTERM."""
+        self.restart(self.rng.choice(self.cluster.machines))
 
     def terminate_all(self) -> None:
-        """SIGTERM the machines of a role in turn, the next proxy at times before the last is back."""
-        role = self.chance.choice(ROLLING_ROLES)
+        """Perform a rolling restart of a role; restarts of proxies may overlap."""
+        role = self.rng.choice(ROLLING_ROLES)
         restarts = []
-        for machine in self.cluster.of(role):
-            if self.ending:
+        for machine in self.cluster.with_role(role):
+            if self.stopping:
                 break
             restart = gevent.spawn(self.restart, machine)
             restarts.append(restart)
-            if role == CONTROLLER_ROLE:  # a quorum must stay
+            if role == CONTROLLER_ROLE:  # keep a quorum running
                 restart.join()
                 gevent.sleep(CONTROLLER_RESTART_PAUSE_S)
-            gevent.sleep(self.chance.uniform(0.2, 2.0))
+            gevent.sleep(self.rng.uniform(0.2, 2.0))
         gevent.joinall(restarts)
 
     def restart(self, machine: Machine) -> None:
-        """SIGTERM a machine, and start it again when it has ended, unless another fault has it."""
-        if self.spared(machine) or not self.claim(machine):
+        """Restart a machine with SIGTERM, unless another fault has claimed it."""
+        if self.is_excluded(machine) or not self.claim(machine):
             return
         if self.terminate_process(machine):
-            gevent.sleep(self.chance.uniform(0.0, 0.5))
+            gevent.sleep(self.rng.uniform(0.0, 0.5))
             machine.start()
         self.release(machine)
 
     def terminate_process(self, machine: Machine) -> bool:
-        """SIGTERM a machine and wait for its end, which must come in time and with status 0.
+        """Send SIGTERM to a machine and wait for its exit, which must come in time and with status 0.
 
-        One that runs on is killed.  That breaks the invariant unless the machine was disturbed meanwhile.
+        A process that does not exit in time is killed, which is a violation unless the machine was disturbed
+        in the meantime.
 
         Returns:
             Whether it was running.
@@ -122,18 +121,23 @@
                 continue
             disturbed = self.history.disturbed(machine, began_at_ns, time.monotonic_ns())
             if not disturbed and not self.paused(machine):
-                self.verdict.fail(Invariant.ENDED, f"{machine.name} runs on after SIGTERM")
-            machine.end(signal.SIGKILL)
-            self.note_disturbance(machine, began_at_ns)
+                self.verdict.fail(
+                    Violation.UNEXPECTED_EXIT, f"{machine.name} did not exit in time after SIGTERM"
+                )
+            machine.stop(signal.SIGKILL)
+            self.record_disturbance(machine, began_at_ns)
             return True
-        if process.returncode == -signal.SIGTERM and machine.running_for() < START_S:
-            return True  # it came before the program could take signals
+        if process.returncode == -signal.SIGTERM and machine.uptime() < SIGNAL_SETUP_S:
+            return True  # SIGTERM arrived before its handler was installed
         if process.returncode != 0:
-            self.verdict.fail(Invariant.ENDED, f"{machine.name}: status {process.returncode} after SIGTERM")
+            self.verdict.fail(
+                Violation.UNEXPECTED_EXIT,
+                f"{machine.name} exited with status {process.returncode} after SIGTERM",
+            )
         return True
 
     def remove(self, machine: Machine) -> None:
-        """SIGTERM a machine that leaves the cluster for good, once no other fault has it."""
+        """Remove a machine from the cluster with SIGTERM, once no other fault has claimed it."""
         while not self.claim(machine):
             gevent.sleep(CLAIM_POLL_S)
         self.terminate_process(machine)
@@ -141,48 +145,48 @@
         self.release(machine)
 
     def supervise(self) -> None:
-        """Start again what has ended by itself, as the platform does.
+        """Restart processes that have exited by themselves, as the platform does.
 
-        Its end breaks the invariant, but for a signal that came before the program's first line.
+        Such an exit is a violation, unless SIGHUP arrived before the process could ignore or handle it.
         """
         for machine in [*self.cluster.machines]:
             status = machine.process.poll()
             if status is None or machine.name in self.busy:
                 continue
-            if status != -signal.SIGHUP or machine.running_for() > START_S:
-                self.verdict.fail(Invariant.ENDED, f"{machine.name}: status {status}")
+            if status != -signal.SIGHUP or machine.uptime() > SIGNAL_SETUP_S:
+                self.verdict.fail(Violation.UNEXPECTED_EXIT, f"{machine.name} exited with status {status}")
             machine.start()
 
-    # Signals that end nothing.
+    # Signals that do not stop a process.
 
     def hang_up(self) -> None:
-        """SIGHUP a series of machines, each with settings written anew; at times one gets several."""
+        """Rewrite the settings of several machines and send them SIGHUP, to some of them three times."""
         machines = self.cluster.machines
-        for machine in self.chance.sample(machines, self.chance.randint(1, len(machines))):
-            for _ in range(self.chance.choice((1, 1, 3))):
+        for machine in self.rng.sample(machines, self.rng.randint(1, len(machines))):
+            for _ in range(self.rng.choice((1, 1, 3))):
                 self.cluster.write_settings(machine, first_run=False)
                 if machine.process.poll() is None and machine.name not in self.busy:
                     machine.process.send_signal(signal.SIGHUP)
-                gevent.sleep(self.chance.uniform(0.0, 0.1))
+                gevent.sleep(self.rng.uniform(0.0, 0.1))
 
     def pause_mark(self, machine: Machine) -> str:
-        """What stands in `busy` while a machine is paused; it may be ended meanwhile."""
+        """Return the entry of a paused machine in `busy`; unlike a claim, it permits stopping the machine."""
         return f"{machine.name} paused"
 
     def paused(self, machine: Machine) -> bool:
-        """Whether a machine is paused now."""
+        """Return whether a machine is paused."""
         return self.pause_mark(machine) in self.busy
 
     def pause(self) -> None:
-        """SIGSTOP a machine for a while."""
-        machine = self.chance.choice(self.cluster.machines)
+        """Pause a machine with SIGSTOP for a while."""
+        machine = self.rng.choice(self.cluster.machines)
         began_at_ns = time.monotonic_ns()
         process = machine.process
-        if self.spared(machine) or process.poll() is not None or self.paused(machine):
+        if self.is_excluded(machine) or process.poll() is not None or self.paused(machine):
             return
         self.busy.add(self.pause_mark(machine))
         process.send_signal(signal.SIGSTOP)
-        gevent.sleep(self.chance.uniform(0.3, 4.0))
+        gevent.sleep(self.rng.uniform(0.3, 4.0))
         process.send_signal(signal.SIGCONT)
-        self.note_disturbance(machine, began_at_ns)
+        self.record_disturbance(machine, began_at_ns)
         self.busy.discard(self.pause_mark(machine))
--- a/flintreach/soak/run.py
+++ b/flintreach/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak: a cluster, its clients, its faults, and the verdict."""
+"""Runs a soak with one seed: cluster, clients, fault injection and checks."""
 
 import os
 import random
@@ -11,7 +11,7 @@
 
 from flintreach.demo.cluster import PROXY_ROLE, ZONES, DemoCluster, Machine
 from flintreach.demo.configuration import CONFIGURATION, PLAIN_SERVICE, SHARDED_SERVICE
-from flintreach.soak.checker import LAST_CALL_S, Checker, Invariant, Verdict
+from flintreach.soak.checker import DEPARTURE_BOUND_S, Checker, Verdict, Violation
 from flintreach.soak.clients import Client
 from flintreach.soak.faults import Fault, FaultInjector
 from flintreach.soak.final_checks import FinalChecks, serves
@@ -19,42 +19,44 @@
 from flintreach.standins.endpoint import Endpoint, EndpointState
 from flintreach.standins.faulty import PARTITIONS_VARIABLE
 
-FAULTY_MODULE = "flintreach.standins.faulty"  # what machines run in place of `flintreach`
+FAULTY_MODULE = "flintreach.standins.faulty"  # run by the machines in place of `flintreach`
 PLAIN_ENDPOINTS = 6
 SHARDED_ENDPOINTS = 2
-ENDPOINT_ADDRESSES = 150  # of one cluster
-ENDPOINT_CAPACITY = 8  # requests at once
-ANSWER_LOSS = 0.2  # chance of an answer, while answers are lost
-ACKNOWLEDGEMENT_LOSS = 0.5  # chance of an acknowledgement, likewise
-ANNOUNCED_DEPARTURES = 0.7  # share of endpoints that announce their end ahead of it
+ENDPOINT_ADDRESSES = 150  # available in a cluster
+ENDPOINT_CAPACITY = 8  # concurrent requests
+ANSWER_LOSS_PROBABILITY = 0.2  # per answer, while `losing_responses` is set
+ACKNOWLEDGEMENT_LOSS_PROBABILITY = 0.5  # per acknowledgement, likewise
+ANNOUNCED_DEPARTURE_SHARE = 0.7  # share of departures that are announced before the sign-off
 DEPARTURE_TRIES = 8
 DEPARTURE_RETRY_S = 0.3
-DEPARTURE_SLACK_S = 1.5  # for which a departed endpoint serves on after `LAST_CALL_S`, to see late requests
+# A departed endpoint serves this much longer than `DEPARTURE_BOUND_S`, to detect late requests.
+DEPARTURE_SLACK_S = 1.5
 SUPERVISE_PAUSE_S = 0.1
-START_S = 60.0  # for the system to serve, and a second more for each proxy
-JOIN_S = 60.0  # for clients and faults to end
-STEADY_S = 8.0  # at the end, without faults, before the final checks
+START_TIMEOUT_S = 60.0  # for the cluster to serve requests, plus a second for each proxy
+JOIN_TIMEOUT_S = 60.0  # for clients and faults to finish
+SETTLE_S = 8.0  # without faults, before the final checks
 SERVED_PATH = "/fetch/1"
 
 
 class Mix(Enum):
-    """Which faults overlap."""
+    """Which faults a soak injects."""
 
-    PLANNED = "planned"  # nothing but planned work: no answer may be lost
+    PLANNED = "planned"  # planned operations only: no answer may be lost
     UNPLANNED = "unplanned"
     BOTH = "both"
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """The size of a soak.
+    """The parameters of a soak.
 
     Attributes:
-        seconds: how long its faults go on.
-        mix: which faults overlap.
-        controllers: how many at the start, likewise `proxies`.
-        clients: a third of each kind.
-        at_once: how many faults overlap.
+        seconds: duration of fault injection.
+        mix: faults to inject.
+        controllers: initial number of controllers.
+        proxies: initial number of proxies.
+        clients: number of clients, a third in each mode.
+        concurrent_faults: number of faults in progress at a time.
     """
 
     seconds: float
@@ -62,176 +64,182 @@
     controllers: int = 3
     proxies: int = 3
     clients: int = 12
-    at_once: int = 3
+    concurrent_faults: int = 3
 
 
 class Soak:
-    """One soak, from its start to its verdict."""
+    """A soak, from startup to verdict."""
 
     def __init__(self, seed: int, plan: SoakPlan, base: str, port: int) -> None:
-        """Make the cluster's folders; nothing runs yet.
+        """Create the cluster's directories without starting anything.
 
         Args:
-            seed: of all random draws.
-            plan: its size.
-            base: three numbers of a loopback network.
-            port: the first of six.
+            seed: seed of all random draws.
+            plan: parameters of the soak.
+            base: first three octets of a loopback network.
+            port: the first of six consecutive ports.
         """
         self.plan = plan
         self.verdict = Verdict(seed)
         self.history = History()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cluster = DemoCluster(base, port, plan.controllers, plan.proxies)
-        partitions_path = os.path.join(self.cluster.folder, "cuts")
+        partitions_path = os.path.join(self.cluster.work_dir, "cuts")
         self.cluster.module = FAULTY_MODULE
         self.cluster.environ = {PARTITIONS_VARIABLE: partitions_path}
         for machine in self.cluster.machines:
             machine.module = self.cluster.module
             machine.environ = self.cluster.environ
-        self.faults = FaultInjector(self.cluster, self.chance, self.history, self.verdict, partitions_path)
+        self.faults = FaultInjector(self.cluster, self.rng, self.history, self.verdict, partitions_path)
         self.endpoint_numbers = iter(range(PLAIN_ENDPOINTS + SHARDED_ENDPOINTS, ENDPOINT_ADDRESSES))
-        self.ending = False
+        self.stopping = False
 
     # Endpoints.
 
-    def add(self, service: str, number: int) -> Endpoint:
-        """Start an endpoint at the address with this number; it loses answers when the faults say so."""
+    def start_endpoint(self, service: str, number: int) -> Endpoint:
+        """Start an endpoint whose answers and acknowledgements can be lost; `number` selects its address."""
         zones = [*ZONES]
-        endpoint = self.cluster.add(
+        endpoint = self.cluster.add_endpoint(
             service,
             number,
             zones[number % len(zones)],
             sharded=service == SHARDED_SERVICE,
             capacity=ENDPOINT_CAPACITY,
         )
-        endpoint.lose_answer = lambda: self.faults.losing and self.chance.random() < ANSWER_LOSS
+        endpoint.lose_answer = lambda: (
+            self.faults.losing_responses and self.rng.random() < ANSWER_LOSS_PROBABILITY
+        )
         endpoint.lose_acknowledgement = lambda: (
-            self.faults.losing and self.chance.random() < ACKNOWLEDGEMENT_LOSS
+            self.faults.losing_responses and self.rng.random() < ACKNOWLEDGEMENT_LOSS_PROBABILITY
         )
         return endpoint
 
     def replace_endpoints(self) -> None:
-        """One endpoint after the other leaves, most announce it first, and another takes its place."""
+        """Replace endpoints one after the other; most of them announce their departure in advance."""
         departures = []
-        while not self.ending:
-            gevent.sleep(self.chance.uniform(0.4, 1.2))
+        while not self.stopping:
+            gevent.sleep(self.rng.uniform(0.4, 1.2))
             ready = [endpoint for endpoint in self.cluster.endpoints if endpoint.state == EndpointState.READY]
             number = next(self.endpoint_numbers, None)
             if number is None or not ready:
                 break
-            leaving = self.chance.choice(ready)
-            self.add(leaving.service, number)
-            announces = self.chance.random() < ANNOUNCED_DEPARTURES
+            leaving = self.rng.choice(ready)
+            self.start_endpoint(leaving.service, number)
+            announces = self.rng.random() < ANNOUNCED_DEPARTURE_SHARE
             departures.append(gevent.spawn(self.depart, leaving, announces))
         gevent.joinall(departures)
 
     def depart(self, endpoint: Endpoint, announces: bool) -> None:
-        """Let an endpoint leave, and serve on for longer than requests may still come.
+        """Make an endpoint depart, and keep it serving for longer than requests may still arrive.
 
         Args:
-            endpoint: a ready one.
-            announces: whether it announces a planned end first, or only signs off.
+            endpoint: an endpoint in the state `READY`.
+            announces: whether it announces its departure in advance instead of only signing off.
         """
-        say_departure = endpoint.leave if announces else endpoint.announce_end
+        report_departure = endpoint.leave if announces else endpoint.announce_end
         for _ in range(DEPARTURE_TRIES):
-            if say_departure():
+            if report_departure():
                 break
             gevent.sleep(DEPARTURE_RETRY_S)
-        gevent.sleep(LAST_CALL_S + DEPARTURE_SLACK_S)
+        gevent.sleep(DEPARTURE_BOUND_S + DEPARTURE_SLACK_S)
         endpoint.sign_off()
 
     # Clients and faults.
 
     def proxies(self) -> list[Machine]:
-        """The proxies that belong to the cluster now."""
-        return self.cluster.of(PROXY_ROLE)
+        """Return the current proxies of the cluster."""
+        return self.cluster.with_role(PROXY_ROLE)
 
     def client(self, number: int) -> Client:
-        """Make a client with draws of its own."""
+        """Create a client with its own random source."""
         name = f"{self.verdict.seed} {number}"
-        return Client(name, self.proxies, self.history, self.verdict, lambda: self.ending)
+        return Client(name, self.proxies, self.history, self.verdict, lambda: self.stopping)
 
-    def kinds_of_faults(self) -> list[Fault]:
-        """The faults of the plan's mix, each as often as it is to be drawn."""
+    def available_faults(self) -> list[Fault]:
+        """Return the faults of the plan's mix, repeated according to their weight."""
         planned = self.faults.planned() if self.plan.mix != Mix.UNPLANNED else []
         unplanned = self.faults.unplanned() if self.plan.mix != Mix.PLANNED else []
         return planned + unplanned
 
-    def inject_faults(self, chance: random.Random) -> None:
-        """Inject one fault after the other; several greenlets do so, each with draws of its own."""
-        kinds = self.kinds_of_faults()
-        while not self.ending:
-            self.faults.inject(chance.choice(kinds))
-            gevent.sleep(chance.uniform(0.0, 0.5))
+    def inject_faults(self, rng: random.Random) -> None:
+        """Inject faults one after the other; runs in several greenlets, each with its own random source."""
+        kinds = self.available_faults()
+        while not self.stopping:
+            self.faults.inject(rng.choice(kinds))
+            gevent.sleep(rng.uniform(0.0, 0.5))
 
     def supervise(self) -> None:
-        """Start again what ends by itself, all the while."""
-        while not self.ending:
+        """Restart exited processes periodically until the soak stops."""
+        while not self.stopping:
             self.faults.processes.supervise()
             gevent.sleep(SUPERVISE_PAUSE_S)
 
-    # The course of a soak.
+    # Phases of a soak.
 
-    def served(self) -> bool:
-        """Whether each proxy serves now."""
-        served = [serves(self.cluster, machine, SERVED_PATH) for machine in self.proxies()]
-        return all(served)
+    def all_proxies_serve(self) -> bool:
+        """Return whether each proxy serves requests."""
+        serving = [serves(self.cluster, machine, SERVED_PATH) for machine in self.proxies()]
+        return all(serving)
 
     def start(self) -> bool:
-        """Start machines and endpoints; whether the whole system serves in time."""
+        """Start machines and endpoints; return whether all proxies serve requests in time."""
         self.cluster.start()
         for number in range(PLAIN_ENDPOINTS + SHARDED_ENDPOINTS):
-            self.add(PLAIN_SERVICE if number < PLAIN_ENDPOINTS else SHARDED_SERVICE, number)
-        until = time.monotonic() + START_S + self.plan.proxies
-        return self.cluster.put(CONFIGURATION, until) and self.cluster.wait(self.served, until)
+            self.start_endpoint(PLAIN_SERVICE if number < PLAIN_ENDPOINTS else SHARDED_SERVICE, number)
+        deadline = time.monotonic() + START_TIMEOUT_S + self.plan.proxies
+        return self.cluster.put_configuration(CONFIGURATION, deadline) and self.cluster.wait_for(
+            self.all_proxies_serve, deadline
+        )
 
     def stop(self) -> None:
-        """Stop everything; the machines' folder is kept where an invariant was broken."""
+        """Stop everything, keeping the machines' directories if an invariant was broken."""
         if self.verdict.broken:
-            self.cluster.owns_folder = False
-            self.verdict.logs = self.cluster.folder
+            self.cluster.removes_work_dir = False
+            self.verdict.logs = self.cluster.work_dir
         for machine in self.cluster.machines:
             if machine.is_running():
                 machine.process.send_signal(signal.SIGCONT)
         self.cluster.stop()
 
-    def judge(self) -> None:
-        """Judge the history by the invariants."""
+    def check_history(self) -> None:
+        """Check the history against the invariants."""
         Checker(self.history, self.verdict).check(self.cluster.endpoints)
 
     def check_machines(self) -> None:
-        """Judge what the machines say of themselves."""
+        """Check the running machines."""
         checks = FinalChecks(self.cluster, self.verdict)
         checks.check_configuration(self.faults.configurations.acknowledged_version)
         checks.check_processes()
         checks.check_counters()
 
-    def play(self) -> None:
-        """Let clients ask and faults happen for the time of the plan, and wait until all has ended."""
+    def run_workload(self) -> None:
+        """Run clients and fault injection for the planned time, and wait until all of them have finished."""
         clients = [self.client(number) for number in range(self.plan.clients)]
-        ways = (Client.ask_once_each, Client.keep, Client.leave_early)
-        jobs = [gevent.spawn(ways[number % len(ways)], client) for number, client in enumerate(clients)]
-        for number in range(self.plan.at_once):
-            # "trouble" is part of the seeds of earlier soaks: the same seed plays the same faults.
-            chance = random.Random(f"{self.verdict.seed} trouble {number}")
-            jobs.append(gevent.spawn(self.inject_faults, chance))
+        modes = (Client.run_without_keep_alive, Client.run_with_keep_alive, Client.run_with_early_disconnect)
+        jobs = [gevent.spawn(modes[number % len(modes)], client) for number, client in enumerate(clients)]
+        for number in range(self.plan.concurrent_faults):
+            # The label "trouble" is kept from earlier releases, so that a seed still yields the same faults.
+            rng = random.Random(f"{self.verdict.seed} trouble {number}")
+            jobs.append(gevent.spawn(self.inject_faults, rng))
         jobs.append(gevent.spawn(self.replace_endpoints))
         jobs.append(gevent.spawn(self.supervise))
         gevent.sleep(self.plan.seconds)
-        self.ending = True
+        self.stopping = True
         self.faults.stop()
-        gevent.joinall(jobs, timeout=JOIN_S)
-        gevent.sleep(STEADY_S)
+        gevent.joinall(jobs, timeout=JOIN_TIMEOUT_S)
+        gevent.sleep(SETTLE_S)
 
     def run(self) -> Verdict:
-        """Play the soak from its start to its end."""
+        """Run the soak and return its verdict."""
         try:
             if not self.start():
-                self.verdict.fail(Invariant.START, "the system did not serve in time")
+                self.verdict.fail(
+                    Violation.STARTUP, "not every proxy served requests in time after the start"
+                )
                 return self.verdict
-            self.play()
+            self.run_workload()
             self.check_machines()
-            self.judge()
+            self.check_history()
             return self.verdict
         finally:
             self.stop()
