--- a/flintreach/config/__init__.py
+++ b/flintreach/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a process goes by: its settings file, and the operator's configuration."""
+"""Settings of a process, and the configuration that the operator puts into force at run time."""
--- a/flintreach/config/configuration_history.py
+++ b/flintreach/config/configuration_history.py
@@ -1,9 +1,9 @@
-"""What is stored of the operator's configuration: the newest one, and which content each version had.
+"""Stored form of the operator's configuration: the newest body, and a digest of each accepted version.
 
-The version number works as an idempotency key: a configuration that was accepted may be put again and is
-acknowledged again, and its number never confirms another content.
+The version number serves as an idempotency key: repeating an accepted put is acknowledged again, and putting
+other content under the same number is rejected.
 
-Source: IETF draft "The Idempotency-Key HTTP Header Field".
+Reference: IETF draft "The Idempotency-Key HTTP Header Field".
 """
 
 import struct
@@ -14,116 +14,116 @@
 
 import msgspec
 
-ENTRY = struct.Struct(">I8s")  # version number, digest of the content
+ENTRY = struct.Struct(">I8s")  # version number, digest of the body
 MAX_ENTRIES = 2048
 DIGEST_BYTES = 8
-HISTORY_MARKER = b"\x92"  # how a MessagePack array of two begins; JSON never does
+HISTORY_MARKER = b"\x92"  # first byte of a MessagePack array of two; JSON text never starts with it
 
 
 class PutOutcome(StrEnum):
-    """What becomes of a configuration that is put."""
+    """Result of putting a configuration."""
 
-    ACCEPTED = "taken"  # the newest one: it is stored and comes into force
-    REPEATED = "again"  # this version with this content was put before
-    SUPERSEDED = "overtaken"  # a newer one is in force: only the digest of this one is stored
-    CONFLICT = "other content"  # this version was put before with another content
-    HISTORY_EXPIRED = "forgotten"  # older than all that is remembered: it may have had any content
+    ACCEPTED = "taken"  # the newest version: stored, and put into force
+    REPEATED = "again"  # same version and same content as an earlier put
+    SUPERSEDED = "overtaken"  # a newer version is in force: only the digest is stored
+    CONFLICT = "other content"  # same version as an earlier put, but other content
+    HISTORY_EXPIRED = "forgotten"  # older than the whole history: its content can't be verified
 
 
 class HistoryChange(NamedTuple):
-    """What becomes of a configuration, and the history to store from then on; None where nothing changes."""
+    """Result of a put, and the new history to store; None if the history doesn't change."""
 
     outcome: PutOutcome
     history: "ConfigurationHistory | None"
 
 
 class RegisterChange(NamedTuple):
-    """What becomes of a configuration, and the value to store from then on; None where nothing changes."""
+    """Result of a put, and the new register value to store; None if the value doesn't change."""
 
     outcome: PutOutcome
     value: bytes | None
 
 
 def digest(body: bytes) -> bytes:
-    """What tells one content from another: eight bytes, against mistakes, not against a forger."""
+    """Return a truncated SHA-256; it detects accidental differences and is too short to resist forgery."""
     return sha256(body).digest()[:DIGEST_BYTES]
 
 
 class ConfigurationHistory:
-    """The value of the register's configuration key.
+    """Value of the register's configuration key.
 
-    The entries are sorted by version.  The highest one is that of `body`; the highest MAX_ENTRIES are kept.
+    Entries are sorted by version.  The highest version is that of `body`; the MAX_ENTRIES highest are kept.
 
     Attributes:
-        body: the newest configuration, as it was put.
-        history: the packed entries, each as ENTRY.
+        body: the newest configuration, as the operator sent it.
+        packed_entries: concatenated entries, each packed as ENTRY.
     """
 
-    __slots__ = ("body", "history")
+    __slots__ = ("body", "packed_entries")
 
-    def __init__(self, body: bytes, history: bytes) -> None:
+    def __init__(self, body: bytes, packed_entries: bytes) -> None:
         self.body = body
-        self.history = history
+        self.packed_entries = packed_entries
 
     @classmethod
     def decode(cls, value: bytes) -> "ConfigurationHistory":
-        """Decode a value of the register; earlier releases stored the body alone, which is JSON."""
+        """Decode a register value; earlier releases stored only the body, as JSON."""
         if value[:1] == HISTORY_MARKER:
             return cls(*msgspec.msgpack.decode(value))
         number = int(msgspec.json.decode(value)["edition"], 16)
         return cls(value, ENTRY.pack(number, digest(value)))
 
     def encode(self) -> bytes:
-        """The value to store in the register."""
-        return msgspec.msgpack.encode([self.body, self.history])
+        """Return the value to store in the register."""
+        return msgspec.msgpack.encode([self.body, self.packed_entries])
 
     def __len__(self) -> int:
-        """How many versions are remembered."""
-        return len(self.history) // ENTRY.size
+        """Return the number of versions in the history."""
+        return len(self.packed_entries) // ENTRY.size
 
     def entry(self, index: int) -> tuple[int, bytes]:
-        """Version and digest at an index, counted from the oldest."""
-        return ENTRY.unpack_from(self.history, index * ENTRY.size)
+        """Return the version and the digest at an index; index 0 is the oldest."""
+        return ENTRY.unpack_from(self.packed_entries, index * ENTRY.size)
 
     @property
     def number(self) -> int:
-        """The newest version."""
+        """The newest version number."""
         return self.entry(len(self) - 1)[0]
 
     def put(self, number: int, body: bytes) -> HistoryChange:
-        """Decide on a configuration that is put.
+        """Return the result of putting a configuration; this object is not modified.
 
         Args:
-            number: its version.
-            body: its content, as it was put.
+            number: the version of the configuration.
+            body: the configuration, as the operator sent it.
         """
-        index = bisect_left(range(len(self)), number, key=lambda at: self.entry(at)[0])
+        index = bisect_left(range(len(self)), number, key=lambda i: self.entry(i)[0])
         if index < len(self) and self.entry(index)[0] == number:
             same = self.entry(index)[1] == digest(body)
             return HistoryChange(PutOutcome.REPEATED if same else PutOutcome.CONFLICT, None)
         if index == 0 and len(self) == MAX_ENTRIES:
             return HistoryChange(PutOutcome.HISTORY_EXPIRED, None)
-        history = self.with_entry(index, ENTRY.pack(number, digest(body)))
+        entries = self.with_entry(index, ENTRY.pack(number, digest(body)))
         if index == len(self):
-            return HistoryChange(PutOutcome.ACCEPTED, ConfigurationHistory(body, history))
-        # It changes nothing that is in force, but is acknowledged.  Its digest has to be stored first, or
-        # another content under this version might be acknowledged too.
-        return HistoryChange(PutOutcome.SUPERSEDED, ConfigurationHistory(self.body, history))
+            return HistoryChange(PutOutcome.ACCEPTED, ConfigurationHistory(body, entries))
+        # The put is acknowledged although the configuration in force stays.  The digest has to be stored
+        # before that, or a later put of other content under this version could be acknowledged as well.
+        return HistoryChange(PutOutcome.SUPERSEDED, ConfigurationHistory(self.body, entries))
 
     def with_entry(self, index: int, entry: bytes) -> bytes:
-        """The packed entries with one more at an index; the oldest goes where there are too many."""
+        """Return the packed entries with one inserted; beyond MAX_ENTRIES the oldest is dropped."""
         offset = index * ENTRY.size
-        entries = self.history[:offset] + entry + self.history[offset:]
+        entries = self.packed_entries[:offset] + entry + self.packed_entries[offset:]
         return entries[-MAX_ENTRIES * ENTRY.size :]
 
 
 def put(stored: bytes | None, number: int, body: bytes) -> RegisterChange:
-    """Decide on a configuration that is put, as a change of the register.
+    """Return the result of putting a configuration and the resulting register value.
 
     Args:
-        stored: the value that the register holds, None before the first configuration.
+        stored: the current register value; None before the first configuration.
         number: the version of the configuration.
-        body: its content, as it was put.
+        body: the configuration, as the operator sent it.
 
     >>> change = put(None, 7, b'{"edition": "00000007"}')
     >>> repeated = put(change.value, 7, b'{"edition": "00000007"}')
--- a/flintreach/config/routing.py
+++ b/flintreach/config/routing.py
@@ -1,22 +1,22 @@
-"""Which route of a configuration a request takes, by its host and path."""
+"""Route lookup by host and path prefix."""
 
 from dataclasses import dataclass
 
 from flintreach.config.configuration import Configuration, Dispatch, RouteRule, ServiceConfig
 
 NS_PER_MS = 1e6
-UNSAFE = "unsafe"  # the kind of a route whose requests must not run twice
+UNSAFE = "unsafe"  # kind of routes whose requests must not be executed twice
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Route:
-    """A route as the request path uses it: services with weights, times in nanoseconds."""
+    """A route in the form used to forward requests: weighted services, times in nanoseconds."""
 
     name: str
     kind: str
-    idempotent: bool  # whether a request may run more than once
+    idempotent: bool  # whether a request may be executed more than once
     prefix: str
-    services: list[tuple[str, float]]  # those with a weight above 0
+    services: list[tuple[str, float]]  # (service, weight); services with weight 0 are left out
     deadline_ns: int
     latency_target_ns: int
     attempts: int  # at least 1
@@ -24,8 +24,8 @@
     precedence: int
 
     @classmethod
-    def of(cls, rule: RouteRule) -> "Route":
-        """The route that a rule of the configuration describes."""
+    def from_rule(cls, rule: RouteRule) -> "Route":
+        """Create a route from a rule of the configuration."""
         dispatch = rule.dispatch
         return cls(
             name=rule.name,
@@ -42,21 +42,21 @@
 
 
 def services_in_use(dispatch: Dispatch) -> list[tuple[str, float]]:
-    """The services that get requests, each with its weight; the only one has weight 1."""
-    weighted = [(share.service, share.weight) for share in dispatch.weighted_services if share.weight > 0]
+    """Return the services with a positive weight; a single unweighted service gets weight 1."""
+    weighted = [(target.service, target.weight) for target in dispatch.weighted_services if target.weight > 0]
     if weighted:
         return weighted
     return [(dispatch.service or "", 1.0)]
 
 
 class Routes:
-    """All routes of one configuration, looked up by host and path: the longest prefix wins.
+    """Routing table of one configuration; the route with the longest matching prefix applies.
 
     Attributes:
         configuration: the source of the routes.
-        number: its version.
-        service_configs: by name of the service.
-        hosts: host in lower case -> its routes, those with the longest prefix first.
+        number: the version of the configuration.
+        service_configs: service name -> its configuration.
+        hosts: host in lower case -> its routes, longest prefix first.
         all: the routes of all hosts.
     """
 
@@ -69,17 +69,17 @@
         self.hosts: dict[str, list[Route]] = {}
         for virtual_host in configuration.virtual_hosts:
             routes = self.hosts.setdefault(virtual_host.host.lower(), [])
-            routes += [Route.of(rule) for rule in virtual_host.route_rules]
+            routes += [Route.from_rule(rule) for rule in virtual_host.route_rules]
         for routes in self.hosts.values():
             routes.sort(key=lambda route: -len(route.prefix))
         self.all = [route for routes in self.hosts.values() for route in routes]
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route for a request, or None where none takes it.
+        """Return the route of a request; None if no route matches.
 
         Args:
-            host: as the request names it, in any case, without a port.
-            path: without the query.
+            host: the request's host, in any case, without the port.
+            path: the request's path, without the query.
         """
         for route in self.hosts.get(host.lower(), ()):
             if path.startswith(route.prefix):
--- a/flintreach/config/settings.py
+++ b/flintreach/config/settings.py
@@ -1,11 +1,10 @@
-"""The settings file of a process (YAML): typed, read, checked, and watched for changes.
+"""Settings file of a process (YAML): schema, loading, validation, and watching for changes.
 
-Each program of the system (controller, proxy) reads one such file when it starts and again when it changes.
-This module alone knows the names that the file uses: where a field's name here differs, `name=` gives that of
-the file.
+Each controller and proxy reads one settings file at start and again when the file changes.  Where the key of
+a field in the file differs from the attribute, `name=` gives the key.
 
-Source: the platform's page on how the system is run.  Fields that it doesn't know are passed over, since the
-file may gain some.
+Specification: the platform's page on how the system is run.  Unknown keys are ignored, since later versions
+of the platform may add some.
 """
 
 import os
@@ -21,11 +20,11 @@
 
 
 class SettingsError(ValueError):
-    """A settings file that no process can start with; its text names the field and what was expected."""
+    """The settings file can't be read or is invalid; the message names the file and the field."""
 
 
 class ResourceLimits(msgspec.Struct, frozen=True):
-    """What the platform grants to a process."""
+    """Resources that the platform grants to a process."""
 
     cpu_share: float = 1.0
     memory_mb: float = 0
@@ -35,7 +34,7 @@
 
 
 class ProcessIdentity(msgspec.Struct, frozen=True):
-    """Who a process is, and where it runs."""
+    """Identity, placement and role of a process."""
 
     node_name: str
     ip: str
@@ -44,30 +43,30 @@
     role: str = msgspec.field(default="", name="post_role")
     grade: str = ""
     serves: tuple[str, ...] = ()
-    voter_eligible: bool = msgspec.field(default=False, name="counted")  # whether its disk may hold a vote
-    first_run: bool = False  # the system starts for the first time: empty disks are no loss
+    voter_eligible: bool = msgspec.field(default=False, name="counted")  # may become a voter
+    first_run: bool = False  # first start of the system: empty disks are expected
     store_dir: str | None = None
     limits: ResourceLimits = ResourceLimits()
 
 
 class NetworkSettings(msgspec.Struct, frozen=True):
-    """Addresses of this process, those of its first peers, and the region of each zone."""
+    """Listen addresses, ports and seed nodes of a process, and the region of each zone."""
 
-    # name of a service of this process -> the address at which it listens
+    # Name of a listener -> address that it binds to.
     listen_addresses: dict[str, str] = msgspec.field(name="posts")
-    spare_ports: tuple[int, int]  # first and last port that the process may use among its peers
+    spare_ports: tuple[int, int]  # first and last port for connections between processes
     seed_nodes: tuple[str, ...] = ()
     zones: dict[str, str] = {}
 
 
 class HeartbeatSettings(msgspec.Struct, frozen=True):
-    """How endpoints report."""
+    """Interval of the endpoints' heartbeats."""
 
     report_ms: float = 1500
 
 
 class ToleratedLosses(msgspec.Struct, frozen=True):
-    """How many failure domains of each size may be lost at a time without a loss of acknowledged data."""
+    """Number of failure domains of each level that may fail at a time without loss of acknowledged data."""
 
     machines: int = 0
     zones: int = 0
@@ -75,9 +74,9 @@
 
 
 class TimingBounds(msgspec.Struct, frozen=True):
-    """The figures of the operator's rules, in the unit that each name ends in; others are ratios or counts.
+    """Numeric limits of the operator's rules; a suffix gives the unit, others are ratios or counts.
 
-    Names without a `name=` are those of the rules' page, which defines them.
+    Attributes without `name=` have the names of the page on the rules, which defines them.
     """
 
     list_lag_s: float = 3
@@ -85,10 +84,12 @@
     contact_ms: float = 5000
     receipt_ms: float = 6000
     catch_up_s: float = 4
-    last_call_ms: float = 2500  # from an acknowledged departure to the last request at that endpoint
+    last_call_ms: float = 2500  # from the acknowledgment of a departure to the last request to that endpoint
     grace_s: float = 6  # from SIGTERM to SIGKILL
     loss_slack_ms: float = 200
-    edition_ms: float = 2500  # from an acknowledged configuration to the last request by an older one
+    edition_ms: float = (
+        2500  # from the acknowledgment of a configuration to the last request under an older one
+    )
     revert_ms: float = 250
     stretch_ms: float = 10000
     retry_ratio: float = 0.2
@@ -96,15 +97,15 @@
     retry_slack: float = 0
     slow_start_excess: float = msgspec.field(default=1.0, name="cold_excess")
     slow_start_slack: float = msgspec.field(default=0, name="cold_slack")
-    evacuate_ms: float = 5000  # from an acknowledged evacuation to the last request into that zone
+    evacuate_ms: float = 5000  # from the acknowledgment of an evacuation to the last request into that zone
     recovery_s: float = 15
     max_lease_ms: float = msgspec.field(default=10000, name="hold_cap_ms")
     thaw_ms: float = 300
-    ttl_max_s: float = 5  # for how long at most clients may use a list of proxies
+    ttl_max_s: float = 5  # maximum lifetime of a list of proxies at clients
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """What the operator demands of the system."""
+    """Guarantees that the operator requires of the system."""
 
     clauses: tuple[str, ...] = ()
     losses: ToleratedLosses = ToleratedLosses()
@@ -112,7 +113,7 @@
 
 
 class ProcessSettings(msgspec.Struct, frozen=True):
-    """The settings of one process."""
+    """Content of the settings file of one process."""
 
     identity: ProcessIdentity = msgspec.field(name="sender")
     network: NetworkSettings
@@ -122,39 +123,39 @@
 
     @property
     def bounds(self) -> TimingBounds:
-        """The bounds in time that the rules set."""
+        """The numeric limits of the rules."""
         return self.rules.timing
 
     def peer_address(self, port_offset: int = 0) -> tuple[str, int]:
-        """The address at which other processes of the system reach this one.
+        """Return the address at which other processes of the system reach this one.
 
         Args:
-            port_offset: which of the spare ports, counted from the first.
+            port_offset: offset from the first spare port.
         """
         first_port = self.network.spare_ports[0]
         return self.identity.ip, first_port + port_offset
 
     def seeds(self) -> list[str]:
-        """IP addresses of the machines that the settings name as first peers."""
+        """Return the IP addresses of the seed nodes."""
         return [parse_address(seed)[0] for seed in self.network.seed_nodes]
 
 
 class FileVersion(NamedTuple):
-    """What tells one content of a file from another, without a reading of it."""
+    """File metadata that changes when the content is replaced."""
 
     modified_ns: int
     size: int
     inode: int
 
 
-last_read: dict[str, FileVersion | None] = {}  # path -> the file as it was read last
+loaded_versions: dict[str, FileVersion | None] = {}  # path -> version at the latest load
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of an address as the wire and the settings write it.
+    """Split an address of the form HOST:PORT.
 
     Raises:
-        ValueError: the part after the last colon is no number.
+        ValueError: the part after the last colon is not a number.
 
     >>> parse_address("10.1.0.13:8166")
     ('10.1.0.13', 8166)
@@ -164,21 +165,21 @@
 
 
 def parse(text: str, name: str = "settings") -> ProcessSettings:
-    """Settings from YAML.
+    """Parse and validate settings.
 
     Args:
-        text: the content of a settings file.
-        name: what errors call it, such as its path.
+        text: YAML, the content of a settings file.
+        name: name of the source in error messages, such as its path.
 
     Raises:
-        SettingsError: the text is no YAML, or a field is missing or has another type.
+        SettingsError: the text is not valid YAML, or a field is missing or has the wrong type.
     """
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         content: Any = yaml.load(text, loader)
     except yaml.YAMLError as error:
         first_line = str(error).splitlines()[0]
-        raise SettingsError(f"{name}: no YAML: {first_line}") from None
+        raise SettingsError(f"{name}: invalid YAML: {first_line}") from None
     try:
         return msgspec.convert(content, ProcessSettings, strict=False)
     except msgspec.ValidationError as error:
@@ -186,33 +187,33 @@
 
 
 def settings_path() -> str:
-    """Where the settings file of this process is."""
+    """Return the path of this process's settings file."""
     return os.environ.get(PATH_VARIABLE) or DEFAULT_PATH
 
 
 def load(path: str | None = None) -> ProcessSettings:
-    """Read the settings of this process.
+    """Load the settings of this process.
 
     Args:
-        path: the file; that of `settings_path` otherwise.
+        path: the settings file; `settings_path()` if not given.
 
     Raises:
-        SettingsError: the file can't be read, or its content can't be used.
+        SettingsError: the file can't be read, or its content is invalid.
     """
     path = path or settings_path()
-    # Before the reading: a change that comes during it is then found by `watch`.
-    last_read[path] = file_version(path)
+    # Taken before the file is read, so that `watch` detects a change made during the read.
+    loaded_versions[path] = file_version(path)
     try:
         with open(path, encoding="utf-8") as file:
             return parse(file.read(), path)
     except (OSError, UnicodeDecodeError) as error:
-        reason = getattr(error, "strerror", None) or "not a text in UTF-8"
+        reason = getattr(error, "strerror", None) or "not valid UTF-8"
         raise SettingsError(f"{path}: {reason}") from None
 
 
 def reload(current: ProcessSettings) -> ProcessSettings:
-    """The settings read anew, or `current` where the file can't be used: a bad file stops no process."""
-    # Here, since `check` of the command line must not write a log.
+    """Load the settings again; return `current` if the file is invalid, so that the process keeps running."""
+    # Imported here, since importing it starts the log on stdout, where the command `check` writes its result.
     from flintreach.common.log import log_event
 
     try:
@@ -223,24 +224,25 @@
 
 
 def watch(
-    reread: Callable[[], object], sleep: Callable[[float], object], interval_s: float = WATCH_INTERVAL_S
+    on_change: Callable[[], object], sleep: Callable[[float], object], interval_s: float = WATCH_INTERVAL_S
 ) -> None:
-    """Call `reread` whenever the settings file has changed since it was read; does not return.
+    """Poll the settings file, and call `on_change` when it differs from the loaded one; does not return.
 
-    A change comes with a SIGHUP or without one, and a SIGHUP that comes before a program handles it is lost.
+    Polling is needed beside SIGHUP: the file may change without a signal, and a SIGHUP that arrives before
+    the program has installed its handler is lost.
     """
     path = settings_path()
-    seen = last_read.get(path)
+    seen = loaded_versions.get(path)
     while True:
         current = file_version(path) or seen
         if seen is not None and current != seen:
-            reread()
+            on_change()
         seen = current
         sleep(interval_s)
 
 
 def file_version(path: str) -> FileVersion | None:
-    """The version of a file; None where there is no such file."""
+    """Return the version of a file; None if the file can't be accessed."""
     try:
         stat = os.stat(path)
     except OSError:
--- a/tests/config/sample.py
+++ b/tests/config/sample.py
@@ -1,4 +1,4 @@
-"""A configuration as an operator puts it, for the tests of configurations and of commands."""
+"""Sample configuration in its JSON form, for tests of the configuration and of commands."""
 
 from typing import Any
 
--- a/tests/config/test_routing.py
+++ b/tests/config/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of a route by host and path."""
+"""Route lookup by host and path."""
 
 import unittest
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,8 @@
-"""Settings of a process: read and checked, and watched from the first reading on (issue 42)."""
+"""Settings of a process: parsing, validation, and watching for changes.
+
+A SIGHUP during the start of a program must not end it, and a change of the file then must not be missed
+(issue 42).
+"""
 
 import os
 import subprocess
@@ -9,53 +13,51 @@
 
 from flintreach.config import settings
 
-# A program of the system that gets a SIGHUP before it handles signals.
-EARLY_PROGRAM = """
+# Runs a program that receives SIGHUP before it has installed a signal handler.
+EARLY_HANGUP_SCRIPT = """
 import os, signal, sys, types
 early = types.ModuleType("flintreach.early.program")
-early.main = lambda: (os.kill(os.getpid(), signal.SIGHUP), print("runs on"))
+early.main = lambda: (os.kill(os.getpid(), signal.SIGHUP), print("still running"))
 sys.modules["flintreach.early"] = types.ModuleType("flintreach.early")
 sys.modules["flintreach.early.program"] = early
 from flintreach.__main__ import run_program
 run_program("early")
 """
-GOOD_SETTINGS = (
+VALID_SETTINGS = (
     "sender: {node_name: n, ip: 10.0.0.1, zone: z, region: r}\n"
     "network: {posts: {front: '10.0.0.1:80'}, spare_ports: [7000, 7010], news: 1}\n"
 )
 
 
-class Stop(Exception):
-    """Ends a loop that has no end."""
+class StopWatching(Exception):
+    """Raised by the fake sleep to leave the endless loop of `watch`."""
 
 
-class EarlySignals(unittest.TestCase):
-    def test_a_hangup_during_the_start_does_not_end_a_program(self) -> None:
-        command = [sys.executable, "-c", EARLY_PROGRAM]
-        ended = subprocess.run(command, capture_output=True, cwd=os.getcwd(), timeout=30)
-        self.assertEqual((ended.returncode, ended.stdout), (0, b"runs on\n"), ended.stderr)
+class SignalsDuringStart(unittest.TestCase):
+    def test_sighup_during_start_does_not_end_the_program(self) -> None:
+        command = [sys.executable, "-c", EARLY_HANGUP_SCRIPT]
+        process = subprocess.run(command, capture_output=True, cwd=os.getcwd(), timeout=30)
+        self.assertEqual((process.returncode, process.stdout), (0, b"still running\n"), process.stderr)
 
 
-class Checks(unittest.TestCase):
-    def test_settings_name_the_field_that_is_wrong(self) -> None:
-        self.assertEqual(settings.parse(GOOD_SETTINGS).peer_address(1), ("10.0.0.1", 7001))
+class Validation(unittest.TestCase):
+    def test_errors_name_the_invalid_field(self) -> None:
+        self.assertEqual(settings.parse(VALID_SETTINGS).peer_address(1), ("10.0.0.1", 7001))
         for text, field in (
-            (GOOD_SETTINGS.replace("zone: z, ", ""), "zone"),
+            (VALID_SETTINGS.replace("zone: z, ", ""), "zone"),
             ("a: [", "YAML"),
-            (GOOD_SETTINGS.replace("[7000, 7010]", "many"), "spare_ports"),
+            (VALID_SETTINGS.replace("[7000, 7010]", "many"), "spare_ports"),
         ):
             with self.assertRaisesRegex(settings.SettingsError, field):
                 settings.parse(text)
 
 
 class Watch(unittest.TestCase):
-    """The file is watched from its first reading on."""
-
-    def rereads(self, change: bool) -> int:
-        """How often the settings are read anew, with or without a change before the watch begins."""
+    def count_reloads(self, change: bool) -> int:
+        """Load settings, change the file if `change` is set, and return how often `watch` calls back."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "node.yaml")
-            reread = mock.Mock()
+            on_change = mock.Mock()
             with open(path, "w", encoding="utf-8") as file:
                 file.write("odd: 1\n")
             with mock.patch.dict(os.environ, {settings.PATH_VARIABLE: path}):
@@ -64,15 +66,15 @@
                 if change:
                     with open(path, "w", encoding="utf-8") as file:
                         file.write("odd: 22\n")
-                with self.assertRaises(Stop):
-                    settings.watch(reread, mock.Mock(side_effect=[None, Stop]))
-            return reread.call_count
+                with self.assertRaises(StopWatching):
+                    settings.watch(on_change, mock.Mock(side_effect=[None, StopWatching]))
+            return on_change.call_count
 
-    def test_a_change_before_the_watch_begins_is_found(self) -> None:
-        self.assertEqual(self.rereads(change=True), 1)
+    def test_a_change_between_load_and_watch_is_detected(self) -> None:
+        self.assertEqual(self.count_reloads(change=True), 1)
 
-    def test_what_did_not_change_is_not_read_again(self) -> None:
-        self.assertEqual(self.rereads(change=False), 0)
+    def test_an_unchanged_file_is_not_reloaded(self) -> None:
+        self.assertEqual(self.count_reloads(change=False), 0)
 
 
 if __name__ == "__main__":
