--- a/flintreach/common/log.py
+++ b/flintreach/common/log.py
@@ -24,6 +24,6 @@
 sink = write  # a simulation puts its trace here
 
 
-def log_event(what: str, **fields: Any) -> None:
+def log_event(event_type: str, /, **fields: Any) -> None:
     """Log a change of state, with what caused it, as `write` does."""
-    sink(what, fields)
+    sink(event_type, fields)
