--- a/flintreach/__main__.py
+++ b/flintreach/__main__.py
@@ -1,39 +1,40 @@
-"""The start of every program: the pilot in service, the programs of the system, and the commands.
+"""Entry point of the pilot service, the controller, the proxy and the commands.
 
-Each loads only what it uses.  The platform starts programs with a share of a core: loading Typer there would
-keep them away for longer.
+Each imports only what it uses.  The platform starts programs on a fraction of a core, where importing Typer
+would delay the start noticeably.
 """
 
 import importlib
 import signal
 import sys
 
-# How a deploy file calls a program -> the package that holds it.
+# Program name in deploy files -> package.
 PROGRAMS = {
     "proxy": "proxy",
     "controller": "controller",
-    # As in deploy files of earlier releases.
+    # Names in deploy files of earlier releases.
     "bothy": "proxy",
     "refuge": "controller",
 }
 
 
 def run_program(package: str) -> None:
-    """Run a program of the whole system; neither it nor the pilot in service loads anything of the other.
+    """Run the controller or the proxy; they and the pilot service import nothing from each other.
 
     Args:
-        package: one of the values of PROGRAMS.
+        package: a value of PROGRAMS.
     """
-    # Until the program handles the signal, it must not end it: `settings.watch` finds what changed meanwhile.
+    # SIGHUP must not end the program before its handler is installed; `settings.watch` detects changes of the
+    # settings file that are made until then.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     importlib.import_module(f"flintreach.{package}.program").main()
 
 
 def main(arguments: list[str]) -> None:
-    """Run what the command line asks for.
+    """Run the program or command that the command line names.
 
     Args:
-        arguments: those after the name of the program.
+        arguments: command-line arguments without the program name.
     """
     if arguments == ["serve"]:
         from flintreach.cli.pilot_service import serve_pilot
--- a/flintreach/api/__init__.py
+++ b/flintreach/api/__init__.py
@@ -1,1 +1,1 @@
-"""The calls that endpoints, clients and operators make, as a table."""
+"""HTTP API for endpoints, clients and operators."""
--- a/flintreach/api/calls.py
+++ b/flintreach/api/calls.py
@@ -1,70 +1,71 @@
-"""The calls that endpoints, clients and operators make of the system, and those it makes of endpoints.
+"""HTTP calls that the system answers, and paths of the calls that it makes to endpoints.
 
-Source: the wire's page.  `controller/http_api.py` answers all of the table but `ready`, which a proxy answers
-by the age of its updates (`proxy/program.py`).
+Specification: the page on the wire protocol.  `controller/http_api.py` answers all calls of the table except
+`ready`, which a proxy answers according to the age of its updates (`proxy/program.py`).
 """
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-PARAMETER = "{}"  # in a path: any one segment, which is handed to what answers the call
-GRANT_PATH = "/v1/grant"  # a lease holder gives an endpoint a key range
-RELEASE_PATH = "/v1/release"  # it takes the range back
+PARAMETER = "{}"  # in a path: matches any one segment, which is passed to the handler
+GRANT_PATH = "/v1/grant"  # the lease owner grants a key range to an endpoint
+RELEASE_PATH = "/v1/release"  # the lease owner revokes a key range
 
-# With an older contact, other controllers may have confirmed what this one doesn't know.
+# After longer without quorum contact, other controllers may have confirmed changes unknown to this one.
 QUORUM_CONTACT_S = 1.2
-# A list of proxies from a controller that was just cut off is better than none: clients use older ones too.
+# Longer than for other calls: a list of proxies from a controller that was just partitioned is better than
+# none, and clients use older lists anyway.
 DIRECTORY_CONTACT_S = 2.0
-# Callers move on after a second; what is confirmed later they have asked of another controller.
+# Callers time out after 1 s and retry on another controller, so a later confirmation would be of no use.
 ANSWER_WITHIN_S = 0.95
 
 
 class CallLimits(NamedTuple):
-    """What the process that answers must be sure of, right before it answers; None: it need not be."""
+    """Limits that are checked right before a call is answered; None: no limit."""
 
-    contact_age_s: float | None  # how old its contact with a quorum may be (`controller/quorum_contact.py`)
-    answer_within_s: float | None  # how long ago the call may have been read
+    contact_age_s: float | None  # maximum time since the last quorum contact (`controller/quorum_contact.py`)
+    answer_within_s: float | None  # maximum time since the call was read
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of the table."""
+    """An HTTP call, and the limits on its answer (see `CallLimits`)."""
 
-    name: str  # that of the method that answers it
+    name: str  # key of its handler
     method: str
     path: str
     contact_age_s: float | None
     answer_within_s: float | None
 
 
-def order(name: str, method: str, path: str) -> Call:
-    """A call that changes what is stored or reads it: it takes a quorum, and an answer in time."""
+def quorum_call(name: str, method: str, path: str) -> Call:
+    """Return a call that reads or changes stored data, which requires quorum contact and a timely answer."""
     return Call(name, method, path, QUORUM_CONTACT_S, ANSWER_WITHIN_S)
 
 
 TABLE = (
     Call("ready", "GET", "/v1/ready", None, None),
     Call("resolve", "GET", "/v1/directions", DIRECTORY_CONTACT_S, None),
-    order("beat", "POST", "/v1/endpoints/{}/check-in"),
-    order("leave", "POST", "/v1/endpoints/{}/sign-off"),
-    order("put", "POST", "/v1/timetable/put"),
-    order("get", "GET", "/v1/timetable/get"),
-    order("evacuate", "POST", "/v1/evacuate/{}/start"),
-    order("resume", "POST", "/v1/evacuate/{}/finish"),
+    quorum_call("beat", "POST", "/v1/endpoints/{}/check-in"),
+    quorum_call("leave", "POST", "/v1/endpoints/{}/sign-off"),
+    quorum_call("put", "POST", "/v1/timetable/put"),
+    quorum_call("get", "GET", "/v1/timetable/get"),
+    quorum_call("evacuate", "POST", "/v1/evacuate/{}/start"),
+    quorum_call("resume", "POST", "/v1/evacuate/{}/finish"),
 )
 PATTERNS = [(call, call.path.split("/")) for call in TABLE]
 CALL_LIMITS = {call.name: CallLimits(call.contact_age_s, call.answer_within_s) for call in TABLE}
 
 
 def find(method: str, path: str) -> tuple[str | None, list[str]]:
-    """Look a request up in the table.
+    """Look up the call that a request makes.
 
     Args:
         method: the HTTP method.
-        path: without the query.
+        path: the path of the request, without the query.
 
     Returns:
-        The name of the call and its parameters; None and no parameters if there is no such call.
+        The name of the call and its path parameters; None and an empty list if no call matches.
 
     >>> find("POST", "/v1/evacuate/north/start"), find("GET", "/v1/evacuate/north/start")
     (('evacuate', ['north']), (None, []))
@@ -77,12 +78,12 @@
 
 
 def matches(pattern: list[str], segments: list[str]) -> bool:
-    """Whether the segments of a path are those of a pattern, but for its parameters."""
+    """Return whether a path matches a pattern; a parameter matches any segment."""
     if len(pattern) != len(segments):
         return False
     return all(expected in (PARAMETER, segment) for expected, segment in zip(pattern, segments))
 
 
 def parameters(pattern: list[str], segments: list[str]) -> list[str]:
-    """The segments that stand where a pattern has parameters."""
+    """Return the segments at the positions of the pattern's parameters."""
     return [segment for expected, segment in zip(pattern, segments) if expected == PARAMETER]
--- a/flintreach/cli/__init__.py
+++ b/flintreach/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, one module a group of commands; `app` puts them together."""
+"""Command line: one module per group of commands, combined in `app`."""
--- a/flintreach/cli/app.py
+++ b/flintreach/cli/app.py
@@ -1,4 +1,4 @@
-"""All commands, as one Typer application."""
+"""Typer application with all commands."""
 
 import typer
 
@@ -8,7 +8,7 @@
 
 
 def build_app() -> typer.Typer:
-    """The application with the commands of all groups."""
+    """Return the application with the commands of all groups."""
     app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help=HELP)
     for group in (pilot, configuration, inspection, trials):
         group.register(app)
--- a/flintreach/cli/configuration.py
+++ b/flintreach/cli/configuration.py
@@ -1,6 +1,6 @@
-"""Commands on the operator's configuration and orders: check, put, get, evacuate.
+"""Commands for the operator's configuration and for evacuations: check, put, get, evacuate.
 
-A command's docstring is its help text.
+The docstring of a command is its help text.
 """
 
 from pathlib import Path
@@ -14,51 +14,51 @@
     from flintreach.config.configuration import Configuration
     from flintreach.config.settings import ProcessSettings
 
-CONTROL_OPTION = typer.Option(..., "--at", help="A controller's control address.")
+CONTROL_OPTION = typer.Option(..., "--at", help="Control address of a controller, as HOST:PORT.")
 CALL_TIMEOUT_S = 5.0
 OK = 200
 PUT_PATH = "/v1/timetable/put"
 GET_PATH = "/v1/timetable/get"
-ERROR_LENGTH = 200  # characters of an answer that are shown
+MAX_ERROR_LENGTH = 200  # characters of an error response that are shown
 
 
 def register(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Register the commands of this module."""
     for command in (check, put, get, evacuate):
         app.command()(command)
 
 
 def check(file: Path) -> None:
-    """Check a configuration or a settings file; an error names the field."""
-    typer.echo(checked(file))
+    """Validate a configuration or a settings file; errors name the invalid field."""
+    typer.echo(validate_file(file))
 
 
 def put(file: Path, control: str = CONTROL_OPTION) -> None:
-    """Put a configuration, after the same checks as the controller makes."""
-    checked(file)
+    """Put a configuration into force; it is validated locally first, as the controller does."""
+    validate_file(file)
     call(control, "POST", PUT_PATH, file.read_bytes())
 
 
 def get(control: str = CONTROL_OPTION) -> None:
-    """The configuration in force, as it was put."""
+    """Print the configuration in force, as it was put."""
     typer.echo(call(control, "GET", GET_PATH).decode())
 
 
 def evacuate(
     zone: str,
     control: str = CONTROL_OPTION,
-    finish: bool = typer.Option(False, "--finish", help="Take it back."),
+    finish: bool = typer.Option(False, "--finish", help="End the evacuation."),
 ) -> None:
-    """Send nothing more to the endpoints of a zone."""
-    step = "finish" if finish else "start"
-    call(control, "POST", f"/v1/evacuate/{zone}/{step}")
+    """Evacuate a zone: send no more requests to its endpoints."""
+    action = "finish" if finish else "start"
+    call(control, "POST", f"/v1/evacuate/{zone}/{action}")
 
 
-def checked(path: Path) -> str:
-    """Check a file and say what it holds: a configuration (JSON) or a process's settings (YAML).
+def validate_file(path: Path) -> str:
+    """Validate a configuration (JSON) or a settings file (YAML), and return a summary of it.
 
     Raises:
-        typer.Exit: the file can't be used; the status is UNUSABLE.
+        typer.Exit: the file can't be read or is invalid; the status is UNUSABLE.
     """
     from flintreach.config import configuration, settings
 
@@ -74,31 +74,33 @@
         fail(ExitStatus.UNUSABLE, text if str(path) in text else f"{path}: {text}")
 
 
-def configuration_summary(table: "Configuration") -> str:
-    """One line on a configuration."""
-    routes = sum(len(host.route_rules) for host in table.virtual_hosts)
-    return f"edition {table.version}, {routes} routes, {len(table.service_configs)} services"
+def configuration_summary(configuration: "Configuration") -> str:
+    """Summarize a configuration in one line."""
+    routes = sum(len(host.route_rules) for host in configuration.virtual_hosts)
+    return f"edition {configuration.version}, {routes} routes, {len(configuration.service_configs)} services"
 
 
-def settings_summary(node: "ProcessSettings") -> str:
-    """One line on a process's settings."""
-    return f"{node.identity.node_name} in {node.identity.zone}, serves {' '.join(node.identity.serves)}"
+def settings_summary(settings: "ProcessSettings") -> str:
+    """Summarize the settings of a process in one line."""
+    identity = settings.identity
+    return f"{identity.node_name} in {identity.zone}, serves {' '.join(identity.serves)}"
 
 
 def call(control: str, method: str, path: str, body: bytes = b"") -> bytes:
-    """Make one call at a control address.
+    """Send an HTTP request to a controller.
 
     Args:
-        control: the address, as the operator gave it.
+        control: the control address, as HOST:PORT.
         method: the HTTP method.
-        path: as in the table of calls (`flintreach/api/calls.py`).
-        body: JSON, or nothing.
+        path: the path of a call in `flintreach/api/calls.py`.
+        body: JSON, or empty.
 
     Returns:
-        The body of the answer.
+        The body of the response.
 
     Raises:
-        typer.Exit: no answer, or one that is not 200 (status FAILED); no address (status UNUSABLE).
+        typer.Exit: the request failed or its status is not 200 (exit status FAILED), or the address is
+            invalid (exit status UNUSABLE).
     """
     import http.client
 
@@ -106,11 +108,11 @@
     connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body or None, {"Content-Type": "application/json"})
-        answer = connection.getresponse()
-        data = answer.read()
+        response = connection.getresponse()
+        data = response.read()
     except OSError as error:
         fail(ExitStatus.FAILED, f"{control}: {error}")
-    if answer.status != OK:
-        reason = data.decode(errors="replace")[:ERROR_LENGTH]
-        fail(ExitStatus.FAILED, f"{control}: {answer.status} {reason}")
+    if response.status != OK:
+        reason = data.decode(errors="replace")[:MAX_ERROR_LENGTH]
+        fail(ExitStatus.FAILED, f"{control}: {response.status} {reason}")
     return data
--- a/flintreach/cli/pilot.py
+++ b/flintreach/cli/pilot.py
@@ -1,6 +1,6 @@
-"""Commands of the pilot in service: serve, version, check-config, figures.
+"""Commands of the pilot service: serve, version, check-config, figures.
 
-A command's docstring is its help text.
+The docstring of a command is its help text.
 """
 
 import sys
@@ -10,12 +10,12 @@
 
 from flintreach.cli import pilot_service
 
-CONFIG_OPTION = typer.Option(None, "--config", help="The configuration; PROXY_CONFIG names it otherwise.")
-OPERATOR_OPTION = typer.Option(None, "--operator", help="The operator's file, or by FLINTREACH_OPERATOR.")
+CONFIG_OPTION = typer.Option(None, "--config", help="Configuration file; default: PROXY_CONFIG.")
+OPERATOR_OPTION = typer.Option(None, "--operator", help="Operator file; default: FLINTREACH_OPERATOR.")
 
 
 def register(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Register the commands of this module."""
     app.command()(serve)
     app.command()(version)
     app.command("check-config")(check_config)
@@ -23,7 +23,7 @@
 
 
 def serve(config: Path = CONFIG_OPTION, operator: Path = OPERATOR_OPTION) -> None:
-    """Run one pilot until SIGTERM or SIGINT; SIGHUP reads the configuration again."""
+    """Run one pilot until SIGTERM or SIGINT; SIGHUP reloads the configuration."""
     pilot_service.serve_pilot(config, operator)
 
 
@@ -35,7 +35,7 @@
 
 
 def check_config(config: Path = CONFIG_OPTION, operator: Path = OPERATOR_OPTION) -> None:
-    """Read the configuration as serve does, and say what it holds."""
+    """Load and validate the configuration as serve does, and print a summary."""
     configuration = pilot_service.read_configuration(config)
     operator_file = pilot_service.read_operator_file(operator)
     if operator_file:
@@ -43,7 +43,7 @@
     settings = configuration.settings
     typer.echo(
         f"{configuration.name}: {len(settings.slices)} slices, {settings.proxies} proxies, "
-        f"{len(settings.operations)} operations; listens at {configuration.listen}"
+        f"{len(settings.operations)} operations; listens on {configuration.listen}"
     )
     if operator_file:
         from flintreach.pilot.operator_file import describe
@@ -54,10 +54,10 @@
 
 def figures(
     directory: Path,
-    match: str = typer.Option("", help="Only names that hold this text."),
-    as_json: bool = typer.Option(False, "--json", help="Points as JSON."),
+    match: str = typer.Option("", help="Show only names that contain this text."),
+    as_json: bool = typer.Option(False, "--json", help="Print points as JSON."),
 ) -> None:
-    """Show the last hour that a pilot has kept in a directory."""
+    """Show the last hour of metrics that a pilot has stored in a directory."""
     from flintreach.telemetry import show
 
     sys.exit(show.print_history(directory, match, as_json))
--- a/flintreach/cli/pilot_service.py
+++ b/flintreach/cli/pilot_service.py
@@ -1,7 +1,7 @@
-"""Starts the pilot in service: its configuration, the operator's file, and the parts that the file asks for.
+"""Start of the pilot service: its configuration, the operator file, and the components that this enables.
 
-`python -m flintreach serve` runs this without Typer, and each part is imported only where it is used: with a
-share of a core, either would keep the pilot away for longer.
+`python -m flintreach serve` runs this without Typer, and each component is imported only if it is used: on a
+fraction of a core, superfluous imports delay the start noticeably.
 """
 
 import os
@@ -16,13 +16,13 @@
     from flintreach.pilot.operator_file import OperatorConfig
 
 OPERATOR_VARIABLE = "FLINTREACH_OPERATOR"
-UNUSABLE = 2  # exit status: a file can't be used
+UNUSABLE = 2  # exit status: a file can't be read or is invalid
 
-Part = Callable[["Service"], Any]  # makes something that starts and stops with the service
+ComponentFactory = Callable[["Service"], Any]  # creates a component that starts and stops with the service
 
 
-def end_unusable(text: str) -> NoReturn:
-    """End the process, since a file can't be used.
+def exit_unusable(text: str) -> NoReturn:
+    """Exit with an error message, since a file can't be read or is invalid.
 
     Raises:
         SystemExit: always.
@@ -32,24 +32,24 @@
 
 
 def read_configuration(path: Path | None) -> "Config":
-    """The platform's configuration; without a path, that which `PROXY_CONFIG` names.
+    """Load the platform's configuration; `PROXY_CONFIG` names the file if `path` is None.
 
     Raises:
-        SystemExit: it can't be used.
+        SystemExit: the file can't be read or is invalid.
     """
     from flintreach.net import config
 
     try:
         return config.load(str(path) if path else None)
     except config.ConfigError as error:
-        end_unusable(str(error))
+        exit_unusable(str(error))
 
 
 def read_operator_file(path: Path | None) -> "OperatorConfig | None":
-    """The operator's own file; None where neither the path nor the environment names one.
+    """Load the operator file; return None if neither `path` nor the environment names one.
 
     Raises:
-        SystemExit: it can't be used.
+        SystemExit: the file can't be read or is invalid.
     """
     if not path and not os.environ.get(OPERATOR_VARIABLE):
         return None
@@ -58,25 +58,25 @@
     try:
         return operator_file.load(str(path) if path else None)
     except operator_file.OperatorConfigError as error:
-        end_unusable(str(error))
+        exit_unusable(str(error))
 
 
 def check_cores(config: "Config", operator: "OperatorConfig") -> None:
-    """Check that the cores that the operator asks for are within the platform's limits.
+    """Check that the requested worker processes are within the platform's limits.
 
     Raises:
-        SystemExit: they are not.
+        SystemExit: they exceed a limit.
     """
     cores = operator.block("cores")
     if not cores:
         return
     reason = cores.check_limits(config.document.get("limits") or {})
     if reason:
-        end_unusable(f"{operator.path}: cores: {reason}")
+        exit_unusable(f"{operator.path}: cores: {reason}")
 
 
-def client_side(operator: "OperatorConfig") -> Part:
-    """What takes the pilot's connections: this process alone, or worker processes beside it."""
+def connection_handler_factory(operator: "OperatorConfig") -> ComponentFactory:
+    """Return the factory of the connection handler: this process alone, or worker processes beside it."""
     from flintreach.net import run
 
     cores = operator.block("cores")
@@ -90,9 +90,9 @@
     return front
 
 
-def parts_of(operator: "OperatorConfig") -> list[Part]:
-    """The parts beside the service that the operator's file asks for."""
-    parts: list[Part] = []
+def component_factories(operator: "OperatorConfig") -> list[ComponentFactory]:
+    """Return factories of the optional components that the operator file enables."""
+    factories: list[ComponentFactory] = []
     evidence = operator.block("evidence")
     if evidence:
         from flintreach.evidence.receiver import HostLoadReceiver
@@ -100,7 +100,7 @@
         def receiver(service: "Service") -> HostLoadReceiver:
             return HostLoadReceiver(service, evidence)
 
-        parts.append(receiver)
+        factories.append(receiver)
     telemetry = operator.block("telemetry")
     if telemetry:
         from flintreach.telemetry.sender import Telemetry
@@ -108,17 +108,17 @@
         def sender(service: "Service") -> Telemetry:
             return Telemetry(service, telemetry)
 
-        parts.append(sender)
-    return parts
+        factories.append(sender)
+    return factories
 
 
 def serve_pilot(config_path: Path | None = None, operator_path: Path | None = None) -> NoReturn:
-    """Run one pilot until a signal ends it.
+    """Run one pilot until it is stopped by a signal.
 
     Raises:
-        SystemExit: always, with the status of the service.
+        SystemExit: always, with the exit status of the service.
     """
-    # First: it keeps `rich` from being loaded, which takes half of the processor time of a start.
+    # Imported first, since it prevents the import of `rich`, which takes half of the CPU time of a start.
     from flintreach.net import run
 
     config = read_configuration(config_path)
@@ -126,4 +126,4 @@
     if operator is None:
         sys.exit(run.run(config))
     check_cores(config, operator)
-    sys.exit(run.run(config, client_side(operator), parts_of(operator)))
+    sys.exit(run.run(config, connection_handler_factory(operator), component_factories(operator)))
--- a/flintreach/cli/terminal.py
+++ b/flintreach/cli/terminal.py
@@ -1,4 +1,4 @@
-"""What several groups of commands share: exit statuses, errors, addresses, tables."""
+"""Shared by the commands: exit statuses, errors, addresses, tables."""
 
 import sys
 from enum import IntEnum
@@ -8,15 +8,15 @@
 
 
 class ExitStatus(IntEnum):
-    """What scripts go by."""
+    """Exit status of a command; scripts rely on the values."""
 
     DONE = 0
-    FAILED = 1  # the other side said no, or did not answer
-    UNUSABLE = 2  # a file or an argument can't be used
+    FAILED = 1  # the request was refused, or there was no response
+    UNUSABLE = 2  # a file can't be read, or a file or an argument is invalid
 
 
 def fail(status: ExitStatus, text: str) -> NoReturn:
-    """End the command with one line on standard error.
+    """Exit with one line on standard error.
 
     Raises:
         typer.Exit: always.
@@ -26,22 +26,22 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of an argument.
+    """Split an argument of the form HOST:PORT.
 
     Raises:
-        typer.Exit: it is no address; the status is UNUSABLE.
+        typer.Exit: the argument is not an address; the status is UNUSABLE.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        fail(ExitStatus.UNUSABLE, f"{text}: expected an address and a port, such as 10.0.0.1:7700")
+        fail(ExitStatus.UNUSABLE, f"{text}: expected HOST:PORT, such as 10.0.0.1:7700")
     return host, int(port)
 
 
 def table_lines(rows: list[dict[str, Any]]) -> list[str]:
-    """A table with a line for the names and one for each row.
+    """Format rows as a table with a header line.
 
     Args:
-        rows: all with the same names, in the same order.
+        rows: all with the same keys, in the same order.
 
     >>> table_lines([{"id": "a", "n": 1}, {"id": "bcd", "n": 22}])
     ['id   n ', 'a    1 ', 'bcd  22']
--- a/flintreach/cli/trials.py
+++ b/flintreach/cli/trials.py
@@ -1,6 +1,6 @@
-"""Commands to try the system out: demo (and its earlier spelling, camp), simulate.
+"""Commands to try out the system: demo (and its earlier name, camp), simulate.
 
-A command's docstring is its help text.
+The docstring of a command is its help text.
 """
 
 import typer
@@ -10,33 +10,33 @@
 
 
 def register(app: typer.Typer) -> None:
-    """Add the commands of this group."""
+    """Register the commands of this module."""
     app.command()(demo)
     app.command(hidden=True)(camp)
     app.command()(simulate)
 
 
 def demo(proxies: int = 3, controllers: int = 3, desks: int = 4, stores: int = 2, port: int = 7600) -> None:
-    """The whole system on this machine's loopback, with stand-in endpoints, until it is interrupted."""
+    """Run the whole system on the loopback interface, with simulated endpoints, until interrupted."""
     from flintreach.demo.program import serve
 
     raise typer.Exit(serve(proxies, controllers, desks, stores, port))
 
 
 def camp(proxies: int = 3, refuges: int = 3, desks: int = 4, stores: int = 2, port: int = 7600) -> None:
-    """The earlier spelling of demo."""
+    """Earlier name of demo."""
     demo(proxies, refuges, desks, stores, port)
 
 
 def simulate(
-    seeds: int = typer.Option(500, help="How many."),
-    first: int = typer.Option(0, "--from", help="The first seed."),
-    nodes: int = typer.Option(0, help="Controllers; 0: drawn from the seed."),
-    trace: int = typer.Option(NO_TRACE, help="Play one seed alone and print its events."),
-    workers: int = typer.Option(4, help="Processes at work."),
+    seeds: int = typer.Option(500, help="Number of seeds."),
+    first: int = typer.Option(0, "--from", help="First seed."),
+    nodes: int = typer.Option(0, help="Number of controllers; 0: derived from the seed."),
+    trace: int = typer.Option(NO_TRACE, help="Run only this seed and print its events."),
+    workers: int = typer.Option(4, help="Number of worker processes."),
     plant: str = typer.Option("", hidden=True),
 ) -> None:
-    """Play the control plane in simulated time under faults from seeds; 1 if an invariant breaks."""
+    """Simulate the control plane under random faults; the exit status is 1 if an invariant is violated."""
     from flintreach.simulation import trial
 
     controllers = nodes or None
--- a/flintreach/common/__init__.py
+++ b/flintreach/common/__init__.py
@@ -1,1 +1,1 @@
-"""What all programs share."""
+"""Shared by all programs: keys of stored data, and the log."""
--- a/flintreach/common/keys.py
+++ b/flintreach/common/keys.py
@@ -1,22 +1,22 @@
-"""Names that processes and disks share: keys of the register and of updates, and roles of members.
+"""Keys of the register and of updates, and roles of members.
 
-The values are bytes on the wire and on disk, as earlier releases wrote them: a fleet is exchanged process by
-process, and a disk outlives the release that wrote it.  The glossary maps them to the terms used here.
+The values are used on the wire and on disk and must not change: in a rolling upgrade, processes of two
+releases run side by side, and a disk outlives the release that wrote it.  The glossary maps them to the terms
+used here.
 """
 
-# Keys of the register; the first three are keys of updates too.
+# Keys of the register; the first three and the prefix are also keys of updates.
 CONFIGURATION_KEY = "timetable"
 EVACUATION_KEY = "evac"
-ASSIGNMENT_KEY = "map"  # in the register [number, slice -> endpoint ids], as an update the number alone
+ASSIGNMENT_KEY = "map"  # in the register [number, slice -> endpoint ids], in updates only the number
 VOTERS_KEY = "voters"
-KEY_RANGES_PREFIX = (
-    "bunks/"  # and a service: the allocation of its keys; as an update the ranges that are held
-)
+# Followed by the name of a service: the allocation of its keys; in updates the ranges that are held.
+KEY_RANGES_PREFIX = "bunks/"
 
-# Keys of updates alone.
-ENDPOINT_KEY_PREFIX = "hut/"  # and an endpoint's id
-SLICE_KEY_PREFIX = "slice/"  # and a slice, a route with one of its services: ids of its endpoints
+# Keys of updates only.
+ENDPOINT_KEY_PREFIX = "hut/"  # followed by an endpoint id
+SLICE_KEY_PREFIX = "slice/"  # followed by a slice (a route and one of its services): ids of its endpoints
 
-# Roles in the list of members.
+# Roles in the member list.
 ROLE_CONTROLLER = "refuge"
 ROLE_PROXY = "bothy"
--- a/flintreach/common/log.py
+++ b/flintreach/common/log.py
@@ -1,6 +1,6 @@
-"""The log of a program of the system: eliot messages, one JSON object a line, on standard output.
+"""Structured log of the programs: eliot messages as JSON lines on standard output.
 
-What happens often is counted (see `proxy/metrics.py`); a line is for a change of state.
+Only changes of state are logged; frequent events are counted instead (see `proxy/metrics.py`).
 """
 
 import sys
@@ -11,19 +11,19 @@
 to_file(sys.stdout)
 
 
-def write(what: str, fields: dict[str, Any]) -> None:
-    """Write one line.
+def write(event_type: str, fields: dict[str, Any]) -> None:
+    """Write one event to standard output.
 
     Args:
-        what: the type of the message.
-        fields: its fields, of types that JSON has.
+        event_type: the type of the eliot message.
+        fields: the fields of the event; values must be serializable as JSON.
     """
-    log_message(message_type=what, **fields)
+    log_message(message_type=event_type, **fields)
 
 
-sink = write  # a simulation puts its trace here
+sink = write  # the simulation replaces it to record events in its trace
 
 
 def log_event(event_type: str, /, **fields: Any) -> None:
-    """Log a change of state, with what caused it, as `write` does."""
+    """Log a change of state and its cause; see `write` for the arguments."""
     sink(event_type, fields)
--- a/tests/cli/test_configuration.py
+++ b/tests/cli/test_configuration.py
@@ -1,4 +1,4 @@
-"""Commands on configurations: their statuses and what they print."""
+"""Commands for configurations: exit statuses and output."""
 
 import tempfile
 import unittest
@@ -12,17 +12,17 @@
 
 
 class Check(unittest.TestCase):
-    def test_the_status_and_the_text_tell_what_is_wrong_with_a_file(self) -> None:
+    def test_exit_status_and_output_for_valid_and_invalid_files(self) -> None:
         app = build_app()
         runner = CliRunner()
         with tempfile.TemporaryDirectory() as folder:
-            good = Path(folder, "good.json")
-            bad = Path(folder, "bad.json")
-            good.write_bytes(msgspec.json.encode(CONFIGURATION))
-            bad.write_bytes(msgspec.json.encode(CONFIGURATION | {"depots": []}))
+            valid = Path(folder, "valid.json")
+            invalid = Path(folder, "invalid.json")
+            valid.write_bytes(msgspec.json.encode(CONFIGURATION))
+            invalid.write_bytes(msgspec.json.encode(CONFIGURATION | {"depots": []}))
             for path, status, text in (
-                (str(good), 0, "2 routes"),
-                (str(bad), 2, "unknown line"),
+                (str(valid), 0, "2 routes"),
+                (str(invalid), 2, "unknown line"),
                 (folder, 2, ""),
             ):
                 result = runner.invoke(app, ["check", path])
--- a/tests/cli/test_inspection.py
+++ b/tests/cli/test_inspection.py
@@ -1,4 +1,4 @@
-"""Commands on controllers: statuses for what can't be asked."""
+"""Commands for controllers: exit statuses for invalid arguments."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class Show(unittest.TestCase):
-    def test_a_view_that_there_is_not_ends_it_with_status_2(self) -> None:
+    def test_an_unknown_view_ends_with_status_2(self) -> None:
         result = CliRunner().invoke(build_app(), ["show", "moon", "--at", "x:1"])
         self.assertEqual(result.exit_code, 2)
 
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,36 +1,36 @@
-"""The start of programs: what it keeps from being loaded."""
+"""Start of programs without the import of Typer, which would delay it on a fraction of a core."""
 
 import os
 import subprocess
 import sys
 import unittest
 
-# A program, or the pilot, that ends as soon as it is started, and tells whether Typer was loaded until then.
-START = """
+# Starts a program or the pilot, whose main function prints whether Typer was imported and exits.
+START_SCRIPT = """
 import sys
 from flintreach import __main__
-def told():
+def print_and_exit():
     print("typer" in sys.modules)
     sys.exit()
 if sys.argv[1] == "serve":
     from flintreach.net import run
     from flintreach.cli import pilot_service
-    run.run = lambda *arguments: told()
+    run.run = lambda *arguments: print_and_exit()
     pilot_service.read_configuration = lambda path: None
 else:
     import importlib
-    importlib.import_module(f"flintreach.{__main__.PROGRAMS[sys.argv[1]]}.program").main = told
+    importlib.import_module(f"flintreach.{__main__.PROGRAMS[sys.argv[1]]}.program").main = print_and_exit
 __main__.main(sys.argv[1:])
 """
 
 
 class Start(unittest.TestCase):
-    def test_programs_and_the_pilot_start_without_typer(self) -> None:
+    def test_programs_and_the_pilot_start_without_importing_typer(self) -> None:
         environ = {name: value for name, value in os.environ.items() if name != "FLINTREACH_OPERATOR"}
         for name in ("serve", "proxy", "controller"):
-            command = [sys.executable, "-c", START, name]
-            ended = subprocess.run(command, capture_output=True, env=environ, timeout=60)
-            self.assertEqual((ended.returncode, ended.stdout), (0, b"False\n"), (name, ended.stderr))
+            command = [sys.executable, "-c", START_SCRIPT, name]
+            process = subprocess.run(command, capture_output=True, env=environ, timeout=60)
+            self.assertEqual((process.returncode, process.stdout), (0, b"False\n"), (name, process.stderr))
 
 
 if __name__ == "__main__":
--- a/tests/cli/test_trials.py
+++ b/tests/cli/test_trials.py
@@ -1,4 +1,4 @@
-"""Commands to try the system out: both spellings of the system on one machine."""
+"""Commands to try out the system: demo, and its earlier name camp."""
 
 import unittest
 from unittest import mock
@@ -9,7 +9,7 @@
 
 
 class Demo(unittest.TestCase):
-    def test_both_spellings_start_the_same(self) -> None:
+    def test_both_names_start_the_demo(self) -> None:
         for arguments in (
             ["demo", "--proxies", "2", "--controllers", "4", "--desks", "5", "--stores", "6", "--port", "7"],
             ["camp", "--proxies", "2", "--refuges", "4", "--desks", "5", "--stores", "6", "--port", "7"],
@@ -19,7 +19,7 @@
             serve.assert_called_once_with(2, 4, 5, 6, 7)
             self.assertEqual(result.exit_code, 1, arguments)
 
-    def test_only_the_newer_spelling_is_listed(self) -> None:
+    def test_only_the_current_name_is_listed(self) -> None:
         commands = {command.callback.__name__: command for command in build_app().registered_commands}
         self.assertFalse(commands["demo"].hidden)
         self.assertTrue(commands["camp"].hidden)
