--- a/flintreach/cli/trials.py
+++ b/flintreach/cli/trials.py
@@ -41,8 +41,8 @@
 
     controllers = nodes or None
     if trace > NO_TRACE:
-        outcome = trial.play(trace, controllers, kept=SIMULATION_TRACE_EVENTS, mutant=plant)
+        outcome = trial.run_trial(trace, controllers, trace_length=SIMULATION_TRACE_EVENTS, mutant=plant)
         typer.echo(f"{outcome.report()}\n  digest {outcome.digest}, {outcome.events} events")
         raise typer.Exit(bool(outcome.broken))
     played = range(first, first + seeds)
-    raise typer.Exit(trial.show(played, controllers, workers, typer.echo, plant))
+    raise typer.Exit(trial.run_and_print(played, controllers, workers, typer.echo, plant))
--- a/flintreach/simulation/disk.py
+++ b/flintreach/simulation/disk.py
@@ -61,7 +61,7 @@
             span_ms = MAX_SLOW_WRITE_MS
         elif self.fault == DiskFault.HUNG:
             span_ms = MAX_HUNG_WRITE_MS
-        return int((MIN_WRITE_MS + span_ms * self.sim.chance.random()) * NS_PER_MS)
+        return int((MIN_WRITE_MS + span_ms * self.sim.rng.random()) * NS_PER_MS)
 
 
 class Write(NamedTuple):
@@ -112,7 +112,7 @@
 
     def create_facts(self, node: str, first_run: bool) -> None:
         """Write the facts of a new disk.  Only at a first start an empty disk has lost nothing."""
-        incarnation = f"{self.disk.sim.chance.getrandbits(48):012x}"
+        incarnation = f"{self.disk.sim.rng.getrandbits(48):012x}"
         lost_nothing = YES if first_run else NO
         self.disk.facts = {
             FORMAT_FACT: FORMAT,
@@ -143,7 +143,7 @@
         """Begin to write all that waits."""
         self.writing = self.pending
         self.pending = []
-        self.disk.sim.after(self.disk.draw_write_delay(), self.end_commit, self.writing)
+        self.disk.sim.call_after(self.disk.draw_write_delay(), self.end_commit, self.writing)
 
     def end_commit(self, batch: list[Write]) -> None:
         """Finish a commit, begin the next, and tell the callers."""
@@ -156,7 +156,7 @@
         if self.pending:
             self.begin_commit()
         for write in batch:
-            self.process.do(write.waiter.wake, written)
+            self.process.dispatch(write.waiter.wake, written)
 
     def apply(self, batch: list[Write]) -> None:
         """Put a commit on the disk; a slot of None and an empty row remove an entry."""
@@ -175,7 +175,7 @@
     def end(self) -> None:
         """The process is gone: a commit under way may have reached the disk."""
         under_way = self.writing is not None and self.disk.fault != DiskFault.FULL
-        if under_way and self.disk.sim.chance.random() < 0.5:
+        if under_way and self.disk.sim.rng.random() < 0.5:
             self.apply(self.writing)
         self.writing = None
         self.pending = []
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -84,7 +84,7 @@
         self.site = site
         self.checker = checker
         self.sim = site.sim
-        self.chance = random.Random(site.sim.chance.getrandbits(64))
+        self.chance = random.Random(site.sim.rng.getrandbits(64))
         self.later_chance = random.Random(self.chance.getstate()[1][0])
         self.lost: dict[Machine, int | None] = {}
         self.over = False
@@ -122,7 +122,7 @@
 
     def after_s(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
         """Run a call when some seconds have passed."""
-        self.sim.after(int(seconds * NS_PER_SECOND), call, *args)
+        self.sim.call_after(int(seconds * NS_PER_SECOND), call, *args)
 
     def pause(self) -> None:
         """Begin a calm time, and have the next come after another burst."""
@@ -167,7 +167,7 @@
         self.lost[machine] = self.sim.now_ns + CATCH_UP_NS
         self.checker.count_fault(-1)
         if not self.over and self.chance.random() < 0.3:
-            self.sim.after(CATCH_UP_NS + NS_PER_MS, self.strike_once)  # right when it no longer counts
+            self.sim.call_after(CATCH_UP_NS + NS_PER_MS, self.strike_once)  # right when it no longer counts
 
     def candidates(self) -> list[Machine]:
         """Machines of controllers that are up and may be lost now."""
@@ -230,14 +230,14 @@
             left -= 1
             if left:
                 return
-            self.site.network.trap = None
+            self.site.network.on_message = None
             if strikes_all:
-                self.sim.after(int(self.chance.random() * 5 * NS_PER_MS), self.all_at_once)
+                self.sim.call_after(int(self.chance.random() * 5 * NS_PER_MS), self.all_at_once)
                 return
             struck = self.chance.choice((sender, sender, receiver))
-            self.sim.after(0, self.strike_at, struck, HARD_FAULTS)
+            self.sim.call_after(0, self.strike_at, struck, HARD_FAULTS)
 
-        self.site.network.trap = trap
+        self.site.network.on_message = trap
 
     def strike_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
         """Strike a machine with one fault of some kinds, if it may be lost now; None: any machine."""
@@ -268,7 +268,7 @@
         """Undo a fault after a while, at the latest when all are to be over."""
         now_ns = self.sim.now_ns
         undo_ns = max(now_ns, min(now_ns + delay_ns, self.until_ns))
-        self.sim.at(undo_ns, self.undo, machine, call, args)
+        self.sim.call_at(undo_ns, self.undo, machine, call, args)
 
     def undo(self, machine: Machine, call: Callable[..., Any], args: tuple) -> None:
         """Undo a fault now."""
@@ -387,7 +387,7 @@
         def leave() -> None:
             if is_planned and is_up(machine):
                 machine.process.stop(remove)
-                self.sim.after(GRACE_NS, remove)
+                self.sim.call_after(GRACE_NS, remove)
             else:
                 remove()
 
@@ -397,7 +397,7 @@
             site.remove(machine)
             site.choose_seeds(self.chance)
             if not comes_first:
-                self.sim.after(NS_PER_SECOND, arrive)
+                self.sim.call_after(NS_PER_SECOND, arrive)
             self.later(machine, (0 if comes_first else NS_PER_SECOND) + 1, do_nothing)
 
         if comes_first:
@@ -473,7 +473,7 @@
         for machine in [*self.site.controllers.values()]:
             if machine in wiped or strikes_all:
                 self.strike_with_all(machine, power, machine in wiped)
-        self.sim.after(NS_PER_SECOND, self.checker.count_fault, -1)
+        self.sim.call_after(NS_PER_SECOND, self.checker.count_fault, -1)
 
     def strike_with_all(self, machine: Machine, power: bool, wiped: bool) -> None:
         """End one machine's process as a part of `all_at_once`; it starts again soon."""
@@ -520,15 +520,15 @@
             left = [*site.controllers.values()]
             next_lost = asked if chance.random() < 0.5 else chance.choice(left)
             delay_ns = int(chance.choice((0.0, chance.random())) * 40 * NS_PER_MS)
-            sim.after(delay_ns, self.lose_after_handover, next_lost, struck)
+            sim.call_after(delay_ns, self.lose_after_handover, next_lost, struck)
 
         self.note(machine, "hands over")
         if chance.random() < 0.6:
             order_args = (machine, successor, asked, remove)
-            asked.process.do(asked.process.runtime.spawn, self.order_replacement, *order_args)
+            asked.process.dispatch(asked.process.runtime.spawn, self.order_replacement, *order_args)
         else:
             machine.process.stop(remove)
-        sim.after(HANDOVER_GRACE_NS, remove)
+        sim.call_after(HANDOVER_GRACE_NS, remove)
         sim.run(sim.now_ns + 14 * NS_PER_SECOND)
         if not self.acknowledged():
             self.checker.broke("live", "after a handover and a loss an order is not acknowledged")
@@ -561,7 +561,7 @@
         if refusal:
             machine.process.stop(remove)
         else:
-            self.sim.after(0, remove)
+            self.sim.call_after(0, remove)
 
     def acknowledged(self, seconds: float = 14.0) -> bool:
         """Whether a new configuration is acknowledged while nothing else happens.
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -21,7 +21,7 @@
 from flintreach.simulation.scheduler import (
     NS_PER_MS,
     NS_PER_SECOND,
-    Broken,
+    InvariantViolation,
     Simulation,
     seconds_since_start,
 )
@@ -155,14 +155,14 @@
             name: a key of `INVARIANTS`.
             text: what was seen.
         """
-        if self.sim.broken is not None:
+        if self.sim.violation is not None:
             return
         self.counts[name] += 1
         if name not in self.seen:
-            self.seen[name] = (round(self.sim.seconds, 3), text)
+            self.seen[name] = (round(self.sim.elapsed_s, 3), text)
             self.sim.note("BROKEN", f"{name}: {text}")
         if name in self.on:
-            self.sim.fail(Broken(name, text))
+            self.sim.fail(InvariantViolation(name, text))
 
     # Calm times.
 
@@ -181,7 +181,7 @@
         watchers = self.on_ack
         self.on_ack = []
         for watcher in watchers:
-            self.sim.after(0, watcher)
+            self.sim.call_after(0, watcher)
 
     # Configurations.
 
@@ -304,7 +304,7 @@
             record = controller.plane.registry.records.get(id)
             if record is None or record.state != EndpointState.READY:
                 continue
-            if left_ns < controller.began_at_ns:
+            if left_ns < controller.started_at_ns:
                 since = time_text(left_ns)
                 self.broke("drain", f"{controller.name} begins with {id} as ready, leaving since {since}")
 
@@ -457,7 +457,7 @@
             return
         for process in self.processes():
             serves = getattr(process, "listening", True)
-            if serves and now_ns - process.began_at_ns > START_NS:
+            if serves and now_ns - process.started_at_ns > START_NS:
                 self.check_in_touch(process)
 
     def check_confirmed(self, process: Process) -> None:
@@ -526,7 +526,7 @@
 
     def may_have_contact(self, controller: "SimulatedController") -> bool:
         """Whether a controller may be in contact with a majority: joined to it for a way and back."""
-        joined = self.site.network.joined
+        joined = self.site.network.connected
         running = self.site.running_controllers()
         joined_count = sum(joined(controller.machine.ip, other.machine.ip) for other in running)
         has_majority = 2 * joined_count > len(self.site.controllers)
--- a/flintreach/simulation/mutants.py
+++ b/flintreach/simulation/mutants.py
@@ -95,7 +95,7 @@
 
     def mutant(self: Any, *args: Any, **named: Any) -> bool:
         runtime = self.process.runtime
-        self.process.sim.after(LATE_SYNC_NS, runtime.spawn, lambda: persist(self, *args, **named))
+        self.process.sim.call_after(LATE_SYNC_NS, runtime.spawn, lambda: persist(self, *args, **named))
         return True
 
     return mutant
--- a/flintreach/simulation/network.py
+++ b/flintreach/simulation/network.py
@@ -92,7 +92,7 @@
         sim = self.process.sim
         delay_ns = self.network.delay(self.process.machine, self.peer.process.machine)
         self.last_arrival_ns = max(self.last_arrival_ns + 1, sim.now_ns + delay_ns)
-        sim.at(self.last_arrival_ns, self.network.arrive, self)
+        sim.call_at(self.last_arrival_ns, self.network.arrive, self)
 
     def ask(self, kind: str, body: Any = None, timeout: float = 1.0) -> Any:
         """Send a question and wait for its answer.
@@ -154,7 +154,7 @@
         if number < 0:
             waiter = self.waiting.get(-number)
             if waiter is not None:
-                self.process.soon(waiter.wake, (body,))
+                self.process.call_soon(waiter.wake, (body,))
             return
         handler = self.handlers.get(kind)
         if handler is None:
@@ -180,7 +180,7 @@
         self.closed = True
         self.process.links.pop(self, None)
         for waiter in [*self.waiting.values()]:
-            self.process.soon(waiter.wake, None)
+            self.process.call_soon(waiter.wake, None)
         for watcher in self.on_close:
             watcher(self)
 
@@ -214,7 +214,7 @@
         self.process: Process | None = None
         self.extra_delay_ns = 0
         self.recovered_at_ns = 0
-        chance = network.sim.chance
+        chance = network.sim.rng
         self.clock_offset_ns = chance.randrange(10**6) * NS_PER_SECOND
         self.wall_clock_error_ms = chance.randrange(-300, 300)
         network.machines[ip] = self
@@ -228,7 +228,7 @@
         """Get power; the steady clock begins anew."""
         self.powered = True
         sim = self.network.sim
-        self.clock_offset_ns = sim.chance.randrange(100) * NS_PER_SECOND - sim.now_ns
+        self.clock_offset_ns = sim.rng.randrange(100) * NS_PER_SECOND - sim.now_ns
 
     def wall_ms(self) -> int:
         """The time of day as this machine has it, in milliseconds."""
@@ -242,7 +242,8 @@
         loss: share of datagrams that are lost.
         machines: by IP address.
         cuts: directions in which nothing passes, each with how many partitions cut it.
-        trap: called with the sender's machine, the receiver's and the data, at each message that arrives.
+        on_message: called with the sender's machine, the receiver's and the data, at each message that
+            arrives.
         stuck: connections with bytes that a partition holds up, by direction.
     """
 
@@ -252,7 +253,7 @@
         self.loss = loss
         self.machines: dict[str, Machine] = {}
         self.cuts: dict[AddressPair, int] = {}
-        self.trap: Callable[[Machine, Machine, bytes], None] | None = None
+        self.on_message: Callable[[Machine, Machine, bytes], None] | None = None
         self.stuck: dict[AddressPair, dict[PeerConnection, None]] = {}
 
     def delay(self, sender: Machine, receiver: Machine) -> int:
@@ -263,7 +264,7 @@
             base_ns = DELAY_IN_REGION_NS
         else:
             base_ns = DELAY_BETWEEN_REGIONS_NS
-        drawn_ns = int(base_ns * (1 + self.sim.chance.random()))
+        drawn_ns = int(base_ns * (1 + self.sim.rng.random()))
         return drawn_ns + sender.extra_delay_ns + receiver.extra_delay_ns
 
     def cut(self, pairs: Iterable[AddressPair]) -> None:
@@ -288,7 +289,7 @@
                 for _ in range(held_up):
                     link.schedule_arrival()
 
-    def joined(self, first_ip: str, second_ip: str) -> bool:
+    def connected(self, first_ip: str, second_ip: str) -> bool:
         """Whether messages pass both ways between two addresses."""
         return (first_ip, second_ip) not in self.cuts and (second_ip, first_ip) not in self.cuts
 
@@ -314,35 +315,35 @@
             self.miss_acknowledgement(link)  # the message arrives, but the acknowledgement does not
         if link.peer.closed or not link.peer.process.alive:
             if data is not FIN:
-                self.sim.after(self.delay(receiver, sender), self.reset, link)
+                self.sim.call_after(self.delay(receiver, sender), self.reset, link)
             return
         if data is not FIN:
             self.sim.record_message(data)
-            if self.trap is not None:
-                self.trap(sender, receiver, data)
+            if self.on_message is not None:
+                self.on_message(sender, receiver, data)
                 if not link.peer.process.alive:
                     return
-        link.peer.process.do(link.peer.take, data)
+        link.peer.process.dispatch(link.peer.take, data)
 
     def reset(self, link: PeerConnection) -> None:
         """A reset by the peer's system arrives: its process is gone, or has closed its end."""
-        if self.joined(link.process.machine.ip, link.peer.process.machine.ip):
-            link.process.do(link.lost)
+        if self.connected(link.process.machine.ip, link.peer.process.machine.ip):
+            link.process.dispatch(link.lost)
 
     def miss_acknowledgement(self, link: PeerConnection) -> None:
         """From now on nothing is acknowledged: have `give_up` look at that when the time limit is over."""
         if link.unacknowledged_since_ns is None:
             link.unacknowledged_since_ns = self.sim.now_ns
-            self.sim.after(USER_TIMEOUT_MS * NS_PER_MS, self.give_up, link)
+            self.sim.call_after(USER_TIMEOUT_MS * NS_PER_MS, self.give_up, link)
 
     def give_up(self, link: PeerConnection) -> None:
         """End a connection whose data stayed unacknowledged for `USER_TIMEOUT_MS`, if it still does."""
         link.unacknowledged_since_ns = None
         receiver = link.peer.process.machine
-        reachable = self.joined(link.process.machine.ip, receiver.ip) and receiver.powered
+        reachable = self.connected(link.process.machine.ip, receiver.ip) and receiver.powered
         if not reachable or link.held_up:
             link.in_flight.clear()
-            link.process.do(link.lost)
+            link.process.dispatch(link.lost)
 
     def dial(
         self, process: Process, address: Address, handlers: MessageHandlers, timeout: float
@@ -371,7 +372,7 @@
 
     def datagram(self, sender: Machine, address: Address, data: bytes) -> None:
         """Send a datagram: it may be lost, doubled, or overtaken by others."""
-        chance = self.sim.chance
+        chance = self.sim.rng
         receiver = self.machines.get(address[0])
         if receiver is None or chance.random() < self.loss:
             return
@@ -381,7 +382,7 @@
             if chance.random() < 0.1:
                 reordering_ns = int(chance.expovariate(1 / MEAN_REORDERING_MS) * NS_PER_MS)
             delay_ns = self.delay(sender, receiver) + reordering_ns
-            self.sim.after(delay_ns, self.deliver_datagram, sender, receiver, data)
+            self.sim.call_after(delay_ns, self.deliver_datagram, sender, receiver, data)
 
     def deliver_datagram(self, sender: Machine, receiver: Machine, data: bytes) -> None:
         """Hand a datagram to the process that listens for it, if it can arrive."""
@@ -391,7 +392,7 @@
         if process is None or not process.on_datagram:
             return
         self.sim.record_message(data)
-        process.do(process.on_datagram, data, sender)
+        process.dispatch(process.on_datagram, data, sender)
 
 
 class ConnectionAttempt:
@@ -411,14 +412,14 @@
         """Give the connection, `REFUSED`, or None where no outcome came within `timeout` seconds."""
         if self.receiver is not None:
             delay_ns = self.network.delay(self.process.machine, self.receiver)
-            self.network.sim.after(delay_ns, self.arrive)
+            self.network.sim.call_after(delay_ns, self.arrive)
         return self.waiter.wait(timeout)
 
     def arrive(self) -> None:
         """The request reaches the machine, which accepts or refuses it, or stays silent."""
         sender = self.process.machine
         receiver = self.receiver
-        if not receiver.powered or not self.network.joined(sender.ip, receiver.ip):
+        if not receiver.powered or not self.network.connected(sender.ip, receiver.ip):
             return
         outcome: Any = REFUSED
         listener = receiver.process
@@ -427,7 +428,7 @@
             outcome.peer = PeerConnection(listener, listener.handlers)
             outcome.peer.peer = outcome
         delay_ns = self.network.delay(receiver, sender)
-        self.network.sim.after(delay_ns, self.process.do, self.finish, outcome)
+        self.network.sim.call_after(delay_ns, self.process.dispatch, self.finish, outcome)
 
     def finish(self, outcome: Any) -> None:
         """The outcome reaches who dialled; a connection that comes after the time-out is closed."""
--- a/flintreach/simulation/process.py
+++ b/flintreach/simulation/process.py
@@ -34,7 +34,7 @@
         machine: where it runs.
         alive: False from its end on.
         frozen: whether it is stopped, as by SIGSTOP.
-        began_at_ns: virtual time of its start.
+        started_at_ns: virtual time of its start.
         backlog: calls with their arguments that a freeze holds up.
         tasks: greenlets that have not ended, in the order of their start.
         links: open connections, in the order of their making.
@@ -57,7 +57,7 @@
         self.name = name
         self.alive = True
         self.frozen = False
-        self.began_at_ns = sim.now_ns
+        self.started_at_ns = sim.now_ns
         self.backlog: list[tuple[Callable[..., Any], tuple]] = []
         self.tasks: dict[greenlet.greenlet, None] = {}
         self.links: dict[PeerConnection, None] = {}
@@ -71,7 +71,7 @@
         """Whether it has neither ended nor is frozen."""
         return self.alive and not self.frozen
 
-    def do(self, call: Callable[..., Any], *args: Any) -> None:
+    def dispatch(self, call: Callable[..., Any], *args: Any) -> None:
         """Run a call in this process, now or after a thaw; never after its end."""
         if not self.alive:
             return
@@ -83,14 +83,14 @@
         call(*args)
         self.sim.running = interrupted
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
         """Run a call in this process before time goes on, after what is ready already."""
-        self.sim.ready.append((self.do, (call, *args)))
+        self.sim.ready.append((self.dispatch, (call, *args)))
 
-    def after(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
         """Run a call in this process when some seconds have passed, and up to a millisecond later."""
-        lateness_ns = int(self.sim.chance.random() * MAX_TIMER_LATENESS_NS)
-        self.sim.after(max(0, int(seconds * NS_PER_SECOND)) + lateness_ns, self.do, call, *args)
+        lateness_ns = int(self.sim.rng.random() * MAX_TIMER_LATENESS_NS)
+        self.sim.call_after(max(0, int(seconds * NS_PER_SECOND)) + lateness_ns, self.dispatch, call, *args)
 
     def pause(self) -> Any:
         """Switch from a task to the scheduler.
@@ -118,11 +118,11 @@
         self.machine.recovered_at_ns = self.sim.now_ns
         waiting = self.backlog
         self.backlog = []
-        if self.sim.chance.random() < 0.5:
+        if self.sim.rng.random() < 0.5:
             # Either timers that ran out come before buffered messages, or all comes in the order of arrival.
             waiting.sort(key=lambda entry: not wakes_task(entry[0]))
         for call, args in waiting:
-            self.soon(call, *args)
+            self.call_soon(call, *args)
 
     def end(self, notify_peers: bool) -> None:
         """End all tasks and connections at once.
@@ -176,7 +176,7 @@
             What it is woken with; None where `timeout` seconds passed before.
         """
         if timeout is not None:
-            self.process.after(timeout, self.wake, None)
+            self.process.call_later(timeout, self.wake, None)
         return self.process.pause()
 
 
@@ -204,7 +204,7 @@
         waiters = self.waiters
         self.waiters = []
         for waiter in waiters:
-            self.process.soon(waiter.wake, True)
+            self.process.call_soon(waiter.wake, True)
 
     def clear(self) -> None:
         """Lower the flag."""
@@ -255,7 +255,7 @@
                 waiter.done = True
                 self.owner = waiter.task
                 self.count = 1
-                self.process.soon(waiter.task.switch, True)
+                self.process.call_soon(waiter.task.switch, True)
                 return
 
     def __enter__(self) -> Self:
@@ -288,7 +288,7 @@
         self.greenlet = greenlet.greenlet(self.run, process.sim.hub)
         if process.alive:
             process.tasks[self.greenlet] = None
-            process.soon(self.greenlet.switch)
+            process.call_soon(self.greenlet.switch)
 
     def run(self, *_: object) -> None:
         """Run the function in the task's greenlet, and tell the watchers."""
@@ -324,7 +324,7 @@
         """Take the machine's steady clock as it stands."""
         self.process = process
         self.sim = process.sim
-        self.rng = random.Random(process.sim.chance.getrandbits(64))
+        self.rng = random.Random(process.sim.rng.getrandbits(64))
         self.clock_offset_ns = process.machine.clock_offset_ns
 
     def now(self) -> float:
--- a/flintreach/simulation/scheduler.py
+++ b/flintreach/simulation/scheduler.py
@@ -23,7 +23,7 @@
 DEFAULT_TRACE_EVENTS = 40
 
 
-class Broken(Exception):
+class InvariantViolation(Exception):
     """An invariant does not hold; its arguments are the invariant's name and what was seen."""
 
 
@@ -32,7 +32,7 @@
 
     Attributes:
         seed: from which all draws follow.
-        chance: the draws of the network, the disks and the schedule.
+        rng: the draws of the network, the disks and the schedule.
         now_ns: virtual time in nanoseconds.
         events: how many calls were run.
         timers: heap of (time in ns, order of entry, call, arguments).
@@ -41,14 +41,14 @@
         digest: checksum of all events.
         frames: checksum of the messages between processes alone; it stays where only a note's words change.
         notes: the last events for a trace, as (time in ns, who, what).
-        broken: what `fail` was given first.
+        violation: what `fail` was given first.
         running: the process whose code is running.
     """
 
-    def __init__(self, seed: int, kept: int = DEFAULT_TRACE_EVENTS) -> None:
-        """Begin at `START_S` with nothing to run; `kept` is how many events `notes` keeps."""
+    def __init__(self, seed: int, trace_length: int = DEFAULT_TRACE_EVENTS) -> None:
+        """Begin at `START_S` with nothing to run; `trace_length` is how many events `notes` keeps."""
         self.seed = seed
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now_ns = START_S * NS_PER_SECOND
         self.order = 0
         self.events = 0
@@ -57,30 +57,30 @@
         self.hub = greenlet.getcurrent()
         self.digest = 0
         self.frames = 0
-        self.notes: deque[tuple[int, str, str]] = deque(maxlen=kept)
-        self.broken: Broken | None = None
+        self.notes: deque[tuple[int, str, str]] = deque(maxlen=trace_length)
+        self.violation: InvariantViolation | None = None
         self.running: Process | None = None
 
-    def at(self, when_ns: int, call: Callable[..., Any], *args: Any) -> None:
+    def call_at(self, when_ns: int, call: Callable[..., Any], *args: Any) -> None:
         """Run a call at a virtual time, in nanoseconds; calls of one time run in the order of entry."""
         self.order += 1
         heapq.heappush(self.timers, (when_ns, self.order, call, args))
 
-    def after(self, delay_ns: int, call: Callable[..., Any], *args: Any) -> None:
+    def call_after(self, delay_ns: int, call: Callable[..., Any], *args: Any) -> None:
         """Run a call when some nanoseconds have passed."""
-        self.at(self.now_ns + delay_ns, call, *args)
+        self.call_at(self.now_ns + delay_ns, call, *args)
 
     def run(self, until_ns: int) -> None:
         """Play events until a virtual time, in nanoseconds.
 
         Raises:
-            Broken: an invariant that ends the run does not hold, now or from an earlier run.
+            InvariantViolation: an invariant that ends the run does not hold, now or from an earlier run.
         """
         # Local names: this loop runs some hundred thousand times in a trial.
         ready = self.ready
         timers = self.timers
         pop = heapq.heappop
-        while self.broken is None:
+        while self.violation is None:
             if ready:
                 call, args = ready.popleft()
             elif timers and timers[0][0] <= until_ns:
@@ -90,7 +90,7 @@
                 return
             self.events += 1
             call(*args)
-        raise self.broken
+        raise self.violation
 
     def record_message(self, data: bytes) -> None:
         """Fold a message that arrives into both checksums."""
@@ -106,12 +106,12 @@
         self.digest = self.checksum(self.digest, f"{who} {what}".encode())
         self.notes.append((self.now_ns, who, what))
 
-    def fail(self, error: Broken) -> None:
+    def fail(self, error: InvariantViolation) -> None:
         """End the run before the next event; only the first error counts."""
-        self.broken = self.broken or error
+        self.violation = self.violation or error
 
     @property
-    def seconds(self) -> float:
+    def elapsed_s(self) -> float:
         """Virtual seconds since the beginning."""
         return seconds_since_start(self.now_ns)
 
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -189,10 +189,10 @@
         def leave() -> None:
             self.plane.repair.voter_manager.hand_over()
             self.failure_detector.update_local(state=MemberState.LEFT)
-            self.sim.after(0, self.end, True)
-            self.sim.after(0, ended)
+            self.sim.call_after(0, self.end, True)
+            self.sim.call_after(0, ended)
 
-        self.do(self.runtime.spawn, leave)
+        self.dispatch(self.runtime.spawn, leave)
 
     def end(self, notify_peers: bool) -> None:
         """End at once; see `Process.end`."""
@@ -251,7 +251,7 @@
         if kind != CallKind.GRANT and site.on_release is not None:
             strike = site.on_release
             site.on_release = None
-            site.sim.after(0, strike, process.machine)
+            site.sim.call_after(0, strike, process.machine)
             waiter.wait(LEASE_CALL_TIMEOUT_S)  # the release is not sent any more
             return lease_owner.NO_ANSWER
         EndpointCall(site, self, kind, key_range, waiter).start()
@@ -290,8 +290,8 @@
         self.sim = sim
         self.shape = shape
         self.checker = checker
-        self.network = Network(sim, loss=sim.chance.choice((0.0, 0.02, 0.1)))
-        self.lost_answers = sim.chance.choice((0.0, 0.02, 0.08))
+        self.network = Network(sim, loss=sim.rng.choice((0.0, 0.02, 0.1)))
+        self.lost_answers = sim.rng.choice((0.0, 0.02, 0.08))
         self.disks: dict[str, Disk] = {}
         self.lost_disks: list[LostDisk] = []
         self.removed_ips: list[str] = []
@@ -499,7 +499,7 @@
     def run(self, timeout: float, late: float) -> tuple[int, bytes]:
         """Send the request, and wait for its answer; times in seconds."""
         delay_ns = self.network.delay(self.caller, self.machine) + int(late * NS_PER_SECOND)
-        self.sim.after(delay_ns, self.arrive)
+        self.sim.call_after(delay_ns, self.arrive)
         answer = self.waiter.wait(timeout) or NO_STATUS
         self.caller_gone_ns = self.sim.now_ns + self.network.delay(self.caller, self.machine)
         return answer
@@ -507,13 +507,13 @@
     def arrive(self) -> None:
         """The request reaches the machine, whose process serves it, or whose system refuses it."""
         process = self.machine.process
-        if not self.machine.powered or not self.network.joined(self.caller.ip, self.machine.ip):
+        if not self.machine.powered or not self.network.connected(self.caller.ip, self.machine.ip):
             return
         if process is None or not process.alive or not process.listening:
             self.answer(NO_STATUS)
             return
         self.sim.record_message(self.path.encode())
-        process.do(process.runtime.spawn, self.serve, process)
+        process.dispatch(process.runtime.spawn, self.serve, process)
 
     def serve(self, process: SimulatedController) -> None:
         """Run the shipped application, in a task of the controller."""
@@ -525,8 +525,8 @@
         body = b"".join(process.control(self.environ(), start_response))
         if statuses == [200]:
             self.notify_acknowledged()
-        is_lost = self.sim.chance.random() < self.site.lost_answers
-        if is_lost or not self.network.joined(self.caller.ip, self.machine.ip):
+        is_lost = self.sim.rng.random() < self.site.lost_answers
+        if is_lost or not self.network.connected(self.caller.ip, self.machine.ip):
             return
         self.answer((statuses[0], body))
 
@@ -553,11 +553,11 @@
         watchers = self.site.on_answer
         self.site.on_answer = []
         for watcher in watchers:
-            self.sim.after(0, watcher, self.machine)
+            self.sim.call_after(0, watcher, self.machine)
 
     def answer(self, answer: tuple[int, bytes]) -> None:
         """Send an answer back."""
-        self.sim.after(self.network.delay(self.machine, self.caller), self.waiter.wake, answer)
+        self.sim.call_after(self.network.delay(self.machine, self.caller), self.waiter.wake, answer)
 
 
 class EndpointCall:
@@ -580,7 +580,7 @@
 
     def start(self) -> None:
         """Dial."""
-        self.sim.after(self.delay(), self.connect)
+        self.sim.call_after(self.delay(), self.connect)
 
     def delay(self) -> int:
         """Draw the time of a message either way, in nanoseconds."""
@@ -588,12 +588,12 @@
 
     def connect(self) -> None:
         """The dial reaches the endpoint's machine."""
-        if not self.network.joined(self.caller.ip, self.outside.ip):
+        if not self.network.connected(self.caller.ip, self.outside.ip):
             return
         if self.site.endpoints.get(self.key_range.address) is None:
             self.answer(lease_owner.NO_ANSWER)
         else:
-            self.sim.after(self.delay(), self.process.do, self.send)
+            self.sim.call_after(self.delay(), self.process.dispatch, self.send)
 
     def send(self) -> None:
         """The connection is up: send, if the owner still may."""
@@ -602,25 +602,25 @@
             self.waiter.wake(lease_owner.NOT_SENT)
             return
         lease_s = state.lease_s if self.kind == CallKind.GRANT else 0.0
-        is_late = self.sim.chance.random() < 0.05
+        is_late = self.sim.rng.random() < 0.05
         delay_ns = self.delay()
         if is_late:
-            delay_ns += int(self.sim.chance.random() * MAX_LATE_GRANT_MS * NS_PER_MS)
-        self.sim.after(delay_ns, self.arrive, lease_s)
+            delay_ns += int(self.sim.rng.random() * MAX_LATE_GRANT_MS * NS_PER_MS)
+        self.sim.call_after(delay_ns, self.arrive, lease_s)
 
     def arrive(self, lease_s: float) -> None:
         """The call reaches the endpoint that has the address now."""
         key_range = self.key_range
         endpoint = self.site.endpoints.get(key_range.address)
-        if endpoint is None or not self.network.joined(self.caller.ip, self.outside.ip):
+        if endpoint is None or not self.network.connected(self.caller.ip, self.outside.ip):
             return
         # Each call names whom it is for: another endpoint that has its address now rejects it.
         answer: tuple[int, str | None] = (MISDIRECTED, None)
         if endpoint.id == key_range.holder:
             answer = endpoint.take(self.process, self.kind, key_range, lease_s)
-        if self.sim.chance.random() >= self.site.lost_answers:
+        if self.sim.rng.random() >= self.site.lost_answers:
             self.answer(lease_owner.answered(*answer))
 
     def answer(self, result: lease_owner.CallResult) -> None:
         """Bring a result back to the lease owner."""
-        self.sim.after(self.delay(), self.process.do, self.waiter.wake, result)
+        self.sim.call_after(self.delay(), self.process.dispatch, self.waiter.wake, result)
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -22,7 +22,7 @@
     DEFAULT_TRACE_EVENTS,
     NS_PER_MS,
     NS_PER_SECOND,
-    Broken,
+    InvariantViolation,
     Simulation,
     seconds_since_start,
 )
@@ -55,7 +55,7 @@
         self.sim = sim
         self.site = site
         self.checker = checker
-        self.chance = random.Random(sim.chance.getrandbits(64))
+        self.chance = random.Random(sim.rng.getrandbits(64))
         self.began_ns = sim.now_ns
         self.faults = Faults(site, checker)
         self.callers = Callers(site, checker)
@@ -66,7 +66,7 @@
         """Play all steps.
 
         Raises:
-            Broken: an invariant that ends the run does not hold.
+            InvariantViolation: an invariant that ends the run does not hold.
         """
         self.note_shape()
         self.first_start()
@@ -81,8 +81,8 @@
         self.last_gets()
         self.callers.over = True
         self.checker.check_at_end()
-        if self.sim.broken:
-            raise self.sim.broken
+        if self.sim.violation:
+            raise self.sim.violation
 
     def advance(self, seconds: float) -> None:
         """Play some seconds."""
@@ -108,9 +108,9 @@
             if machine is late_machine:
                 late_s = chance.uniform(0.5, 4.0)
                 self.faults.take(machine)
-                sim.after(int(late_s * NS_PER_SECOND), self.faults.back, machine)
+                sim.call_after(int(late_s * NS_PER_SECOND), self.faults.back, machine)
             start_s = chance.uniform(0, 0.3) + late_s
-            sim.after(int(start_s * NS_PER_SECOND), site.start, machine, True)
+            sim.call_after(int(start_s * NS_PER_SECOND), site.start, machine, True)
 
     def disturb(self) -> None:
         """Play faults and calls for 14 to 30 seconds, and check the invariants now and then."""
@@ -118,13 +118,13 @@
         self.end_ns = self.began_ns + int(self.chance.uniform(14, 30) * NS_PER_SECOND)
         self.faults.start(self.end_ns)
         self.callers.start(self.end_ns)
-        sim.after(CHECK_INTERVAL_NS, self.check)
+        sim.call_after(CHECK_INTERVAL_NS, self.check)
         sim.run(self.end_ns + 2 * NS_PER_SECOND)
 
     def check(self) -> None:
         """Check the invariants, and again after an interval."""
         self.checker.look()
-        self.sim.after(CHECK_INTERVAL_NS, self.check)
+        self.sim.call_after(CHECK_INTERVAL_NS, self.check)
 
     def heal(self) -> None:
         """End all faults, and give the site time to recover."""
@@ -141,7 +141,7 @@
         elif moment < 0.7:
             self.site.on_answer.append(lambda machine: faults.close())
         else:
-            self.sim.after(int(chance.random() * 30 * NS_PER_MS), faults.close)
+            self.sim.call_after(int(chance.random() * 30 * NS_PER_MS), faults.close)
         self.callers.number += 1
         self.site.runtime.spawn(self.callers.put, self.callers.number, chance.choice((0.1, 3.0)))
         self.advance(3)
@@ -265,7 +265,7 @@
 
 
 @contextlib.contextmanager
-def played(sim: Simulation) -> Iterator[None]:
+def simulated_environment(sim: Simulation) -> Iterator[None]:
     """Have the code's log messages go to the trace, and its lease owners call simulated endpoints."""
 
     def note(what: str, fields: dict[str, Any]) -> None:
@@ -290,11 +290,11 @@
         gc.enable()
 
 
-def play(
+def run_trial(
     seed: int,
     controllers: int | None = None,
     on: Iterable[str] = ALL_INVARIANTS,
-    kept: int = DEFAULT_TRACE_EVENTS,
+    trace_length: int = DEFAULT_TRACE_EVENTS,
     mutant: str = "",
     course: Course = course,
 ) -> Outcome:
@@ -304,25 +304,25 @@
         seed: from which everything follows.
         controllers: how many; None: drawn from the seed.
         on: invariants whose break ends the trial.
-        kept: how many events the trace keeps.
+        trace_length: how many events the trace keeps.
         mutant: a fault that is put into the code; see `mutants`.
         course: what is played.
 
     Raises:
         KeyError: there is no such mutant.
     """
-    sim = Simulation(seed, kept)
-    with played(sim), planted(mutant), uncollected():
+    sim = Simulation(seed, trace_length)
+    with simulated_environment(sim), planted(mutant), uncollected():
         outcome = Outcome(seed, f" --nodes {controllers}" if controllers else "")
         checker = InvariantChecker(sim, on)
-        site = Site(sim, Shape(sim.chance, controllers), checker)
+        site = Site(sim, Shape(sim.rng, controllers), checker)
         checker.site = site
         try:
             course(sim, site, checker)
-        except Broken as error:
+        except InvariantViolation as error:
             outcome.broken = error.args[0]
         # Nothing of it may run on when it is collected.
-        sim.broken = sim.broken or Broken("over")
+        sim.violation = sim.violation or InvariantViolation("over")
         for machine in [*site.network.machines.values()]:
             site.end(machine, power=True)
     outcome.digest = f"{sim.digest:08x}"
@@ -336,8 +336,8 @@
 
 
 def play_arguments(arguments: tuple) -> Outcome:
-    """Play one trial in a worker process; `arguments` are those of `play`, in their order."""
-    return play(*arguments)
+    """Play one trial in a worker process; `arguments` are those of `run_trial`, in their order."""
+    return run_trial(*arguments)
 
 
 def many(
@@ -354,10 +354,10 @@
 
     Args:
         seeds: one a trial.
-        controllers: as for `play`.
-        on: as for `play`.
+        controllers: as for `run_trial`.
+        on: as for `run_trial`.
         workers: how many processes; None: one a processor.
-        mutant: as for `play`.
+        mutant: as for `run_trial`.
     """
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(workers, mp_context=context)
@@ -368,7 +368,7 @@
         pool.shutdown(cancel_futures=True)  # a caller who has seen enough waits for no more
 
 
-def show(
+def run_and_print(
     seeds: Iterable[int],
     controllers: int | None,
     workers: int,
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -36,7 +36,7 @@
 from flintreach.simulation.invariants import InvariantChecker
 from flintreach.simulation.scheduler import NS_PER_SECOND, Simulation
 from flintreach.simulation.site import Shape, Site
-from flintreach.simulation.trial import played
+from flintreach.simulation.trial import simulated_environment
 
 DATA = Path(__file__).parents[1] / "data"
 CONFIGURATION = {
@@ -246,9 +246,9 @@
 def control_calls() -> dict[str, str]:
     """Answers of a control process, in the order of the calls."""
     sim, found = Simulation(3), {}
-    with played(sim):
+    with simulated_environment(sim):
         watch = InvariantChecker(sim, ())
-        site = watch.site = Site(sim, Shape(sim.chance, 3), watch)
+        site = watch.site = Site(sim, Shape(sim.rng, 3), watch)
         for machine in [*site.controllers.values(), *site.proxies.values()]:
             site.start(machine, True)
         sim.run(sim.now_ns + 5 * NS_PER_SECOND)
@@ -307,7 +307,7 @@
                 }
             )
 
-        process.do(process.runtime.spawn, run)
+        process.dispatch(process.runtime.spawn, run)
         sim.run(sim.now_ns + 8 * NS_PER_SECOND)
         for machine in [*site.network.machines.values()]:
             site.end(machine, power=True)
--- a/tests/simulation/test_mutants.py
+++ b/tests/simulation/test_mutants.py
@@ -3,7 +3,7 @@
 import unittest
 
 from flintreach.simulation.mutants import MUTANTS, applies
-from flintreach.simulation.trial import endpoint_turnover, many, play
+from flintreach.simulation.trial import endpoint_turnover, many, run_trial
 from tests.simulation.common import ON
 
 MAX_SEEDS = 100  # in which a mutant must be found
@@ -20,7 +20,7 @@
                 continue
             self.assertTrue(on and applies(name), name)
             if mutant.found_by == ("forgotten",):
-                outcome = play(1, on=on, course=endpoint_turnover, mutant=name)
+                outcome = run_trial(1, on=on, course=endpoint_turnover, mutant=name)
                 outcome = outcome if outcome.broken else None
             else:
                 outcome = next((o for o in many(range(MAX_SEEDS), on=on, mutant=name) if o.broken), None)
--- a/tests/simulation/test_trial.py
+++ b/tests/simulation/test_trial.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from flintreach.simulation.trial import endpoint_turnover, many, play
+from flintreach.simulation.trial import endpoint_turnover, many, run_trial
 from tests.simulation.common import ON, OPEN
 
 SEEDS = 500
@@ -16,8 +16,8 @@
 RECORDED = json.loads((Path(__file__).parents[1] / "data" / "simulation.json").read_text())
 PLAY = """
 import json, sys
-from flintreach.simulation.trial import play
-print(json.dumps([play(seed, on=()).digest for seed in json.loads(sys.argv[1])]))
+from flintreach.simulation.trial import run_trial
+print(json.dumps([run_trial(seed, on=()).digest for seed in json.loads(sys.argv[1])]))
 """
 
 
@@ -41,7 +41,7 @@
         self.assertGreater(acks, 10 * SEEDS, "hardly any order got through: nothing was tried")
 
     def test_of_endpoints_that_are_gone_nothing_is_left(self):
-        outcome = play(1, on=("forgotten",), course=endpoint_turnover)
+        outcome = run_trial(1, on=("forgotten",), course=endpoint_turnover)
         self.assertEqual(bool(outcome.broken), "forgotten" in OPEN, outcome.report())
 
     def test_a_seed_plays_the_same_events_whatever_the_hash_seed(self):
@@ -57,7 +57,7 @@
             digests.append(json.loads(completed.stdout.splitlines()[-1]))
         self.assertEqual(digests, [digests[0]] * 4)
         self.assertEqual(len(set(digests[0])), len(seeds))
-        self.assertEqual(play(seeds[0], on=()).digest, digests[0][0])
+        self.assertEqual(run_trial(seeds[0], on=()).digest, digests[0][0])
 
 
 if __name__ == "__main__":
