--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -50,12 +50,12 @@
 
     Attributes:
         chance: their draws.
-        number: version of the last configuration.
+        last_version: version of the last configuration.
         salt: of the last configuration; tells contents of one version apart.
         endpoint_count: how many endpoints there were.
         old_puts: configurations that were sent, to be sent again.
-        over: whether no call is begun any more.
-        lives: all endpoints that there were.
+        stopped: whether no call is begun any more.
+        endpoints: all endpoints that there were.
         until_ns: virtual time at which operators and endpoints begin their last calls.
     """
 
@@ -66,12 +66,12 @@
         self.sim = site.sim
         self.runtime = site.runtime
         self.chance = site.runtime.rng
-        self.number = 0
+        self.last_version = 0
         self.salt = 0
         self.endpoint_count = 0
         self.old_puts: list[Put] = []
-        self.over = False
-        self.lives: list[Endpoint] = []
+        self.stopped = False
+        self.endpoints: list[Endpoint] = []
         self.until_ns = 0
 
     def start(self, until_ns: int, quiet: bool = False) -> None:
@@ -87,7 +87,7 @@
             for _ in range(QUIET_ENDPOINT_TASKS):
                 runtime.spawn(self.run_endpoints)
             runtime.spawn(self.put, 1, 6.0)
-            self.number = 1
+            self.last_version = 1
             return
         for _ in range(2):
             runtime.spawn(self.run_operator)
@@ -100,7 +100,7 @@
     @property
     def calling(self) -> bool:
         """Whether operators and endpoints go on."""
-        return not self.over and self.sim.now_ns < self.until_ns
+        return not self.stopped and self.sim.now_ns < self.until_ns
 
     def pick(self) -> Machine:
         """Draw a controller's machine to call."""
@@ -120,7 +120,7 @@
         """
         backoff_s = FIRST_BACKOFF_S
         began_ns = self.sim.now_ns
-        while self.sim.now_ns < began_ns + seconds * NS_PER_SECOND and not self.over:
+        while self.sim.now_ns < began_ns + seconds * NS_PER_SECOND and not self.stopped:
             machine = self.pick()
             status, _ = self.site.call(machine, "POST", path, body)
             if status:
@@ -137,7 +137,7 @@
         """An order that has just ended was acknowledged in time, if it was calm since its beginning."""
         if self.checker.calm(began_ns) and self.sim.now_ns - began_ns > RECEIPT_NS:
             how = "late" if acknowledged else "not"
-            self.checker.broke("live", f"{what}: {how} acknowledged in a calm time")
+            self.checker.record_violation("live", f"{what}: {how} acknowledged in a calm time")
 
     # Operators.
 
@@ -151,9 +151,9 @@
                 self.repeat_put()
                 continue
             # Two operators take one number now and then.
-            if not self.number or self.chance.random() < 0.65:
-                self.number += self.chance.randint(1, 3)
-            self.put(self.number, self.chance.choice((0.1, 2.0, 6.5, 12.0)))
+            if not self.last_version or self.chance.random() < 0.65:
+                self.last_version += self.chance.randint(1, 3)
+            self.put(self.last_version, self.chance.choice((0.1, 2.0, 6.5, 12.0)))
 
     def repeat_put(self) -> None:
         """An earlier put arrives again."""
@@ -206,7 +206,7 @@
 
     def run_reader(self) -> None:
         """Get the configuration again and again."""
-        while not self.over:
+        while not self.stopped:
             self.runtime.sleep(self.chance.uniform(0.1, 0.8))
             lowest = max(self.checker.highest_acknowledged, self.checker.highest_shown)
             machine = self.pick()
@@ -216,7 +216,7 @@
 
     def run_client(self) -> None:
         """Ask the directory again and again."""
-        while not self.over:
+        while not self.stopped:
             self.runtime.sleep(self.chance.uniform(0.2, 1.0))
             machine = self.pick()
             status, _ = self.site.call(machine, "GET", DIRECTIONS_PATH)
@@ -235,7 +235,7 @@
             if not keeps_address:
                 address = f"10.128.0.{self.endpoint_count}:8080"
             endpoint = Endpoint(self, f"i-{self.endpoint_count}", address)
-            self.lives.append(endpoint)
+            self.endpoints.append(endpoint)
             endpoint.run()
             self.runtime.sleep(self.chance.uniform(2.0, 4.0))
 
@@ -338,7 +338,7 @@
         while callers.sim.now_ns < until_ns or not callers.calling:
             self.check_in()
             callers.runtime.sleep(report_s * self.chance.uniform(0.9, 1.1))
-            if callers.over:
+            if callers.stopped:
                 return False
         return True
 
@@ -387,7 +387,7 @@
         """Make a call until it succeeds, for some seconds; whether it did."""
         sim = self.callers.sim
         began_ns = sim.now_ns
-        while sim.now_ns < began_ns + seconds * NS_PER_SECOND and not self.callers.over:
+        while sim.now_ns < began_ns + seconds * NS_PER_SECOND and not self.callers.stopped:
             if call():
                 return True
             self.callers.runtime.sleep(0.1 + 0.3 * self.chance.random())
@@ -403,7 +403,7 @@
         self.sent.append((path, body))
         status, _ = self.site.call(machine, "POST", path, body)
         if 400 <= status < 500:
-            self.checker.broke("answered", f"{path}: {status} from {machine.name}")
+            self.checker.record_violation("answered", f"{path}: {status} from {machine.name}")
         if status != HTTPStatus.OK:
             self.machine = self.callers.pick()
         return status, machine
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -65,18 +65,18 @@
     """End a fault that undoes itself."""
 
 
-class Faults:
+class FaultInjector:
     """Strikes a site from a seed, within what may be lost at once.
 
     Attributes:
         chance: draws of the faults.
-        later_chance: for faults that came with later releases; what it draws moves no other fault.
+        extra_rng: for faults that came with later releases; what it draws moves no other fault.
         lost: machine -> until when it counts as lost, in nanoseconds; None: not known yet.
         over: whether no fault begins any more.
         resting_until_ns: before which no fault begins.
         zone_spans_ns: how long the faults of a zone's machines last, which go and come together.
         closing: whether the closing fault has struck.
-        callers: who calls the site; set before `hand_over`.
+        callers: who calls the site; set before `hand_over_and_lose`.
     """
 
     def __init__(self, site: Site, checker: InvariantChecker) -> None:
@@ -85,7 +85,7 @@
         self.checker = checker
         self.sim = site.sim
         self.chance = random.Random(site.sim.rng.getrandbits(64))
-        self.later_chance = random.Random(self.chance.getstate()[1][0])
+        self.extra_rng = random.Random(self.chance.getstate()[1][0])
         self.lost: dict[Machine, int | None] = {}
         self.over = False
         self.resting_until_ns = 0
@@ -155,12 +155,12 @@
         machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
         return all(is_up(machine) for machine in machines)
 
-    def take(self, machine: Machine) -> None:
+    def mark_lost(self, machine: Machine) -> None:
         """A fault of a machine begins."""
         self.lost[machine] = None
         self.checker.count_fault(1)
 
-    def back(self, machine: Machine) -> None:
+    def mark_recovered(self, machine: Machine) -> None:
         """A fault of a machine is over; it counts as lost until it has caught up."""
         if machine not in self.lost or self.lost[machine] is not None:
             return
@@ -183,7 +183,7 @@
         """Strike in one way or another, and again after a while."""
         if self.is_done:
             return
-        if self.later_chance.random() < 0.25:
+        if self.extra_rng.random() < 0.25:
             # Keys that a lease owner has just marked for another holder, and whose release goes out no more.
             self.site.on_release = self.strike_at_release
         if self.sim.now_ns >= self.resting_until_ns:
@@ -216,7 +216,7 @@
         def strike(sender: Machine) -> None:
             self.strike_at(sender if strikes_sender else None, HARD_FAULTS)
 
-        self.site.on_answer.append(strike)
+        self.site.on_post_acknowledged.append(strike)
 
     def ambush(self) -> None:
         """Strike in the middle of a change: who has just asked a disk to accept, or that disk's machine."""
@@ -248,7 +248,7 @@
             return
         if machine is None:
             machine = self.chance.choice(candidates)
-        self.take(machine)
+        self.mark_lost(machine)
         self.actions[self.chance.choice(kinds)](machine)
 
     # How a fault ends.
@@ -273,7 +273,7 @@
     def undo(self, machine: Machine, call: Callable[..., Any], args: tuple) -> None:
         """Undo a fault now."""
         call(*args)
-        self.back(machine)
+        self.mark_recovered(machine)
 
     def start_again(self, machine: Machine) -> None:
         """Start the process of a machine, if none runs and it was not removed meanwhile."""
@@ -416,7 +416,7 @@
         self.note(None, f"{zone} goes: {kind}")
         self.zone_spans_ns = [span_ns] * len(machines)
         for machine in machines:
-            self.take(machine)
+            self.mark_lost(machine)
             if kind != ZoneFault.CUT:
                 self.actions[kind](machine)
         self.zone_spans_ns = []
@@ -486,7 +486,7 @@
         if was_up:
             self.after_s(self.chance.uniform(0.2, 1.0), self.start_again, machine)
 
-    def close(self) -> None:
+    def inject_closing_fault(self) -> None:
         """Strike with the closing fault, once."""
         if self.closing:
             return
@@ -496,14 +496,14 @@
             wiped = self.chance.sample([*self.site.controllers.values()], self.site.shape.lost_machines)
         self.all_at_once(wiped)
 
-    def hand_over(self) -> None:
+    def hand_over_and_lose(self) -> None:
         """In calm, exchange a machine for one that has caught up, as planned or by an operator's order.
 
         Right when that is done the machine is gone, and another is lost with its disk.
         """
         site = self.site
         sim = self.sim
-        chance = self.later_chance
+        chance = self.extra_rng
         machine = chance.choice([*site.controllers.values()])
         asked = chance.choice([other for other in site.controllers.values() if other is not machine])
         successor = site.add_controller(machine.zone)
@@ -531,7 +531,7 @@
         sim.call_after(HANDOVER_GRACE_NS, remove)
         sim.run(sim.now_ns + 14 * NS_PER_SECOND)
         if not self.acknowledged():
-            self.checker.broke("live", "after a handover and a loss an order is not acknowledged")
+            self.checker.record_violation("live", "after a handover and a loss an order is not acknowledged")
         self.start_again(struck[0])
         self.checker.count_fault(-1)
         sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
@@ -574,10 +574,10 @@
         """
         results: list[bool] = []
         callers = self.callers
-        callers.number += 1
+        callers.last_version += 1
 
         def put() -> None:
-            results.append(callers.put(callers.number, seconds))
+            results.append(callers.put(callers.last_version, seconds))
 
         self.site.runtime.spawn(put)
         until_ns = self.sim.now_ns + int((seconds + 1) * NS_PER_SECOND)
@@ -585,7 +585,7 @@
             self.sim.run(self.sim.now_ns + NS_PER_SECOND // 10)
         return results == [True]
 
-    def heal_all(self) -> None:
+    def stop(self) -> None:
         """Begin no fault any more, and start what has not come back by itself."""
         self.over = True
         for machine in [*self.site.controllers.values(), *self.site.proxies.values()]:
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -111,7 +111,7 @@
     Attributes:
         on: names of the invariants that end a run.
         counts: invariant -> how often it broke.
-        seen: invariant -> (seconds since the beginning, text) of its first break.
+        first_violations: invariant -> (seconds since the beginning, text) of its first break.
         puts: configurations that were sent, by version and content.
         highest_acknowledged: version of a configuration.
         highest_shown: version of a configuration that a get has shown.
@@ -133,7 +133,7 @@
         self.on = set(on)
         self.site: Site | None = None
         self.counts: Counter[str] = Counter()
-        self.seen: dict[str, tuple[float, str]] = {}
+        self.first_violations: dict[str, tuple[float, str]] = {}
         self.puts: dict[int, dict[bytes, Put]] = {}
         self.highest_acknowledged = NO_CONFIGURATION
         self.highest_shown = NO_CONFIGURATION
@@ -148,7 +148,7 @@
         self.on_ack: list[Callable[[], None]] = []
         self.acks: Counter[str] = Counter()
 
-    def broke(self, name: str, text: str) -> None:
+    def record_violation(self, name: str, text: str) -> None:
         """An invariant does not hold.
 
         Args:
@@ -158,8 +158,8 @@
         if self.sim.violation is not None:
             return
         self.counts[name] += 1
-        if name not in self.seen:
-            self.seen[name] = (round(self.sim.elapsed_s, 3), text)
+        if name not in self.first_violations:
+            self.first_violations[name] = (round(self.sim.elapsed_s, 3), text)
             self.sim.note("BROKEN", f"{name}: {text}")
         if name in self.on:
             self.sim.fail(InvariantViolation(name, text))
@@ -207,9 +207,9 @@
         """No other content was acknowledged under its version, and it was not refused before."""
         name = f"configuration {put.number}"
         if any(other.acknowledged_ns for other in rivals):
-            self.broke("single", f"{name}: a second content was acknowledged by {who}")
+            self.record_violation("single", f"{name}: a second content was acknowledged by {who}")
         if put.refused_ns:
-            self.broke("refused", f"{name}: acknowledged by {who} after it had been refused")
+            self.record_violation("refused", f"{name}: acknowledged by {who} after it had been refused")
         if put.acknowledged_ns is None:
             put.acknowledged_ns = self.sim.now_ns
             self.sim.note("operator", f"{name} acknowledged by {who}")
@@ -221,9 +221,13 @@
         """It does not stand, and another content has its version."""
         name = f"configuration {put.number}"
         if put.acknowledged_ns or self.in_force.get(put.number) == put.body:
-            self.broke("refused", f"{name}: {status} from {who} after it had been acknowledged or shown")
+            self.record_violation(
+                "refused", f"{name}: {status} from {who} after it had been acknowledged or shown"
+            )
         elif not rivals:
-            self.broke("answered", f"{name}: {status} from {who}, and no other content bears its number")
+            self.record_violation(
+                "answered", f"{name}: {status} from {who}, and no other content bears its number"
+            )
         put.refused_ns = put.refused_ns or self.sim.now_ns
 
     def check_durable(self, put: Put, who: str) -> None:
@@ -251,7 +255,7 @@
             return
         holder_ips = sorted(ip for ip, _ in holders)
         voter_ips = [ip for ip, _ in voters.members()]
-        self.broke(name, f"{what}: on the disks of {holder_ips} of the voters {voter_ips}")
+        self.record_violation(name, f"{what}: on the disks of {holder_ips} of the voters {voter_ips}")
 
     def check_get(self, lowest: int, status: int, body: bytes, who: str) -> None:
         """A controller answered a get.
@@ -263,13 +267,15 @@
             who: name of the controller.
         """
         if status == 404 and lowest >= 0:
-            self.broke("kept", f"{who} answers that there is no configuration, {lowest} was acknowledged")
+            self.record_violation(
+                "kept", f"{who} answers that there is no configuration, {lowest} was acknowledged"
+            )
         elif 400 <= status < 500 and status != 404:
-            self.broke("answered", f"get: {status} from {who}")
+            self.record_violation("answered", f"get: {status} from {who}")
         elif status == 200:
             number = version_of(body)
             if number < lowest:
-                self.broke(
+                self.record_violation(
                     "kept", f"{who} answers configuration {number}, {lowest} was acknowledged or shown"
                 )
             self.check_in_force(number, body, who)
@@ -280,12 +286,14 @@
         puts = self.puts.get(number, {})
         put = puts.get(body)
         if put is None:
-            self.broke("kept", f"{who} shows a configuration {number} that nobody sent")
+            self.record_violation("kept", f"{who} shows a configuration {number} that nobody sent")
         elif put.refused_ns:
-            self.broke("refused", f"{who} shows configuration {number} with a content that was refused")
+            self.record_violation(
+                "refused", f"{who} shows configuration {number} with a content that was refused"
+            )
         acknowledged_rivals = [other for other in puts.values() if other.acknowledged_ns and other is not put]
         if self.in_force.setdefault(number, body) != body or acknowledged_rivals:
-            self.broke("single", f"{who} shows another content of configuration {number}")
+            self.record_violation("single", f"{who} shows another content of configuration {number}")
 
     # Updates.
 
@@ -293,7 +301,9 @@
         """A versioned store took in an update: its version is higher than the one before it."""
         source = process, key
         if source in self.versions and not version > self.versions[source]:
-            self.broke("monotonic", f"{process.name}: {key} from {self.versions[source]} to {version}")
+            self.record_violation(
+                "monotonic", f"{process.name}: {key} from {self.versions[source]} to {version}"
+            )
         self.versions[source] = version
         if key == CONFIGURATION_KEY and isinstance(value, bytes):
             self.check_in_force(version_of(value), value, process.name)
@@ -306,7 +316,9 @@
                 continue
             if left_ns < controller.started_at_ns:
                 since = time_text(left_ns)
-                self.broke("drain", f"{controller.name} begins with {id} as ready, leaving since {since}")
+                self.record_violation(
+                    "drain", f"{controller.name} begins with {id} as ready, leaving since {since}"
+                )
 
     # Endpoints.
 
@@ -342,7 +354,7 @@
         is_wrong = is_gone and endpoint.up and endpoint.id not in self.leaving
         endpoint.denied = endpoint.denied + 1 if is_wrong else 0
         if endpoint.denied > 1:
-            self.broke(
+            self.record_violation(
                 "ended", f"{controller.name} acknowledged a check-in of {endpoint.id} and tells it as gone"
             )
 
@@ -393,7 +405,7 @@
             for other_low, other_high, _, until_ns in other.holds:
                 if until_ns > now_ns and other_low <= high and low <= other_high:
                     both = f"{max(other_low, low)}..{min(other_high, high)}"
-                    self.broke(
+                    self.record_violation(
                         "owner", f"{endpoint.id} and {other.id} hold {both}, granted by {process.name}"
                     )
 
@@ -413,7 +425,7 @@
             self.sim.note("operator", f"evacuation of {zone} {what} by {who}")
             self.acknowledged("evacuation")
         elif 400 <= status < 500:
-            self.broke("answered", f"evacuation of {zone}: {status} from {who}")
+            self.record_violation("answered", f"evacuation of {zone}: {status} from {who}")
 
     def settled_evacuations(self, before_ns: int) -> dict[str, bool]:
         """Zones whose last order was acknowledged before a time, and whether they are evacuated."""
@@ -430,7 +442,7 @@
         for zone, is_evacuated in self.settled_evacuations(before_ns).items():
             if bool(evacuated_zones.get(zone)) != is_evacuated:
                 how = "is not" if is_evacuated else "is still"
-                self.broke(name, f"{process.name}: {zone} {how} evacuated")
+                self.record_violation(name, f"{process.name}: {zone} {how} evacuated")
 
     # Now and then.
 
@@ -444,7 +456,7 @@
         """The versioned store of a controller or proxy."""
         return process.plane.updates if hasattr(process, "plane") else process.updates
 
-    def look(self) -> None:
+    def check_invariants(self) -> None:
         """Check what must hold at any time, and in calm times."""
         now_ns = self.sim.now_ns
         for controller in self.site.running_controllers():
@@ -476,12 +488,12 @@
             view = updates.get(f"{ENDPOINT_KEY_PREFIX}{id}")
             if left_ns < confirmed_ns and view and view["state"] not in LEFT_STATES:
                 at = time_text(confirmed_ns)
-                self.broke("confirmed", f"{process.name}: {id} is {view['state']} at {at}")
+                self.record_violation("confirmed", f"{process.name}: {id} is {view['state']} at {at}")
         self.check_evacuations("confirmed", process, confirmed_ns)
         version = updates.entries.get(CONFIGURATION_KEY, (NO_CONFIGURATION,))[0]
         newest = self.newest_acknowledged(confirmed_ns)
         if version < newest:
-            self.broke("confirmed", f"{process.name}: configuration {version} and not {newest}")
+            self.record_violation("confirmed", f"{process.name}: configuration {version} and not {newest}")
 
     def newest_acknowledged(self, before_ns: int) -> int:
         """The highest version that was acknowledged before a time."""
@@ -498,7 +510,7 @@
             return  # a disk that came back empty, and knows of no voters yet
         if voters.epoch in self.epochs:
             if self.epochs[voters.epoch] != voters:
-                self.broke("epochs", f"two sets of voters in epoch {voters.epoch}")
+                self.record_violation("epochs", f"two sets of voters in epoch {voters.epoch}")
             return
         self.epochs[voters.epoch] = voters
         members = [sorted(ip for ip, _ in voter_set) for voter_set in voters.sets]
@@ -511,7 +523,7 @@
         both_single = len(previous.sets) == len(voters.sets) == 1
         # Majorities of two sets that differ by one member meet.
         if not (both_single and len(previous.sets[0] ^ voters.sets[0]) <= 1):
-            self.broke("epochs", f"epoch {voters.epoch} shares no set with the one before it")
+            self.record_violation("epochs", f"epoch {voters.epoch} shares no set with the one before it")
 
     def check_in_touch(self, process: Process) -> None:
         """A process that has been in touch for a while holds what was acknowledged a while ago."""
@@ -521,7 +533,7 @@
             view = updates.get(f"{ENDPOINT_KEY_PREFIX}{id}")
             if view and view["state"] == EndpointState.READY and now_ns > left_ns + DRAIN_NS:
                 since = time_text(left_ns)
-                self.broke("drain", f"{process.name} tells {id} as ready, leaving since {since}")
+                self.record_violation("drain", f"{process.name} tells {id} as ready, leaving since {since}")
         self.check_evacuations("evacuated", process, now_ns - EVACUATE_NS)
 
     def may_have_contact(self, controller: "SimulatedController") -> bool:
@@ -540,7 +552,7 @@
         alone_ns = now_ns - self.contacts.get(controller, now_ns)
         if status == 200 and alone_ns > STALE_NS:
             alone_s = alone_ns / NS_PER_SECOND
-            self.broke("stale", f"{controller.name} answers directions, alone for {alone_s:.1f} s")
+            self.record_violation("stale", f"{controller.name} answers directions, alone for {alone_s:.1f} s")
 
     # At the end.
 
@@ -550,7 +562,7 @@
         views = [self.view_at_end(process, steady) for process in self.processes()]
         for view in views[1:]:
             if view[1:] != views[0][1:]:
-                self.broke("agree", f"{view} and {views[0]}")
+                self.record_violation("agree", f"{view} and {views[0]}")
         self.check_voters_at_end()
 
     def view_at_end(self, process: Process, steady: list[str]) -> tuple[str, Any, list[str], dict[str, bool]]:
@@ -569,10 +581,10 @@
         evacuated_zones = sorted(zone for zone, is_evacuated in evacuations.items() if is_evacuated)
         lowest = self.highest_acknowledged
         if lowest >= 0 and (version is None or version < lowest):
-            self.broke("agree", f"{process.name} holds configuration {version} and not {lowest}")
+            self.record_violation("agree", f"{process.name} holds configuration {version} and not {lowest}")
         missing = [id for id, is_ready in steady_ready.items() if not is_ready]
         if missing:
-            self.broke("agree", f"{process.name} does not tell {missing} as ready")
+            self.record_violation("agree", f"{process.name} does not tell {missing} as ready")
         return process.name, version, evacuated_zones, steady_ready
 
     def check_forgotten(self, endpoints: list["Endpoint"]) -> None:
@@ -591,7 +603,9 @@
             for where, known in known_ids.items():
                 kept = known & ids
                 if kept:
-                    self.broke("forgotten", f"{process.name}: {len(kept)} of {len(ids)} in its {where}")
+                    self.record_violation(
+                        "forgotten", f"{process.name}: {len(kept)} of {len(ids)} in its {where}"
+                    )
 
     def check_voters_at_end(self) -> None:
         """The voters are enough, and any loss within bounds leaves a quorum of them."""
@@ -603,19 +617,19 @@
         text = f"epoch {voters.epoch}: {member_ips} of {sorted(ip for ip, _ in machines)}"
         alive = members & set(machines)
         if len(alive) < min(2 * shape.lost_machines + 1, len(machines)):
-            self.broke("voters", f"{text}: too few for the loss of {shape.lost_machines}")
+            self.record_violation("voters", f"{text}: too few for the loss of {shape.lost_machines}")
         # One that was removed may still stand among them, as long as any further loss leaves a quorum.
         loss_count = shape.lost_machines if len(machines) > 2 * shape.lost_machines else 0
         for lost in combinations(sorted(alive), loss_count):
             if not voters.is_quorum(alive - {*lost}):
-                self.broke("voters", f"{text}: the loss of {lost} leaves no quorum")
+                self.record_violation("voters", f"{text}: the loss of {lost} leaves no quorum")
         zones = sorted({machine.zone for machine in machines.values()})
         if not shape.lost_zones or len(zones) <= 2:
             return
         for zone in zones:
             left = {address for address, machine in machines.items() if machine.zone != zone}
             if not voters.is_quorum(left & members):
-                self.broke("voters", f"{text}: the loss of {zone} leaves no quorum")
+                self.record_violation("voters", f"{text}: the loss of {zone} leaves no quorum")
 
 
 def configuration(number: int, salt: int, sharded: bool) -> bytes:
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -93,7 +93,7 @@
 )
 
 
-class Shape:
+class SiteShape:
     """How large a site is and what it may lose.
 
     Attributes:
@@ -278,14 +278,14 @@
         controllers: machines of controllers by IP address.
         proxies: machines of proxies by IP address.
         endpoints: which endpoint is at an address now.
-        on_answer: called once each, with the machine that acknowledges a POST next.
+        on_post_acknowledged: called once each, with the machine that acknowledges a POST next.
         on_release: called once, with the machine that is about to ask for keys back.
         outside: the process that stands for all callers.
         runtime: of `outside`.
         seeds: addresses that the settings name to join by.
     """
 
-    def __init__(self, sim: Simulation, shape: Shape, checker: InvariantChecker) -> None:
+    def __init__(self, sim: Simulation, shape: SiteShape, checker: InvariantChecker) -> None:
         """Make the machines; nothing runs on them before `start`."""
         self.sim = sim
         self.shape = shape
@@ -295,7 +295,7 @@
         self.disks: dict[str, Disk] = {}
         self.lost_disks: list[LostDisk] = []
         self.removed_ips: list[str] = []
-        self.on_answer: list[Callable[[Machine], None]] = []
+        self.on_post_acknowledged: list[Callable[[Machine], None]] = []
         self.on_release: Callable[[Machine], None] | None = None
         self.controllers: dict[str, Machine] = {}
         self.proxies: dict[str, Machine] = {}
@@ -410,7 +410,7 @@
 
     def report_crash(self, text: str) -> None:
         """A task of a process was ended by an exception."""
-        self.checker.broke("crash", f"a task ended by an exception:\n{text}")
+        self.checker.record_violation("crash", f"a task ended by an exception:\n{text}")
 
     def watch_updates(self, process: Process, updates: VersionedStore) -> None:
         """Let the checker know of all that a process's versioned store takes in."""
@@ -550,8 +550,8 @@
         """Call those who wait for an acknowledgement, before it is on its way."""
         if self.method != "POST":
             return
-        watchers = self.site.on_answer
-        self.site.on_answer = []
+        watchers = self.site.on_post_acknowledged
+        self.site.on_post_acknowledged = []
         for watcher in watchers:
             self.sim.call_after(0, watcher, self.machine)
 
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -14,7 +14,7 @@
 from flintreach.common import log
 from flintreach.controller import key_ranges
 from flintreach.simulation.callers import Callers
-from flintreach.simulation.faults import Faults
+from flintreach.simulation.faults import FaultInjector
 from flintreach.simulation.invariants import INVARIANTS, InvariantChecker
 from flintreach.simulation.mutants import planted
 from flintreach.simulation.network import Machine
@@ -26,7 +26,7 @@
     Simulation,
     seconds_since_start,
 )
-from flintreach.simulation.site import LeaseOwner, Shape, Site
+from flintreach.simulation.site import LeaseOwner, Site, SiteShape
 
 CHECK_INTERVAL_NS = 250 * NS_PER_MS
 CALM_S = 5.5  # after which a site without faults must answer every request
@@ -57,7 +57,7 @@
         self.checker = checker
         self.chance = random.Random(sim.rng.getrandbits(64))
         self.began_ns = sim.now_ns
-        self.faults = Faults(site, checker)
+        self.faults = FaultInjector(site, checker)
         self.callers = Callers(site, checker)
         self.faults.callers = self.callers
         self.end_ns = 0
@@ -72,14 +72,14 @@
         self.first_start()
         self.disturb()
         self.heal()
-        if self.site.shape.lost_machines and self.faults.later_chance.random() < 0.4:
-            self.faults.hand_over()
+        if self.site.shape.lost_machines and self.faults.extra_rng.random() < 0.4:
+            self.faults.hand_over_and_lose()
         if self.chance.random() < 0.6:
             self.closing_fault()
         self.advance(CALM_S)
         self.last_orders()
         self.last_gets()
-        self.callers.over = True
+        self.callers.stopped = True
         self.checker.check_at_end()
         if self.sim.violation:
             raise self.sim.violation
@@ -107,8 +107,8 @@
             late_s = 0.0
             if machine is late_machine:
                 late_s = chance.uniform(0.5, 4.0)
-                self.faults.take(machine)
-                sim.call_after(int(late_s * NS_PER_SECOND), self.faults.back, machine)
+                self.faults.mark_lost(machine)
+                sim.call_after(int(late_s * NS_PER_SECOND), self.faults.mark_recovered, machine)
             start_s = chance.uniform(0, 0.3) + late_s
             sim.call_after(int(start_s * NS_PER_SECOND), site.start, machine, True)
 
@@ -123,12 +123,12 @@
 
     def check(self) -> None:
         """Check the invariants, and again after an interval."""
-        self.checker.look()
+        self.checker.check_invariants()
         self.sim.call_after(CHECK_INTERVAL_NS, self.check)
 
     def heal(self) -> None:
         """End all faults, and give the site time to recover."""
-        self.faults.heal_all()
+        self.faults.stop()
         self.advance(4.5)
 
     def closing_fault(self) -> None:
@@ -137,25 +137,25 @@
         faults = self.faults
         moment = chance.random()
         if moment < 0.3:
-            self.checker.on_ack.append(faults.close)
+            self.checker.on_ack.append(faults.inject_closing_fault)
         elif moment < 0.7:
-            self.site.on_answer.append(lambda machine: faults.close())
+            self.site.on_post_acknowledged.append(lambda machine: faults.inject_closing_fault())
         else:
-            self.sim.call_after(int(chance.random() * 30 * NS_PER_MS), faults.close)
-        self.callers.number += 1
-        self.site.runtime.spawn(self.callers.put, self.callers.number, chance.choice((0.1, 3.0)))
+            self.sim.call_after(int(chance.random() * 30 * NS_PER_MS), faults.inject_closing_fault)
+        self.callers.last_version += 1
+        self.site.runtime.spawn(self.callers.put, self.callers.last_version, chance.choice((0.1, 3.0)))
         self.advance(3)
-        faults.close()  # where the moment has not come
+        faults.inject_closing_fault()  # where the moment has not come
         self.advance(6)
 
     def last_orders(self) -> None:
         """In calm, a new configuration and an evacuation must be acknowledged in time."""
         callers = self.callers
-        callers.number += 1
+        callers.last_version += 1
         acknowledged: list[bool] = []
 
         def put() -> None:
-            acknowledged.append(callers.put(callers.number, ORDER_TIMEOUT_S))
+            acknowledged.append(callers.put(callers.last_version, ORDER_TIMEOUT_S))
 
         def evacuate() -> None:
             acknowledged.append(callers.evacuate(zone, self.chance.random() < 0.5, ORDER_TIMEOUT_S))
@@ -167,7 +167,9 @@
         if len(acknowledged) < 2:
             self.advance(6)
         if acknowledged != [True, True]:
-            self.checker.broke("live", "after a calm time an order is not acknowledged within receipt_ms")
+            self.checker.record_violation(
+                "live", "after a calm time an order is not acknowledged within receipt_ms"
+            )
 
     def last_gets(self) -> None:
         """Each controller answers the configuration that stands."""
@@ -199,8 +201,8 @@
         site.start(machine, True)
     callers.start(sim.now_ns + int(busy_s * NS_PER_SECOND), quiet=True)
     sim.run(sim.now_ns + int((busy_s + quiet_s) * NS_PER_SECOND))
-    checker.check_forgotten([endpoint for endpoint in callers.lives if not endpoint.up])
-    callers.over = True
+    checker.check_forgotten([endpoint for endpoint in callers.endpoints if not endpoint.up])
+    callers.stopped = True
     sim.run(sim.now_ns + 2 * NS_PER_SECOND)
 
 
@@ -222,7 +224,7 @@
     if status:
         checker.check_get(lowest, status, body, machine.name)
     if status != 200:
-        checker.broke("live", f"{machine.name} answers a get with {status} after a calm time")
+        checker.record_violation("live", f"{machine.name} answers a get with {status} after a calm time")
 
 
 @dataclass
@@ -315,7 +317,7 @@
     with simulated_environment(sim), planted(mutant), uncollected():
         outcome = Outcome(seed, f" --nodes {controllers}" if controllers else "")
         checker = InvariantChecker(sim, on)
-        site = Site(sim, Shape(sim.rng, controllers), checker)
+        site = Site(sim, SiteShape(sim.rng, controllers), checker)
         checker.site = site
         try:
             course(sim, site, checker)
@@ -329,7 +331,7 @@
     outcome.frames = f"{sim.frames:08x}"
     outcome.events = sim.events
     outcome.counts = dict(checker.counts)
-    outcome.seen = checker.seen
+    outcome.seen = checker.first_violations
     outcome.trace = [*sim.notes]
     outcome.acks = dict(checker.acks)
     return outcome
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -35,7 +35,7 @@
 from flintreach.sharding.range_assignment import Range
 from flintreach.simulation.invariants import InvariantChecker
 from flintreach.simulation.scheduler import NS_PER_SECOND, Simulation
-from flintreach.simulation.site import Shape, Site
+from flintreach.simulation.site import Site, SiteShape
 from flintreach.simulation.trial import simulated_environment
 
 DATA = Path(__file__).parents[1] / "data"
@@ -248,7 +248,7 @@
     sim, found = Simulation(3), {}
     with simulated_environment(sim):
         watch = InvariantChecker(sim, ())
-        site = watch.site = Site(sim, Shape(sim.rng, 3), watch)
+        site = watch.site = Site(sim, SiteShape(sim.rng, 3), watch)
         for machine in [*site.controllers.values(), *site.proxies.values()]:
             site.start(machine, True)
         sim.run(sim.now_ns + 5 * NS_PER_SECOND)
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -22,33 +22,35 @@
         self.checker.check_put_answer(first, 200, "a")
         self.checker.check_put_answer(first, 200, "b")
         self.checker.check_put_answer(second, 409, "a")
-        self.assertEqual(self.checker.seen, {})
+        self.assertEqual(self.checker.first_violations, {})
         self.checker.check_put_answer(second, 200, "b")
-        self.assertEqual(set(self.checker.seen), {"single", "refused"})
+        self.assertEqual(set(self.checker.first_violations), {"single", "refused"})
 
     def test_what_was_acknowledged_is_not_refused_and_nothing_is_refused_for_no_reason(self):
         self.checker.check_put_answer(self.put(7, 1), 200, "a")
         self.checker.check_put_answer(self.put(7, 1), 409, "b")
-        self.assertEqual(set(self.checker.seen), {"refused"})
+        self.assertEqual(set(self.checker.first_violations), {"refused"})
         self.checker.check_put_answer(self.put(8, 1), 400, "b")
-        self.assertEqual(set(self.checker.seen), {"refused", "answered"})
+        self.assertEqual(set(self.checker.first_violations), {"refused", "answered"})
 
     def test_a_get_shows_what_was_acknowledged_or_later(self):
         old, new = self.put(7, 1), self.put(9, 2)
         self.checker.check_put_answer(old, 200, "a")
         self.checker.check_get(7, 200, new.body, "a")
-        self.assertEqual((self.checker.seen, self.checker.highest_shown, version_of(new.body)), ({}, 9, 9))
+        self.assertEqual(
+            (self.checker.first_violations, self.checker.highest_shown, version_of(new.body)), ({}, 9, 9)
+        )
         self.checker.check_get(9, 200, old.body, "b")
-        self.assertEqual(set(self.checker.seen), {"kept"})
+        self.assertEqual(set(self.checker.first_violations), {"kept"})
 
     def test_what_was_refused_is_never_in_force(self):
         put = self.put(7, 1)
         self.put(7, 2)
         self.checker.check_put_answer(put, 409, "a")
         self.checker.record_update(None, "hut/x", [1, 0], {})
-        self.assertEqual(self.checker.seen, {})
+        self.assertEqual(self.checker.first_violations, {})
         self.checker.check_get(-1, 200, put.body, "b")
-        self.assertEqual(set(self.checker.seen), {"refused"})
+        self.assertEqual(set(self.checker.first_violations), {"refused"})
 
 
 if __name__ == "__main__":
