--- a/flintreach/simulation/__init__.py
+++ b/flintreach/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane in simulated time, under faults from a seed."""
+"""Deterministic simulation of the control plane in virtual time, with fault injection from a seed."""
--- a/flintreach/simulation/disk.py
+++ b/flintreach/simulation/disk.py
@@ -1,7 +1,7 @@
-"""Simulated disks, and the store of an acceptor on one.
+"""Simulated disks, and an acceptor's store on one.
 
-`Store` stands in for `consensus.store.Store`.  What a write delay, a full disk or a loss of power does to
-writes is drawn from the simulation's seed.
+`Store` replaces `consensus.store.Store`.  Write delays, and whether a commit in progress survives a loss of
+power, are drawn from the simulation's seed.
 """
 
 from enum import StrEnum
@@ -28,26 +28,26 @@
 
 
 class DiskFault(StrEnum):
-    """What is wrong with a disk; the words stand in traces."""
+    """Injected fault of a disk; traces contain the values."""
 
     NONE = ""
-    FULL = "full"  # refuses writes
+    FULL = "full"  # rejects writes
     SLOW = "slow"
     HUNG = "hung"
 
 
 class Disk:
-    """What outlasts a process.
+    """Storage that persists across the processes of a machine.
 
     Attributes:
-        fault: what is wrong with it now.
-        slots: the register, by key.
+        fault: the current fault.
+        slots: the register's slots, by key.
         facts: facts by name.
         endpoint_rows: encoded endpoint records, by id.
     """
 
     def __init__(self, sim: Simulation) -> None:
-        """Begin empty."""
+        """Create an empty disk without a fault."""
         self.sim = sim
         self.fault = DiskFault.NONE
         self.slots: dict[str, Slot] = {}
@@ -55,7 +55,7 @@
         self.endpoint_rows: dict[str, bytes] = {}
 
     def draw_write_delay(self) -> int:
-        """Draw how long the next commit takes, in nanoseconds."""
+        """Draw the duration of the next commit in nanoseconds."""
         span_ms = MAX_WRITE_MS
         if self.fault == DiskFault.SLOW:
             span_ms = MAX_SLOW_WRITE_MS
@@ -65,7 +65,7 @@
 
 
 class Write(NamedTuple):
-    """What one caller wants on disk; `waiter` is woken with whether it is."""
+    """A pending write; `waiter` is woken with whether it was committed."""
 
     slots: dict[str, Slot | None]
     facts: dict[str, str]
@@ -76,32 +76,32 @@
 class Store:
     """`consensus.store.Store` on a simulated disk.
 
-    One writer: what waits goes down in one commit, all of it or nothing.  Whether a commit that is under way
-    at a loss of power is on the disk is drawn.
+    There is a single writer, which writes all pending requests in one atomic commit.  A commit that is in
+    progress when the process ends reaches the disk or not, by a random draw.
 
     Attributes:
         pending: writes that wait for the next commit.
-        writing: the commit under way; None without one.
-        incarnation: names this disk, as in `consensus.acceptor.Acceptor`.
-        voting: whether the disk's answers count at the start.
-        slots: the register at the start.
+        current_batch: the commit in progress; None if there is none.
+        incarnation: identifies this disk, as in `consensus.acceptor.Acceptor`.
+        voting: whether the acceptor's answers counted towards a quorum at the start.
+        slots: the register's slots at the start.
         facts: facts at the start.
         endpoint_rows: encoded endpoint records at the start, by id.
     """
 
     def __init__(self, process: Process, disk: Disk, node: str, first_run: bool) -> None:
-        """Read what the disk holds; an empty one gets its facts first.
+        """Load the content of the disk; an empty disk is initialized first.
 
         Args:
-            process: whose tasks write.
-            disk: what it writes to.
+            process: the process whose tasks write.
+            disk: the disk to write to.
             node: name of the process's node.
-            first_run: an empty disk has lost nothing, as this is the first start.
+            first_run: this is the first start, so an empty disk has not lost any data.
         """
         self.process = process
         self.disk = disk
         self.pending: list[Write] = []
-        self.writing: list[Write] | None = None
+        self.current_batch: list[Write] | None = None
         if not disk.facts:
             self.create_facts(node, first_run)
         self.slots = {key: Slot(slot.promised, slot.accepted, slot.value) for key, slot in disk.slots.items()}
@@ -111,15 +111,15 @@
         self.voting = self.facts[VOTING_FACT] == YES
 
     def create_facts(self, node: str, first_run: bool) -> None:
-        """Write the facts of a new disk.  Only at a first start an empty disk has lost nothing."""
+        """Write the facts of a new disk; only on the first start is it known not to have lost any data."""
         incarnation = f"{self.disk.sim.rng.getrandbits(48):012x}"
-        lost_nothing = YES if first_run else NO
+        is_complete = YES if first_run else NO
         self.disk.facts = {
             FORMAT_FACT: FORMAT,
             NODE_FACT: node,
             INCARNATION_FACT: incarnation,
-            VOTING_FACT: lost_nothing,
-            RECORDS_COMPLETE_FACT: lost_nothing,
+            VOTING_FACT: is_complete,
+            RECORDS_COMPLETE_FACT: is_complete,
         }
 
     def persist(
@@ -128,38 +128,38 @@
         facts: dict[str, str] | None = None,
         endpoint_rows: dict[str, bytes] | None = None,
     ) -> bool:
-        """Write to the disk, and wait until that is synced; see `consensus.store.Store.persist`."""
+        """Write to the disk and wait for the sync; see `consensus.store.Store.persist`."""
         waiter = Waiter(self.process)
-        # As it stands now: its caller may go on changing what it handed over.
+        # Copied, as the caller may modify the slots after this call.
         copied_slots = {
             key: slot and Slot(slot.promised, slot.accepted, slot.value) for key, slot in slots.items()
         }
         self.pending.append(Write(copied_slots, {**(facts or {})}, {**(endpoint_rows or {})}, waiter))
-        if self.writing is None:
+        if self.current_batch is None:
             self.begin_commit()
         return waiter.wait(None)
 
     def begin_commit(self) -> None:
-        """Begin to write all that waits."""
-        self.writing = self.pending
+        """Start a commit of all pending writes."""
+        self.current_batch = self.pending
         self.pending = []
-        self.disk.sim.call_after(self.disk.draw_write_delay(), self.end_commit, self.writing)
+        self.disk.sim.call_after(self.disk.draw_write_delay(), self.end_commit, self.current_batch)
 
     def end_commit(self, batch: list[Write]) -> None:
-        """Finish a commit, begin the next, and tell the callers."""
-        if self.writing is not batch:
-            return  # the process ended meanwhile: `end` has drawn what became of the commit
-        written = self.disk.fault != DiskFault.FULL
-        if written:
+        """Finish a commit, start the next one, and wake the callers."""
+        if self.current_batch is not batch:
+            return  # the process has ended, and `end` has decided the outcome of this commit
+        is_committed = self.disk.fault != DiskFault.FULL
+        if is_committed:
             self.apply(batch)
-        self.writing = None
+        self.current_batch = None
         if self.pending:
             self.begin_commit()
         for write in batch:
-            self.process.dispatch(write.waiter.wake, written)
+            self.process.dispatch(write.waiter.wake, is_committed)
 
     def apply(self, batch: list[Write]) -> None:
-        """Put a commit on the disk; a slot of None and an empty row remove an entry."""
+        """Apply a commit to the disk; a slot of None or an empty row deletes the entry."""
         disk = self.disk
         for write in batch:
             disk.slots |= write.slots
@@ -173,9 +173,9 @@
                     del disk.endpoint_rows[endpoint_id]
 
     def end(self) -> None:
-        """The process is gone: a commit under way may have reached the disk."""
-        under_way = self.writing is not None and self.disk.fault != DiskFault.FULL
-        if under_way and self.disk.sim.rng.random() < 0.5:
-            self.apply(self.writing)
-        self.writing = None
+        """Handle the end of the process: a commit in progress may or may not have reached the disk."""
+        may_survive = self.current_batch is not None and self.disk.fault != DiskFault.FULL
+        if may_survive and self.disk.sim.rng.random() < 0.5:
+            self.apply(self.current_batch)
+        self.current_batch = None
         self.pending = []
--- a/flintreach/simulation/process.py
+++ b/flintreach/simulation/process.py
@@ -1,8 +1,8 @@
-"""Processes of a simulation: what a kill or a freeze acts on, and the runtime that their code runs in.
+"""Simulated processes, which can be killed and frozen, and the runtime that their code runs in.
 
-Code of the control plane takes clock, waits, tasks and connections from a `RuntimeInterface`
-(`transport/runtime.py`).  `Runtime` here gives it those of one simulation.  Tasks are greenlets that switch
-to the scheduler where they would wait.  Times are nanoseconds within the scheduler, seconds at a `Runtime`.
+Control-plane code gets its clock, timers, tasks and connections from a `RuntimeInterface`
+(`transport/runtime.py`).  `Runtime` implements it on the simulation's scheduler.  Tasks are greenlets that
+switch to the scheduler when they block.  The scheduler counts time in nanoseconds, a `Runtime` in seconds.
 """
 
 import random
@@ -19,29 +19,29 @@
 if TYPE_CHECKING:
     from flintreach.simulation.network import Machine, PeerConnection
 
-FIN = object()  # in place of a message: the sender has closed its end of the connection
-MAX_TIMER_LATENESS_NS = NS_PER_MS
+FIN = object()  # takes the place of a message when the sender has closed its end of the connection
+MAX_TIMER_LATENESS_NS = NS_PER_MS  # upper bound of the random delay added to each timer
 
 
 def ignore_crash(text: str) -> None:
-    """Take no notice of a task that an exception ended."""
+    """Ignore a task that ended with an exception."""
 
 
 class Process:
-    """What a kill or a freeze acts on: tasks, connections, and calls that wait to be run.
+    """A process with its tasks, its connections and the calls deferred while it is frozen.
 
     Attributes:
-        machine: where it runs.
-        alive: False from its end on.
-        frozen: whether it is stopped, as by SIGSTOP.
-        started_at_ns: virtual time of its start.
-        backlog: calls with their arguments that a freeze holds up.
+        machine: the machine that it runs on.
+        alive: False once the process has ended.
+        frozen: whether the process is stopped, as by SIGSTOP.
+        started_at_ns: virtual time of the start.
+        deferred_calls: calls with their arguments that arrived while the process was frozen.
         tasks: greenlets that have not ended, in the order of their start.
-        links: open connections, in the order of their making.
-        handlers: of connections that others open; None where nobody listens.
-        on_datagram: called with the data and the sender's machine; None where nobody listens.
-        on_crash: called with the traceback of a task that an exception ended.
-        runtime: what its code takes clock, waits, tasks and connections from.
+        connections: open connections, in the order of their creation.
+        handlers: message handlers for incoming connections; None if the process does not listen.
+        on_datagram: called with the data and the sender's machine; None if the process does not listen.
+        on_crash: called with the traceback of a task that ended with an exception.
+        runtime: the `RuntimeInterface` of the code that runs in this process.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
         name: str,
         on_crash: Callable[[str], None] = ignore_crash,
     ) -> None:
-        """Begin with no task, no connection and nobody who listens."""
+        """Start without tasks, connections or listeners."""
         self.sim = sim
         self.machine = machine
         self.name = name
         self.alive = True
         self.frozen = False
         self.started_at_ns = sim.now_ns
-        self.backlog: list[tuple[Callable[..., Any], tuple]] = []
+        self.deferred_calls: list[tuple[Callable[..., Any], tuple]] = []
         self.tasks: dict[greenlet.greenlet, None] = {}
-        self.links: dict[PeerConnection, None] = {}
+        self.connections: dict[PeerConnection, None] = {}
         self.handlers: MessageHandlers | None = None
         self.on_datagram: Callable[[bytes, Machine], None] | None = None
         self.on_crash = on_crash
@@ -68,35 +68,35 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has neither ended nor is frozen."""
+        """Whether the process is alive and not frozen."""
         return self.alive and not self.frozen
 
     def dispatch(self, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call in this process, now or after a thaw; never after its end."""
+        """Run a call in this process now, after the thaw if it is frozen, or never if it has ended."""
         if not self.alive:
             return
         if self.frozen:
-            self.backlog.append((call, args))
+            self.deferred_calls.append((call, args))
             return
-        interrupted = self.sim.running
-        self.sim.running = self
+        interrupted = self.sim.current_process
+        self.sim.current_process = self
         call(*args)
-        self.sim.running = interrupted
+        self.sim.current_process = interrupted
 
     def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call in this process before time goes on, after what is ready already."""
+        """Run a call in this process before virtual time advances, after the calls that are already ready."""
         self.sim.ready.append((self.dispatch, (call, *args)))
 
     def call_later(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call in this process when some seconds have passed, and up to a millisecond later."""
+        """Run a call in this process after a delay in seconds, plus a random lateness of up to 1 ms."""
         lateness_ns = int(self.sim.rng.random() * MAX_TIMER_LATENESS_NS)
         self.sim.call_after(max(0, int(seconds * NS_PER_SECOND)) + lateness_ns, self.dispatch, call, *args)
 
-    def pause(self) -> Any:
-        """Switch from a task to the scheduler.
+    def suspend(self) -> Any:
+        """Suspend the current task and switch to the scheduler.
 
         Returns:
-            What the task is woken with.
+            The value that the task is resumed with.
 
         Raises:
             greenlet.GreenletExit: the process has ended.
@@ -105,114 +105,114 @@
         if not self.alive:
             raise greenlet.GreenletExit
         if greenlet.getcurrent() is self.sim.hub:
-            raise RuntimeError("a wait outside of a task")
+            raise RuntimeError("blocking call outside of a task")
         return self.sim.hub.switch()
 
     def freeze(self) -> None:
-        """Stop running; clocks go on, and what arrives is buffered."""
+        """Stop running; the clocks continue, and calls that arrive are deferred."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Run what came during the freeze."""
+        """Resume, and run the calls deferred during the freeze."""
         self.frozen = False
         self.machine.recovered_at_ns = self.sim.now_ns
-        waiting = self.backlog
-        self.backlog = []
+        deferred = self.deferred_calls
+        self.deferred_calls = []
         if self.sim.rng.random() < 0.5:
-            # Either timers that ran out come before buffered messages, or all comes in the order of arrival.
-            waiting.sort(key=lambda entry: not wakes_task(entry[0]))
-        for call, args in waiting:
+            # Expired timers run before buffered messages; otherwise all calls run in the order of arrival.
+            deferred.sort(key=lambda entry: not is_task_wakeup(entry[0]))
+        for call, args in deferred:
             self.call_soon(call, *args)
 
     def end(self, notify_peers: bool) -> None:
-        """End all tasks and connections at once.
+        """End all tasks and connections immediately.
 
         Args:
-            notify_peers: the system closes the connections, as after a kill; without power no peer hears
-                of it.
+            notify_peers: close the connections towards the peers, as the operating system does after a kill;
+                False for a loss of power, which peers are not notified of.
         """
         self.alive = False
         for task in [*self.tasks]:
             task.throw(greenlet.GreenletExit)
         self.tasks.clear()
-        for link in [*self.links]:
-            if notify_peers and not link.closed:
-                link.put(FIN)
-            link.closed = True
-        self.links.clear()
+        for connection in [*self.connections]:
+            if notify_peers and not connection.closed:
+                connection.put(FIN)
+            connection.closed = True
+        self.connections.clear()
         self.handlers = None
         self.on_datagram = None
 
 
 class Waiter:
-    """One wait of one task.
+    """A single blocking wait of one task.
 
     Attributes:
-        task: who waits.
-        done: whether it was woken.
+        task: the waiting task.
+        done: whether the task was woken.
     """
 
     __slots__ = "process", "task", "done"
 
     def __init__(self, process: Process) -> None:
-        """Prepare a wait of the running task."""
+        """Prepare a wait of the current task."""
         self.process = process
         self.task = greenlet.getcurrent()
         self.done = False
 
     def wake(self, value: Any) -> None:
-        """Go on with the task, once; later calls do nothing."""
+        """Resume the task with a value; only the first call has an effect."""
         if not self.done:
             self.done = True
             self.task.switch(value)
 
     def wait(self, timeout: float | None) -> Any:
-        """Wait to be woken.
+        """Block until `wake` is called or the timeout expires.
 
         Args:
-            timeout: seconds to wait at most; None: for ever.
+            timeout: maximum wait in seconds; None waits indefinitely.
 
         Returns:
-            What it is woken with; None where `timeout` seconds passed before.
+            The value passed to `wake`; None on a timeout.
         """
         if timeout is not None:
             self.process.call_later(timeout, self.wake, None)
-        return self.process.pause()
+        return self.process.suspend()
 
 
-def wakes_task(call: Callable[..., Any]) -> bool:
-    """Whether a call is the end of a task's wait, in place of a message that arrives."""
+def is_task_wakeup(call: Callable[..., Any]) -> bool:
+    """Whether a call wakes a waiting task, as opposed to delivering a message."""
     return getattr(call, "__func__", None) is Waiter.wake
 
 
 class Event:
-    """A flag that tasks can wait for; see `transport.runtime.EventInterface`."""
+    """Simulated `transport.runtime.EventInterface`."""
 
     def __init__(self, process: Process) -> None:
-        """Begin with the flag down."""
+        """Start with the flag cleared."""
         self.process = process
-        self.is_up = False
+        self.flag = False
         self.waiters: list[Waiter] = []
 
     def is_set(self) -> bool:
-        """Whether the flag is up."""
-        return self.is_up
+        """Whether the flag is set."""
+        return self.flag
 
     def set(self) -> None:
-        """Raise the flag, and wake all that wait."""
-        self.is_up = True
+        """Set the flag and wake all waiting tasks."""
+        self.flag = True
         waiters = self.waiters
         self.waiters = []
         for waiter in waiters:
             self.process.call_soon(waiter.wake, True)
 
     def clear(self) -> None:
-        """Lower the flag."""
-        self.is_up = False
+        """Clear the flag."""
+        self.flag = False
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Wait until the flag is up; False where `timeout` seconds passed before."""
-        if self.is_up:
+        """Wait until the flag is set; False on a timeout."""
+        if self.flag:
             return True
         waiter = Waiter(self.process)
         self.waiters.append(waiter)
@@ -220,17 +220,17 @@
 
 
 class Lock:
-    """Reentrant, first come first served; see `transport.runtime.LockInterface`."""
+    """Simulated `transport.runtime.LockInterface`: reentrant, and granted in FIFO order."""
 
     def __init__(self, process: Process) -> None:
-        """Begin with the lock free."""
+        """Start with the lock released."""
         self.process = process
         self.owner: greenlet.greenlet | None = None
         self.count = 0
         self.waiters: deque[Waiter] = deque()
 
     def acquire(self, blocking: bool = True, timeout: float | None = None) -> bool:
-        """Take the lock; False where it is not free, with `blocking` not within `timeout` seconds."""
+        """Acquire the lock; False if it is held and `blocking` is False, or on a timeout."""
         current_task = greenlet.getcurrent()
         if self.owner in (None, current_task):
             self.owner = current_task
@@ -243,7 +243,7 @@
         return bool(waiter.wait(timeout))
 
     def release(self) -> None:
-        """Give the lock back; who has waited longest owns it next."""
+        """Release the lock and pass it to the task that has waited longest."""
         self.count -= 1
         if self.count or not self.process.alive:
             return
@@ -251,7 +251,7 @@
         while self.waiters:
             waiter = self.waiters.popleft()
             if not waiter.done:
-                # It owns the lock from now on, lest another takes it before it runs.
+                # Ownership passes here: another task could acquire the lock before the waiter runs.
                 waiter.done = True
                 self.owner = waiter.task
                 self.count = 1
@@ -259,112 +259,112 @@
                 return
 
     def __enter__(self) -> Self:
-        """Take the lock, however long that takes."""
+        """Acquire the lock without a timeout."""
         self.acquire()
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Give the lock back."""
+        """Release the lock."""
         self.release()
 
 
 class Task:
-    """A function that runs beside its caller; see `transport.runtime.TaskInterface`.
+    """Simulated `transport.runtime.TaskInterface`: a function that runs concurrently with its caller.
 
     Attributes:
-        over: whether it has ended by itself, with a result or an exception.
-        value: what it returned.
-        watchers: called without arguments when it has ended by itself.
+        finished: whether the function returned or raised; False if the process ended first.
+        return_value: value that the function returned.
+        done_callbacks: called without arguments once the task has finished.
     """
 
     def __init__(self, process: Process, function: Callable[..., Any], args: tuple) -> None:
-        """Have the function run soon, unless the process has ended."""
+        """Schedule the function, unless the process has ended."""
         self.process = process
         self.function = function
         self.args = args
-        self.over = False
-        self.value: Any = None
-        self.watchers: list[Callable[[], None]] = []
+        self.finished = False
+        self.return_value: Any = None
+        self.done_callbacks: list[Callable[[], None]] = []
         self.greenlet = greenlet.greenlet(self.run, process.sim.hub)
         if process.alive:
             process.tasks[self.greenlet] = None
             process.call_soon(self.greenlet.switch)
 
     def run(self, *_: object) -> None:
-        """Run the function in the task's greenlet, and tell the watchers."""
+        """Run the function in the task's greenlet, then the callbacks."""
         try:
-            self.value = self.function(*self.args)
+            self.return_value = self.function(*self.args)
         except greenlet.GreenletExit:
             return
         except Exception:
             self.process.on_crash(traceback.format_exc(limit=-4))
         self.process.tasks.pop(self.greenlet, None)
-        self.over = True
-        for watcher in self.watchers:
-            watcher()
+        self.finished = True
+        for callback in self.done_callbacks:
+            callback()
 
     def result(self, timeout: float | None = None) -> Any:
-        """Wait for the end; None where it has not come within `timeout` seconds, or was an exception."""
-        if not self.over:
+        """Wait for the result; None on a timeout or if the function raised."""
+        if not self.finished:
             done = Event(self.process)
-            self.watchers.append(done.set)
+            self.done_callbacks.append(done.set)
             done.wait(timeout)
-        return self.value
+        return self.return_value
 
 
 class Runtime:
     """`transport.runtime.RuntimeInterface` of one simulated process.
 
     Attributes:
-        rng: draws of the process's own, from the simulation's seed.
-        clock_offset_ns: from virtual time to the steady clock of the machine.
+        rng: the process's own generator, seeded from the simulation.
+        clock_offset_ns: offset of the machine's monotonic clock from virtual time.
     """
 
     def __init__(self, process: Process) -> None:
-        """Take the machine's steady clock as it stands."""
+        """Copy the clock offset that the machine has now; a reboot changes the machine's."""
         self.process = process
         self.sim = process.sim
         self.rng = random.Random(process.sim.rng.getrandbits(64))
         self.clock_offset_ns = process.machine.clock_offset_ns
 
     def now(self) -> float:
-        """Give the steady clock in seconds."""
+        """Return the monotonic clock in seconds."""
         return (self.sim.now_ns + self.clock_offset_ns) / NS_PER_SECOND
 
     def now_ns(self) -> int:
-        """Give the steady clock in nanoseconds."""
+        """Return the monotonic clock in nanoseconds."""
         return self.sim.now_ns + self.clock_offset_ns
 
     def sleep(self, seconds: float) -> None:
-        """Let other tasks run for some seconds."""
+        """Suspend the current task for some seconds."""
         Waiter(self.process).wait(seconds)
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> Task:
-        """Run a function beside the caller."""
+        """Run a function concurrently with the caller."""
         return Task(self.process, function, args)
 
     def event(self) -> Event:
-        """Make an event."""
+        """Create an event."""
         return Event(self.process)
 
     def lock(self) -> Lock:
-        """Make a lock."""
+        """Create a lock."""
         return Lock(self.process)
 
     def run_all(self, calls: Iterable[Callable[[], Any]], timeout: float) -> None:
-        """Run calls beside each other; return when all have ended or `timeout` seconds are over."""
+        """Run calls concurrently; return when all have finished or `timeout` seconds have passed."""
         tasks = [self.spawn(call) for call in calls]
-        left = len(tasks)
+        remaining = len(tasks)
         done = self.event()
 
         def count_down() -> None:
-            nonlocal left
-            left -= 1
-            if not left:
+            nonlocal remaining
+            remaining -= 1
+            if not remaining:
                 done.set()
 
         for task in tasks:
-            task.watchers.append(count_down)
+            task.done_callbacks.append(count_down)
         if tasks:
             done.wait(timeout)
 
--- a/flintreach/simulation/scheduler.py
+++ b/flintreach/simulation/scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduler of a simulation: virtual time, a seeded schedule, a trace of events and their checksums.
+"""Discrete-event scheduler of the simulation: virtual time, a seeded schedule, an event trace, checksums.
 
 The lowest layer of this package.  Processes (`process.py`), the network (`network.py`) and disks (`disk.py`)
-hand it calls to run at a virtual time; it runs them one by one.  Nothing here sleeps or reads a real clock,
-so one seed plays the same events each time.
+schedule calls at a virtual time; the scheduler runs them one at a time.  Nothing here sleeps or reads a real
+clock, so a seed always produces the same events.
 """
 
 import heapq
@@ -19,64 +19,64 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_SECOND = 1_000_000_000
-START_S = 1000  # virtual time at which a simulation begins
+START_S = 1000  # virtual time at which a simulation starts
 DEFAULT_TRACE_EVENTS = 40
 
 
 class InvariantViolation(Exception):
-    """An invariant does not hold; its arguments are the invariant's name and what was seen."""
+    """An invariant was violated; the arguments are its name and a description of the violation."""
 
 
 class Simulation:
-    """The scheduler.
+    """The event loop and the shared state of one simulation.
 
     Attributes:
-        seed: from which all draws follow.
-        rng: the draws of the network, the disks and the schedule.
+        seed: seed of all random draws.
+        rng: generator for the network, the disks and the schedule.
         now_ns: virtual time in nanoseconds.
-        events: how many calls were run.
-        timers: heap of (time in ns, order of entry, call, arguments).
-        ready: calls with their arguments that run before time goes on, first come first served.
-        hub: the greenlet of the scheduler, to which tasks switch where they wait.
+        events: number of calls run.
+        timers: heap of (time in ns, sequence number, call, arguments).
+        ready: FIFO queue of calls with their arguments that run before virtual time advances.
+        hub: greenlet of the scheduler, to which tasks switch when they block.
         digest: checksum of all events.
-        frames: checksum of the messages between processes alone; it stays where only a note's words change.
-        notes: the last events for a trace, as (time in ns, who, what).
-        violation: what `fail` was given first.
-        running: the process whose code is running.
+        frames: checksum of the messages between processes only, which does not depend on the text of notes.
+        trace: the most recent notes, as (time in ns, source, text).
+        violation: the first error passed to `fail`.
+        current_process: the process whose code is running.
     """
 
     def __init__(self, seed: int, trace_length: int = DEFAULT_TRACE_EVENTS) -> None:
-        """Begin at `START_S` with nothing to run; `trace_length` is how many events `notes` keeps."""
+        """Start at `START_S` with an empty schedule; `trace` keeps the last `trace_length` notes."""
         self.seed = seed
         self.rng = random.Random(seed)
         self.now_ns = START_S * NS_PER_SECOND
-        self.order = 0
+        self.sequence = 0
         self.events = 0
         self.timers: list[tuple[int, int, Callable[..., Any], tuple]] = []
         self.ready: deque[tuple[Callable[..., Any], tuple]] = deque()
         self.hub = greenlet.getcurrent()
         self.digest = 0
         self.frames = 0
-        self.notes: deque[tuple[int, str, str]] = deque(maxlen=trace_length)
+        self.trace: deque[tuple[int, str, str]] = deque(maxlen=trace_length)
         self.violation: InvariantViolation | None = None
-        self.running: Process | None = None
+        self.current_process: Process | None = None
 
     def call_at(self, when_ns: int, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call at a virtual time, in nanoseconds; calls of one time run in the order of entry."""
-        self.order += 1
-        heapq.heappush(self.timers, (when_ns, self.order, call, args))
+        """Schedule a call at a virtual time in nanoseconds; calls at the same time run in FIFO order."""
+        self.sequence += 1
+        heapq.heappush(self.timers, (when_ns, self.sequence, call, args))
 
     def call_after(self, delay_ns: int, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call when some nanoseconds have passed."""
+        """Schedule a call after a delay in nanoseconds."""
         self.call_at(self.now_ns + delay_ns, call, *args)
 
     def run(self, until_ns: int) -> None:
-        """Play events until a virtual time, in nanoseconds.
+        """Run events up to a virtual time in nanoseconds.
 
         Raises:
-            InvariantViolation: an invariant that ends the run does not hold, now or from an earlier run.
+            InvariantViolation: `fail` was called, in this run or an earlier one.
         """
-        # Local names: this loop runs some hundred thousand times in a trial.
+        # Local variables avoid attribute lookups: a trial runs this loop some hundred thousand times.
         ready = self.ready
         timers = self.timers
         pop = heapq.heappop
@@ -93,29 +93,29 @@
         raise self.violation
 
     def record_message(self, data: bytes) -> None:
-        """Fold a message that arrives into both checksums."""
+        """Update both checksums with a delivered message."""
         self.digest = self.checksum(self.digest, data)
         self.frames = self.checksum(self.frames, data)
 
     def checksum(self, previous: int, data: bytes) -> int:
-        """Fold the time and some bytes into a checksum."""
+        """Extend a checksum with the current time and some bytes."""
         return zlib.crc32(data, zlib.crc32(self.now_ns.to_bytes(8, "big"), previous))
 
-    def note(self, who: str, what: str) -> None:
-        """Record an event that matters to a reader of a trace."""
-        self.digest = self.checksum(self.digest, f"{who} {what}".encode())
-        self.notes.append((self.now_ns, who, what))
+    def note(self, source: str, text: str) -> None:
+        """Add an entry to the trace and update the checksum of all events."""
+        self.digest = self.checksum(self.digest, f"{source} {text}".encode())
+        self.trace.append((self.now_ns, source, text))
 
     def fail(self, error: InvariantViolation) -> None:
-        """End the run before the next event; only the first error counts."""
+        """Stop the run before the next event; only the first error is kept."""
         self.violation = self.violation or error
 
     @property
     def elapsed_s(self) -> float:
-        """Virtual seconds since the beginning."""
+        """Virtual seconds since the start of the simulation."""
         return seconds_since_start(self.now_ns)
 
 
 def seconds_since_start(time_ns: int) -> float:
-    """Seconds from the beginning of a simulation to a virtual time in nanoseconds."""
+    """Convert a virtual time in nanoseconds to seconds since the start of the simulation."""
     return time_ns / NS_PER_SECOND - START_S
--- a/flintreach/simulation/trial.py
+++ b/flintreach/simulation/trial.py
@@ -238,7 +238,7 @@
         broken: the invariant that ended the run; empty where it ended by itself.
         counts: invariant -> how often it broke.
         seen: invariant -> (seconds since the beginning, text) of its first break.
-        trace: the last events, as `Simulation.notes`.
+        trace: the last events, as `Simulation.trace`.
         acks: kind of request -> how many were acknowledged.
     """
 
@@ -269,7 +269,7 @@
     """Have the code's log messages go to the trace, and its lease owners call simulated endpoints."""
 
     def note(what: str, fields: dict[str, Any]) -> None:
-        sim.note(sim.running.name if sim.running else "", f"{what} {fields}")
+        sim.note(sim.current_process.name if sim.current_process else "", f"{what} {fields}")
 
     with mock.patch.object(log, "sink", note), mock.patch.object(key_ranges, "LeaseOwner", LeaseOwner):
         yield
@@ -330,7 +330,7 @@
     outcome.events = sim.events
     outcome.counts = dict(checker.counts)
     outcome.seen = checker.seen
-    outcome.trace = [*sim.notes]
+    outcome.trace = [*sim.trace]
     outcome.acks = dict(checker.acks)
     return outcome
 
