--- a/flintreach/simulation/process.py
+++ b/flintreach/simulation/process.py
@@ -119,7 +119,7 @@
         deferred = self.deferred_calls
         self.deferred_calls = []
         if self.sim.rng.random() < 0.5:
-            # Expired timers run before buffered messages; otherwise all calls run in the order of arrival.
+            # In half of the cases expired timers run before buffered messages, else all calls in FIFO order.
             deferred.sort(key=lambda entry: not is_task_wakeup(entry[0]))
         for call, args in deferred:
             self.call_soon(call, *args)
