--- a/flintreach/soak/run.py
+++ b/flintreach/soak/run.py
@@ -136,7 +136,7 @@
             endpoint: an endpoint in the state `READY`.
             announces: whether it announces its departure in advance instead of only signing off.
         """
-        report_departure = endpoint.leave if announces else endpoint.announce_end
+        report_departure = endpoint.leave if announces else endpoint.send_sign_off
         for _ in range(DEPARTURE_TRIES):
             if report_departure():
                 break
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -427,7 +427,7 @@
         self.state = EndpointState.DRAINING
         return self.send_heartbeat()
 
-    def announce_end(self) -> bool:
+    def send_sign_off(self) -> bool:
         """Sign off, and serve on; whether it was acknowledged."""
         self.state = EndpointState.GONE
         if self.heartbeats is not None:
@@ -436,6 +436,6 @@
 
     def sign_off(self) -> bool:
         """Sign off, and end; whether it was acknowledged."""
-        acknowledged = self.announce_end()
+        acknowledged = self.send_sign_off()
         self.stop()
         return acknowledged
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -70,14 +70,14 @@
 # Acts after which the endpoint's response is valid.
 VALID_RESPONSE_ACTS = (
     "answer",
-    "close told",
+    "connection close",
     "chunked",
     "interim",
     "empty",
     "empty with a length",
     "odd load",
     "long numbers",
-    "hop",
+    "hop-by-hop headers",
     "head with body",
 )
 
@@ -411,7 +411,16 @@
                     self.assertEqual({received.status for _, received in exchanges} - {200, 204}, set())
 
     def test_responses_match_requests_after_two_faults_of_the_only_key_owner(self) -> None:
-        for first in ("503", "421", "refused twice", "surplus later", "late", "earlier", "interim", "cut"):
+        for first in (
+            "503",
+            "421",
+            "refused twice",
+            "answered again later",
+            "late",
+            "first answer again",
+            "interim",
+            "truncated",
+        ):
             for second in ("refused twice", "late"):
                 with self.subTest(first=first, second=second):
                     exchanges = self.send_requests([[], [], [first, second]], ["sharded post"] * 3)
@@ -537,7 +546,7 @@
     def test_a_request_without_an_id_gets_its_own_connection(self) -> None:
         """Responses are matched by id, so a response without one could belong to another request."""
         fixture = self.fixture
-        fixture.reset([[], [], ["answer", "surplus later", "surplus later"]])
+        fixture.reset([[], [], ["answer", "answered again later", "answered again later"]])
         client = Client(fixture.listener.address)
         observed = []
         endpoint = fixture.view.endpoints["k0"]
@@ -622,15 +631,15 @@
             "fails": 1,
             "503": 1,
             "421": 1,
-            "surplus": 0,
-            "garbage behind": 0,
+            "answered twice": 0,
+            "trailing garbage": 0,
             "other id": 0,
             "late": 0,
-            "mute": 0,
-            "cut": 0,
+            "no answer": 0,
+            "truncated": 0,
             "reset": 0,
             "close": 0,
-            "close told": 0,
+            "connection close": 0,
             "no length": 0,
             "garbage": 0,
             "two ids": 0,
@@ -678,7 +687,7 @@
 
     def test_bytes_read_for_one_response_are_bounded(self) -> None:
         fixture = self.fixture
-        for act, max_bytes in (("many others", 1 << 20), ("never whole", 100)):
+        for act, max_bytes in (("many others", 1 << 20), ("incomplete body", 100)):
             fixture.reset([[act], [act]])
             sent = fixture.request("post")
             with mock.patch("flintreach.proxy.exchange.MAX_RESPONSE_BYTES", max_bytes):
--- a/tests/proxy/test_departures.py
+++ b/tests/proxy/test_departures.py
@@ -163,7 +163,7 @@
         self.endpoint_view.present_at = None
 
     def test_a_response_renews_the_lease_unless_it_announces_a_departure(self) -> None:
-        for act, renews in (("answer", True), ("close told", False)):
+        for act, renews in (("answer", True), ("connection close", False)):
             self.endpoint_view.present_at = None
             self.fixture.confirmed_at = time.monotonic_ns()
             self.endpoint.script.append(act)
