--- a/flintreach/standins/adversary.py
+++ b/flintreach/standins/adversary.py
@@ -1,7 +1,8 @@
-"""A faulty endpoint: it answers by script and records what came.
+"""A faulty endpoint that responds according to a script and records the requests it received.
 
-Written from the wire's page.  Each request that comes takes the next act of the script, a plain answer where
-the script is over.  Acts never wait for time: what comes late comes when the next request arrives.
+Implemented from the protocol documentation.  Each request consumes the next act of the script, or gets a
+valid response once the script is exhausted.  Acts do not depend on timers: a delayed response is sent when
+the next request arrives on the connection.
 """
 
 import struct
@@ -16,8 +17,8 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
-HEALTH_PATH = "/health"  # of health checks, which no script answers
+RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close sends a TCP reset
+HEALTH_PATH = "/health"  # health checks do not consume acts of the script
 READ_BYTES = 65536
 MAX_WRITE_BYTES = 1 << 20
 HEAD_END = b"\r\n\r\n"
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One request as it came; `headers` by name in lower case."""
+    """A request as received; header names are in lower case."""
 
     method: str
     target: str
@@ -44,19 +45,19 @@
 
     @property
     def id(self) -> str:
-        """The attempt's id, "" for none."""
+        """Attempt id, or "" if the request has none."""
         return self.headers.get("x-try-id", "")
 
 
 @dataclass(slots=True, eq=False)
 class ServedConnection:
-    """One connection of a proxy.
+    """One connection accepted from a proxy.
 
     Attributes:
-        sock: its socket.
-        pending: what is sent ahead of the next answer.
-        pending_id: id of the request that `pending` answers.
-        buffer: bytes that came and are not yet read as a request.
+        sock: the accepted socket.
+        pending: bytes to send before the next response.
+        pending_id: id of the request that `pending` responds to.
+        buffer: received bytes that are not yet parsed.
     """
 
     sock: socket.socket
@@ -65,7 +66,7 @@
     buffer: bytearray = field(default_factory=bytearray)
 
     def read(self) -> ReceivedRequest | None:
-        """Read the next request; None at the connection's end."""
+        """Read the next request; None if the connection ends first."""
         if not self.fill_until(lambda: HEAD_END in self.buffer):
             return None
         head_bytes = self.buffer.find(HEAD_END)
@@ -82,7 +83,7 @@
         return ReceivedRequest(method, target, headers, body)
 
     def fill_until(self, enough: Callable[[], bool]) -> bool:
-        """Receive into the buffer until there is enough; False where the connection ends before."""
+        """Receive into the buffer until `enough` returns true; False if the connection ends first."""
         while not enough():
             data = self.sock.recv(READ_BYTES)
             if not data:
@@ -92,35 +93,35 @@
 
 
 def answer_body(request: ReceivedRequest, endpoint_id: str) -> bytes:
-    """What an endpoint answers to a request: no two requests have the same."""
+    """Body of the valid response to a request; it differs between requests, so that a mix-up is detected."""
     checksum = zlib.crc32(request.body)
     line = f"{endpoint_id} {request.id} {request.method} {request.target} {checksum:08x}\n"
     return 3 * line.encode("latin-1")
 
 
 class Outcome(NamedTuple):
-    """What an act sends, and whether the connection stays open behind it."""
+    """Bytes that an act sends, and whether the connection is kept open afterwards."""
 
     data: bytes
-    stays: bool = True
+    keep_open: bool = True
 
 
 class Adversary:
-    """An endpoint that does with each request what its script says.
+    """An endpoint that handles each request by the next act of its script.
 
     Attributes:
-        id: its name on the wire.
-        connections: those that are open.
-        connections_opened: how many there were.
-        script: names of acts (`ACTS`, `DELAYED_ACTS`) for the requests that come.
-        run_counts: id of an attempt -> how often it was run here.
-        requests: all that came, but for health checks.
-        write_bytes: so many are written at once.
-        first_answer: the first answer to a request that it has run.
-        healthy: what it says to health checks.
-        cancelled: ids whose connection ended before their answer was written.
-        released: what "held" answers and delayed health checks wait for.
-        delays_health: whether health checks are delayed.
+        id: endpoint id on the wire.
+        connections: open connections.
+        connections_opened: number of connections accepted so far.
+        script: names of acts (`ACTS`, `DELAYED_ACTS`) for the next requests, in order.
+        run_counts: attempt id -> number of times this endpoint ran it.
+        requests: all received requests except health checks.
+        write_bytes: maximum number of bytes per write.
+        first_answer: response to the first request that it ran.
+        healthy: whether health checks succeed.
+        cancelled: ids of requests whose connection ended before the response was written.
+        released: event that "held" responses and delayed health checks wait for.
+        delays_health: whether health checks wait for `released`.
     """
 
     def __init__(self, id: str = "e0", address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
@@ -133,16 +134,16 @@
 
     @property
     def addr(self) -> str:
-        """Where it listens, as the wire has it."""
+        """Listen address as host:port, the form used on the wire."""
         return f"{self.server.address[0]}:{self.server.address[1]}"
 
     def stop(self) -> None:
-        """End all connections and listen no more."""
+        """Close all connections and stop listening."""
         self.clear()
         self.server.stop(timeout=0)
 
     def clear(self) -> None:
-        """End all connections, and forget the script and what came."""
+        """Close all connections, and reset the script and the records."""
         for connection in [*self.connections]:
             connection.sock.close()
         self.script: deque[str] = deque()
@@ -165,14 +166,14 @@
                 if not self.respond(connection, request):
                     break
         except OSError:
-            pass  # the proxy has ended it
+            pass  # the proxy closed the connection
         finally:
             if connection.pending:
                 self.cancelled.append(connection.pending_id)
             self.connections.discard(connection)
 
     def respond(self, connection: ServedConnection, request: ReceivedRequest) -> bool:
-        """Answer one request; whether the connection stays open."""
+        """Respond to one request; return whether to keep the connection open."""
         if request.target == HEALTH_PATH and not request.id:
             if self.delays_health:
                 self.released.wait()
@@ -182,21 +183,21 @@
         act = self.script.popleft() if self.script else "answer"
         pending = connection.pending
         connection.pending = b""
-        # The right owner of a reused address knows that it is not meant, whatever its fault.
+        # An endpoint at a reused address must refuse requests for its predecessor, so no act applies to them.
         if request.headers.get("x-expect-endpoint", self.id) == self.id:
             outcome = (ACTS | DELAYED_ACTS)[act](self, request, connection)
         else:
             outcome = Outcome(self.refusal(request, "421"))
         self.write(connection, pending + outcome.data)
-        return outcome.stays
+        return outcome.keep_open
 
     def write(self, connection: ServedConnection, data: bytes) -> None:
-        """Send data, `write_bytes` at once."""
+        """Send data in writes of at most `write_bytes`."""
         for at in range(0, len(data), self.write_bytes):
             connection.sock.sendall(data[at : at + self.write_bytes])
             gevent.sleep(0)
 
-    # Answers.
+    # Responses.
 
     def reply(
         self,
@@ -209,17 +210,17 @@
         stamped: bool = True,
         framed: bool = True,
     ) -> bytes:
-        """The bytes of an answer.
+        """Encode a response.
 
         Args:
-            request: which it answers.
-            status: code and phrase.
-            more_headers: lines ahead of the usual ones.
-            named: whether it names the request.
-            other_id: named in place of the request's own.
-            body: in place of `answer_body`.
-            stamped: whether it has the stamp (`X-Postmark`) of a request that was run.
-            framed: whether it has a length.
+            request: the request to respond to.
+            status: status code and reason phrase.
+            more_headers: header lines that precede the standard ones.
+            named: whether to include the request id (`X-Try-Id`).
+            other_id: id to include instead of that of the request.
+            body: body to send instead of `answer_body`.
+            stamped: whether to include `X-Postmark`, which marks the response to a request that was run.
+            framed: whether to include `Content-Length`.
         """
         if body is None:
             body = answer_body(request, self.id)
@@ -234,31 +235,31 @@
         return head if request.method == "HEAD" else head + body
 
     def run(self, request: ReceivedRequest, *status_and_headers: str, **options: Any) -> bytes:
-        """Run a request; its answer, see `reply`."""
+        """Record a run of the request and return its response; for arguments see `reply`."""
         self.run_counts[request.id] += 1
         data = self.reply(request, *status_and_headers, **options)
         self.first_answer = self.first_answer or data
         return data
 
     def health(self, request: ReceivedRequest) -> bytes:
-        """The answer to a health check."""
+        """The response to a health check."""
         status = OK if self.healthy else UNHEALTHY
         own_id = f"X-Endpoint-Id: {self.id}"
         return self.reply(request, status, own_id, named=False, body=b"", stamped=False)
 
     def refusal(self, request: ReceivedRequest, status: str) -> bytes:
-        """A refusal (`REFUSALS`) that promises that the request has not run."""
+        """A response with a status of `REFUSALS` and the header that states that the request has not run."""
         return self.reply(request, REFUSALS[status], "X-Not-Delivered: 1", body=b"no", stamped=False)
 
 
 Act = Callable[[Adversary, ReceivedRequest, ServedConnection], Outcome]
 
 
-# Makers of acts.
+# Factories of acts.
 
 
 def answers(*status_and_headers: str, **options: Any) -> Act:
-    """Run it and answer so, see `Adversary.reply`, and stay."""
+    """Run the request, send the response that `Adversary.reply` builds, and keep the connection open."""
 
     def act(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
         return Outcome(endpoint.run(request, *status_and_headers, **options))
@@ -267,7 +268,7 @@
 
 
 def refuses(status: str) -> Act:
-    """Refuse it, and stay."""
+    """Refuse the request and keep the connection open."""
 
     def act(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
         return Outcome(endpoint.refusal(request, status))
@@ -276,17 +277,17 @@
 
 
 def runs_and_sends(data: bytes) -> Act:
-    """Run it, send `data` in place of an answer, and close."""
+    """Run the request, send `data` instead of a response, and close."""
 
     def act(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
         endpoint.run(request)
-        return Outcome(data, stays=False)
+        return Outcome(data, keep_open=False)
 
     return act
 
 
 def answers_in_chunks(trailer: str = "", coding: str = "chunked", **options: Any) -> Act:
-    """Run it and answer in one chunk, with a trailer or a further transfer coding."""
+    """Run the request and respond in one chunk, optionally with a trailer or a further transfer coding."""
 
     def act(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
         data = endpoint.run(request, OK, f"Transfer-Encoding: {coding}", framed=False, **options)
@@ -302,39 +303,43 @@
 
 
 def send_later(connection: ServedConnection, data: bytes, later: bytes) -> Outcome:
-    """Send `data` now, and `later` ahead of the next answer."""
+    """Send `data` now, and `later` before the next response."""
     connection.pending = later
     return Outcome(data)
 
 
-# Acts; each is named for what it does with a request.
+# Acts.
 
 
 def announces_close(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Answer with `Connection: close`, and close."""
-    return Outcome(endpoint.run(request, OK, "Connection: close"), stays=False)
+    """Respond with `Connection: close`, and close."""
+    return Outcome(endpoint.run(request, OK, "Connection: close"), keep_open=False)
 
 
 def sends_interim(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send interim responses (RFC 9110, section 15.2) ahead of the answer."""
+    """Send interim responses (RFC 9110, section 15.2) before the final one."""
     early_hints = f"HTTP/1.1 103 Early Hints\r\nX-Try-Id: {request.id}\r\n\r\n"
     interim = f"{early_hints}HTTP/1.1 100 Continue\r\n\r\n"
     return Outcome(interim.encode("latin-1") + endpoint.run(request))
 
 
-def empty_with_length(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Say a length in an answer that has no body."""
+def sends_empty_with_length(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send a nonzero `Content-Length` in a 204 response, which has no body."""
     data = endpoint.run(request, NO_CONTENT, body=b"")
     return Outcome(data.replace(b"Content-Length: 0", b"Content-Length: 7"))
 
 
-def without_length(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Frame the body by the connection's end."""
-    return Outcome(endpoint.run(request, framed=False), stays=request.method == "HEAD")
+def omits_length(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
+    """Delimit the body by closing the connection."""
+    return Outcome(endpoint.run(request, framed=False), keep_open=request.method == "HEAD")
 
 
-def head_with_body(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send the body though the request was HEAD."""
+def answers_head_with_body(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send a body even in response to HEAD."""
     data = endpoint.run(request)
     if request.method == "HEAD":
         data += answer_body(request, endpoint.id)
@@ -342,39 +347,41 @@
 
 
 def refuses_twice(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Refuse it, and once more ahead of the next answer."""
+    """Refuse the request, and repeat the refusal before the next response."""
     data = endpoint.refusal(request, "503")
     return send_later(connection, data, data)
 
 
 def answers_late(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Run it and send nothing until something else comes on the connection."""
+    """Run the request, and send its response only when another request arrives on the connection."""
     data = endpoint.run(request)
     connection.pending_id = request.id
     return send_later(connection, b"", data)
 
 
-def mute(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Neither run nor answer it."""
+def gives_no_answer(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
+    """Neither run the request nor respond to it."""
     connection.pending_id = request.id
     return send_later(connection, b"", b"")
 
 
 def resets(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Run it and reset the connection."""
+    """Run the request and reset the connection."""
     endpoint.run(request)
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    return Outcome(b"", stays=False)
+    return Outcome(b"", keep_open=False)
 
 
 def truncates(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send two thirds of the answer and close."""
+    """Send two thirds of the response and close."""
     data = endpoint.run(request)
-    return Outcome(data[: len(data) * 2 // 3], stays=False)
+    return Outcome(data[: len(data) * 2 // 3], keep_open=False)
 
 
-def never_complete(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Say a length that the body never reaches."""
+def sends_incomplete_body(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send a `Content-Length` larger than the body, and keep the connection open."""
     data = endpoint.run(request)
     if request.method != "HEAD":
         data = data.replace(b"Content-Length: ", b"Content-Length: 9")
@@ -382,7 +389,7 @@
 
 
 def answers_twice(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send the answer twice."""
+    """Send the response twice."""
     data = endpoint.run(request)
     return Outcome(data + data)
 
@@ -390,51 +397,57 @@
 def answers_again_later(
     endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
 ) -> Outcome:
-    """Send the answer, and once more ahead of the next one."""
+    """Send the response, and repeat it before the next one."""
     data = endpoint.run(request)
     return send_later(connection, data, data)
 
 
-def first_answer_again(
+def repeats_first_answer(
     endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
 ) -> Outcome:
-    """Send the first answer that this endpoint gave; the request's own comes ahead of the next one."""
+    """Send the first response of this endpoint; send that of the request before the next response."""
     first_answer = endpoint.first_answer
     return send_later(connection, first_answer, endpoint.run(request))
 
 
-def first_answer_ahead(
+def prepends_first_answer(
     endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
 ) -> Outcome:
-    """Send the first answer that this endpoint gave, and the request's own behind it."""
+    """Send the first response of this endpoint, followed by that of the request."""
     first_answer = endpoint.first_answer
     return Outcome(first_answer + endpoint.run(request))
 
 
-def many_others(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send a dozen answers to another request."""
+def answers_another_request(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send twelve responses with the id of another request."""
     return Outcome(12 * endpoint.run(request, other_id="another"))
 
 
-def two_ids(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Name two requests in one answer."""
+def sends_two_ids(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
+    """Send a response with two request ids."""
     data = endpoint.run(request)
     return Outcome(data.replace(b"X-Postmark", b"X-Try-Id: another\r\nX-Postmark"))
 
 
-def id_in_trailer(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Name the request in the trailer alone."""
+def sends_id_in_trailer(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send the request id in the trailer only."""
     trailer = f"X-Try-Id: {request.id}\r\nX-Postmark: t\r\n"
     return answers_in_chunks(trailer, named=False)(endpoint, request, connection)
 
 
-def garbage_behind(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Send bytes that are no answer behind the answer."""
+def sends_trailing_garbage(
+    endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection
+) -> Outcome:
+    """Send the response, followed by bytes that are not HTTP."""
     return Outcome(endpoint.run(request) + b"\x00\x01\r\n\r\n")
 
 
 def waits_for_release(endpoint: Adversary, request: ReceivedRequest, connection: ServedConnection) -> Outcome:
-    """Run it, and answer when `released` is set."""
+    """Run the request, and respond when `released` is set."""
     data = endpoint.run(request)
     endpoint.released.wait()
     return Outcome(data)
@@ -447,12 +460,12 @@
     "chunked": answers_in_chunks(),
     "interim": sends_interim,
     "empty": answers(NO_CONTENT, body=b"", framed=False),
-    "empty with a length": empty_with_length,
-    "no length": without_length,
+    "empty with a length": sends_empty_with_length,
+    "no length": omits_length,
     "odd load": answers(OK, "X-Endpoint-Load: \xb2,0,1", "Keep-Alive: timeout=\xb2"),
     "long numbers": answers(OK, f"X-Endpoint-Load: 1,2,{'9' * 5000}", f"Keep-Alive: timeout={'9' * 5000}"),
     "hop-by-hop headers": answers(OK, "Connection: X-Postmark, X-Try-Id, keep-alive"),
-    "head with body": head_with_body,
+    "head with body": answers_head_with_body,
     "503": refuses("503"),
     "429": refuses("429"),
     "421": refuses("421"),
@@ -463,30 +476,30 @@
     "bare 408": answers("408 Request Timeout", body=b"busy", stamped=False),
     "false not-delivered": answers(OK, "X-Not-Delivered: 1"),
     "late": answers_late,
-    "no answer": mute,
+    "no answer": gives_no_answer,
     "reset": resets,
     "close": runs_and_sends(b""),
     "truncated": truncates,
-    "incomplete body": never_complete,
+    "incomplete body": sends_incomplete_body,
     "answered twice": answers_twice,
     "answered again later": answers_again_later,
-    "first answer again": first_answer_again,
-    "first answer ahead": first_answer_ahead,
+    "first answer again": repeats_first_answer,
+    "first answer ahead": prepends_first_answer,
     "other id": answers(other_id="another"),
-    "many others": many_others,
+    "many others": answers_another_request,
     "no id": answers(named=False),
-    "two ids": two_ids,
-    "id in the trailer": id_in_trailer,
+    "two ids": sends_two_ids,
+    "id in the trailer": sends_id_in_trailer,
     "no stamp": answers(stamped=False),
     "encoded": answers(OK, "Content-Encoding: gzip"),
     "compressed transfer coding": answers_in_chunks(coding="deflate, chunked"),
     "garbage": runs_and_sends(b"\x00\x01 no answer \r\n\r\n"),
-    "trailing garbage": garbage_behind,
+    "trailing garbage": sends_trailing_garbage,
     "switching": runs_and_sends(
         b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"
     ),
     "odd status": answers("999 Odd", stamped=False),
 }
 
-# Acts that wait to be released: for tests that name them.
+# Acts that wait for `released`.  Kept out of `ACTS`, as tests that try every act would block on them.
 DELAYED_ACTS: dict[str, Act] = {"held": waits_for_release}
--- a/flintreach/standins/endpoint.py
+++ b/flintreach/standins/endpoint.py
@@ -1,8 +1,9 @@
-"""A stand-in for an endpoint of the whole system: heartbeats, a concurrency limit, a queue, leases on keys.
+"""A test double for a service endpoint: heartbeats, a concurrency limit, a request queue, key-range leases.
 
-Written from the wire's page, apart from the code that it stands opposite to; for tests, the demo, the soak
-and benchmarks.  Its work is a wait.  It records what it ran, so that a test can tell what must not have
-happened.
+Used by tests, the demo, the soak and benchmarks.  It is implemented from the protocol documentation,
+independently of the proxy and controller code that it exchanges messages with.  Processing a request is
+simulated by a wait.  The endpoint records every request that it runs, so that a test can detect runs that
+must not have happened.
 """
 
 import itertools
@@ -31,17 +32,17 @@
 NS_PER_S = 1_000_000_000
 MS_PER_S = 1000
 HEALTH_PATH = "/health"
-VERSION = "v1"  # of the software that the endpoint says it runs
+VERSION = "v1"  # software version reported in heartbeats
 
-# Keys of our own in a request's WSGI environ.
-LOST_KEY = "flintreach.lost"  # whether the answer is to be lost
-CALLER_KEY = "flintreach.caller"  # who waits for the answer
+# Additional keys in the WSGI environ of a request.
+LOST_KEY = "flintreach.lost"  # bool: close the connection instead of sending the response
+CALLER_KEY = "flintreach.caller"  # the `Caller` that waits for the response
 
 OK = "200 OK"
 BAD_REQUEST = "400 Bad Request"
 CONFLICT = "409 Conflict"
 MISDIRECTED = "421 Misdirected Request"
-CANCELLED = "500 Internal Server Error"  # read by nobody
+CANCELLED = "500 Internal Server Error"  # the client has already disconnected
 DRAINING = "503 Leaving"
 OVERLOADED = "503 Service Unavailable"
 
@@ -50,7 +51,7 @@
 
 
 def post_acknowledged(ip: str, port: int, path: str, body: bytes, timeout: float = CALL_TIMEOUT_S) -> bool:
-    """Post JSON to a controller; whether it answered with 200 within `timeout` seconds."""
+    """Post JSON to a controller; return whether it responded with 200 within `timeout` seconds."""
     client = HTTPClient(ip, port, connection_timeout=CONNECT_TIMEOUT_S, network_timeout=timeout)
     try:
         answer = client.post(path, body, headers={"Content-Type": "application/json"})
@@ -62,21 +63,21 @@
         client.close()
 
 
-def never() -> bool:
-    """For endpoints that lose nothing."""
+def lose_nothing() -> bool:
+    """Default of `lose_answer` and `lose_acknowledgement`: lose nothing."""
     return False
 
 
 class EndpointState(StrEnum):
-    """What an endpoint says of itself, by the names of the wire."""
+    """State that an endpoint reports in heartbeats; the values are those on the wire."""
 
     READY = "ready"
     DRAINING = "closing"
     GONE = "gone"
 
 
-class CheckIn(msgspec.Struct):
-    """A heartbeat; its fields in the order and by the names of the wire."""
+class Heartbeat(msgspec.Struct):
+    """Body of a heartbeat; fields are encoded in wire order under their wire names."""
 
     service: str = msgspec.field(name="line")
     address: str = msgspec.field(name="addr")
@@ -89,7 +90,7 @@
 
 
 class ReleaseCall(msgspec.Struct):
-    """The end of a lease on the keys from `low` to `high`; `fence` is its owner's fencing token."""
+    """Request to release the lease on keys `low` to `high`; `fence` is the owner's fencing token."""
 
     low: int = msgspec.field(name="from_edition")
     high: int = msgspec.field(name="to_edition")
@@ -97,35 +98,35 @@
 
 
 class GrantCall(ReleaseCall):
-    """A lease on the keys, for so long from now."""
+    """Request to grant a lease on a key range for `lease_ms` from receipt."""
 
     lease_ms: float = msgspec.field(name="hold_ms")
 
 
-def is_range(call: ReleaseCall) -> bool:
-    """Whether a call names keys that there are, in their order."""
+def is_valid_range(call: ReleaseCall) -> bool:
+    """Whether the bounds of a key range are ordered and within the key space."""
     return 0 <= call.low <= call.high < KEYS
 
 
 class RunEnd(Enum):
-    """How the work on one request ended."""
+    """Outcome of a run."""
 
     ANSWERED = "answered"
-    ANSWER_LOST = "answer lost"  # it was done, and its connection was ended in place of an answer
-    DROPPED = "dropped"  # its caller closed the connection
-    STOPPED = "stopped"  # the endpoint ended meanwhile
+    ANSWER_LOST = "answer lost"  # completed, but the connection was closed instead of responding
+    DROPPED = "dropped"  # cancelled: the caller closed the connection
+    STOPPED = "stopped"  # the endpoint stopped before the run completed
 
 
 @dataclass(slots=True)
 class Run:
-    """Work on one request; steady nanoseconds.
+    """Execution of one request; times are monotonic nanoseconds.
 
     Attributes:
-        request_id: of the attempt, from `X-Try-Id`.
-        began_at_ns: when the work began; for one that was cancelled in the queue, when it arrived.
-        work_ns: how long it takes if nobody cancels it.
-        ended_at_ns: None while it is at work.
-        end: likewise.
+        request_id: attempt id, from `X-Try-Id`.
+        began_at_ns: start time; for a request cancelled in the queue, its arrival time.
+        work_ns: duration unless cancelled.
+        ended_at_ns: end time; None while running.
+        end: outcome; None while running.
     """
 
     request_id: str
@@ -135,13 +136,13 @@
     end: RunEnd | None = None
 
     def finish(self, end: RunEnd) -> None:
-        """Note that the work has ended now, and how."""
+        """Record the outcome, with the current time as end time."""
         self.ended_at_ns = time.monotonic_ns()
         self.end = end
 
 
 class Reply(NamedTuple):
-    """An answer; its headers beside those that all answers have."""
+    """A response; `headers` excludes those that every response has."""
 
     status: str
     headers: list[tuple[str, str]]
@@ -149,13 +150,13 @@
 
 
 class EndpointHandler(pywsgi.WSGIHandler):
-    """Lets a request's work know whether its caller is still there, and loses answers.
+    """Handler that detects client disconnects while a request runs, and simulates lost responses.
 
-    In place of an answer that is to be lost it ends the connection.
+    A lost response is simulated by closing the connection instead of sending it.
     """
 
     def handle(self) -> None:
-        """Serve one connection, and watch whether its client hangs up."""
+        """Serve one connection, and monitor it for a disconnect of the client."""
         self.caller = Caller()
         monitor = self.server.hangups
         descriptor = self.socket.fileno()
@@ -163,12 +164,12 @@
             monitor.add(self.socket, self.caller)
             super().handle()
         except OSError:
-            pass  # it had ended before it was served
+            pass  # the connection was closed before it could be served
         finally:
-            monitor.callers.pop(descriptor, None)  # the descriptor is closed, which ended the watch
+            monitor.callers.pop(descriptor, None)  # closing the descriptor ended the monitoring
 
     def get_environ(self) -> Environ:
-        """The environ of a request, with its caller."""
+        """The WSGI environ of a request, extended with its caller."""
         return {**super().get_environ(), CALLER_KEY: self.caller}
 
     def _sendall(self, data: bytes) -> None:
@@ -182,17 +183,17 @@
     """One incarnation of an endpoint.
 
     Attributes:
-        id: its name on the wire, new with each incarnation.
-        state: what it says of itself.
-        running: requests at work.
-        waiting: requests in the queue.
-        run_counts: id of an attempt -> how often it was run here.
-        rejected: requests that were refused with a promise that they have not run.
-        arrivals: (steady nanoseconds, id of an attempt) of each request that it was meant to get.
-        runs: the work that it began.
-        cancelled_in_queue: work that was not begun, as its caller hung up while it waited.
-        departed_at_ns: when its departure was first acknowledged, also if that was lost.
-        lose_answer, lose_acknowledgement: whether the next one is lost.
+        id: endpoint id on the wire, unique to each incarnation.
+        state: state reported in heartbeats.
+        running: number of running requests.
+        waiting: number of queued requests.
+        run_counts: attempt id -> number of times this endpoint ran it.
+        rejected: number of requests refused with `X-Not-Delivered`, which guarantees that they did not run.
+        arrivals: (monotonic nanoseconds, attempt id) of each request that `is_responsible_for` accepts.
+        runs: all runs that started.
+        cancelled_in_queue: requests that never ran because the caller disconnected while they were queued.
+        departed_at_ns: time of the first acknowledgement of the departure, including a simulated lost one.
+        lose_answer, lose_acknowledgement: decide whether the next response or acknowledgement is lost.
     """
 
     def __init__(
@@ -205,22 +206,22 @@
         capacity: int = 4,
         queue_limit: int = 8,
         sharded: bool = False,
-        report_s: float = 0.5,
+        heartbeat_interval_s: float = 0.5,
         warm_up_s: float = 0.0,
     ) -> None:
-        """Make an endpoint; `start` makes it listen.
+        """Create an endpoint that does not listen until `start` is called.
 
         Args:
-            service: which it serves.
-            address: at which it listens.
-            zone: where it says that it is.
-            control: gives the controllers' addresses, in the order in which it tries them.
-            work_s: seconds of work on a request.
-            capacity: requests at work at once.
-            queue_limit: requests that wait; further ones are rejected.
-            sharded: whether it serves only keys on which it has a lease.
-            report_s: seconds between heartbeats.
-            warm_up_s: seconds from now for which it says that it is warming up.
+            service: name of the service.
+            address: listen address.
+            zone: zone reported in heartbeats.
+            control: returns the controller addresses in the order in which to try them.
+            work_s: duration of a run in seconds.
+            capacity: maximum number of concurrent runs.
+            queue_limit: maximum number of queued requests; further ones are rejected.
+            sharded: whether to accept only requests for keys that it holds a lease on.
+            heartbeat_interval_s: heartbeat interval in seconds.
+            warm_up_s: seconds from now during which heartbeats report a warm-up.
         """
         self.id = f"i-{uuid.uuid4().hex[:8]}"
         self.service = service
@@ -231,8 +232,8 @@
         self.capacity = capacity
         self.queue_limit = queue_limit
         self.sharded = sharded
-        self.report_s = report_s
-        self.warm_at = time.monotonic() + warm_up_s
+        self.heartbeat_interval_s = heartbeat_interval_s
+        self.warm_up_ends_at = time.monotonic() + warm_up_s
         self.leases = KeyLeases()
         self.state = EndpointState.READY
         self.sequence = itertools.count(1)
@@ -245,8 +246,8 @@
         self.runs: list[Run] = []
         self.cancelled_in_queue: list[Run] = []
         self.departed_at_ns: int | None = None
-        self.lose_answer: Callable[[], bool] = never
-        self.lose_acknowledgement: Callable[[], bool] = never
+        self.lose_answer: Callable[[], bool] = lose_nothing
+        self.lose_acknowledgement: Callable[[], bool] = lose_nothing
         self.server = pywsgi.WSGIServer(
             address, self.answer, log=None, error_log=None, handler_class=EndpointHandler
         )
@@ -254,12 +255,12 @@
         self.heartbeats: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Listen, and send heartbeats."""
+        """Start listening and sending heartbeats."""
         self.server.start()
-        self.heartbeats = gevent.spawn(self.report)
+        self.heartbeats = gevent.spawn(self.send_heartbeats)
 
     def stop(self) -> None:
-        """End as in a crash: nobody is notified."""
+        """Stop as in a crash, without notifying controllers."""
         if self.heartbeats is not None:
             self.heartbeats.kill(block=False)
         self.server.stop(timeout=0)
@@ -267,10 +268,10 @@
             if run.end is None:
                 run.finish(RunEnd.STOPPED)
 
-    # What others call.
+    # Requests from proxies and controllers.
 
     def answer(self, environ: Environ, start: Callable[[str, list[tuple[str, str]]], Any]) -> list[bytes]:
-        """Answer a request of a proxy or a controller, as a WSGI application."""
+        """WSGI application that serves requests from proxies and controllers."""
         reply = self.reply_to(environ)
         load = f"{self.running},{self.waiting},{self.capacity}"
         headers = [
@@ -288,7 +289,7 @@
         return [reply.body]
 
     def reply_to(self, environ: Environ) -> Reply:
-        """Answer by method and path: a call on leases, a health check, or work."""
+        """Dispatch by method and path to a lease call, a health check or a service request."""
         path = environ["PATH_INFO"]
         method = environ["REQUEST_METHOD"]
         data = environ["wsgi.input"].read()
@@ -301,27 +302,27 @@
         return self.work(environ)
 
     def grant(self, call: GrantCall) -> Reply:
-        """Take a lease, unless a higher fencing token was seen."""
+        """Accept a lease unless a higher fencing token has been seen."""
         now = time.monotonic()
-        if not is_range(call):
+        if not is_valid_range(call):
             return Reply(BAD_REQUEST, [], b"")
         granted = self.leases.grant(call.low, call.high, call.fence, call.lease_ms / MS_PER_S, now)
         return Reply(OK if granted else CONFLICT, [], b"")
 
     def release(self, call: ReleaseCall) -> Reply:
-        """Give a lease up, with a handover for the next endpoint."""
-        if not is_range(call):
+        """Release a lease, and return a handover value for the next owner."""
+        if not is_valid_range(call):
             return Reply(BAD_REQUEST, [], b"")
         self.leases.release(call.low, call.high)
         return Reply(OK, [("X-Handover", f"{call.fence:016x}")], b"")
 
     def reject(self, status: str) -> Reply:
-        """Refuse a request, with the promise that it has not run."""
+        """Refuse a request, stating in a header that it has not run."""
         self.rejected += 1
         return Reply(status, [("X-Not-Delivered", "1")], b"")
 
-    def is_meant(self, environ: Environ) -> bool:
-        """Whether a request is for this incarnation, and for keys on which it has a lease."""
+    def is_responsible_for(self, environ: Environ) -> bool:
+        """Whether a request is for this incarnation and, if sharded, for a key that it has a lease on."""
         if environ.get("HTTP_X_EXPECT_ENDPOINT") not in (None, self.id):
             return False
         if not self.sharded:
@@ -330,8 +331,8 @@
         return key.isdigit() and self.leases.covers(int(key), time.monotonic())
 
     def work(self, environ: Environ) -> Reply:
-        """Run a request, when its turn in the queue comes."""
-        if not self.is_meant(environ):
+        """Queue a request, and run it as soon as a slot is free."""
+        if not self.is_responsible_for(environ):
             return self.reject(MISDIRECTED)
         arrived_at_ns = time.monotonic_ns()
         request_id = environ.get("HTTP_X_TRY_ID", "")
@@ -359,7 +360,7 @@
         return self.result(environ, request_id)
 
     def begin_run(self, request_id: str) -> Run:
-        """Record that the work on a request begins now."""
+        """Record the start of a run."""
         self.running += 1
         self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
         run = Run(request_id, time.monotonic_ns(), int(self.work_s * NS_PER_S))
@@ -367,30 +368,30 @@
         return run
 
     def wait_for_work(self, caller: Caller) -> None:
-        """Wait for as long as the work on one request takes.
+        """Simulate the processing of a request by waiting for `work_s` seconds.
 
         Raises:
-            ClientDisconnected: its caller ended the connection.
+            ClientDisconnected: the caller closed the connection.
         """
-        hung_up = Event()
-        with caller.calling_on_disconnect(hung_up.set):
-            hung_up.wait(self.work_s)
+        disconnected = Event()
+        with caller.calling_on_disconnect(disconnected.set):
+            disconnected.wait(self.work_s)
         caller.raise_if_disconnected()
 
     def result(self, environ: Environ, request_id: str) -> Reply:
-        """The answer of a request that has run, stamped with how often it has."""
+        """The response to a completed request; `X-Postmark` contains the number of its runs."""
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         body = f"{self.service} at {self.id} did {method} {path}\n".encode()
         stamp = f"{self.id}.{self.run_counts[request_id]}"
         return Reply(OK, [("X-Postmark", stamp), ("Content-Type", "text/plain")], body)
 
-    # What it says of itself.
+    # Reports to the controllers.
 
     def call_controller(self, path: str, body: bytes) -> bool:
-        """Call the controllers in turn; whether one's acknowledgement came.
+        """Call the controllers in turn until one acknowledges; return whether one did.
 
-        The departure counts from the first acknowledgement, also from one that was lost.
+        The departure takes effect with the first acknowledgement, even if that is treated as lost.
         """
         for ip, port in self.control():
             if not post_acknowledged(ip, port, path, body):
@@ -402,9 +403,9 @@
         return False
 
     def send_heartbeat(self) -> bool:
-        """Send one heartbeat; whether it was acknowledged."""
-        warm_up_left_s = self.warm_at - time.monotonic()
-        check_in = CheckIn(
+        """Send one heartbeat; return whether it was acknowledged."""
+        warm_up_left_s = self.warm_up_ends_at - time.monotonic()
+        heartbeat = Heartbeat(
             service=self.service,
             address=f"{self.address[0]}:{self.address[1]}",
             zone=self.zone,
@@ -414,28 +415,28 @@
             warm_up_left_ms=max(0, int(warm_up_left_s * MS_PER_S)),
             sequence=next(self.sequence),
         )
-        return self.call_controller(f"/v1/endpoints/{self.id}/check-in", msgspec.json.encode(check_in))
+        return self.call_controller(f"/v1/endpoints/{self.id}/check-in", msgspec.json.encode(heartbeat))
 
-    def report(self) -> None:
-        """Send heartbeats all the while."""
+    def send_heartbeats(self) -> None:
+        """Send heartbeats until killed."""
         while True:
             self.send_heartbeat()
-            gevent.sleep(self.report_s)
+            gevent.sleep(self.heartbeat_interval_s)
 
     def leave(self) -> bool:
-        """Announce a planned end; whether it was acknowledged."""
+        """Start draining and announce it; return whether it was acknowledged."""
         self.state = EndpointState.DRAINING
         return self.send_heartbeat()
 
     def send_sign_off(self) -> bool:
-        """Sign off, and serve on; whether it was acknowledged."""
+        """Sign off but continue to serve; return whether it was acknowledged."""
         self.state = EndpointState.GONE
         if self.heartbeats is not None:
             self.heartbeats.kill(block=False)
         return self.call_controller(f"/v1/endpoints/{self.id}/sign-off", b"")
 
     def sign_off(self) -> bool:
-        """Sign off, and end; whether it was acknowledged."""
+        """Sign off and stop; return whether it was acknowledged."""
         acknowledged = self.send_sign_off()
         self.stop()
         return acknowledged
