--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -1,6 +1,7 @@
-"""What must hold in a simulated site: a log of what callers were told, checked as answers and updates come.
+"""Invariants of a simulated site, checked against a history of the answers that callers received.
 
-Sources: the rules' page (CONFIG, DRAIN, EVAC, LOST, OWNER, Acks) and docs/design/system.md.
+The invariants follow from the rules CONFIG, DRAIN, EVAC, LOST, OWNER and Acks, and from
+docs/design/system.md.
 """
 
 import re
@@ -32,34 +33,34 @@
     from flintreach.simulation.site import SimulatedController, Site
 
 INVARIANTS = {
-    "crash": "no task of a process ends by an exception",
-    "kept": "a get begun after a configuration was acknowledged or shown shows it or a later one",
-    "single": "one content a number: of two under one number, one at the most is acknowledged or in force",
-    "refused": "what was acknowledged or is in force is never refused, what was refused is never in force",
-    "answered": "no proper order or call is answered 4xx, but 409 where another content bears its number",
+    "crash": "no task of a process ends with an unhandled exception",
+    "kept": "a get that starts after a configuration was acknowledged or returned returns it or a later one",
+    "single": "of several contents sent under one version, at most one is acknowledged or in force",
+    "refused": "a configuration acknowledged or in force is never refused, and a refused one never in force",
+    "answered": "no valid request is answered 4xx, except 409 where another content has the same version",
     "durable": "an acknowledged configuration is on the disks of a quorum of the voters in force",
-    "known": "an acknowledged first check-in, closing or sign-off is on the disks of a quorum of the voters",
-    "drain": "last_call_ms after an acknowledged closing or sign-off, nobody in touch tells it as ready",
-    "confirmed": "who counts a moment as confirmed holds what was acknowledged before it",
-    "ended": "two check-ins in a row of a live endpoint are not acknowledged by who tells it as gone",
-    "stale": "a controller without contact to the others for three seconds answers no directions",
-    "monotonic": "the updates that a process holds never go back within its life",
-    "evacuated": "an acknowledged evacuation, or its end, stands in touch, whatever comes late",
-    "owner": "no two endpoints that are up hold one key",
-    "live": "in a calm time each order is acknowledged within receipt_ms",
-    "agree": "after a calm time all processes hold the same updates",
-    "epochs": "each epoch has one set of voters, and shares a set with the one before it",
-    "forgotten": "of an endpoint that ended 150 seconds ago nothing is held in memory or on disks",
-    "voters": "after a calm time the voters are there, and any loss within bounds leaves a quorum",
+    "known": "an acknowledged first check-in, draining or sign-off is on the disks of a quorum of the voters",
+    "drain": "last_call_ms after an acknowledged draining or sign-off, no connected process has it as ready",
+    "confirmed": "a process holds everything acknowledged before the time up to which it is confirmed",
+    "ended": "two consecutive check-ins of a live endpoint are not acknowledged while it is listed as gone",
+    "stale": "a controller without a majority for three seconds answers no directory request",
+    "monotonic": "versions of the updates that a process holds never decrease while it runs",
+    "evacuated": "connected processes hold each acknowledged start or end of an evacuation",
+    "owner": "no two live endpoints hold leases on the same key",
+    "live": "without faults each order is acknowledged within receipt_ms",
+    "agree": "after a time without faults all processes hold the same updates",
+    "epochs": "each epoch has one voter configuration, whose quorums meet those of the epoch before",
+    "forgotten": "no record of an endpoint that ended 150 seconds ago is left in memory or on disk",
+    "voters": "after a time without faults there are enough voters for any tolerated loss to leave a quorum",
 }
-CALM_NS = 5 * NS_PER_SECOND  # after the last fault, until which answers may be late
-START_NS = 5 * NS_PER_SECOND  # after its start, in which a process may hold old updates
-STALE_NS = 3 * NS_PER_SECOND  # without contact, after which a controller may answer no directions
+CALM_NS = 5 * NS_PER_SECOND  # after the last fault, during which answers may be late
+START_NS = 5 * NS_PER_SECOND  # after its start, during which a process may hold old updates
+STALE_NS = 3 * NS_PER_SECOND  # without contact, after which a controller may not answer directory requests
 DRAIN_NS = 3 * NS_PER_SECOND  # `last_call_ms`
 EVACUATE_NS = 5 * NS_PER_SECOND  # `evacuate_ms`
 RECOVERY_NS = 300 * NS_PER_MS  # `thaw_ms`
-ROUND_TRIP_NS = 30 * NS_PER_MS  # of a controller that has just recovered
-CLOCK_DRIFT_FACTOR = 1.05  # clocks of processes may run a few percent apart
+ROUND_TRIP_NS = 30 * NS_PER_MS  # allowed for a controller that has just recovered
+CLOCK_DRIFT_FACTOR = 1.05  # process clocks may drift apart by a few percent
 CONFIRMATION_MARGIN_NS = 20 * NS_PER_MS
 LEFT_STATES = (EndpointState.DRAINING, EndpointState.GONE)
 VERSION = re.compile(rb'"edition": ?"([0-9a-f]{8})"')
@@ -67,29 +68,29 @@
 
 
 def version_of(value: bytes | None) -> int:
-    """The version of a configuration, however it is wrapped in the register; -1 for none."""
+    """Extract the version of an encoded configuration, also one wrapped in a register value; -1 if none."""
     match = VERSION.search(value or b"")
     return int(match[1], 16) if match else NO_CONFIGURATION
 
 
-def time_text(at_ns: int) -> str:
-    """A virtual time in seconds since the beginning, for a text."""
+def format_time(at_ns: int) -> str:
+    """Format a virtual time as seconds since the start of the simulation."""
     return f"{seconds_since_start(at_ns):.3f}"
 
 
 @dataclass(eq=False)
 class Put:
-    """One content under one version, as operators send it.  Times are virtual, in nanoseconds.
+    """A configuration put by an operator: one content under one version.  Times are virtual nanoseconds.
 
     Attributes:
-        number: the version.
-        body: the content.
-        sent_ns: when it was sent first.
+        version: version of the configuration.
+        body: its encoded content.
+        sent_ns: when it was first sent.
         acknowledged_ns: when it was first acknowledged.
         refused_ns: when it was first refused.
     """
 
-    number: int
+    version: int
     body: bytes
     sent_ns: int
     acknowledged_ns: int | None = None
@@ -98,7 +99,7 @@
 
 @dataclass(eq=False)
 class EvacuationOrder:
-    """An order to begin or end the evacuation of a zone; times as in `Put`."""
+    """An order to start or finish the evacuation of a zone; times as in `Put`."""
 
     is_evacuated: bool
     began_ns: int
@@ -106,31 +107,31 @@
 
 
 class InvariantChecker:
-    """Hears what happens in a site, and tells what must not have happened.
+    """Records the history of a simulated site and reports violated invariants.
 
     Attributes:
-        on: names of the invariants that end a run.
-        counts: invariant -> how often it broke.
-        first_violations: invariant -> (seconds since the beginning, text) of its first break.
+        fatal_invariants: names of the invariants whose violation ends a run.
+        counts: invariant -> number of violations.
+        first_violations: invariant -> (seconds since the start, text) of its first violation.
         puts: configurations that were sent, by version and content.
-        highest_acknowledged: version of a configuration.
-        highest_shown: version of a configuration that a get has shown.
-        in_force: version -> content that a get or a versioned store has shown.
+        highest_acknowledged: highest version of a configuration that was acknowledged.
+        highest_shown: highest version of a configuration that a get returned.
+        in_force: version -> content that a get returned or a versioned store held.
         versions: (process, key) -> version of the last update.
-        evacuations: zone -> its orders in turn.
-        leaving: endpoint -> when its closing or sign-off was first acknowledged, in nanoseconds.
+        evacuations: zone -> its orders, oldest first.
+        leaving: endpoint -> when its draining or sign-off was first acknowledged, in nanoseconds.
         epochs: epoch -> its voters.
-        contacts: controller -> when it last may have had contact with a majority, in nanoseconds.
-        active_faults: how many faults there are now.
+        last_contact_ns: controller -> when it last could have reached a majority.
+        active_faults: number of faults in progress.
         calm_since_ns: when the last fault began or ended.
-        on_ack: called once each, without arguments, at the next acknowledgement.
-        acks: kind of request -> how many were acknowledged.
+        on_ack: callbacks without arguments, each called once at the next acknowledgement.
+        acks: kind of request -> number of acknowledged requests.
     """
 
-    def __init__(self, sim: Simulation, on: Iterable[str]) -> None:
-        """Begin with nothing heard; `site` is set before the first process starts."""
+    def __init__(self, sim: Simulation, fatal_invariants: Iterable[str]) -> None:
+        """Create a checker with an empty history; `site` must be set before the first process starts."""
         self.sim = sim
-        self.on = set(on)
+        self.fatal_invariants = set(fatal_invariants)
         self.site: Site | None = None
         self.counts: Counter[str] = Counter()
         self.first_violations: dict[str, tuple[float, str]] = {}
@@ -142,18 +143,18 @@
         self.evacuations: dict[str, list[EvacuationOrder]] = {}
         self.leaving: dict[str, int] = {}
         self.epochs: dict[int, Voters] = {}
-        self.contacts: dict[SimulatedController, int] = {}
+        self.last_contact_ns: dict[SimulatedController, int] = {}
         self.active_faults = 0
         self.calm_since_ns = sim.now_ns
         self.on_ack: list[Callable[[], None]] = []
         self.acks: Counter[str] = Counter()
 
     def record_violation(self, name: str, text: str) -> None:
-        """An invariant does not hold.
+        """Record that an invariant does not hold; end the run if it is one of `fatal_invariants`.
 
         Args:
             name: a key of `INVARIANTS`.
-            text: what was seen.
+            text: what was observed.
         """
         if self.sim.violation is not None:
             return
@@ -161,22 +162,22 @@
         if name not in self.first_violations:
             self.first_violations[name] = (round(self.sim.elapsed_s, 3), text)
             self.sim.note("BROKEN", f"{name}: {text}")
-        if name in self.on:
+        if name in self.fatal_invariants:
             self.sim.fail(InvariantViolation(name, text))
 
-    # Calm times.
+    # Faults and acknowledgements.
 
     def count_fault(self, change: int) -> None:
-        """A fault begins (1), ends (-1) or is over at once (0)."""
+        """Count a fault that begins (1), ends (-1) or is instantaneous (0)."""
         self.active_faults += change
         self.calm_since_ns = self.sim.now_ns
 
-    def calm(self, since_ns: int) -> bool:
-        """Whether there has been no fault since `CALM_NS` before a virtual time."""
+    def is_calm(self, since_ns: int) -> bool:
+        """Whether no fault has been active since `CALM_NS` before a virtual time."""
         return not self.active_faults and self.calm_since_ns <= since_ns - CALM_NS
 
-    def acknowledged(self, kind: str) -> None:
-        """A request of a kind was acknowledged for the first time."""
+    def record_ack(self, kind: str) -> None:
+        """Count the first acknowledgement of a request, and run the callbacks of `on_ack`."""
         self.acks[kind] += 1
         watchers = self.on_ack
         self.on_ack = []
@@ -185,27 +186,27 @@
 
     # Configurations.
 
-    def record_put(self, number: int, body: bytes) -> Put:
-        """A configuration is about to be sent."""
-        return self.puts.setdefault(number, {}).setdefault(body, Put(number, body, self.sim.now_ns))
+    def record_put(self, version: int, body: bytes) -> Put:
+        """Record a configuration that is about to be sent."""
+        return self.puts.setdefault(version, {}).setdefault(body, Put(version, body, self.sim.now_ns))
 
     def check_put_answer(self, put: Put, status: int, who: str) -> None:
-        """A controller answered a put, once more or for the first time.
+        """Check the answer to a put; one put may be answered several times.
 
         Args:
-            put: what was sent.
-            status: of the answer.
+            put: the configuration that was sent.
+            status: HTTP status of the answer.
             who: name of the controller.
         """
-        rivals = [other for other in self.puts[put.number].values() if other is not put]
+        rivals = [other for other in self.puts[put.version].values() if other is not put]
         if status == 200:
             self.check_acknowledged_put(put, rivals, who)
         elif 400 <= status < 500:
             self.check_refused_put(put, rivals, status, who)
 
     def check_acknowledged_put(self, put: Put, rivals: list[Put], who: str) -> None:
-        """No other content was acknowledged under its version, and it was not refused before."""
-        name = f"configuration {put.number}"
+        """Check that no other content of this version was acknowledged, and that it was not refused."""
+        name = f"configuration {put.version}"
         if any(other.acknowledged_ns for other in rivals):
             self.record_violation("single", f"{name}: a second content was acknowledged by {who}")
         if put.refused_ns:
@@ -214,13 +215,13 @@
             put.acknowledged_ns = self.sim.now_ns
             self.sim.note("operator", f"{name} acknowledged by {who}")
             self.check_durable(put, who)
-            self.acknowledged("put")
-        self.highest_acknowledged = max(self.highest_acknowledged, put.number)
+            self.record_ack("put")
+        self.highest_acknowledged = max(self.highest_acknowledged, put.version)
 
     def check_refused_put(self, put: Put, rivals: list[Put], status: int, who: str) -> None:
-        """It does not stand, and another content has its version."""
-        name = f"configuration {put.number}"
-        if put.acknowledged_ns or self.in_force.get(put.number) == put.body:
+        """Check that a refused put is neither acknowledged nor in force, and that its version is taken."""
+        name = f"configuration {put.version}"
+        if put.acknowledged_ns or self.in_force.get(put.version) == put.body:
             self.record_violation(
                 "refused", f"{name}: {status} from {who} after it had been acknowledged or shown"
             )
@@ -231,26 +232,26 @@
         put.refused_ns = put.refused_ns or self.sim.now_ns
 
     def check_durable(self, put: Put, who: str) -> None:
-        """An acknowledged configuration, or a later one, is on the disks of a quorum."""
+        """Check that an acknowledged configuration, or a later one, is on the disks of a quorum."""
         holders = set()
         for address, disk in self.site.disks_with_addresses():
             slot = disk.slots.get(CONFIGURATION_KEY)
-            if slot and version_of(slot.value) >= put.number:
+            if slot and version_of(slot.value) >= put.version:
                 holders.add(address)
-        self.check_quorum("durable", f"configuration {put.number} acknowledged by {who}", holders)
+        self.check_quorum("durable", f"configuration {put.version} acknowledged by {who}", holders)
 
     def check_quorum(self, name: str, what: str, holders: set[Address]) -> None:
-        """What some disks hold is on those of a quorum of the voters in force.
+        """Check that the disks that hold a record include a quorum of the current voters.
 
         Args:
-            name: the invariant.
-            what: is on the disks, for the text.
-            holders: addresses of the disks' processes.
+            name: of the invariant.
+            what: description of the record, for the violation's text.
+            holders: addresses of the processes whose disks hold it.
         """
         voters = self.site.voters()
         if not voters.epoch:
             return
-        # While two sets stand, a majority of either is met by every quorum.
+        # While two voter sets are in force, every quorum intersects a majority of either.
         if any(len(holders & members) > len(members) // 2 for members in voters.sets):
             return
         holder_ips = sorted(ip for ip, _ in holders)
@@ -258,11 +259,11 @@
         self.record_violation(name, f"{what}: on the disks of {holder_ips} of the voters {voter_ips}")
 
     def check_get(self, lowest: int, status: int, body: bytes, who: str) -> None:
-        """A controller answered a get.
+        """Check the answer to a get.
 
         Args:
-            lowest: the highest version that was acknowledged or shown when the get began.
-            status: of the answer.
+            lowest: highest version that was acknowledged or returned when the get began.
+            status: HTTP status of the answer.
             body: of the answer.
             who: name of the controller.
         """
@@ -273,32 +274,32 @@
         elif 400 <= status < 500 and status != 404:
             self.record_violation("answered", f"get: {status} from {who}")
         elif status == 200:
-            number = version_of(body)
-            if number < lowest:
+            version = version_of(body)
+            if version < lowest:
                 self.record_violation(
-                    "kept", f"{who} answers configuration {number}, {lowest} was acknowledged or shown"
+                    "kept", f"{who} answers configuration {version}, {lowest} was acknowledged or shown"
                 )
-            self.check_in_force(number, body, who)
-            self.highest_shown = max(self.highest_shown, number)
+            self.check_in_force(version, body, who)
+            self.highest_shown = max(self.highest_shown, version)
 
-    def check_in_force(self, number: int, body: bytes, who: str) -> None:
-        """Somebody shows a configuration: it was sent, not refused, and is the only one of its version."""
-        puts = self.puts.get(number, {})
+    def check_in_force(self, version: int, body: bytes, who: str) -> None:
+        """Check that a configuration in force was sent, not refused, and is the only one of its version."""
+        puts = self.puts.get(version, {})
         put = puts.get(body)
         if put is None:
-            self.record_violation("kept", f"{who} shows a configuration {number} that nobody sent")
+            self.record_violation("kept", f"{who} shows a configuration {version} that nobody sent")
         elif put.refused_ns:
             self.record_violation(
-                "refused", f"{who} shows configuration {number} with a content that was refused"
+                "refused", f"{who} shows configuration {version} with a content that was refused"
             )
         acknowledged_rivals = [other for other in puts.values() if other.acknowledged_ns and other is not put]
-        if self.in_force.setdefault(number, body) != body or acknowledged_rivals:
-            self.record_violation("single", f"{who} shows another content of configuration {number}")
+        if self.in_force.setdefault(version, body) != body or acknowledged_rivals:
+            self.record_violation("single", f"{who} shows another content of configuration {version}")
 
     # Updates.
 
     def record_update(self, process: Process | None, key: str, version: Any, value: Any) -> None:
-        """A versioned store took in an update: its version is higher than the one before it."""
+        """Check that an update applied to a versioned store has a higher version than the one before."""
         source = process, key
         if source in self.versions and not version > self.versions[source]:
             self.record_violation(
@@ -309,13 +310,13 @@
             self.check_in_force(version_of(value), value, process.name)
 
     def check_start(self, controller: "SimulatedController") -> None:
-        """A controller begins to answer callers: it knows what was acknowledged before its start."""
+        """Check that a controller that starts to answer knows all departures acknowledged before it began."""
         for id, left_ns in self.leaving.items():
             record = controller.plane.registry.records.get(id)
             if record is None or record.state != EndpointState.READY:
                 continue
             if left_ns < controller.started_at_ns:
-                since = time_text(left_ns)
+                since = format_time(left_ns)
                 self.record_violation(
                     "drain", f"{controller.name} begins with {id} as ready, leaving since {since}"
                 )
@@ -325,12 +326,12 @@
     def check_heartbeat(
         self, endpoint: "Endpoint", first: bool, closing: bool, controller: "SimulatedController"
     ) -> None:
-        """A heartbeat was acknowledged.
+        """Check an acknowledged heartbeat.
 
         Args:
-            endpoint: whose.
-            first: whether it is the first of this endpoint that was.
-            closing: whether it said that the endpoint is draining.
+            endpoint: that sent it.
+            first: whether it is the first acknowledged heartbeat of the endpoint.
+            closing: whether it reported the endpoint as draining.
             controller: that acknowledged it.
         """
         if first or closing:
@@ -345,33 +346,33 @@
     def check_not_ended(
         self, endpoint: "Endpoint", record: EndpointRecord | None, controller: "SimulatedController"
     ) -> None:
-        """A controller does not tell a live endpoint as gone twice in a row.
+        """Check that a controller does not list a live endpoint as gone after two consecutive heartbeats.
 
-        Once it may be a late call of an earlier incarnation at its address, which its next heartbeat
-        overrules.
+        Once is allowed: a delayed call of an earlier endpoint at the same address may have ended it until its
+        next heartbeat.
         """
         is_gone = record is not None and record.state == EndpointState.GONE
         is_wrong = is_gone and endpoint.up and endpoint.id not in self.leaving
-        endpoint.denied = endpoint.denied + 1 if is_wrong else 0
-        if endpoint.denied > 1:
+        endpoint.consecutive_gone = endpoint.consecutive_gone + 1 if is_wrong else 0
+        if endpoint.consecutive_gone > 1:
             self.record_violation(
                 "ended", f"{controller.name} acknowledged a check-in of {endpoint.id} and tells it as gone"
             )
 
     def record_leaving(self, endpoint: "Endpoint", what: str, who: str) -> None:
-        """A closing or sign-off was acknowledged, again or for the first time."""
+        """Record an acknowledged draining or sign-off; only the first of an endpoint counts."""
         if endpoint.id not in self.leaving:
             self.leaving[endpoint.id] = self.sim.now_ns
             self.sim.note(endpoint.id, f"{what} acknowledged by {who}")
-            self.acknowledged(what)
+            self.record_ack(what)
 
     def check_endpoint_on_disks(self, endpoint: "Endpoint", leaves: bool, what: str, who: str) -> None:
-        """What was acknowledged of an endpoint is on the disks of a quorum.
+        """Check that the acknowledged state of an endpoint is on the disks of a quorum.
 
         Args:
-            endpoint: whose.
-            leaves: whether it was a closing or sign-off.
-            what: was acknowledged, for the text.
+            endpoint: whose state was acknowledged.
+            leaves: whether a draining or sign-off was acknowledged.
+            what: kind of the acknowledged request, for the violation's text.
             who: name of the controller.
         """
         holders = set()
@@ -387,48 +388,48 @@
     # Keys.
 
     def check_grant(self, process: Process, endpoint: "Endpoint", low: int, high: int) -> None:
-        """An endpoint took the keys from `low` to `high`: no other that is up holds one of them.
+        """Check that no other live endpoint holds a lease on a key that was just granted.
 
         Args:
-            process: that granted them.
-            endpoint: that took them.
+            process: that granted the keys.
+            endpoint: that accepted the grant.
             low: the first key.
             high: the last key.
         """
         now_ns = self.sim.now_ns
         recovered_at_ns = max(process.machine.recovered_at_ns, self.site.outside.machine.recovered_at_ns)
         if now_ns - recovered_at_ns <= RECOVERY_NS:
-            return  # the rules leave these out
+            return  # the rules exempt the time just after a recovery
         for other in self.site.endpoints.values():
-            if other is endpoint or not other.up or other.line != endpoint.line:
+            if other is endpoint or not other.up or other.service != endpoint.service:
                 continue
-            for other_low, other_high, _, until_ns in other.holds:
+            for other_low, other_high, _, until_ns in other.leases:
                 if until_ns > now_ns and other_low <= high and low <= other_high:
-                    both = f"{max(other_low, low)}..{min(other_high, high)}"
+                    overlap = f"{max(other_low, low)}..{min(other_high, high)}"
                     self.record_violation(
-                        "owner", f"{endpoint.id} and {other.id} hold {both}, granted by {process.name}"
+                        "owner", f"{endpoint.id} and {other.id} hold {overlap}, granted by {process.name}"
                     )
 
-    # Evacuations: one operator a zone, one order after the other.
+    # Evacuations: each zone has one operator, who sends one order at a time.
 
     def record_evacuation(self, zone: str, is_evacuated: bool) -> EvacuationOrder:
-        """An order to begin or end an evacuation is about to be sent."""
+        """Record an order to start or finish an evacuation that is about to be sent."""
         order = EvacuationOrder(is_evacuated, self.sim.now_ns)
         self.evacuations.setdefault(zone, []).append(order)
         return order
 
     def check_evacuation_answer(self, zone: str, order: EvacuationOrder, status: int, who: str) -> None:
-        """A controller answered an order: it never refuses one."""
+        """Check the answer to an evacuation order, which is never refused."""
         if status == 200:
             order.acknowledged_ns = order.acknowledged_ns or self.sim.now_ns
             what = "started" if order.is_evacuated else "finished"
             self.sim.note("operator", f"evacuation of {zone} {what} by {who}")
-            self.acknowledged("evacuation")
+            self.record_ack("evacuation")
         elif 400 <= status < 500:
             self.record_violation("answered", f"evacuation of {zone}: {status} from {who}")
 
     def settled_evacuations(self, before_ns: int) -> dict[str, bool]:
-        """Zones whose last order was acknowledged before a time, and whether they are evacuated."""
+        """Map zones whose last order was acknowledged before a time to whether they are evacuated."""
         settled = {}
         for zone, orders in self.evacuations.items():
             last = orders[-1]
@@ -437,45 +438,45 @@
         return settled
 
     def check_evacuations(self, name: str, process: Process, before_ns: int) -> None:
-        """A process holds the evacuations that were acknowledged before a time; `name`: the invariant."""
+        """Check that a process holds the evacuations acknowledged before a time; `name` is the invariant."""
         evacuated_zones = self.updates(process).get(EVACUATION_KEY) or {}
         for zone, is_evacuated in self.settled_evacuations(before_ns).items():
             if bool(evacuated_zones.get(zone)) != is_evacuated:
                 how = "is not" if is_evacuated else "is still"
                 self.record_violation(name, f"{process.name}: {zone} {how} evacuated")
 
-    # Now and then.
+    # Periodic checks.
 
     def processes(self) -> list[Process]:
-        """Controllers and proxies that run."""
+        """Return the running controllers and proxies."""
         machines = (*self.site.controllers.values(), *self.site.proxies.values())
         processes = [machine.process for machine in machines]
         return [process for process in processes if process is not None and process.is_running]
 
     def updates(self, process: Process) -> VersionedStore:
-        """The versioned store of a controller or proxy."""
+        """Return the versioned store of a controller or proxy."""
         return process.plane.updates if hasattr(process, "plane") else process.updates
 
     def check_invariants(self) -> None:
-        """Check what must hold at any time, and in calm times."""
+        """Check the invariants that hold at any time, and without recent faults those that need contact."""
         now_ns = self.sim.now_ns
         for controller in self.site.running_controllers():
-            if self.may_have_contact(controller) or controller not in self.contacts:
-                self.contacts[controller] = now_ns
+            if self.may_reach_majority(controller) or controller not in self.last_contact_ns:
+                self.last_contact_ns[controller] = now_ns
             self.check_epoch(controller.plane.register.voters)
         for process in self.processes():
             self.check_confirmed(process)
-        if not self.calm(now_ns):
+        if not self.is_calm(now_ns):
             return
         for process in self.processes():
             serves = getattr(process, "listening", True)
             if serves and now_ns - process.started_at_ns > START_NS:
-                self.check_in_touch(process)
+                self.check_connected(process)
 
     def check_confirmed(self, process: Process) -> None:
-        """A process holds what was acknowledged before the moment that it takes as confirmed.
+        """Check that a process holds everything acknowledged before the time up to which it is confirmed.
 
-        Leases of proxies are counted from that moment.
+        Leases of proxies are measured from that time.
         """
         plane = getattr(process, "plane", process)
         age_s = plane.relay.age()
@@ -487,7 +488,7 @@
         for id, left_ns in self.leaving.items():
             view = updates.get(f"{ENDPOINT_KEY_PREFIX}{id}")
             if left_ns < confirmed_ns and view and view["state"] not in LEFT_STATES:
-                at = time_text(confirmed_ns)
+                at = format_time(confirmed_ns)
                 self.record_violation("confirmed", f"{process.name}: {id} is {view['state']} at {at}")
         self.check_evacuations("confirmed", process, confirmed_ns)
         version = updates.entries.get(CONFIGURATION_KEY, (NO_CONFIGURATION,))[0]
@@ -496,18 +497,18 @@
             self.record_violation("confirmed", f"{process.name}: configuration {version} and not {newest}")
 
     def newest_acknowledged(self, before_ns: int) -> int:
-        """The highest version that was acknowledged before a time."""
+        """Return the highest version that was acknowledged before a time."""
         newest = NO_CONFIGURATION
-        for number, puts in self.puts.items():
+        for version, puts in self.puts.items():
             for put in puts.values():
                 if put.acknowledged_ns is not None and put.acknowledged_ns < before_ns:
-                    newest = max(newest, number)
+                    newest = max(newest, version)
         return newest
 
     def check_epoch(self, voters: Voters) -> None:
-        """An epoch has one set of voters, and shares one with the epoch before it."""
+        """Check that an epoch has one voter configuration, whose quorums meet those of the epoch before."""
         if not voters.sets:
-            return  # a disk that came back empty, and knows of no voters yet
+            return  # a controller whose disk was wiped does not know the voters yet
         if voters.epoch in self.epochs:
             if self.epochs[voters.epoch] != voters:
                 self.record_violation("epochs", f"two sets of voters in epoch {voters.epoch}")
@@ -521,23 +522,23 @@
         if any(voter_set in voters.sets for voter_set in previous.sets):
             return
         both_single = len(previous.sets) == len(voters.sets) == 1
-        # Majorities of two sets that differ by one member meet.
+        # Majorities of two sets that differ by one member intersect.
         if not (both_single and len(previous.sets[0] ^ voters.sets[0]) <= 1):
             self.record_violation("epochs", f"epoch {voters.epoch} shares no set with the one before it")
 
-    def check_in_touch(self, process: Process) -> None:
-        """A process that has been in touch for a while holds what was acknowledged a while ago."""
+    def check_connected(self, process: Process) -> None:
+        """Check that a connected process knows departures and evacuations within their time bounds."""
         now_ns = self.sim.now_ns
         updates = self.updates(process)
         for id, left_ns in self.leaving.items():
             view = updates.get(f"{ENDPOINT_KEY_PREFIX}{id}")
             if view and view["state"] == EndpointState.READY and now_ns > left_ns + DRAIN_NS:
-                since = time_text(left_ns)
+                since = format_time(left_ns)
                 self.record_violation("drain", f"{process.name} tells {id} as ready, leaving since {since}")
         self.check_evacuations("evacuated", process, now_ns - EVACUATE_NS)
 
-    def may_have_contact(self, controller: "SimulatedController") -> bool:
-        """Whether a controller may be in contact with a majority: joined to it for a way and back."""
+    def may_reach_majority(self, controller: "SimulatedController") -> bool:
+        """Whether a controller can reach a majority, and has been up for at least one round trip."""
         joined = self.site.network.connected
         running = self.site.running_controllers()
         joined_count = sum(joined(controller.machine.ip, other.machine.ip) for other in running)
@@ -545,20 +546,20 @@
         return has_majority and self.sim.now_ns - controller.machine.recovered_at_ns > ROUND_TRIP_NS
 
     def check_directions(self, controller: "SimulatedController", status: int) -> None:
-        """A controller answered a client of the directory: not when it has been alone for long."""
+        """Check that a controller cut off from the majority for `STALE_NS` does not answer the directory."""
         now_ns = self.sim.now_ns
-        if self.may_have_contact(controller):
-            self.contacts[controller] = now_ns
-        alone_ns = now_ns - self.contacts.get(controller, now_ns)
+        if self.may_reach_majority(controller):
+            self.last_contact_ns[controller] = now_ns
+        alone_ns = now_ns - self.last_contact_ns.get(controller, now_ns)
         if status == 200 and alone_ns > STALE_NS:
             alone_s = alone_ns / NS_PER_SECOND
             self.record_violation("stale", f"{controller.name} answers directions, alone for {alone_s:.1f} s")
 
-    # At the end.
+    # Checks at the end of a run.
 
     def check_at_end(self) -> None:
-        """After a calm time all processes hold the same, and the voters are there."""
-        steady = sorted(endpoint.id for endpoint in self.site.endpoints.values() if endpoint.steady())
+        """Check that all processes hold the same state, and that there are enough voters."""
+        steady = sorted(endpoint.id for endpoint in self.site.endpoints.values() if endpoint.is_steady())
         views = [self.view_at_end(process, steady) for process in self.processes()]
         for view in views[1:]:
             if view[1:] != views[0][1:]:
@@ -566,10 +567,10 @@
         self.check_voters_at_end()
 
     def view_at_end(self, process: Process, steady: list[str]) -> tuple[str, Any, list[str], dict[str, bool]]:
-        """What a process holds after a calm time; it has what was acknowledged, and the steady endpoints.
+        """Check that a process holds the acknowledged configuration and the steady endpoints.
 
         Returns:
-            Its name, the version of the configuration, evacuated zones, and which of `steady` are ready.
+            Its name, the version of its configuration, evacuated zones, and which of `steady` are ready.
         """
         updates = self.updates(process)
         ready = {}
@@ -588,7 +589,7 @@
         return process.name, version, evacuated_zones, steady_ready
 
     def check_forgotten(self, endpoints: list["Endpoint"]) -> None:
-        """Nothing is held of endpoints that ended long ago."""
+        """Check that no process keeps a record of endpoints that ended long ago."""
         ids = {endpoint.id for endpoint in endpoints}
         for process in self.processes():
             updates = self.updates(process)
@@ -608,7 +609,7 @@
                     )
 
     def check_voters_at_end(self) -> None:
-        """The voters are enough, and any loss within bounds leaves a quorum of them."""
+        """Check that there are enough voters, and that any tolerated loss leaves a quorum of them."""
         voters = self.site.voters()
         shape = self.site.shape
         machines = {machine.process_address: machine for machine in self.site.controllers.values()}
@@ -618,7 +619,7 @@
         alive = members & set(machines)
         if len(alive) < min(2 * shape.lost_machines + 1, len(machines)):
             self.record_violation("voters", f"{text}: too few for the loss of {shape.lost_machines}")
-        # One that was removed may still stand among them, as long as any further loss leaves a quorum.
+        # A removed machine may still be a voter, as long as any further loss leaves a quorum.
         loss_count = shape.lost_machines if len(machines) > 2 * shape.lost_machines else 0
         for lost in combinations(sorted(alive), loss_count):
             if not voters.is_quorum(alive - {*lost}):
@@ -632,20 +633,20 @@
                 self.record_violation("voters", f"{text}: the loss of {zone} leaves no quorum")
 
 
-def configuration(number: int, salt: int, sharded: bool) -> bytes:
-    """A configuration as an operator writes it.
+def encode_configuration(version: int, content_id: int, sharded: bool) -> bytes:
+    """Encode a configuration as an operator sends it.
 
     Args:
-        number: its version.
-        salt: tells two contents of one version apart.
+        version: of the configuration.
+        content_id: distinguishes contents of the same version.
         sharded: whether it has a service with key ranges.
     """
     service_configs = [{"name": "plain", "cold_s": 0.0, "cold_per_s": 0.0}]
     rules = [
         {
-            "name": f"r{salt}",
+            "name": f"r{content_id}",
             "kind": "safe",
-            "sorting": {"postcode": f"/p{salt}/"},
+            "sorting": {"postcode": f"/p{content_id}/"},
             "dispatch": {"line": "plain", "deadline_ms": 3000, "tries": 2},
         }
     ]
@@ -661,5 +662,5 @@
         )
     virtual_hosts = [{"destination": "a.example", "regulations": rules}]
     return msgspec.json.encode(
-        {"edition": f"{number:08x}", "wickets": virtual_hosts, "depots": service_configs}
+        {"edition": f"{version:08x}", "wickets": virtual_hosts, "depots": service_configs}
     )
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -1,8 +1,8 @@
-"""A site in simulation: machines with controllers and proxies, built of the shipped parts, and calls to them.
+"""A simulated site: machines that run the production controller and proxy components, and calls to them.
 
-The processes are put together as `controller/program.py` and `proxy/program.py` do it, without their sockets.
-Callers reach a controller through `controller.http_api.ControlApi`, so the statuses are those that they would
-see.
+The processes are assembled as in `controller/program.py` and `proxy/program.py`, without sockets.  Callers
+reach a controller through `controller.http_api.ControlApi`, so they see the same HTTP statuses as in
+production.
 """
 
 import io
@@ -40,22 +40,23 @@
 if TYPE_CHECKING:
     from flintreach.simulation.callers import Endpoint
 
-CONTROLLER_POST = 0  # which of the spare ports a process takes
+# Index of the spare port on which a process listens.
+CONTROLLER_POST = 0
 PROXY_POST = 1
-# Names of machines begin so: they stand in messages and traces, whose checksums are recorded.
+# Prefixes of machine names.  The names occur in messages and traces, whose checksums are recorded.
 CONTROLLER_NAME = "refuge"
 PROXY_NAME = "proxy"
 CONTROL_PORT = 8166
 MAX_SEEDS = 3
-LOST_DISK_MEMORY_NS = 2 * NS_PER_SECOND
+LOST_DISK_RETENTION_NS = 2 * NS_PER_SECOND
 LEASE_CALL_TIMEOUT_S = 0.95
 MAX_LATE_GRANT_MS = 900
 MISDIRECTED = 421
-NO_STATUS = (0, b"")  # in place of an answer
+NO_STATUS = (0, b"")  # status and body where no answer arrived
 
 decode = msgspec.msgpack.decode
 
-# Time bounds of the settings file, by the names that the pages give them.
+# Time bounds in the settings file, under their documented names.
 BOUNDS = {
     "list_lag_s": 3,
     "readdress_s": 2,
@@ -72,8 +73,8 @@
 }
 
 
-class Size(NamedTuple):
-    """How large a site is, and how many machines and zones may be lost at once."""
+class SiteSize(NamedTuple):
+    """Size of a site, and the machines and zones whose simultaneous loss it tolerates."""
 
     controllers: int
     zones: int
@@ -82,49 +83,49 @@
     lost_zones: int
 
 
-SIZES = (
-    Size(3, 3, 1, 1, 1),
-    Size(3, 3, 2, 1, 1),
-    Size(3, 1, 1, 1, 0),
-    Size(4, 2, 2, 1, 0),
-    Size(5, 3, 2, 2, 0),
-    Size(5, 5, 2, 2, 1),
-    Size(6, 3, 2, 2, 1),
+SITE_SIZES = (
+    SiteSize(3, 3, 1, 1, 1),
+    SiteSize(3, 3, 2, 1, 1),
+    SiteSize(3, 1, 1, 1, 0),
+    SiteSize(4, 2, 2, 1, 0),
+    SiteSize(5, 3, 2, 2, 0),
+    SiteSize(5, 5, 2, 2, 1),
+    SiteSize(6, 3, 2, 2, 1),
 )
 
 
 class SiteShape:
-    """How large a site is and what it may lose.
+    """Layout of a site, and the losses that it tolerates.
 
     Attributes:
-        controllers: how many.
-        proxies: how many.
-        region_of_zone: by the zone's name.
-        lost_machines: how many machines with controllers may be lost at once.
-        lost_zones: how many whole zones may be lost at once.
+        controllers: number of controllers.
+        proxies: number of proxies.
+        region_of_zone: zone -> its region.
+        lost_machines: number of controllers' machines that may be lost at once.
+        lost_zones: number of whole zones that may be lost at once.
         report_ms: interval between heartbeats of an endpoint, in milliseconds.
         sharded: whether there is a service with key ranges.
     """
 
-    def __init__(self, chance: random.Random, controllers: int | None = None) -> None:
-        """Draw a shape; `controllers` is how many there shall be, None: drawn too."""
-        sizes = [size for size in SIZES if controllers in (None, size.controllers)]
+    def __init__(self, rng: random.Random, controllers: int | None = None) -> None:
+        """Choose a random layout; `controllers` is the number of controllers, None for a random one."""
+        sizes = [size for size in SITE_SIZES if controllers in (None, size.controllers)]
         if not sizes:
-            sizes = [Size(controllers, 3, 1, (controllers - 1) // 2, 0)]
-        size = chance.choice(sizes)
+            sizes = [SiteSize(controllers, 3, 1, (controllers - 1) // 2, 0)]
+        size = rng.choice(sizes)
         self.controllers = size.controllers
         self.lost_machines = size.lost_machines
         self.lost_zones = size.lost_zones
         self.region_of_zone = {f"z{number}": f"r{number % size.regions}" for number in range(size.zones)}
-        self.report_ms = chance.choice((600, 1000, 1500))
-        self.proxies = chance.choice((1, 2, 2, 3))
-        self.sharded = chance.random() < 0.4
+        self.report_ms = rng.choice((600, 1000, 1500))
+        self.proxies = rng.choice((1, 2, 2, 3))
+        self.sharded = rng.random() < 0.4
 
 
 def member_of(
     node: settings.ProcessSettings, address: Address, role: str, machine: Machine, ready: bool
 ) -> Member:
-    """The entry of a process in the member list, as it starts."""
+    """Return the member list entry of a process that starts."""
     sender = node.identity
     return Member(
         sender.node_name,
@@ -140,20 +141,20 @@
 
 
 class SimulatedController(Process):
-    """`controller/program.py` in simulation.
+    """A simulated controller process, assembled as in `controller/program.py`.
 
     Attributes:
-        listening: whether callers are answered.
-        plane: the shipped control plane.
-        control: the shipped WSGI application.
+        listening: whether it answers callers.
+        plane: the production control plane.
+        control: the production WSGI application.
     """
 
     def __init__(self, site: "Site", machine: Machine, first_run: bool) -> None:
-        """Assemble the parts and start them, in the order of the program."""
+        """Assemble and start the components in the same order as the program."""
         super().__init__(site.sim, machine, machine.name, site.report_crash)
         self.site = site
         self.listening = False
-        self.node = site.node(machine, ROLE_CONTROLLER, first_run)
+        self.node = site.process_settings(machine, ROLE_CONTROLLER, first_run)
         self.peer_pool = PeerPool(self.node.peer_address(CONTROLLER_POST), self.runtime)
         self.store = Store(self, site.disks[machine.ip], self.node.identity.node_name, first_run)
         member = member_of(self.node, self.peer_pool.address, ROLE_CONTROLLER, machine, ready=False)
@@ -168,23 +169,23 @@
         self.plane.start()
 
     def seeds(self) -> list[Address]:
-        """Addresses to join by, from the settings as they stand."""
+        """Return the seed addresses of the current settings."""
         return sorted({(ip, self.peer_pool.address[1]) for ip in self.node.seeds()})
 
     def begin(self) -> None:
-        """The control plane has caught up: answer callers from now on."""
+        """Start to answer callers; called when the control plane has caught up."""
         self.failure_detector.update_local(ready=True)
         self.listening = True
         self.sim.note(self.name, "answers callers")
         self.site.checker.check_start(self)
 
     def reload_settings(self) -> None:
-        """Read the settings anew, as at SIGHUP."""
-        self.node = self.site.node(self.machine, ROLE_CONTROLLER, self.node.identity.first_run)
+        """Reload the settings, as on SIGHUP."""
+        self.node = self.site.process_settings(self.machine, ROLE_CONTROLLER, self.node.identity.first_run)
         self.plane.node = self.node
 
     def stop(self, ended: Callable[[], None]) -> None:
-        """Leave and end, as at SIGTERM; `ended` is called when it has ended by itself."""
+        """Leave and end, as on SIGTERM; `ended` is called once the process has ended."""
 
         def leave() -> None:
             self.plane.repair.voter_manager.hand_over()
@@ -195,26 +196,26 @@
         self.dispatch(self.runtime.spawn, leave)
 
     def end(self, notify_peers: bool) -> None:
-        """End at once; see `Process.end`."""
+        """End immediately; see `Process.end`."""
         super().end(notify_peers)
         self.listening = False
         self.store.end()
 
 
 class Proxy(Process):
-    """What a proxy is to the control plane: a child of two parents, with a versioned store.
+    """The control-plane side of a proxy: a versioned store fed by two parents in the relay tree.
 
-    It takes no requests.
+    It serves no requests.
 
     Attributes:
-        updates: what it has received.
-        relay: receives it.
+        updates: versioned store of the received updates.
+        relay: receives the updates from the parents.
     """
 
     def __init__(self, site: "Site", machine: Machine) -> None:
-        """Assemble the parts and start them."""
+        """Assemble and start the components."""
         super().__init__(site.sim, machine, machine.name, site.report_crash)
-        self.node = site.node(machine, ROLE_PROXY, False)
+        self.node = site.process_settings(machine, ROLE_PROXY, False)
         self.peer_pool = PeerPool(self.node.peer_address(PROXY_POST), self.runtime)
         member = member_of(self.node, self.peer_pool.address, ROLE_PROXY, machine, ready=True)
         self.failure_detector = SimulatedFailureDetector(self, member, self.seeds)
@@ -226,11 +227,11 @@
         self.relay.start()
 
     def seeds(self) -> list[Address]:
-        """Addresses to join by."""
+        """Return the seed addresses."""
         return [(ip, PEER_PORT) for ip in self.node.seeds()]
 
     def parents(self) -> list[Address]:
-        """Where to take updates from: controllers that serve, or any where none is known to serve."""
+        """Choose the parents among the ready controllers, or among all if none is known to be ready."""
         member_list = self.failure_detector.member_list
         known = member_list.alive(ROLE_CONTROLLER)
         controllers = [member for member in known if member.ready] or known
@@ -241,7 +242,7 @@
 
 
 class LeaseOwner(lease_owner.LeaseOwner):
-    """The shipped lease owner, whose grants go to simulated endpoints."""
+    """The production lease owner, with calls to simulated endpoints."""
 
     def exchange(self, kind: str, key_range: Range) -> lease_owner.CallResult:
         """Call the endpoint that holds a range; see `controller.lease_owner.LeaseOwner.exchange`."""
@@ -252,7 +253,7 @@
             strike = site.on_release
             site.on_release = None
             site.sim.call_after(0, strike, process.machine)
-            waiter.wait(LEASE_CALL_TIMEOUT_S)  # the release is not sent any more
+            waiter.wait(LEASE_CALL_TIMEOUT_S)  # the release is never sent
             return lease_owner.NO_ANSWER
         EndpointCall(site, self, kind, key_range, waiter).start()
         result = waiter.wait(LEASE_CALL_TIMEOUT_S)
@@ -260,7 +261,7 @@
 
 
 class LostDisk(NamedTuple):
-    """A disk that was part of the site until a moment ago."""
+    """A disk that was recently lost."""
 
     lost_at_ns: int
     address: Address
@@ -271,27 +272,27 @@
     """The machines of a site, and calls to them from outside.
 
     Attributes:
-        checker: told of what happens.
-        network: between all machines.
-        lost_answers: share of the answers to callers that are lost.
-        disks: of controllers, by IP address of the machine.
-        controllers: machines of controllers by IP address.
-        proxies: machines of proxies by IP address.
-        endpoints: which endpoint is at an address now.
-        on_post_acknowledged: called once each, with the machine that acknowledges a POST next.
-        on_release: called once, with the machine that is about to ask for keys back.
-        outside: the process that stands for all callers.
+        checker: checks the invariants.
+        network: connects all machines.
+        answer_loss: probability that an answer to a caller is lost.
+        disks: IP address of a controller's machine -> its disk.
+        controllers: IP address -> machine of a controller.
+        proxies: IP address -> machine of a proxy.
+        endpoints: address -> the endpoint that uses it now.
+        on_post_acknowledged: callbacks, each called once with the machine that next acknowledges a POST.
+        on_release: called once with the machine that is about to send a release of keys.
+        outside: the process in which all callers run.
         runtime: of `outside`.
-        seeds: addresses that the settings name to join by.
+        seeds: seed addresses in the settings.
     """
 
     def __init__(self, sim: Simulation, shape: SiteShape, checker: InvariantChecker) -> None:
-        """Make the machines; nothing runs on them before `start`."""
+        """Create the machines; no process runs before `start`."""
         self.sim = sim
         self.shape = shape
         self.checker = checker
         self.network = Network(sim, loss=sim.rng.choice((0.0, 0.02, 0.1)))
-        self.lost_answers = sim.rng.choice((0.0, 0.02, 0.08))
+        self.answer_loss = sim.rng.choice((0.0, 0.02, 0.08))
         self.disks: dict[str, Disk] = {}
         self.lost_disks: list[LostDisk] = []
         self.removed_ips: list[str] = []
@@ -315,13 +316,13 @@
             self.add_machine(self.proxies, PROXY_NAME, zones[number % len(zones)])
 
     def add_controller(self, zone: str) -> Machine:
-        """Make a machine with an empty disk for a controller."""
+        """Add a machine with an empty disk for a controller."""
         machine = self.add_machine(self.controllers, CONTROLLER_NAME, zone)
         self.disks[machine.ip] = Disk(self.sim)
         return machine
 
     def add_machine(self, table: dict[str, Machine], name: str, zone: str) -> Machine:
-        """Make a machine without power, and enter it in a table of machines by IP address."""
+        """Create a powered-off machine and add it to `table` under its IP address."""
         self.machine_count += 1
         ip = f"10.0.{len(self.shape.region_of_zone)}.{self.machine_count}"
         region = self.shape.region_of_zone[zone]
@@ -329,8 +330,8 @@
         table[ip] = machine
         return machine
 
-    def node(self, machine: Machine, role: str, first_run: bool) -> settings.ProcessSettings:
-        """The settings of a process, as the platform writes them."""
+    def process_settings(self, machine: Machine, role: str, first_run: bool) -> settings.ProcessSettings:
+        """Return the settings of a process, as the platform generates them."""
         is_controller = role == ROLE_CONTROLLER
         losses = {"machines": self.shape.lost_machines, "zones": self.shape.lost_zones, "regions": 0}
         return msgspec.convert(
@@ -359,7 +360,7 @@
     # Processes.
 
     def start(self, machine: Machine, first_run: bool = False) -> None:
-        """Give a machine power, if it has none, and start its process."""
+        """Power on a machine if necessary, and start its process."""
         if not machine.powered:
             machine.boot()
         if machine.ip in self.proxies:
@@ -369,51 +370,53 @@
         self.sim.note(machine.name, "starts" + (" for the first time" if first_run else ""))
 
     def end(self, machine: Machine, power: bool = False) -> None:
-        """Kill the process of a machine; with `power` the machine loses its power."""
+        """Kill the process of a machine; with `power` the machine loses power."""
         if machine.process is not None and machine.process.alive:
             machine.process.end(notify_peers=not power)
         if power:
             machine.powered = False
 
     def wipe(self, machine: Machine) -> None:
-        """Exchange the disk of a machine for an empty one."""
+        """Replace the disk of a machine by an empty one."""
         self.remember_lost_disk(machine)
         self.disks[machine.ip] = Disk(self.sim)
 
     def remember_lost_disk(self, machine: Machine) -> None:
-        """A disk that is lost may have been part of a quorum whose answer is still on its way."""
+        """Keep a lost disk for a while: it may belong to a quorum whose answer is still in flight."""
         lost = LostDisk(self.sim.now_ns, machine.process_address, self.disks[machine.ip])
         self.lost_disks.append(lost)
 
     def disks_with_addresses(self) -> list[tuple[Address, Disk]]:
-        """Disks with the address of their process, with those that were lost a moment ago."""
+        """Return the disks with the addresses of their processes, including recently lost ones."""
         now_ns = self.sim.now_ns
-        self.lost_disks = [lost for lost in self.lost_disks if now_ns - lost.lost_at_ns < LOST_DISK_MEMORY_NS]
+        self.lost_disks = [
+            lost for lost in self.lost_disks if now_ns - lost.lost_at_ns < LOST_DISK_RETENTION_NS
+        ]
         present = [(machine.process_address, self.disks[machine.ip]) for machine in self.controllers.values()]
         return [*present, *((lost.address, lost.disk) for lost in self.lost_disks)]
 
     def remove(self, machine: Machine) -> None:
-        """Take a controller's machine away for good, with its disk."""
+        """Remove a controller's machine and its disk permanently."""
         self.end(machine, power=True)
         self.remember_lost_disk(machine)
         self.removed_ips.append(machine.ip)
         del self.controllers[machine.ip]
         del self.disks[machine.ip]
 
-    def choose_seeds(self, chance: random.Random) -> None:
-        """Exchange the seeds for some of the machines that there are, the newest too."""
+    def choose_seeds(self, rng: random.Random) -> None:
+        """Choose new seeds among the present controllers' machines, and at times a removed one."""
         present = [*self.controllers]
-        chosen = chance.sample(present, min(MAX_SEEDS, len(present)))
-        if self.removed_ips and chance.random() < 0.3:
-            chosen[-1] = chance.choice(self.removed_ips)  # the operator's list lags
+        chosen = rng.sample(present, min(MAX_SEEDS, len(present)))
+        if self.removed_ips and rng.random() < 0.3:
+            chosen[-1] = rng.choice(self.removed_ips)  # an outdated entry in the operator's list
         self.seeds = [f"{ip}:{CONTROL_PORT}" for ip in chosen]
 
     def report_crash(self, text: str) -> None:
-        """A task of a process was ended by an exception."""
+        """Report a task that ended with an unhandled exception."""
         self.checker.record_violation("crash", f"a task ended by an exception:\n{text}")
 
     def watch_updates(self, process: Process, updates: VersionedStore) -> None:
-        """Let the checker know of all that a process's versioned store takes in."""
+        """Report every update applied to a process's versioned store to the checker."""
 
         def record(key: str, version: Any, value: Any) -> None:
             self.checker.record_update(process, key, version, value)
@@ -421,14 +424,14 @@
         updates.watchers.append(record)
 
     def running_controllers(self) -> list[SimulatedController]:
-        """Controllers whose process runs."""
+        """Return the controllers whose process runs and is not frozen."""
         processes = [machine.process for machine in self.controllers.values()]
         return [
             process for process in processes if process is not None and process.alive and not process.frozen
         ]
 
     def voters(self) -> Voters:
-        """The latest voters that any disk or process knows to be decided."""
+        """Return the voters of the highest epoch known to any disk or process."""
         latest = Voters()
         for machine in self.controllers.values():
             stored = self.disks[machine.ip].facts.get(VOTERS_KEY)
@@ -442,7 +445,7 @@
         return latest
 
     def registry(self, disk: Disk) -> EndpointRegistry:
-        """What a disk holds of endpoints, read as a start reads it."""
+        """Load the endpoint registry from a disk, as a starting controller does."""
         store = SimpleNamespace(endpoint_rows=disk.endpoint_rows, facts=disk.facts, voting=True)
         plane = SimpleNamespace(
             runtime=self.runtime,
@@ -464,27 +467,27 @@
         timeout: float = 1.0,
         late: float = 0.0,
     ) -> tuple[int, bytes]:
-        """Call a controller, and wait for its answer.
+        """Call a controller and wait for its answer.
 
         Args:
             machine: of the controller.
-            method: of HTTP.
+            method: HTTP method.
             path: with the query.
             body: of the request.
-            timeout: seconds to wait at most.
-            late: seconds that the request spends on its way beside the network's delay.
+            timeout: longest time to wait, in seconds.
+            late: extra delay of the request in seconds, beyond the network's delay.
 
         Returns:
-            Status and body of the answer; status 0 where none came in time.
+            Status and body of the answer; status 0 if none arrived in time.
         """
         return CallerRequest(self, machine, method, path, body).run(timeout, late)
 
 
 class CallerRequest:
-    """One request to a controller from outside."""
+    """One request from a caller to a controller."""
 
     def __init__(self, site: Site, machine: Machine, method: str, path: str, body: bytes) -> None:
-        """Prepare a request of the running task; see `Site.call`."""
+        """Create a request of the running task; see `Site.call`."""
         self.site = site
         self.sim = site.sim
         self.network = site.network
@@ -494,10 +497,10 @@
         self.body = body
         self.caller = site.outside.machine
         self.waiter = Waiter(site.outside)
-        self.caller_gone_ns: int | None = None  # when the controller sees that the caller waits no more
+        self.caller_gone_ns: int | None = None  # when the controller sees that the caller has disconnected
 
     def run(self, timeout: float, late: float) -> tuple[int, bytes]:
-        """Send the request, and wait for its answer; times in seconds."""
+        """Send the request and wait for its answer; times in seconds."""
         delay_ns = self.network.delay(self.caller, self.machine) + int(late * NS_PER_SECOND)
         self.sim.call_after(delay_ns, self.arrive)
         answer = self.waiter.wait(timeout) or NO_STATUS
@@ -505,7 +508,7 @@
         return answer
 
     def arrive(self) -> None:
-        """The request reaches the machine, whose process serves it, or whose system refuses it."""
+        """Deliver the request to the process; a machine without a listening process refuses the connection."""
         process = self.machine.process
         if not self.machine.powered or not self.network.connected(self.caller.ip, self.machine.ip):
             return
@@ -516,7 +519,7 @@
         process.dispatch(process.runtime.spawn, self.serve, process)
 
     def serve(self, process: SimulatedController) -> None:
-        """Run the shipped application, in a task of the controller."""
+        """Run the production WSGI application in a task of the controller."""
         statuses: list[int] = []
 
         def start_response(status_line: str, headers: list[tuple[str, str]]) -> None:
@@ -525,13 +528,13 @@
         body = b"".join(process.control(self.environ(), start_response))
         if statuses == [200]:
             self.notify_acknowledged()
-        is_lost = self.sim.rng.random() < self.site.lost_answers
+        is_lost = self.sim.rng.random() < self.site.answer_loss
         if is_lost or not self.network.connected(self.caller.ip, self.machine.ip):
             return
         self.answer((statuses[0], body))
 
     def environ(self) -> dict[str, Any]:
-        """The request as PEP 3333 has it."""
+        """Return the WSGI environment of the request (PEP 3333)."""
         path, _, query = self.path.partition("?")
         return {
             "REQUEST_METHOD": self.method,
@@ -543,11 +546,11 @@
         }
 
     def is_caller_gone(self) -> bool:
-        """Whether the controller can see that the caller waits no more."""
+        """Whether the controller can see that the caller has disconnected."""
         return self.caller_gone_ns is not None and self.sim.now_ns >= self.caller_gone_ns
 
     def notify_acknowledged(self) -> None:
-        """Call those who wait for an acknowledgement, before it is on its way."""
+        """Run the callbacks that wait for an acknowledged POST, before the answer is sent."""
         if self.method != "POST":
             return
         watchers = self.site.on_post_acknowledged
@@ -556,17 +559,17 @@
             self.sim.call_after(0, watcher, self.machine)
 
     def answer(self, answer: tuple[int, bytes]) -> None:
-        """Send an answer back."""
+        """Send an answer to the caller."""
         self.sim.call_after(self.network.delay(self.machine, self.caller), self.waiter.wake, answer)
 
 
 class EndpointCall:
-    """One call of a lease owner to an endpoint: connect, send, answer."""
+    """One call from a lease owner to an endpoint: connect, send, answer."""
 
     def __init__(
         self, site: Site, owner: LeaseOwner, kind: CallKind, key_range: Range, waiter: Waiter
     ) -> None:
-        """Prepare a call; `waiter` is woken with its `CallResult`."""
+        """Create a call; `waiter` is woken with its `CallResult`."""
         self.site = site
         self.sim = site.sim
         self.network = site.network
@@ -579,15 +582,15 @@
         self.outside = site.outside.machine
 
     def start(self) -> None:
-        """Dial."""
+        """Start to connect to the endpoint."""
         self.sim.call_after(self.delay(), self.connect)
 
     def delay(self) -> int:
-        """Draw the time of a message either way, in nanoseconds."""
+        """Return a random one-way network delay in nanoseconds."""
         return self.network.delay(self.caller, self.outside)
 
     def connect(self) -> None:
-        """The dial reaches the endpoint's machine."""
+        """Connect at the endpoint's machine, or refuse if no endpoint has the address."""
         if not self.network.connected(self.caller.ip, self.outside.ip):
             return
         if self.site.endpoints.get(self.key_range.address) is None:
@@ -596,7 +599,7 @@
             self.sim.call_after(self.delay(), self.process.dispatch, self.send)
 
     def send(self) -> None:
-        """The connection is up: send, if the owner still may."""
+        """Send the call over the established connection, if the owner is still authorized to."""
         state = self.owner.state
         if not state.authorize_send(self.kind, self.key_range, self.owner.runtime.now()):
             self.waiter.wake(lease_owner.NOT_SENT)
@@ -609,18 +612,18 @@
         self.sim.call_after(delay_ns, self.arrive, lease_s)
 
     def arrive(self, lease_s: float) -> None:
-        """The call reaches the endpoint that has the address now."""
+        """Deliver the call to the endpoint that currently has the address."""
         key_range = self.key_range
         endpoint = self.site.endpoints.get(key_range.address)
         if endpoint is None or not self.network.connected(self.caller.ip, self.outside.ip):
             return
-        # Each call names whom it is for: another endpoint that has its address now rejects it.
+        # Each call names the intended endpoint: another one that now has the address rejects it.
         answer: tuple[int, str | None] = (MISDIRECTED, None)
         if endpoint.id == key_range.holder:
-            answer = endpoint.take(self.process, self.kind, key_range, lease_s)
-        if self.sim.rng.random() >= self.site.lost_answers:
+            answer = endpoint.answer_lease_call(self.process, self.kind, key_range, lease_s)
+        if self.sim.rng.random() >= self.site.answer_loss:
             self.answer(lease_owner.answered(*answer))
 
     def answer(self, result: lease_owner.CallResult) -> None:
-        """Bring a result back to the lease owner."""
+        """Return a result to the lease owner."""
         self.sim.call_after(self.delay(), self.process.dispatch, self.waiter.wake, result)
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from flintreach.simulation.invariants import InvariantChecker, Put, configuration, version_of
+from flintreach.simulation.invariants import InvariantChecker, Put, encode_configuration, version_of
 from flintreach.simulation.scheduler import Simulation
 
 
@@ -15,7 +15,7 @@
         self.checker.check_durable = lambda put, who: None
 
     def put(self, number, salt) -> Put:
-        return self.checker.record_put(number, configuration(number, salt, False))
+        return self.checker.record_put(number, encode_configuration(number, salt, False))
 
     def test_a_second_content_under_one_number(self):
         first, second = self.put(7, 1), self.put(7, 2)
