--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -1,6 +1,6 @@
-"""Faults of a simulated site, from a seed, kept within what its settings allow to be lost at once.
+"""Fault injection for a simulated site, within the simultaneous losses that its settings tolerate.
 
-The order in which they draw is part of what a seed plays.
+A seed reproduces a run only while the order of the random draws here stays the same.
 """
 
 import random
@@ -16,17 +16,18 @@
 from flintreach.simulation.scheduler import NS_PER_MS, NS_PER_SECOND
 from flintreach.simulation.site import Site
 
-CATCH_UP_NS = 4 * NS_PER_SECOND  # for which a machine that is back, or new, still counts as lost
-GRACE_NS = 6 * NS_PER_SECOND  # from SIGTERM to the end of the machine
+CATCH_UP_NS = 4 * NS_PER_SECOND  # for which a recovered or new machine still counts as lost
+GRACE_NS = 6 * NS_PER_SECOND  # between SIGTERM and the removal of the machine
 HANDOVER_GRACE_NS = 9 * NS_PER_SECOND
-RECOVERY_NS = 5 * NS_PER_SECOND  # for which nothing else is struck after all machines were
-ACCEPT_MESSAGE = b"\xa6accept"  # kind of a message, as msgpack writes it
-MESSAGE_KIND_END = 12  # bytes of a message in which its kind begins
-DURATIONS_S = ((0.05, 0.6), (0.6, 2.0), (2, 6), (6, 9), (20, 20))  # from and to, of a fault
+RECOVERY_NS = 5 * NS_PER_SECOND  # without further faults after a fault of all machines
+ACCEPT_MESSAGE = b"\xa6accept"  # kind of an accept request, encoded in msgpack
+MESSAGE_KIND_END = 12  # the kind lies within this many first bytes of a message
+# Ranges from which the duration of a fault is drawn.
+DURATIONS_S = ((0.05, 0.6), (0.6, 2.0), (2, 6), (6, 9), (20, 20))
 
 
 class Fault(StrEnum):
-    """What can happen to one machine; the words stand in traces."""
+    """A fault of one machine; the values occur in traces."""
 
     KILL = "kill"
     POWER = "power"
@@ -40,14 +41,14 @@
 
 
 class ZoneFault(StrEnum):
-    """What can happen to a zone as a whole; the words stand in traces."""
+    """A fault of a whole zone; the values occur in traces."""
 
     POWER = "power"
     FREEZE = "freeze"
     CUT = "zone_cut"
 
 
-# Drawn from, so the more often the likelier.
+# Faults are drawn uniformly from these: repetition is weight.
 ALL_FAULTS = (
     (Fault.KILL,) * 3
     + (Fault.POWER,) * 3
@@ -62,25 +63,29 @@
 
 
 def do_nothing() -> None:
-    """End a fault that undoes itself."""
+    """Undo nothing: the fault ends without an action of its own."""
 
 
 class FaultInjector:
-    """Strikes a site from a seed, within what may be lost at once.
+    """Injects random faults into a site, within the losses that it tolerates.
 
     Attributes:
-        rng: draws of the faults.
-        extra_rng: for faults that came with later releases; what it draws moves no other fault.
-        lost: machine -> until when it counts as lost, in nanoseconds; None: not known yet.
-        stopped: whether no fault begins any more.
-        calm_until_ns: before which no fault begins.
-        zone_durations_ns: how long the faults of a zone's machines last, which go and come together.
-        closing_fault_injected: whether the closing fault has struck.
-        callers: who calls the site; set before `hand_over_and_lose`.
+        rng: random generator of the faults.
+        extra_rng: for faults added in later releases; it is separate so that they do not change the others.
+        lost: machine -> time until which it counts as lost, in nanoseconds; None while its fault lasts.
+        stopped: whether no further fault begins.
+        calm_until_ns: time before which no fault begins.
+        zone_durations_ns: duration of the current zone fault, once for each machine; they recover together.
+        closing_fault_injected: whether the closing fault was injected.
+        callers: the callers of the site; must be set before `hand_over_and_lose`.
+        mean_interval_s: mean time between two faults.
+        burst_s: length of a burst of faults.
+        calm_s: length of the calm time between two bursts.
+        actions: fault -> the method that injects it.
     """
 
     def __init__(self, site: Site, checker: InvariantChecker) -> None:
-        """Prepare; `start` begins to strike."""
+        """Create an idle injector; `start` begins the faults."""
         self.site = site
         self.checker = checker
         self.sim = site.sim
@@ -96,7 +101,6 @@
         self.mean_interval_s = 0.0
         self.burst_s = 0.0
         self.calm_s = 0.0
-        # What each fault does; a method a name.
         self.actions: dict[str, Callable[[Machine], None]] = {
             Fault.KILL: self.kill,
             Fault.POWER: self.power,
@@ -110,7 +114,7 @@
         }
 
     def start(self, until_ns: int) -> None:
-        """Strike until a virtual time, in bursts with calm times between."""
+        """Inject faults until a virtual time, in bursts separated by calm times."""
         self.until_ns = until_ns
         self.mean_interval_s = self.rng.choice((0.4, 1.0, 2.0, 4.0))
         self.burst_s = self.rng.uniform(3, 20)
@@ -121,56 +125,57 @@
             self.after_s(self.rng.uniform(3, 16), self.strike_all)
 
     def after_s(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
-        """Run a call when some seconds have passed."""
+        """Run a call after some seconds."""
         self.sim.call_after(int(seconds * NS_PER_SECOND), call, *args)
 
     def begin_calm(self) -> None:
-        """Begin a calm time, and have the next come after another burst."""
+        """Begin a calm time, and schedule the next one after another burst."""
         self.calm_until_ns = self.sim.now_ns + int(self.calm_s * NS_PER_SECOND)
         self.after_s(self.calm_s + self.burst_s, self.begin_calm)
 
     @property
     def is_done(self) -> bool:
-        """Whether no fault begins any more."""
+        """Whether no further fault begins."""
         return self.stopped or self.sim.now_ns >= self.until_ns
 
-    # What may be lost.
+    # Tolerated losses.
 
     def lost_machines(self) -> list[Machine]:
-        """Machines that count as lost now."""
+        """Return the machines that currently count as lost."""
         now_ns = self.sim.now_ns
         return [machine for machine, until_ns in self.lost.items() if until_ns is None or until_ns > now_ns]
 
     def may_lose(self, machine: Machine) -> bool:
-        """Whether a machine may be lost beside those that are."""
+        """Whether the site tolerates the loss of a machine beside the current losses."""
         lost = [*dict.fromkeys([*self.lost_machines(), machine])]
         lost_zones = {lost_machine.zone for lost_machine in lost}
         shape = self.site.shape
         return len(lost) <= shape.lost_machines or len(lost_zones) <= shape.lost_zones
 
     def may_lose_zone(self, zone: str) -> bool:
-        """Whether a whole zone may go now, and all of it is there."""
+        """Whether the site tolerates the loss of a zone now, and all machines of the zone are up."""
         if not self.site.shape.lost_zones or self.lost_machines():
             return False
         machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
         return all(is_up(machine) for machine in machines)
 
     def mark_lost(self, machine: Machine) -> None:
-        """A fault of a machine begins."""
+        """Count a machine as lost: a fault of it begins."""
         self.lost[machine] = None
         self.checker.count_fault(1)
 
     def mark_recovered(self, machine: Machine) -> None:
-        """A fault of a machine is over; it counts as lost until it has caught up."""
+        """End a fault of a machine, which counts as lost until it has caught up."""
         if machine not in self.lost or self.lost[machine] is not None:
             return
         self.lost[machine] = self.sim.now_ns + CATCH_UP_NS
         self.checker.count_fault(-1)
         if not self.stopped and self.rng.random() < 0.3:
-            self.sim.call_after(CATCH_UP_NS + NS_PER_MS, self.strike_once)  # right when it no longer counts
+            # As soon as it no longer counts as lost.
+            self.sim.call_after(CATCH_UP_NS + NS_PER_MS, self.strike_once)
 
     def candidates(self) -> list[Machine]:
-        """Machines of controllers that are up and may be lost now."""
+        """Return the controllers' machines that are up and whose loss is tolerated now."""
         lost = self.lost_machines()
         machines = self.site.controllers.values()
         return [
@@ -179,14 +184,14 @@
             if machine not in lost and self.may_lose(machine) and is_up(machine)
         ]
 
-    # Which fault, where.
+    # Choice of faults and targets.
 
     def strike(self) -> None:
-        """Strike in one way or another, and again after a while."""
+        """Inject a fault in a random way, and schedule the next."""
         if self.is_done:
             return
         if self.extra_rng.random() < 0.25:
-            # Keys that a lease owner has just marked for another holder, and whose release goes out no more.
+            # The owner has just marked the keys for another holder, and the release is never sent.
             self.site.on_release = self.strike_at_release
         if self.sim.now_ns >= self.calm_until_ns:
             ways = (self.strike_once, self.strike_once, self.strike_at_accept, self.strike_at_answer)
@@ -194,11 +199,11 @@
         self.after_s(self.rng.expovariate(1 / self.mean_interval_s), self.strike)
 
     def strike_at_release(self, machine: Machine) -> None:
-        """Strike a lease owner that is about to ask for keys back."""
+        """Inject a fault at a lease owner that is about to send a release."""
         self.strike_at(machine, RELEASE_FAULTS)
 
     def strike_once(self) -> None:
-        """Strike a machine, at times a whole zone, at times in a way that costs no machine."""
+        """Inject a fault of a machine, of a whole zone, or one without the loss of a controller."""
         rng = self.rng
         if self.is_done:
             return
@@ -212,7 +217,7 @@
         self.strike_at(None, ALL_FAULTS)
 
     def strike_at_answer(self) -> None:
-        """Strike right when an acknowledgement is on its way: who sends it, or another."""
+        """Inject a fault just as the next acknowledgement is sent, at its sender or at a random machine."""
         strikes_sender = self.rng.random() < 0.5
 
         def strike(sender: Machine) -> None:
@@ -221,7 +226,7 @@
         self.site.on_post_acknowledged.append(strike)
 
     def strike_at_accept(self) -> None:
-        """Strike in the middle of a change: who has just asked a disk to accept, or that disk's machine."""
+        """Inject a fault at the sender or receiver of an accept request, in the middle of a change."""
         left = self.rng.randint(1, 6)
         strikes_all = self.rng.random() < 0.3
 
@@ -242,7 +247,7 @@
         self.site.network.on_message = trap
 
     def strike_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
-        """Strike a machine with one fault of some kinds, if it may be lost now; None: any machine."""
+        """Inject one of some faults at a machine (None: a random one), if its loss is tolerated now."""
         candidates = self.candidates() if self.sim.now_ns >= self.calm_until_ns else []
         if self.is_done or not candidates:
             return
@@ -253,32 +258,32 @@
         self.mark_lost(machine)
         self.actions[self.rng.choice(kinds)](machine)
 
-    # How a fault ends.
+    # End of faults.
 
     def draw_duration(self) -> int:
-        """Draw how long a fault lasts, in nanoseconds; for the machines of a zone the same."""
+        """Return a random duration in nanoseconds, the same for all machines in a zone fault."""
         if self.zone_durations_ns:
             return self.zone_durations_ns[0]
         low_s, high_s = self.rng.choice(DURATIONS_S)
         return int(self.rng.uniform(low_s, high_s) * NS_PER_SECOND)
 
     def note(self, machine: Machine | None, text: str) -> None:
-        """Record a fault; None: of all machines."""
+        """Record a fault of a machine (None: of all) in the trace."""
         self.sim.note("FAULT", f"{machine.name if machine else 'all'}: {text}")
 
     def schedule_undo(self, machine: Machine, delay_ns: int, call: Callable[..., Any], *args: Any) -> None:
-        """Undo a fault after a while, at the latest when all are to be over."""
+        """Schedule the end of a fault after a delay, no later than `until_ns`."""
         now_ns = self.sim.now_ns
         undo_ns = max(now_ns, min(now_ns + delay_ns, self.until_ns))
         self.sim.call_at(undo_ns, self.undo, machine, call, args)
 
     def undo(self, machine: Machine, call: Callable[..., Any], args: tuple) -> None:
-        """Undo a fault now."""
+        """Undo a fault by a call, and mark the machine as recovered."""
         call(*args)
         self.mark_recovered(machine)
 
     def restart(self, machine: Machine) -> None:
-        """Start the process of a machine, if none runs and it was not removed meanwhile."""
+        """Start the process of a machine, unless one runs or the machine was removed."""
         is_present = machine.ip in self.site.controllers or machine.ip in self.site.proxies
         if is_present and not is_up(machine):
             self.site.start(machine)
@@ -286,42 +291,42 @@
     # Faults of one machine.
 
     def kill(self, machine: Machine) -> None:
-        """Its process is killed."""
+        """Kill the process for a short time."""
         self.note(machine, "killed")
         self.site.end(machine)
         delay_ns = int(self.rng.uniform(0.2, 2.0) * NS_PER_SECOND)
         self.schedule_undo(machine, delay_ns, self.restart, machine)
 
     def power(self, machine: Machine) -> None:
-        """It loses power."""
+        """Cut the power of the machine for a while."""
         self.note(machine, "loses power")
         self.site.end(machine, power=True)
         self.schedule_undo(machine, self.draw_duration(), self.restart, machine)
 
     def wipe(self, machine: Machine) -> None:
-        """It loses power and its disk."""
+        """Cut the power of the machine for a while, and lose its disk."""
         self.note(machine, "loses its disk")
         self.site.end(machine, power=True)
         self.site.wipe(machine)
         self.schedule_undo(machine, self.draw_duration(), self.restart, machine)
 
     def freeze(self, machine: Machine) -> None:
-        """Its process is stopped for a while."""
+        """Freeze the process for a while."""
         self.note(machine, "frozen")
         process = machine.process
         process.freeze()
         self.schedule_undo(machine, self.draw_duration(), self.thaw, process)
 
     def thaw(self, process: Process) -> None:
-        """A stopped process goes on, if it has not ended meanwhile."""
+        """Resume a frozen process, unless it has ended."""
         if process.alive and process.frozen:
             self.note(process.machine, "thawed")
             process.thaw()
 
     def cut(self, machine: Machine) -> None:
-        """It is partitioned from all others, both ways or one way, at times also from callers."""
+        """Partition the machine from all others, in one or both directions, sometimes also from callers."""
         other_ips = [ip for ip in self.site.network.machines if ip != machine.ip]
-        if self.rng.random() < 0.7:  # callers still reach it
+        if self.rng.random() < 0.7:  # callers can still reach it
             other_ips.remove(self.site.outside.machine.ip)
         outward = [(machine.ip, ip) for ip in other_ips]
         inward = [(ip, machine.ip) for ip in other_ips]
@@ -330,7 +335,7 @@
         self.partition(machine, pairs, f"cut off, {way}")
 
     def cut_pair(self, machine: Machine) -> None:
-        """It is partitioned from one other controller, both ways or one way."""
+        """Partition the machine from one other controller, in one or both directions."""
         others = [other for other in self.site.controllers.values() if other is not machine]
         if not others:
             return
@@ -341,18 +346,18 @@
         self.partition(machine, pairs[:direction_count], f"cut from {other.name}, {way}")
 
     def partition(self, machine: Machine, pairs: list[AddressPair], what: str) -> None:
-        """Cut some directions for a while."""
+        """Cut the network between pairs of addresses for a while; a pair is one direction."""
         self.note(machine, what)
         self.site.network.cut(pairs)
         self.schedule_undo(machine, self.draw_duration(), self.heal, machine, pairs)
 
     def heal(self, machine: Machine, pairs: list[AddressPair]) -> None:
-        """Heal some directions."""
+        """Restore the network between pairs of addresses."""
         self.note(machine, "healed")
         self.site.network.heal(pairs)
 
     def disk(self, machine: Machine) -> None:
-        """Its disk is full, slow or hangs for a while."""
+        """Make the disk full, slow or hung for a while."""
         disk = self.site.disks[machine.ip]
         disk.fault = self.rng.choice((DiskFault.FULL, DiskFault.SLOW, DiskFault.HUNG))
         self.note(machine, f"disk {disk.fault}")
@@ -364,7 +369,7 @@
         self.schedule_undo(machine, self.draw_duration(), restore)
 
     def slow_link(self, machine: Machine) -> None:
-        """All its messages take longer for a while."""
+        """Delay all messages of the machine for a while."""
         machine.extra_delay_ns = self.rng.randint(50, 700) * NS_PER_MS
         self.note(machine, "slow link")
 
@@ -375,7 +380,7 @@
         self.schedule_undo(machine, self.draw_duration(), restore)
 
     def replace(self, machine: Machine) -> None:
-        """It is removed for good; an empty successor comes at another address."""
+        """Remove the machine permanently, and add an empty successor at another address."""
         site = self.site
         is_planned = self.rng.random() < 0.5
         self.note(machine, "is replaced" + (", as planned" if is_planned else " after it is lost"))
@@ -408,10 +413,10 @@
         else:
             leave()
 
-    # Faults of more than one machine, or of none.
+    # Faults of several machines, or of none.
 
     def strike_zone(self, zone: str) -> None:
-        """A zone goes as a whole, for one time."""
+        """Inject the same fault at all machines of a zone for the same time."""
         machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
         duration_ns = self.draw_duration()
         kind = self.rng.choice((ZoneFault.POWER, ZoneFault.FREEZE, ZoneFault.CUT))
@@ -430,7 +435,7 @@
                 self.schedule_undo(machine, duration_ns, do_nothing)
 
     def zone_border(self, zone: str) -> list[AddressPair]:
-        """Directions between a zone and all other machines, but for the callers."""
+        """Return the directed pairs between a zone and all other machines except the callers."""
         machines = self.site.network.machines
         inside = {machine.ip for machine in machines.values() if machine.zone == zone}
         caller_ip = self.site.outside.machine.ip
@@ -439,7 +444,7 @@
         return [*outward, *((outer, inner) for inner, outer in outward)]
 
     def disturb_harmlessly(self) -> None:
-        """What costs no controller: steps of the time of day, exchanged seeds, proxies that go."""
+        """Inject a fault that loses no controller: a clock step, changed seeds or the loss of a proxy."""
         rng = self.rng
         site = self.site
         what = rng.choice(("clock", "seeds", "proxy"))
@@ -460,7 +465,10 @@
                 self.after_s(rng.uniform(0.2, 3), self.restart, machine)
 
     def strike_all(self, wiped: Iterable[Machine] = ()) -> None:
-        """Every process is killed, or every machine loses power; disks stay, but for those `wiped`."""
+        """Kill all controllers or cut their power; only machines in `wiped` lose their disks.
+
+        With `wiped` the others may be spared.
+        """
         if self.stopped and not wiped and not self.closing_fault_injected:
             return
         power = bool(wiped) or self.rng.random() < 0.5
@@ -470,7 +478,7 @@
             what = "power lost" if power else "killed"
         self.note(None, what)
         self.checker.count_fault(1)
-        # Each counts as lost until it has had its time after its return: nothing else may go until then.
+        # All machines count as lost until they have recovered: no other fault is tolerated until then.
         self.calm_until_ns = max(self.calm_until_ns, self.sim.now_ns + RECOVERY_NS)
         for machine in [*self.site.controllers.values()]:
             if machine in wiped or strikes_all:
@@ -478,7 +486,7 @@
         self.sim.call_after(NS_PER_SECOND, self.checker.count_fault, -1)
 
     def strike_one_of_all(self, machine: Machine, power: bool, wiped: bool) -> None:
-        """End one machine's process as a part of `strike_all`; it starts again soon."""
+        """End the process of one machine as part of `strike_all`, and schedule its restart."""
         if wiped:
             self.note(machine, "loses its disk")
         was_up = is_up(machine)
@@ -489,7 +497,7 @@
             self.after_s(self.rng.uniform(0.2, 1.0), self.restart, machine)
 
     def inject_closing_fault(self) -> None:
-        """Strike with the closing fault, once."""
+        """Inject the final fault of all machines, at most once."""
         if self.closing_fault_injected:
             return
         self.closing_fault_injected = True
@@ -499,9 +507,10 @@
         self.strike_all(wiped)
 
     def hand_over_and_lose(self) -> None:
-        """In calm, exchange a machine for one that has caught up, as planned or by an operator's order.
+        """Replace a machine by a successor that has caught up, by a planned stop or an operator's order.
 
-        Right when that is done the machine is gone, and another is lost with its disk.
+        Right after the handover the machine is removed, and another loses power and its disk.  A new
+        configuration must still be acknowledged.  Runs while no other fault is active.
         """
         site = self.site
         sim = self.sim
@@ -539,7 +548,7 @@
         sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
 
     def lose_after_handover(self, machine: Machine, struck: list[Machine]) -> None:
-        """A machine loses power and its disk; it is added to `struck`."""
+        """Cut the power of a machine, wipe its disk, and append the machine to `struck`."""
         struck.append(machine)
         self.note(machine, "loses its disk right after a handover")
         self.site.end(machine, power=True)
@@ -548,13 +557,13 @@
     def order_replacement(
         self, machine: Machine, successor: Machine, asked: Machine, remove: Callable[[], None]
     ) -> None:
-        """Order a controller to exchange a voter; where it refuses, the voter's machine leaves by itself.
+        """Order a controller to replace a voter; if it refuses, the voter is stopped as planned.
 
         Args:
             machine: of the voter.
-            successor: the machine that takes its place.
-            asked: the machine of the controller that is asked.
-            remove: takes the voter's machine away.
+            successor: the machine that replaces it.
+            asked: machine of the controller that receives the order.
+            remove: removes the voter's machine.
         """
         voting = asked.process.plane.repair.voter_manager
         addresses = [[*machine.process_address], [*successor.process_address]]
@@ -566,13 +575,13 @@
             self.sim.call_after(0, remove)
 
     def put_acknowledged(self, seconds: float = 14.0) -> bool:
-        """Whether a new configuration is acknowledged while nothing else happens.
+        """Put a new configuration while nothing else happens; whether it is acknowledged.
 
-        The operator draws whom to ask, and may draw the lost machine some times in a row (seed 66 did for
-        7 s).
+        The operator asks random controllers and may choose the lost machine several times in a row: for 7 s
+        with seed 66.
 
         Args:
-            seconds: to try for.
+            seconds: time limit for the attempts.
         """
         results: list[bool] = []
         callers = self.callers
@@ -588,12 +597,12 @@
         return results == [True]
 
     def stop(self) -> None:
-        """Begin no fault any more, and start what has not come back by itself."""
+        """Begin no further faults, and restart all processes that have ended."""
         self.stopped = True
         for machine in [*self.site.controllers.values(), *self.site.proxies.values()]:
             self.restart(machine)
 
 
 def is_up(machine: Machine) -> bool:
-    """Whether the process of a machine has not ended; it may be frozen."""
+    """Whether the process of a machine has started and not ended; it may be frozen."""
     return machine.process is not None and machine.process.alive
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -160,7 +160,12 @@
         member = member_of(self.node, self.peer_pool.address, ROLE_CONTROLLER, machine, ready=False)
         self.failure_detector = SimulatedFailureDetector(self, member, self.seeds)
         self.plane = ControlPlane(
-            self.node, self.peer_pool, self.store, self.failure_detector.member_list, self.seeds, self.begin
+            self.node,
+            self.peer_pool,
+            self.store,
+            self.failure_detector.member_list,
+            self.seeds,
+            self.begin_serving,
         )
         self.handlers = self.peer_pool.handlers
         self.control = ControlApi(self.plane, {name for _, names in LISTENER_CALLS for name in names})
@@ -172,7 +177,7 @@
         """Return the seed addresses of the current settings."""
         return sorted({(ip, self.peer_pool.address[1]) for ip in self.node.seeds()})
 
-    def begin(self) -> None:
+    def begin_serving(self) -> None:
         """Start to answer callers; called when the control plane has caught up."""
         self.failure_detector.update_local(ready=True)
         self.listening = True
@@ -250,9 +255,9 @@
         site = process.site
         waiter = Waiter(process)
         if kind != CallKind.GRANT and site.on_release is not None:
-            strike = site.on_release
+            callback = site.on_release
             site.on_release = None
-            site.sim.call_after(0, strike, process.machine)
+            site.sim.call_after(0, callback, process.machine)
             waiter.wait(LEASE_CALL_TIMEOUT_S)  # the release is never sent
             return lease_owner.NO_ANSWER
         EndpointCall(site, self, kind, key_range, waiter).start()
@@ -508,7 +513,7 @@
         return answer
 
     def arrive(self) -> None:
-        """Deliver the request to the process; a machine without a listening process refuses the connection."""
+        """Deliver the request; a machine without a listening process refuses the connection."""
         process = self.machine.process
         if not self.machine.powered or not self.network.connected(self.caller.ip, self.machine.ip):
             return
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checker of invariants finds what must not happen."""
+"""The invariant checker reports violations of the rules for answers to callers."""
 
 import unittest
 
@@ -6,18 +6,18 @@
 from flintreach.simulation.scheduler import Simulation
 
 
-class AnswersToCallers(unittest.TestCase):
-    """Each rule finds the answer that breaks it, and lets pass what is allowed."""
+class AnswerChecksTest(unittest.TestCase):
+    """Each check reports an answer that violates its invariant, and accepts allowed answers."""
 
     def setUp(self):
         self.sim = Simulation(1)
         self.checker = InvariantChecker(self.sim, ())
         self.checker.check_durable = lambda put, who: None
 
-    def put(self, number, salt) -> Put:
-        return self.checker.record_put(number, encode_configuration(number, salt, False))
+    def put(self, version, content_id) -> Put:
+        return self.checker.record_put(version, encode_configuration(version, content_id, False))
 
-    def test_a_second_content_under_one_number(self):
+    def test_second_content_acknowledged_under_one_version(self):
         first, second = self.put(7, 1), self.put(7, 2)
         self.checker.check_put_answer(first, 200, "a")
         self.checker.check_put_answer(first, 200, "b")
@@ -26,14 +26,14 @@
         self.checker.check_put_answer(second, 200, "b")
         self.assertEqual(set(self.checker.first_violations), {"single", "refused"})
 
-    def test_what_was_acknowledged_is_not_refused_and_nothing_is_refused_for_no_reason(self):
+    def test_refusal_after_acknowledgement_or_without_a_conflict(self):
         self.checker.check_put_answer(self.put(7, 1), 200, "a")
         self.checker.check_put_answer(self.put(7, 1), 409, "b")
         self.assertEqual(set(self.checker.first_violations), {"refused"})
         self.checker.check_put_answer(self.put(8, 1), 400, "b")
         self.assertEqual(set(self.checker.first_violations), {"refused", "answered"})
 
-    def test_a_get_shows_what_was_acknowledged_or_later(self):
+    def test_get_returns_the_acknowledged_configuration_or_a_later_one(self):
         old, new = self.put(7, 1), self.put(9, 2)
         self.checker.check_put_answer(old, 200, "a")
         self.checker.check_get(7, 200, new.body, "a")
@@ -43,7 +43,7 @@
         self.checker.check_get(9, 200, old.body, "b")
         self.assertEqual(set(self.checker.first_violations), {"kept"})
 
-    def test_what_was_refused_is_never_in_force(self):
+    def test_refused_configuration_is_never_in_force(self):
         put = self.put(7, 1)
         self.put(7, 2)
         self.checker.check_put_answer(put, 409, "a")
