--- a/flintreach/simulation/callers.py
+++ b/flintreach/simulation/callers.py
@@ -173,8 +173,8 @@
         self.sent_puts.append(put)
         began_ns = self.sim.now_ns
 
-        def check(status: int, who: str) -> None:
-            self.checker.check_put_answer(put, status, who)
+        def check(status: int, controller_name: str) -> None:
+            self.checker.check_put_answer(put, status, controller_name)
 
         acknowledged = self.retry_order(PUT_PATH, put.body, check, seconds)
         if not put.refused_ns:
@@ -196,8 +196,8 @@
         """Start or finish an evacuation, with retries for some seconds; whether it was acknowledged."""
         order: EvacuationOrder = self.checker.record_evacuation(zone, is_evacuated)
 
-        def check(status: int, who: str) -> None:
-            self.checker.check_evacuation_answer(zone, order, status, who)
+        def check(status: int, controller_name: str) -> None:
+            self.checker.check_evacuation_answer(zone, order, status, controller_name)
 
         path = f"/v1/evacuate/{zone}/{'start' if is_evacuated else 'finish'}"
         acknowledged = self.retry_order(path, b"", check, seconds)
--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -63,7 +63,7 @@
 
 
 def do_nothing() -> None:
-    """Undo nothing: the fault ends without an action of its own."""
+    """Do nothing: undo action of a fault that ends without one."""
 
 
 class FaultInjector:
@@ -108,7 +108,7 @@
             Fault.FREEZE: self.freeze,
             Fault.CUT: self.cut,
             Fault.CUT_PAIR: self.cut_pair,
-            Fault.DISK: self.disk,
+            Fault.DISK: self.disturb_disk,
             Fault.SLOW_LINK: self.slow_link,
             Fault.REPLACE: self.replace,
         }
@@ -119,10 +119,10 @@
         self.mean_interval_s = self.rng.choice((0.4, 1.0, 2.0, 4.0))
         self.burst_s = self.rng.uniform(3, 20)
         self.calm_s = self.rng.choice((0.0, 7.0, 9.0))
-        self.after_s(self.rng.uniform(1.0, 5), self.strike)
+        self.after_s(self.rng.uniform(1.0, 5), self.inject_next)
         self.after_s(3 + self.burst_s, self.begin_calm)
         if self.rng.random() < 0.25:
-            self.after_s(self.rng.uniform(3, 16), self.strike_all)
+            self.after_s(self.rng.uniform(3, 16), self.crash_all)
 
     def after_s(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
         """Run a call after some seconds."""
@@ -172,7 +172,7 @@
         self.checker.count_fault(-1)
         if not self.stopped and self.rng.random() < 0.3:
             # As soon as it no longer counts as lost.
-            self.sim.call_after(CATCH_UP_NS + NS_PER_MS, self.strike_once)
+            self.sim.call_after(CATCH_UP_NS + NS_PER_MS, self.inject_one)
 
     def candidates(self) -> list[Machine]:
         """Return the controllers' machines that are up and whose loss is tolerated now."""
@@ -186,23 +186,23 @@
 
     # Choice of faults and targets.
 
-    def strike(self) -> None:
-        """Inject a fault in a random way, and schedule the next."""
+    def inject_next(self) -> None:
+        """Inject a fault by a random method, and schedule the next."""
         if self.is_done:
             return
         if self.extra_rng.random() < 0.25:
             # The owner has just marked the keys for another holder, and the release is never sent.
-            self.site.on_release = self.strike_at_release
+            self.site.on_release = self.inject_at_release
         if self.sim.now_ns >= self.calm_until_ns:
-            ways = (self.strike_once, self.strike_once, self.strike_at_accept, self.strike_at_answer)
-            self.rng.choice(ways)()
-        self.after_s(self.rng.expovariate(1 / self.mean_interval_s), self.strike)
+            methods = (self.inject_one, self.inject_one, self.inject_at_accept, self.inject_at_answer)
+            self.rng.choice(methods)()
+        self.after_s(self.rng.expovariate(1 / self.mean_interval_s), self.inject_next)
 
-    def strike_at_release(self, machine: Machine) -> None:
+    def inject_at_release(self, machine: Machine) -> None:
         """Inject a fault at a lease owner that is about to send a release."""
-        self.strike_at(machine, RELEASE_FAULTS)
+        self.inject_at(machine, RELEASE_FAULTS)
 
-    def strike_once(self) -> None:
+    def inject_one(self) -> None:
         """Inject a fault of a machine, of a whole zone, or one without the loss of a controller."""
         rng = self.rng
         if self.is_done:
@@ -212,23 +212,23 @@
             return
         zone = rng.choice([*self.site.shape.region_of_zone])
         if rng.random() < 0.15 and self.may_lose_zone(zone):
-            self.strike_zone(zone)
+            self.inject_zone_fault(zone)
             return
-        self.strike_at(None, ALL_FAULTS)
+        self.inject_at(None, ALL_FAULTS)
 
-    def strike_at_answer(self) -> None:
+    def inject_at_answer(self) -> None:
         """Inject a fault just as the next acknowledgement is sent, at its sender or at a random machine."""
-        strikes_sender = self.rng.random() < 0.5
+        hits_sender = self.rng.random() < 0.5
 
-        def strike(sender: Machine) -> None:
-            self.strike_at(sender if strikes_sender else None, HARD_FAULTS)
+        def inject(sender: Machine) -> None:
+            self.inject_at(sender if hits_sender else None, HARD_FAULTS)
 
-        self.site.on_post_acknowledged.append(strike)
+        self.site.on_post_acknowledged.append(inject)
 
-    def strike_at_accept(self) -> None:
+    def inject_at_accept(self) -> None:
         """Inject a fault at the sender or receiver of an accept request, in the middle of a change."""
         left = self.rng.randint(1, 6)
-        strikes_all = self.rng.random() < 0.3
+        hits_all = self.rng.random() < 0.3
 
         def trap(sender: Machine, receiver: Machine, data: bytes) -> None:
             nonlocal left
@@ -238,15 +238,15 @@
             if left:
                 return
             self.site.network.on_message = None
-            if strikes_all:
-                self.sim.call_after(int(self.rng.random() * 5 * NS_PER_MS), self.strike_all)
+            if hits_all:
+                self.sim.call_after(int(self.rng.random() * 5 * NS_PER_MS), self.crash_all)
                 return
-            struck = self.rng.choice((sender, sender, receiver))
-            self.sim.call_after(0, self.strike_at, struck, HARD_FAULTS)
+            target = self.rng.choice((sender, sender, receiver))
+            self.sim.call_after(0, self.inject_at, target, HARD_FAULTS)
 
         self.site.network.on_message = trap
 
-    def strike_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
+    def inject_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
         """Inject one of some faults at a machine (None: a random one), if its loss is tolerated now."""
         candidates = self.candidates() if self.sim.now_ns >= self.calm_until_ns else []
         if self.is_done or not candidates:
@@ -356,7 +356,7 @@
         self.note(machine, "healed")
         self.site.network.heal(pairs)
 
-    def disk(self, machine: Machine) -> None:
+    def disturb_disk(self, machine: Machine) -> None:
         """Make the disk full, slow or hung for a while."""
         disk = self.site.disks[machine.ip]
         disk.fault = self.rng.choice((DiskFault.FULL, DiskFault.SLOW, DiskFault.HUNG))
@@ -415,7 +415,7 @@
 
     # Faults of several machines, or of none.
 
-    def strike_zone(self, zone: str) -> None:
+    def inject_zone_fault(self, zone: str) -> None:
         """Inject the same fault at all machines of a zone for the same time."""
         machines = [machine for machine in self.site.controllers.values() if machine.zone == zone]
         duration_ns = self.draw_duration()
@@ -464,7 +464,7 @@
                 self.site.end(machine, power=rng.random() < 0.5)
                 self.after_s(rng.uniform(0.2, 3), self.restart, machine)
 
-    def strike_all(self, wiped: Iterable[Machine] = ()) -> None:
+    def crash_all(self, wiped: Iterable[Machine] = ()) -> None:
         """Kill all controllers or cut their power; only machines in `wiped` lose their disks.
 
         With `wiped` the others may be spared.
@@ -472,21 +472,21 @@
         if self.stopped and not wiped and not self.closing_fault_injected:
             return
         power = bool(wiped) or self.rng.random() < 0.5
-        strikes_all = not wiped or self.rng.random() < 0.5
+        hits_all = not wiped or self.rng.random() < 0.5
         what = "only these lose their disks"
-        if strikes_all:
+        if hits_all:
             what = "power lost" if power else "killed"
         self.note(None, what)
         self.checker.count_fault(1)
         # All machines count as lost until they have recovered: no other fault is tolerated until then.
         self.calm_until_ns = max(self.calm_until_ns, self.sim.now_ns + RECOVERY_NS)
         for machine in [*self.site.controllers.values()]:
-            if machine in wiped or strikes_all:
-                self.strike_one_of_all(machine, power, machine in wiped)
+            if machine in wiped or hits_all:
+                self.crash_one_of_all(machine, power, machine in wiped)
         self.sim.call_after(NS_PER_SECOND, self.checker.count_fault, -1)
 
-    def strike_one_of_all(self, machine: Machine, power: bool, wiped: bool) -> None:
-        """End the process of one machine as part of `strike_all`, and schedule its restart."""
+    def crash_one_of_all(self, machine: Machine, power: bool, wiped: bool) -> None:
+        """End the process of one machine as part of `crash_all`, and schedule its restart."""
         if wiped:
             self.note(machine, "loses its disk")
         was_up = is_up(machine)
@@ -504,7 +504,7 @@
         wiped: list[Machine] = []
         if self.rng.random() < 0.5:
             wiped = self.rng.sample([*self.site.controllers.values()], self.site.shape.lost_machines)
-        self.strike_all(wiped)
+        self.crash_all(wiped)
 
     def hand_over_and_lose(self) -> None:
         """Replace a machine by a successor that has caught up, by a planned stop or an operator's order.
@@ -518,7 +518,7 @@
         machine = rng.choice([*site.controllers.values()])
         asked = rng.choice([other for other in site.controllers.values() if other is not machine])
         successor = site.add_controller(machine.zone)
-        struck: list[Machine] = []
+        wiped: list[Machine] = []
         site.start(successor)
         sim.run(sim.now_ns + CATCH_UP_NS + int(rng.random() * NS_PER_SECOND))
         self.checker.count_fault(1)
@@ -531,7 +531,7 @@
             left = [*site.controllers.values()]
             next_lost = asked if rng.random() < 0.5 else rng.choice(left)
             delay_ns = int(rng.choice((0.0, rng.random())) * 40 * NS_PER_MS)
-            sim.call_after(delay_ns, self.lose_after_handover, next_lost, struck)
+            sim.call_after(delay_ns, self.lose_after_handover, next_lost, wiped)
 
         self.note(machine, "hands over")
         if rng.random() < 0.6:
@@ -543,13 +543,13 @@
         sim.run(sim.now_ns + 14 * NS_PER_SECOND)
         if not self.put_acknowledged():
             self.checker.record_violation("live", "after a handover and a loss an order is not acknowledged")
-        self.restart(struck[0])
+        self.restart(wiped[0])
         self.checker.count_fault(-1)
         sim.run(sim.now_ns + int(5.5 * NS_PER_SECOND))
 
-    def lose_after_handover(self, machine: Machine, struck: list[Machine]) -> None:
-        """Cut the power of a machine, wipe its disk, and append the machine to `struck`."""
-        struck.append(machine)
+    def lose_after_handover(self, machine: Machine, wiped: list[Machine]) -> None:
+        """Cut the power of a machine, wipe its disk, and append the machine to `wiped`."""
+        wiped.append(machine)
         self.note(machine, "loses its disk right after a handover")
         self.site.end(machine, power=True)
         self.site.wipe(machine)
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -45,7 +45,7 @@
     "ended": "two consecutive check-ins of a live endpoint are not acknowledged while it is listed as gone",
     "stale": "a controller without a majority for three seconds answers no directory request",
     "monotonic": "versions of the updates that a process holds never decrease while it runs",
-    "evacuated": "connected processes hold each acknowledged start or end of an evacuation",
+    "evacuated": "connected processes hold acknowledged evacuations and their ends, despite late calls",
     "owner": "no two live endpoints hold leases on the same key",
     "live": "without faults each order is acknowledged within receipt_ms",
     "agree": "after a time without faults all processes hold the same updates",
@@ -55,7 +55,7 @@
 }
 CALM_NS = 5 * NS_PER_SECOND  # after the last fault, during which answers may be late
 START_NS = 5 * NS_PER_SECOND  # after its start, during which a process may hold old updates
-STALE_NS = 3 * NS_PER_SECOND  # without contact, after which a controller may not answer directory requests
+STALE_NS = 3 * NS_PER_SECOND  # after which a controller without a majority may not answer directory requests
 DRAIN_NS = 3 * NS_PER_SECOND  # `last_call_ms`
 EVACUATE_NS = 5 * NS_PER_SECOND  # `evacuate_ms`
 RECOVERY_NS = 300 * NS_PER_MS  # `thaw_ms`
@@ -190,55 +190,57 @@
         """Record a configuration that is about to be sent."""
         return self.puts.setdefault(version, {}).setdefault(body, Put(version, body, self.sim.now_ns))
 
-    def check_put_answer(self, put: Put, status: int, who: str) -> None:
+    def check_put_answer(self, put: Put, status: int, process_name: str) -> None:
         """Check the answer to a put; one put may be answered several times.
 
         Args:
             put: the configuration that was sent.
             status: HTTP status of the answer.
-            who: name of the controller.
+            process_name: name of the controller.
         """
         rivals = [other for other in self.puts[put.version].values() if other is not put]
         if status == 200:
-            self.check_acknowledged_put(put, rivals, who)
+            self.check_acknowledged_put(put, rivals, process_name)
         elif 400 <= status < 500:
-            self.check_refused_put(put, rivals, status, who)
+            self.check_refused_put(put, rivals, status, process_name)
 
-    def check_acknowledged_put(self, put: Put, rivals: list[Put], who: str) -> None:
+    def check_acknowledged_put(self, put: Put, rivals: list[Put], process_name: str) -> None:
         """Check that no other content of this version was acknowledged, and that it was not refused."""
         name = f"configuration {put.version}"
         if any(other.acknowledged_ns for other in rivals):
-            self.record_violation("single", f"{name}: a second content was acknowledged by {who}")
+            self.record_violation("single", f"{name}: a second content was acknowledged by {process_name}")
         if put.refused_ns:
-            self.record_violation("refused", f"{name}: acknowledged by {who} after it had been refused")
+            self.record_violation(
+                "refused", f"{name}: acknowledged by {process_name} after it had been refused"
+            )
         if put.acknowledged_ns is None:
             put.acknowledged_ns = self.sim.now_ns
-            self.sim.note("operator", f"{name} acknowledged by {who}")
-            self.check_durable(put, who)
+            self.sim.note("operator", f"{name} acknowledged by {process_name}")
+            self.check_durable(put, process_name)
             self.record_ack("put")
         self.highest_acknowledged = max(self.highest_acknowledged, put.version)
 
-    def check_refused_put(self, put: Put, rivals: list[Put], status: int, who: str) -> None:
+    def check_refused_put(self, put: Put, rivals: list[Put], status: int, process_name: str) -> None:
         """Check that a refused put is neither acknowledged nor in force, and that its version is taken."""
         name = f"configuration {put.version}"
         if put.acknowledged_ns or self.in_force.get(put.version) == put.body:
             self.record_violation(
-                "refused", f"{name}: {status} from {who} after it had been acknowledged or shown"
+                "refused", f"{name}: {status} from {process_name} after it had been acknowledged or shown"
             )
         elif not rivals:
             self.record_violation(
-                "answered", f"{name}: {status} from {who}, and no other content bears its number"
+                "answered", f"{name}: {status} from {process_name}, and no other content bears its number"
             )
         put.refused_ns = put.refused_ns or self.sim.now_ns
 
-    def check_durable(self, put: Put, who: str) -> None:
+    def check_durable(self, put: Put, process_name: str) -> None:
         """Check that an acknowledged configuration, or a later one, is on the disks of a quorum."""
         holders = set()
         for address, disk in self.site.disks_with_addresses():
             slot = disk.slots.get(CONFIGURATION_KEY)
             if slot and version_of(slot.value) >= put.version:
                 holders.add(address)
-        self.check_quorum("durable", f"configuration {put.version} acknowledged by {who}", holders)
+        self.check_quorum("durable", f"configuration {put.version} acknowledged by {process_name}", holders)
 
     def check_quorum(self, name: str, what: str, holders: set[Address]) -> None:
         """Check that the disks that hold a record include a quorum of the current voters.
@@ -258,43 +260,46 @@
         voter_ips = [ip for ip, _ in voters.members()]
         self.record_violation(name, f"{what}: on the disks of {holder_ips} of the voters {voter_ips}")
 
-    def check_get(self, lowest: int, status: int, body: bytes, who: str) -> None:
+    def check_get(self, lowest: int, status: int, body: bytes, process_name: str) -> None:
         """Check the answer to a get.
 
         Args:
             lowest: highest version that was acknowledged or returned when the get began.
             status: HTTP status of the answer.
             body: of the answer.
-            who: name of the controller.
+            process_name: name of the controller.
         """
         if status == 404 and lowest >= 0:
             self.record_violation(
-                "kept", f"{who} answers that there is no configuration, {lowest} was acknowledged"
+                "kept", f"{process_name} answers that there is no configuration, {lowest} was acknowledged"
             )
         elif 400 <= status < 500 and status != 404:
-            self.record_violation("answered", f"get: {status} from {who}")
+            self.record_violation("answered", f"get: {status} from {process_name}")
         elif status == 200:
             version = version_of(body)
             if version < lowest:
                 self.record_violation(
-                    "kept", f"{who} answers configuration {version}, {lowest} was acknowledged or shown"
+                    "kept",
+                    f"{process_name} answers configuration {version}, {lowest} was acknowledged or shown",
                 )
-            self.check_in_force(version, body, who)
+            self.check_in_force(version, body, process_name)
             self.highest_shown = max(self.highest_shown, version)
 
-    def check_in_force(self, version: int, body: bytes, who: str) -> None:
+    def check_in_force(self, version: int, body: bytes, process_name: str) -> None:
         """Check that a configuration in force was sent, not refused, and is the only one of its version."""
         puts = self.puts.get(version, {})
         put = puts.get(body)
         if put is None:
-            self.record_violation("kept", f"{who} shows a configuration {version} that nobody sent")
+            self.record_violation("kept", f"{process_name} shows a configuration {version} that nobody sent")
         elif put.refused_ns:
             self.record_violation(
-                "refused", f"{who} shows configuration {version} with a content that was refused"
+                "refused", f"{process_name} shows configuration {version} with a content that was refused"
             )
         acknowledged_rivals = [other for other in puts.values() if other.acknowledged_ns and other is not put]
         if self.in_force.setdefault(version, body) != body or acknowledged_rivals:
-            self.record_violation("single", f"{who} shows another content of configuration {version}")
+            self.record_violation(
+                "single", f"{process_name} shows another content of configuration {version}"
+            )
 
     # Updates.
 
@@ -359,21 +364,23 @@
                 "ended", f"{controller.name} acknowledged a check-in of {endpoint.id} and tells it as gone"
             )
 
-    def record_leaving(self, endpoint: "Endpoint", what: str, who: str) -> None:
+    def record_leaving(self, endpoint: "Endpoint", what: str, process_name: str) -> None:
         """Record an acknowledged draining or sign-off; only the first of an endpoint counts."""
         if endpoint.id not in self.leaving:
             self.leaving[endpoint.id] = self.sim.now_ns
-            self.sim.note(endpoint.id, f"{what} acknowledged by {who}")
+            self.sim.note(endpoint.id, f"{what} acknowledged by {process_name}")
             self.record_ack(what)
 
-    def check_endpoint_on_disks(self, endpoint: "Endpoint", leaves: bool, what: str, who: str) -> None:
+    def check_endpoint_on_disks(
+        self, endpoint: "Endpoint", leaves: bool, what: str, process_name: str
+    ) -> None:
         """Check that the acknowledged state of an endpoint is on the disks of a quorum.
 
         Args:
             endpoint: whose state was acknowledged.
             leaves: whether a draining or sign-off was acknowledged.
             what: kind of the acknowledged request, for the violation's text.
-            who: name of the controller.
+            process_name: name of the controller.
         """
         holders = set()
         for address, disk in self.site.disks_with_addresses():
@@ -383,7 +390,7 @@
             is_forgotten = leaves and endpoint.id in getattr(registry, "gone", ())
             if is_known or is_forgotten:
                 holders.add(address)
-        self.check_quorum("known", f"{what} of {endpoint.id} acknowledged by {who}", holders)
+        self.check_quorum("known", f"{what} of {endpoint.id} acknowledged by {process_name}", holders)
 
     # Keys.
 
@@ -418,15 +425,17 @@
         self.evacuations.setdefault(zone, []).append(order)
         return order
 
-    def check_evacuation_answer(self, zone: str, order: EvacuationOrder, status: int, who: str) -> None:
+    def check_evacuation_answer(
+        self, zone: str, order: EvacuationOrder, status: int, process_name: str
+    ) -> None:
         """Check the answer to an evacuation order, which is never refused."""
         if status == 200:
             order.acknowledged_ns = order.acknowledged_ns or self.sim.now_ns
             what = "started" if order.is_evacuated else "finished"
-            self.sim.note("operator", f"evacuation of {zone} {what} by {who}")
+            self.sim.note("operator", f"evacuation of {zone} {what} by {process_name}")
             self.record_ack("evacuation")
         elif 400 <= status < 500:
-            self.record_violation("answered", f"evacuation of {zone}: {status} from {who}")
+            self.record_violation("answered", f"evacuation of {zone}: {status} from {process_name}")
 
     def settled_evacuations(self, before_ns: int) -> dict[str, bool]:
         """Map zones whose last order was acknowledged before a time to whether they are evacuated."""
--- a/flintreach/simulation/site.py
+++ b/flintreach/simulation/site.py
@@ -126,15 +126,15 @@
     node: settings.ProcessSettings, address: Address, role: str, machine: Machine, ready: bool
 ) -> Member:
     """Return the member list entry of a process that starts."""
-    sender = node.identity
+    identity = node.identity
     return Member(
-        sender.node_name,
+        identity.node_name,
         role,
         *address,
-        sender.zone,
-        sender.region,
+        identity.zone,
+        identity.region,
         dict(node.network.listen_addresses),
-        sender.voter_eligible,
+        identity.voter_eligible,
         ready,
         machine.wall_ms(),
     )
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -6,13 +6,13 @@
 from flintreach.simulation.scheduler import Simulation
 
 
-class AnswerChecksTest(unittest.TestCase):
+class AnswerChecks(unittest.TestCase):
     """Each check reports an answer that violates its invariant, and accepts allowed answers."""
 
     def setUp(self):
         self.sim = Simulation(1)
         self.checker = InvariantChecker(self.sim, ())
-        self.checker.check_durable = lambda put, who: None
+        self.checker.check_durable = lambda put, process_name: None
 
     def put(self, version, content_id) -> Put:
         return self.checker.record_put(version, encode_configuration(version, content_id, False))
