--- a/flintreach/simulation/faults.py
+++ b/flintreach/simulation/faults.py
@@ -230,7 +230,7 @@
         left = self.rng.randint(1, 6)
         hits_all = self.rng.random() < 0.3
 
-        def trap(sender: Machine, receiver: Machine, data: bytes) -> None:
+        def on_message(sender: Machine, receiver: Machine, data: bytes) -> None:
             nonlocal left
             if sender is receiver or ACCEPT_MESSAGE not in data[:MESSAGE_KIND_END]:
                 return
@@ -244,7 +244,7 @@
             target = self.rng.choice((sender, sender, receiver))
             self.sim.call_after(0, self.inject_at, target, HARD_FAULTS)
 
-        self.site.network.on_message = trap
+        self.site.network.on_message = on_message
 
     def inject_at(self, machine: Machine | None, kinds: Sequence[Fault]) -> None:
         """Inject one of some faults at a machine (None: a random one), if its loss is tolerated now."""
--- a/flintreach/simulation/invariants.py
+++ b/flintreach/simulation/invariants.py
@@ -198,16 +198,16 @@
             status: HTTP status of the answer.
             process_name: name of the controller.
         """
-        rivals = [other for other in self.puts[put.version].values() if other is not put]
+        conflicting = [other for other in self.puts[put.version].values() if other is not put]
         if status == 200:
-            self.check_acknowledged_put(put, rivals, process_name)
+            self.check_acknowledged_put(put, conflicting, process_name)
         elif 400 <= status < 500:
-            self.check_refused_put(put, rivals, status, process_name)
+            self.check_refused_put(put, conflicting, status, process_name)
 
-    def check_acknowledged_put(self, put: Put, rivals: list[Put], process_name: str) -> None:
+    def check_acknowledged_put(self, put: Put, conflicting: list[Put], process_name: str) -> None:
         """Check that no other content of this version was acknowledged, and that it was not refused."""
         name = f"configuration {put.version}"
-        if any(other.acknowledged_ns for other in rivals):
+        if any(other.acknowledged_ns for other in conflicting):
             self.record_violation("single", f"{name}: a second content was acknowledged by {process_name}")
         if put.refused_ns:
             self.record_violation(
@@ -220,14 +220,14 @@
             self.record_ack("put")
         self.highest_acknowledged = max(self.highest_acknowledged, put.version)
 
-    def check_refused_put(self, put: Put, rivals: list[Put], status: int, process_name: str) -> None:
+    def check_refused_put(self, put: Put, conflicting: list[Put], status: int, process_name: str) -> None:
         """Check that a refused put is neither acknowledged nor in force, and that its version is taken."""
         name = f"configuration {put.version}"
         if put.acknowledged_ns or self.in_force.get(put.version) == put.body:
             self.record_violation(
                 "refused", f"{name}: {status} from {process_name} after it had been acknowledged or shown"
             )
-        elif not rivals:
+        elif not conflicting:
             self.record_violation(
                 "answered", f"{name}: {status} from {process_name}, and no other content bears its number"
             )
@@ -295,8 +295,10 @@
             self.record_violation(
                 "refused", f"{process_name} shows configuration {version} with a content that was refused"
             )
-        acknowledged_rivals = [other for other in puts.values() if other.acknowledged_ns and other is not put]
-        if self.in_force.setdefault(version, body) != body or acknowledged_rivals:
+        acknowledged_conflicting = [
+            other for other in puts.values() if other.acknowledged_ns and other is not put
+        ]
+        if self.in_force.setdefault(version, body) != body or acknowledged_conflicting:
             self.record_violation(
                 "single", f"{process_name} shows another content of configuration {version}"
             )
@@ -547,11 +549,11 @@
         self.check_evacuations("evacuated", process, now_ns - EVACUATE_NS)
 
     def may_reach_majority(self, controller: "SimulatedController") -> bool:
-        """Whether a controller can reach a majority, and has been up for at least one round trip."""
-        joined = self.site.network.connected
+        """Whether a controller can reach a majority, and recovered at least one round trip ago."""
+        connected = self.site.network.connected
         running = self.site.running_controllers()
-        joined_count = sum(joined(controller.machine.ip, other.machine.ip) for other in running)
-        has_majority = 2 * joined_count > len(self.site.controllers)
+        reachable_count = sum(connected(controller.machine.ip, other.machine.ip) for other in running)
+        has_majority = 2 * reachable_count > len(self.site.controllers)
         return has_majority and self.sim.now_ns - controller.machine.recovered_at_ns > ROUND_TRIP_NS
 
     def check_directions(self, controller: "SimulatedController", status: int) -> None:
