--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on loopback against stand-ins; each is a program of its own with `--help`."""
+"""Benchmarks on loopback against simulated peers; each module is a program with `--help`."""
