--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize(
     "arguments, changes, status, message",
     [
-        (["check-config"], {}, 0, "p0: 8 slices, 3 proxies, 2 operations; listens at 127.0.0.1:0"),
+        (["check-config"], {}, 0, "p0: 8 slices, 3 proxies, 2 operations; listens on 127.0.0.1:0"),
         (["check-config"], {"listen": 7}, 2, "flintreach: "),
         (["serve"], {"settings": []}, 2, "flintreach: "),
         (["serve", "--config", "nowhere.json"], {}, 2, "flintreach: nowhere.json: No such file or directory"),
