--- a/tests/compatibility/test_outer_names.py
+++ b/tests/compatibility/test_outer_names.py
@@ -1,9 +1,9 @@
-"""Names that leave the process stand in the code letter for letter.
+"""Externally visible names are present in the code letter for letter.
 
 `tests/data/outer_names.txt` lists the names that clients, endpoints, peers, operators and disks see: fields
 and values of messages, keys of stored data and settings, paths, headers, options, environment variables,
-figures with their labels, the simulator adapter's words, and labels from which seeds and digests are drawn.
-A name that a rename drops fails here.
+metrics with their labels, the simulator adapter's terms, and labels from which seeds and digests are derived.
+The test fails if a rename removes one of them.
 """
 
 import ast
@@ -16,12 +16,12 @@
 
 
 def docstrings(tree: ast.AST) -> set[int]:
-    """Identities of the nodes that are strings standing alone, such as docstrings."""
+    """Object ids of expression-statement values, such as docstrings."""
     return {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
 
 
 def struct_fields(node: ast.ClassDef) -> Iterator[str]:
-    """Fields of a `msgspec.Struct`, of which the name is written out unless it is sent as an array."""
+    """Fields of a `msgspec.Struct`; their names are serialized unless the struct is encoded as an array."""
     bases = {ast.unparse(base) for base in node.bases}
     if "msgspec.Struct" not in bases:
         return
@@ -33,7 +33,7 @@
 
 
 def dataclass_fields(node: ast.ClassDef) -> Iterator[str]:
-    """Fields of a dataclass; those of blocks in the operator's file are keys of that file."""
+    """Fields of a dataclass; fields of settings sections are keys of the settings file."""
     if not any("dataclass" in ast.unparse(decorator) for decorator in node.decorator_list):
         return
     for statement in node.body:
@@ -42,14 +42,14 @@
 
 
 def commands_and_options(node: ast.FunctionDef) -> Iterator[str]:
-    """A command of the command line, named for its function, and the options that its parameters make."""
+    """A CLI command, named after its function, and the options derived from its parameters."""
     yield node.name
     arguments = [*node.args.posonlyargs, *node.args.args, *node.args.kwonlyargs]
     yield from (f"--{argument.arg.replace('_', '-')}" for argument in arguments)
 
 
 def outer_names(tree: ast.AST, has_commands: bool = False) -> Iterator[str]:
-    """Strings and written fields of a module; of the command line also its commands and options."""
+    """String literals and serialized fields of a module, plus commands and options for CLI modules."""
     skipped = docstrings(tree)
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and id(node) not in skipped:
@@ -65,14 +65,14 @@
 
 
 class OuterNames(unittest.TestCase):
-    def test_each_listed_name_stands_in_the_code(self):
+    def test_each_listed_name_is_in_the_code(self):
         found: set[str] = set()
         for path in sorted((ROOT / "flintreach").rglob("*.py")):
             tree = ast.parse(path.read_text(encoding="utf-8"))
             found.update(outer_names(tree, has_commands=path.parent.name == "cli"))
         self.assertEqual([name for name in EXPECTED if name not in found], [])
 
-    def test_the_list_is_sorted_and_names_each_once(self):
+    def test_list_is_sorted_without_duplicates(self):
         self.assertGreater(len(EXPECTED), 500)
         self.assertEqual(EXPECTED, sorted(set(EXPECTED)))
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,7 +1,8 @@
-"""A control process's disk as release 8a5daae wrote it: read, served, and written on beside it.
+"""Stored data compatibility: reads and updates a controller database written by release 8a5daae.
 
-`tests/data/disk` has the register (configuration, evacuation, map, voters, key ranges, a promise alone),
-endpoint rows with and without a rank, a tombstone, and the newest commits in the log beside the file.
+`tests/data/disk` holds register slots (configuration, evacuation, map, voters, key ranges, and one slot
+that is promised but not accepted), endpoint rows with and without a rank, and a tombstone.  The newest
+commits are only in the write-ahead log.
 """
 
 import json
@@ -31,13 +32,17 @@
 
 
 def tables(folder: Path) -> dict[str, list[tuple]]:
-    """All rows of a database, as sqlite gives them."""
-    base = sqlite3.connect(folder / "cairn.db")
+    """Maps each table of the database to its rows."""
+    connection = sqlite3.connect(folder / "cairn.db")
     try:
-        names = [name for (name,) in base.execute("select name from sqlite_master where type = 'table'")]
-        return {name: base.execute(f"select * from {name} order by 1").fetchall() for name in sorted(names)}
+        names = [
+            name for (name,) in connection.execute("select name from sqlite_master where type = 'table'")
+        ]
+        return {
+            name: connection.execute(f"select * from {name} order by 1").fetchall() for name in sorted(names)
+        }
     finally:
-        base.close()
+        connection.close()
 
 
 class StoredData(unittest.TestCase):
@@ -47,7 +52,7 @@
         for name in ("cairn.db", "cairn.db-wal"):
             shutil.copyfile(DISK / name, self.folder / name)
 
-    def opened(self) -> Store:
+    def open_store(self) -> Store:
         store = Store(str(self.folder), NODE, False)
 
         def close():
@@ -55,23 +60,23 @@
             store.pool.apply(store.connection.close)
             store.pool.kill()
 
-        self.close = close
+        self.close_store = close
         return store
 
-    def test_the_command_state_shows_what_it_showed(self):
+    def test_state_command_output_is_unchanged(self):
         self.assertEqual(
             read_tables(str(self.folder), describe), json.loads((DISK / "state.json").read_text())
         )
 
-    def test_the_identity_of_the_disk_stands(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+    def test_store_identity_is_read(self):
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         self.assertEqual((store.incarnation, store.voting), ("0c0ffee0c0ff", True))
         self.assertEqual(store.facts["forced"], "epoch 2 given up")
 
-    def test_the_register_is_read_with_its_ballots(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+    def test_register_ballots_are_read(self):
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         me, other = "10.1.0.13:7720", "10.2.0.43:7720"
         ballots = {key: (slot.promised, slot.accepted) for key, slot in store.slots.items()}
         self.assertEqual(
@@ -87,48 +92,48 @@
         )
         self.assertIsNone(store.slots["promised-only"].value)
 
-    def test_the_values_of_the_register_mean_what_they_meant(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+    def test_register_values_are_decoded(self):
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         values = {key: slot.value for key, slot in store.slots.items()}
-        standing = ConfigurationHistory.decode(values["timetable"])
-        self.assertEqual((standing.number, len(standing)), (9, 3))
-        table = configuration.check(standing.body)
+        history = ConfigurationHistory.decode(values["timetable"])
+        self.assertEqual((history.number, len(history)), (9, 3))
+        table = configuration.check(history.body)
         self.assertEqual(
             (table.number, len(table.virtual_hosts[0].route_rules), len(table.service_configs)), (9, 2, 2)
         )
-        # Its history confirms what was acknowledged, also what never came into force, and nothing else.
-        for number, body, word in ((9, standing.body, "again"), (9, b"{}", "other content")):
-            self.assertEqual(configuration_history.put(values["timetable"], number, body)[0], word)
+        # The history confirms each acknowledged configuration, even if never in effect, and no other.
+        for number, body, outcome in ((9, history.body, "again"), (9, b"{}", "other content")):
+            self.assertEqual(configuration_history.put(values["timetable"], number, body)[0], outcome)
         self.assertEqual(UNPACK(values["evac"]), [2, {"north-a": True, "south-b": False}])
-        map = {"look desk": ["desk-1", "desk-2"], "book desk": ["desk-2"]}
-        self.assertEqual(UNPACK(values["map"]), [20, map])
+        endpoint_map = {"look desk": ["desk-1", "desk-2"], "book desk": ["desk-2"]}
+        self.assertEqual(UNPACK(values["map"]), [20, endpoint_map])
         allocation = Allocation.decode(values["bunks/lot"])
         self.assertEqual(allocation.encode(), values["bunks/lot"])
-        self.assertEqual([r.state for r in allocation.ranges], ["held", "leaving", "free"])
+        self.assertEqual([key_range.state for key_range in allocation.ranges], ["held", "leaving", "free"])
 
-    def test_an_older_configuration_without_a_history_is_read(self):
+    def test_configuration_without_history_is_read(self):
         body = b'{"edition": "00000009"}'
         self.assertEqual(ConfigurationHistory.decode(body).number, 9)
         self.assertEqual(configuration_history.put(body, 9, body)[0], "again")
         self.assertEqual(configuration_history.put(body, 9, b"other")[0], "other content")
 
-    def test_the_voters_are_read_and_written_back_as_they_were(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+    def test_voters_round_trip(self):
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         voters = Voters.from_facts(store.facts)
         self.assertEqual((voters.epoch, len(voters.members())), (7, 4))
         self.assertEqual(PACK(voters.row()), store.slots["voters"].value)
         self.assertEqual(voters.to_facts()["voters"], store.facts["voters"])
 
-    def test_the_voters_of_earlier_releases_are_read(self):
+    def test_voters_of_earlier_releases_are_read(self):
         voters = Voters.from_facts({"circle": "10.1.0.13:7720,10.2.0.43:7720"})
         self.assertEqual(voters.epoch, 1)
         self.assertEqual(voters.members(), [("10.1.0.13", 7720), ("10.2.0.43", 7720)])
 
     def test_endpoint_rows_are_read_with_and_without_a_rank(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         now = 400 * SECOND
         records = {
             id: EndpointRecord.from_row(UNPACK(row, type=EndpointRow), now)
@@ -149,9 +154,9 @@
         self.assertEqual(records["desk-1"].warming_up_until_ns, now + 2 * SECOND)
         self.assertEqual(records["desk-5"].gone_at_ns, now - 30 * SECOND)
 
-    def test_endpoint_rows_are_written_back_as_they_were(self):
-        store = self.opened()
-        self.addCleanup(self.close)
+    def test_endpoint_rows_round_trip(self):
+        store = self.open_store()
+        self.addCleanup(self.close_store)
         now = 400 * SECOND
         for id in ("desk-5", "lot-1"):
             self.assertEqual(
@@ -161,13 +166,13 @@
                 store.endpoint_rows[id],
             )
 
-    def test_the_new_text_writes_on_beside_what_stands(self):
+    def test_new_writes_preserve_existing_rows(self):
         shutil.copytree(self.folder, self.folder / "before")
         before = tables(self.folder / "before")
-        store = self.opened()
+        store = self.open_store()
         fresh = Slot((9, "a:1"), (9, "a:1"), b"new")
         self.assertTrue(store.persist({"another": fresh, "evac": None}, {"more": "1"}, {"desk-4": b""}))
-        self.close()
+        self.close_store()
         after = tables(self.folder)
         self.assertEqual(sorted(after), ["facts", "huts", "slots"])
         self.assertEqual(set(after["facts"]), {*before["facts"], ("more", "1")})
@@ -175,7 +180,7 @@
         slots = [row for row in before["slots"] if row[0] != "evac"]
         self.assertEqual(after["slots"], sorted([*slots, ("another", 9, "a:1", 9, "a:1", b"new")]))
 
-    def test_the_last_resort_takes_the_older_disk(self):
+    def test_forced_single_voter_recovery_accepts_an_older_store(self):
         with self.assertRaisesRegex(Exception, "holds epoch 7, not 6"):
             force_single_voter(str(self.folder), 6, ("10.1.0.13", 7720))
         after = force_single_voter(str(self.folder), 7, ("10.1.0.13", 7720))
--- a/tests/compatibility/test_wire.py
+++ b/tests/compatibility/test_wire.py
@@ -1,7 +1,8 @@
-"""The pages' wire, settings and configuration, byte for byte as release 8a5daae had them.
+"""Compatibility of HTTP messages, settings and configuration, byte for byte, with release 8a5daae.
 
-`observed()` gives what this text says and reads; `tests/data/wire.json` has what 8a5daae said and read.
-Messages between processes are pinned by the simulation: see `frames` in `test_simulated_trials.py`.
+`observed_formats()` returns what the current code sends and parses; `tests/data/wire.json` holds what
+release 8a5daae sent and parsed.  Messages between processes are covered by the simulation: see `frames`
+in `tests/simulation/test_trial.py`.
 """
 
 import io
@@ -98,7 +99,7 @@
   losses: {machines: 1, zones: 1, regions: 0}
   timetable: {contact_ms: 5000, receipt_ms: 8000, last_call_ms: 4000, grace_s: 6, retry_ratio: 0.2}
 """
-BEAT = {
+HEARTBEAT = {
     "line": "desk",
     "addr": "10.4.1.1:8080",
     "zone": "z0",
@@ -110,14 +111,17 @@
 }
 
 
-def shown(answer) -> str:
-    """An answer as a client would see it."""
-    lines = [f"{answer.status} {answer.reason}", *(f"{name}: {value}" for name, value in answer.headers)]
-    return "\r\n".join([*lines, "", answer.body.decode()])
+def response_text(response) -> str:
+    """The response as a client receives it."""
+    lines = [
+        f"{response.status} {response.reason}",
+        *(f"{name}: {value}" for name, value in response.headers),
+    ]
+    return "\r\n".join([*lines, "", response.body.decode()])
 
 
-def heads() -> dict[str, str]:
-    """What a proxy adds to requests and answers."""
+def message_heads() -> dict[str, str]:
+    """Requests that the proxy forwards to endpoints, and responses that it returns to clients."""
     headers = [
         ("Host", "shop.example"),
         ("X-Try-Id", "00ab"),
@@ -125,10 +129,10 @@
         ("X-Own", "1"),
     ]
     headers += [("X-Shard-Key", "7"), ("Accept", "*/*"), ("TE", "trailers"), ("X-Time-Left-Ms", "900")]
-    low = {name.lower(): value for name, value in headers}
+    headers_by_name = {name.lower(): value for name, value in headers}
     found = {}
     for method, body in (("GET", b""), ("POST", b"abc"), ("DELETE", b""), ("PUT", b"")):
-        request = Request(method, "/look/7?x=1", headers, body, 0, low, [], Caller())
+        request = Request(method, "/look/7?x=1", headers, body, 0, headers_by_name, [], Caller())
         found[f"to an endpoint: {method}"] = endpoint_request_head(request, "desk-1", 1_234_567_890).decode(
             "latin-1"
         )
@@ -141,38 +145,40 @@
         ["X-A", "b"],
     ]
     for method in ("GET", "HEAD"):
-        answer = forwarded_response(message, Request(method, "/look/7", headers, b"", 0, low, [], Caller()))
-        found[f"from an endpoint: {method}"] = shown(answer)
+        response = forwarded_response(
+            message, Request(method, "/look/7", headers, b"", 0, headers_by_name, [], Caller())
+        )
+        found[f"from an endpoint: {method}"] = response_text(response)
     for status in (*REASONS, 418):
-        found[f"own answer: {status}"] = shown(error_response(status, "0.1", "why"))
+        found[f"own answer: {status}"] = response_text(error_response(status, "0.1", "why"))
     return found
 
 
-class Listener:
-    """An endpoint that keeps what it is sent, byte for byte."""
+class RecordingEndpoint:
+    """An endpoint that records every request it receives, byte for byte."""
 
     def __init__(self):
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(4)
         self.addr = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.came: list[str] = []
+        self.requests: list[str] = []
         self.task = gevent.spawn(self.run)
 
     def run(self):
         while True:
             sock, _ = self.listener.accept()
             data = b""
-            while b"\r\n\r\n" not in data or len(data.partition(b"\r\n\r\n")[2]) < self.length(data):
+            while b"\r\n\r\n" not in data or len(data.partition(b"\r\n\r\n")[2]) < self.content_length(data):
                 data += sock.recv(65536)
-            self.came.append(data.decode().replace(self.addr, "ADDRESS"))
+            self.requests.append(data.decode().replace(self.addr, "ADDRESS"))
             sock.sendall(
                 b"HTTP/1.1 200 OK\r\nX-Endpoint-Id: lot-1\r\nX-Handover: h-9\r\nContent-Length: 0\r\n\r\n"
             )
             sock.close()
 
     @staticmethod
-    def length(data: bytes) -> int:
+    def content_length(data: bytes) -> int:
         for line in data.partition(b"\r\n\r\n")[0].lower().split(b"\r\n"):
             name, _, value = line.partition(b": ")
             if name == b"content-length":
@@ -184,8 +190,8 @@
         self.listener.close()
 
 
-class SteadyHost:
-    """What a key range's lease holder takes of its process."""
+class FixedClockHost:
+    """The part of the host process that a lease owner uses, with a constant clock."""
 
     def __init__(self):
         self.runtime = self
@@ -194,39 +200,39 @@
         return 100.0
 
 
-def calls_to_endpoints() -> dict[str, str]:
-    """What endpoints are asked: keys granted and taken back, and whether they are there."""
-    listener, found = Listener(), {}
+def endpoint_requests() -> dict[str, str]:
+    """Requests sent to endpoints: key range grants, releases and health checks."""
+    endpoint_server, found = RecordingEndpoint(), {}
     try:
-        keeper = LeaseOwner("n1", "lot", SteadyHost(), 5000, None, None, None, None)
-        keeper.state.send_until = 200.0
+        lease_owner = LeaseOwner("n1", "lot", FixedClockHost(), 5000, None, None, None, None)
+        lease_owner.state.send_until = 200.0
         for kind, handover in (("grant", ""), ("grant", "h-7"), ("release", "")):
-            keys = Range(0, 32767, "lot-1", 11, "held", handover, listener.addr)
-            keeper.exchange(kind, keys)
-            found[f"{kind} {handover}".strip()] = listener.came.pop()
+            keys = Range(0, 32767, "lot-1", 11, "held", handover, endpoint_server.addr)
+            lease_owner.exchange(kind, keys)
+            found[f"{kind} {handover}".strip()] = endpoint_server.requests.pop()
         view = type(
             "View",
             (),
             {"routes": Routes(configuration.check(msgspec.json.encode(CONFIGURATION)))},
         )
         endpoint = EndpointView(
-            "lot-1", "desk", listener.addr, "z0", "r0", 2, pool=ConnectionPool(listener.addr)
+            "lot-1", "desk", endpoint_server.addr, "z0", "r0", 2, pool=ConnectionPool(endpoint_server.addr)
         )
         HealthChecker(view, Metrics()).check(endpoint, 10**18)
-        found["health"] = listener.came.pop()
+        found["health"] = endpoint_server.requests.pop()
         return found
     finally:
-        listener.stop()
+        endpoint_server.stop()
 
 
-class Program:
-    """One simulated site, called as endpoints, clients and operators call it."""
+class ControlClient:
+    """Calls the control API of a simulated controller as endpoints, clients and operators do."""
 
     def __init__(self, process):
         self.process = process
 
     def call(self, method: str, target: str, body: bytes = b"") -> str:
-        """Status line, headers and body of an answer."""
+        """Returns the status line, headers and body of the response."""
         path, _, query = target.partition("?")
         lines: list = []
         environ = {
@@ -243,18 +249,18 @@
         return f"{lines[0]} {lines[1]} {data.decode()}"
 
 
-def control_calls() -> dict[str, str]:
-    """Answers of a control process, in the order of the calls."""
+def control_responses() -> dict[str, str]:
+    """Responses of a controller, in call order."""
     sim, found = Simulation(3), {}
     with simulated_environment(sim):
-        watch = InvariantChecker(sim, ())
-        site = watch.site = Site(sim, SiteShape(sim.rng, 3), watch)
+        checker = InvariantChecker(sim, ())
+        site = checker.site = Site(sim, SiteShape(sim.rng, 3), checker)
         for machine in [*site.controllers.values(), *site.proxies.values()]:
             site.start(machine, True)
         sim.run(sim.now_ns + 5 * NS_PER_SECOND)
         process = next(iter(site.controllers.values())).process
-        program, configuration = Program(process), msgspec.json.encode(CONFIGURATION)
-        beat = json.dumps(BEAT).encode()
+        client, configuration = ControlClient(process), msgspec.json.encode(CONFIGURATION)
+        heartbeat = json.dumps(HEARTBEAT).encode()
 
         def run():
             for name, method, target, body in (
@@ -276,12 +282,12 @@
                     configuration.replace(b'"desk"', b'"disk"', 1),
                 ),
                 ("get", "GET", "/v1/timetable/get", b""),
-                ("check-in", "POST", "/v1/endpoints/desk-1/check-in", beat),
+                ("check-in", "POST", "/v1/endpoints/desk-1/check-in", heartbeat),
                 (
                     "check-in, closing",
                     "POST",
                     "/v1/endpoints/desk-2/check-in",
-                    beat.replace(b"ready", b"closing"),
+                    heartbeat.replace(b"ready", b"closing"),
                 ),
                 ("check-in, no JSON", "POST", "/v1/endpoints/desk-1/check-in", b"["),
                 (
@@ -299,7 +305,7 @@
                 ("no such call", "GET", "/v1/other", b""),
                 ("no such method", "PUT", "/v1/timetable/get", b""),
             ):
-                found[name] = program.call(method, target, body)
+                found[name] = client.call(method, target, body)
             found["rows of show"] = json.dumps(
                 {
                     view: sorted({name for row in process.plane.show(view) for name in row})
@@ -314,42 +320,42 @@
     return found
 
 
-def observed() -> dict[str, dict[str, str]]:
-    """All that is pinned, by part and name."""
+def observed_formats() -> dict[str, dict[str, str]]:
+    """All formats under test, by section and name."""
     node = settings.parse(SETTINGS)
     table = configuration.check(msgspec.json.encode(CONFIGURATION))
-    beat = msgspec.json.decode(json.dumps(BEAT), type=Heartbeat)
+    heartbeat = msgspec.json.decode(json.dumps(HEARTBEAT), type=Heartbeat)
     return {
-        "heads": heads(),
-        "calls to endpoints": calls_to_endpoints(),
-        "control calls": control_calls(),
+        "heads": message_heads(),
+        "calls to endpoints": endpoint_requests(),
+        "control calls": control_responses(),
         "formats": {
             "settings": msgspec.json.encode(node).decode(),
             "configuration": msgspec.json.encode(table).decode(),
-            "check-in": msgspec.json.encode(beat).decode(),
+            "check-in": msgspec.json.encode(heartbeat).decode(),
             "table of calls": json.dumps([[call.method, call.path] for call in calls.TABLE]),
         },
     }
 
 
-class Wire(unittest.TestCase):
+class WireCompatibility(unittest.TestCase):
     maxDiff = None
 
     @classmethod
     def setUpClass(cls):
         cls.expected = json.loads((DATA / "wire.json").read_text())
-        cls.found = observed()
+        cls.found = observed_formats()
 
-    def test_heads_of_requests_and_answers(self):
+    def test_request_and_response_heads(self):
         self.assertEqual(self.found["heads"], self.expected["heads"])
 
-    def test_calls_to_endpoints(self):
+    def test_requests_to_endpoints(self):
         self.assertEqual(self.found["calls to endpoints"], self.expected["calls to endpoints"])
 
-    def test_answers_to_endpoints_clients_and_operators(self):
+    def test_control_api_responses(self):
         self.assertEqual(self.found["control calls"], self.expected["control calls"])
 
-    def test_settings_configuration_and_check_ins(self):
+    def test_settings_configuration_and_heartbeats(self):
         self.assertEqual(self.found["formats"], self.expected["formats"])
 
 
