--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""docs/architecture.md and the code agree: files it names exist, packages import only what it lets them."""
+"""Checks docs/architecture.md against the code: named files exist, and package imports match its table."""
 
 import ast
 import re
@@ -8,11 +8,11 @@
 ROOT = Path(__file__).parents[1]
 SOURCE = ROOT / "flintreach"
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
-MAIN = "(start)"  # what stands in flintreach itself: the command line's start
+MAIN = "(start)"  # modules directly in flintreach: the command-line entry point
 
 
-def rows(title: str) -> list[list[str]]:
-    """Cells of the table whose head begins with a title."""
+def table_rows(title: str) -> list[list[str]]:
+    """Cells of the table whose header starts with the given title."""
     lines = PAGE.partition(f"| {title} |")[2].splitlines()[2:]
     found = []
     for line in lines:
@@ -22,19 +22,18 @@
     return found
 
 
-def allowed() -> dict[str, set[str]]:
-    """Package -> packages that it may import."""
-    return {row[0].strip("`"): set(re.findall(r"`([\w()]+)`", row[2])) for row in rows("package | job")}
+def allowed_imports() -> dict[str, set[str]]:
+    """Maps each package to the packages that it may import."""
+    return {row[0].strip("`"): set(re.findall(r"`([\w()]+)`", row[2])) for row in table_rows("package | job")}
 
 
-def package(path: Path) -> str:
-    """The package that a file belongs to."""
+def package_of(path: Path) -> str:
     parts = path.relative_to(SOURCE).parts
     return parts[0] if len(parts) > 1 else MAIN
 
 
-def imported(path: Path) -> set[str]:
-    """Packages of flintreach that a file imports, also within functions."""
+def imported_packages(path: Path) -> set[str]:
+    """Packages of flintreach that a file imports, including imports inside functions."""
     modules = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module == "flintreach":
@@ -50,35 +49,41 @@
 class Architecture(unittest.TestCase):
     def test_each_package_has_a_row(self):
         packages = {path.parent.name for path in SOURCE.glob("*/__init__.py")} | {MAIN}
-        self.assertEqual(set(allowed()), packages)
+        self.assertEqual(set(allowed_imports()), packages)
 
-    def test_a_package_imports_only_what_its_row_lets_it(self):
-        table, strays = allowed(), []
+    def test_packages_import_only_allowed_packages(self):
+        table, violations = allowed_imports(), []
         for path in sorted(SOURCE.rglob("*.py")):
-            here = package(path)
-            strays += [
+            importer = package_of(path)
+            violations += [
                 f"{path.relative_to(ROOT)}: {name}"
-                for name in sorted(imported(path) - table[here] - {here, MAIN if here == MAIN else here})
+                for name in sorted(
+                    imported_packages(path)
+                    - table[importer]
+                    - {importer, MAIN if importer == MAIN else importer}
+                )
             ]
-        self.assertEqual(strays, [])
+        self.assertEqual(violations, [])
 
-    def test_no_row_lets_more_than_is_used(self):
+    def test_allowed_imports_are_all_used(self):
         used: dict[str, set[str]] = {}
         for path in SOURCE.rglob("*.py"):
-            used.setdefault(package(path), set()).update(imported(path) - {package(path)})
-        self.assertEqual({name: names for name, names in allowed().items() if names != used[name]}, {})
+            used.setdefault(package_of(path), set()).update(imported_packages(path) - {package_of(path)})
+        self.assertEqual(
+            {name: names for name, names in allowed_imports().items() if names != used[name]}, {}
+        )
 
-    def test_files_that_the_page_names_exist(self):
+    def test_named_files_exist(self):
         names = set(re.findall(r"`((?:flintreach|deploy|tests|docs)/[\w/.-]+)`", PAGE))
         self.assertGreater(len(names), 20)
         self.assertEqual([name for name in sorted(names) if not (ROOT / name).exists()], [])
 
-    def test_short_file_names_that_the_page_gives_exist_once_or_in_the_package_at_hand(self):
+    def test_file_names_without_a_path_exist(self):
         names = set(re.findall(r"`(\w+\.py)`", PAGE))
         known = {path.name for path in SOURCE.rglob("*.py")}
         self.assertEqual(sorted(names - known), [])
 
-    def test_classes_that_the_page_names_exist(self):
+    def test_named_classes_exist(self):
         text = "\n".join(path.read_text() for path in SOURCE.rglob("*.py"))
         classes = set(re.findall(r"^class (\w+)", text, re.MULTILINE))
         named = set(re.findall(r"`([A-Z]\w+)(?:\.\w+)?`", PAGE))
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""docs/glossary.md: each term that it gives stands in the code where it says."""
+"""Checks that each term in docs/glossary.md occurs in the source files listed for it."""
 
 import re
 import unittest
@@ -9,8 +9,8 @@
 ROW = re.compile(r"^\| (?P<word>[^|]+) \| (?P<term>[^|]+) \| (?P<place>[^|]+) \|$")
 
 
-def rows() -> list[tuple[str, list[str], list[str]]]:
-    """(word, names in code, files) of each row."""
+def glossary_rows() -> list[tuple[str, list[str], list[str]]]:
+    """Returns (word, names in code, files) for each row."""
     found = []
     for line in PAGE.read_text().splitlines():
         match = ROW.match(line)
@@ -22,22 +22,22 @@
 
 
 class Glossary(unittest.TestCase):
-    def test_there_is_one_row_a_word(self):
-        words = [word for word, _, _ in rows()]
+    def test_each_word_has_one_row(self):
+        words = [word for word, _, _ in glossary_rows()]
         self.assertGreater(len(words), 40)
         self.assertEqual(sorted(words), sorted(set(words)))
 
-    def test_each_term_stands_in_the_code_where_the_row_says(self):
+    def test_each_term_occurs_in_its_listed_files(self):
         missing = []
-        for word, names, files in rows():
+        for word, names, files in glossary_rows():
             if not names or not files:
-                missing.append(f"{word}: names no term or no file")
+                missing.append(f"{word}: row lists no term or no file")
                 continue
             paths = [ROOT / "flintreach" / name for name in files]
             missing += [f"{word}: no file {path.relative_to(ROOT)}" for path in paths if not path.exists()]
             text = "\n".join(path.read_text() for path in paths if path.exists())
             missing += [
-                f"{word}: {name} does not stand in {', '.join(files)}"
+                f"{word}: {name} not found in {', '.join(files)}"
                 for name in names
                 if not re.search(rf"\b{re.escape(name)}\b", text)
             ]
