--- a/conftest.py
+++ b/conftest.py
@@ -1,25 +1,25 @@
-"""Tests known to be red: those that KNOWN-RED.txt lists may fail, are named at the end, and must not pass.
+"""Known failures: tests listed in KNOWN-RED.txt must fail, and are printed in the terminal summary.
 
-One line each: `test id: cause (issue)`; three at the most.  There is no such file while nothing is red.  A
-cause that begins with "intermittent" is of a fault that shows in some runs only: that test alone may pass.
+The file has one line per test, `test id: cause (issue)`, and at most three lines; it is absent when there are
+no known failures.  A test whose cause begins with "intermittent" fails in some runs only, and may pass.
 """
 
 from pathlib import Path
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
-INTERMITTENT = "intermittent"  # first word of the cause of a test that fails in some runs only
+FILE, MAX_ENTRIES = "KNOWN-RED.txt", 3
+INTERMITTENT = "intermittent"  # prefix of the cause of a test that fails in some runs only
 
 
-def listed(root: Path) -> dict[str, str]:
-    """Test id -> its line.  Raises pytest.UsageError where the list itself is wrong."""
+def read_known_failures(root: Path) -> dict[str, str]:
+    """Maps test ids to their lines.  Raises pytest.UsageError if the file is malformed."""
     path = root / FILE
     if not path.is_file():
         return {}
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if not lines or len(lines) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(lines)} lines; one to {MOST}, or no file")
+    if not lines or len(lines) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE}: {len(lines)} lines; one to {MAX_ENTRIES}, or no file")
     rows = {line.partition(": ")[0]: line for line in lines if ": " in line}
     if len(rows) < len(lines):
         raise pytest.UsageError(f"{FILE}: expected `test id: cause (issue)` on each line, each test once")
@@ -27,22 +27,22 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    red = listed(config.rootpath)
-    config.stash[KEY] = red
-    if config.args_source == pytest.Config.ArgsSource.TESTPATHS:  # all were collected
-        if strays := red.keys() - {item.nodeid for item in items}:
-            raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(strays))}")
+    known_failures = read_known_failures(config.rootpath)
+    config.stash[KNOWN_FAILURES_KEY] = known_failures
+    if config.args_source == pytest.Config.ArgsSource.TESTPATHS:  # the whole test suite was collected
+        if unknown := known_failures.keys() - {item.nodeid for item in items}:
+            raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(unknown))}")
     for item in items:
-        if item.nodeid in red:
-            # Strict: a listed one that passes is an error, so that the list never outlives its causes.
-            cause = red[item.nodeid].partition(": ")[2]
+        if item.nodeid in known_failures:
+            # Strict: a listed test that passes is an error, so that fixed tests are removed from the list.
+            cause = known_failures[item.nodeid].partition(": ")[2]
             strict = not cause.startswith(INTERMITTENT)
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=strict))
+            item.add_marker(pytest.mark.xfail(reason=known_failures[item.nodeid], strict=strict))
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for line in config.stash.get(KEY, {}).values():
+    for line in config.stash.get(KNOWN_FAILURES_KEY, {}).values():
         terminalreporter.write_line(f"known red: {line}")
 
 
-KEY = pytest.StashKey[dict]()
+KNOWN_FAILURES_KEY = pytest.StashKey[dict]()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to be red, on a small tree of its own."""
+"""Tests the KNOWN-RED.txt handling of conftest.py in a temporary project."""
 
 import shutil
 import subprocess
@@ -12,7 +12,7 @@
 
 
 class KnownRed(unittest.TestCase):
-    def run_with(self, text: str | None) -> tuple[int, str]:
+    def run_pytest(self, text: str | None) -> tuple[int, str]:
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         shutil.copy(CONFTEST, folder)
@@ -21,18 +21,18 @@
         (folder / "tests" / "test_a.py").write_text(CASES)
         if text is not None:
             (folder / "KNOWN-RED.txt").write_text(text)
-        ran = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
             cwd=folder,
             capture_output=True,
             text=True,
             timeout=60,
         )
-        return ran.returncode, ran.stdout + ran.stderr
+        return result.returncode, result.stdout + result.stderr
 
-    def test_only_what_is_listed_may_fail(self):
+    def test_only_listed_tests_may_fail(self):
         red = "tests/test_a.py::test_red: planted (issue 1)"
-        for text, good, said in (
+        for text, passes, message in (
             (None, False, "1 failed"),
             (red, True, f"known red: {red}"),
             ("tests/test_a.py::test_green: planted (issue 1)", False, "2 failed"),
@@ -45,9 +45,9 @@
             ("", False, "0 lines"),
             ("tests/test_a.py::test_red", False, "expected `test id: cause (issue)`"),
         ):
-            status, out = self.run_with(text)
-            self.assertEqual(status == 0, good, out)
-            self.assertIn(said, out)
+            status, output = self.run_pytest(text)
+            self.assertEqual(status == 0, passes, output)
+            self.assertIn(message, output)
 
 
 if __name__ == "__main__":
--- a/tests/young_clock.py
+++ b/tests/young_clock.py
@@ -1,25 +1,23 @@
-"""A pytest plugin (`-p tests.young_clock`): the steady clock reads as on a machine that has just started.
+"""A pytest plugin (`-p tests.young_clock`): the monotonic clock reads as on a freshly booted machine.
 
-A steady clock counts from the start of its machine (clock_gettime(2), CLOCK_MONOTONIC), so a time at which
-something last happened must not be 0 for "never": on a young machine that reads as "just now".  Processes
-that tests start have the machine's own clock.
+The monotonic clock counts from boot (clock_gettime(2), CLOCK_MONOTONIC), so 0 must not stand for "never"
+in the time of a last event: shortly after boot it reads as "just now".  Subprocesses started by tests use
+the system clock.
 """
 
 import time
 
-START_S = 2.0  # below every duration of the rules, so that "0" lies within each of them
+UPTIME_S = 2.0  # shorter than every configured duration, so that a time of 0 falls within each of them
 
-machine_ns = time.monotonic_ns
-offset_ns = int(START_S * 1e9) - machine_ns()
+system_monotonic_ns = time.monotonic_ns
+offset_ns = int(UPTIME_S * 1e9) - system_monotonic_ns()
 
 
 def monotonic_ns() -> int:
-    """Nanoseconds of the young machine's steady clock."""
-    return machine_ns() + offset_ns
+    return system_monotonic_ns() + offset_ns
 
 
 def monotonic() -> float:
-    """Seconds of the young machine's steady clock."""
     return monotonic_ns() / 1e9
 
 
