--- a/benchmarks/cores.py
+++ b/benchmarks/cores.py
@@ -26,8 +26,8 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from flintreach.standins.collectors import Sampler, lines, load
-from flintreach.standins.platform import row, told
+from flintreach.standins.collectors import Sampler, report_lines, send_load
+from flintreach.standins.platform import endpoint_entry, platform_config
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
 
@@ -50,10 +50,11 @@
 
 def configuration(servers: int, proxies: int, slices: int, ports: list[int]) -> dict:
     """The platform's configuration; the last servers are the ones whose probes are answered here."""
-    config = told(servers, slices, proxies)
+    config = platform_config(servers, slices, proxies)
     first = servers - len(ports)
     config["known"]["endpoints"] = [
-        row(n, address=f"127.0.0.1:{ports[n - first] if n >= first else 9}") for n in range(servers)
+        endpoint_entry(n, address=f"127.0.0.1:{ports[n - first] if n >= first else 9}")
+        for n in range(servers)
     ]
     config["settings"]["specifics"] |= {
         "backlog": 60.0 * proxies,
@@ -66,10 +67,10 @@
 def generate_load(address, cores, connections, rate, seconds, target_counts, seed, pipe):
     os.sched_setaffinity(0, cores)
     servers, slices = target_counts
-    pool = lines(servers - sampled_server_count(servers), slices, 40_000, seed)
+    pool = report_lines(servers - sampled_server_count(servers), slices, 40_000, seed)
     pipe.send("ready")
     pipe.recv()
-    pipe.send(uvloop.run(load(address, connections, rate, seconds, pool)))
+    pipe.send(uvloop.run(send_load(address, connections, rate, seconds, pool)))
 
 
 def sample_latency(address, cores, first, sampler, seconds, pipe):
@@ -77,7 +78,7 @@
     pipe.send("ready")
     pipe.recv()
     uvloop.run(sampler.run(address, first, seconds))
-    pipe.send((sampler.taken, sampler.missed))
+    pipe.send((sampler.latencies_ns, sampler.missed))
 
 
 def usage(process: int) -> tuple[float, float]:
@@ -164,7 +165,7 @@
     with tempfile.TemporaryDirectory() as folder:
         program = Program(Path(folder), cores_block, relay, tree=tree, cores=pilot_cores, **config)
         try:
-            program.ready()
+            program.connect_and_probe()
             address = "127.0.0.1", program.port
             ends, processes = start_load(
                 address, load_cores, loaders, connections, rate, seconds, size, sampler
@@ -177,10 +178,10 @@
             for process in processes:
                 process.join()
             program.process.send_signal(signal.SIGTERM)
-            stopped = program.logged("'stopped'")
+            stopped = program.wait_for_log("'stopped'")
             messages = [line.split("event=")[1].split(" pilot=")[0] for line in program.lines]
         finally:
-            program.end()
+            program.stop()
             relay.close()
     latencies_ns, missed = results.pop()
     interval = seconds / 2 - 0.5
--- a/flintreach/standins/collectors.py
+++ b/flintreach/standins/collectors.py
@@ -13,7 +13,7 @@
 AGENT = '{"msg":"agent","site":"%s"}\n'
 
 
-def lines(
+def report_lines(
     servers: int, slices: int, number: int, seed: int, site: str = "north", mix: float = 0.5
 ) -> list[bytes]:
     """Lines as a collector sends them: `mix` of them on servers, the others on slices."""
@@ -80,7 +80,7 @@
             self.place = (self.place + len(part)) % len(self.pool)
 
 
-async def load(
+async def send_load(
     at: tuple[str, int],
     connections: int,
     rate: float,
@@ -144,12 +144,12 @@
         self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(servers)]
         self.ports = [listener.getsockname()[1] for listener in self.listeners]
         self.told = [0] * servers
-        self.taken: list[int] = []  # nanoseconds from the line's last byte to the probe
+        self.latencies_ns: list[int] = []  # nanoseconds from the line's last byte to the probe
         self.missed = self.again = 0
 
     def asked(self, place: int) -> None:
         if self.told[place]:
-            self.taken.append(time.monotonic_ns() - self.told[place])
+            self.latencies_ns.append(time.monotonic_ns() - self.told[place])
             self.told[place] = 0
 
     async def run(self, at: tuple[str, int], first: int, seconds: float, site: str = "north") -> None:
--- a/flintreach/standins/discovery.py
+++ b/flintreach/standins/discovery.py
@@ -4,7 +4,7 @@
 import threading
 
 from flintreach.standins.peer import Peer
-from flintreach.standins.platform import listing
+from flintreach.standins.platform import endpoint_list
 
 
 class Discovery:
@@ -12,8 +12,8 @@
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.newer, self.list, self.mute = threading.Condition(), listing(), False
-        self.piece, self.paths = None, []
+        self.newer, self.list, self.silent = threading.Condition(), endpoint_list(), False
+        self.chunk_size, self.paths = None, []
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
@@ -32,18 +32,20 @@
                 with self.newer:
                     self.paths.append(peer.path)
                     self.newer.notify_all()
-                    self.newer.wait_for(lambda after=after: self.list["index"] != after and not self.mute, 30)
+                    self.newer.wait_for(
+                        lambda after=after: self.list["index"] != after and not self.silent, 30
+                    )
                     answer = self.list
-                peer.answer(answer, piece=self.piece)
+                peer.answer(answer, chunk_size=self.chunk_size)
         except (OSError, EOFError):
             peer.sock.close()
 
-    def tell(self, answer=None, mute=False):
+    def publish(self, answer=None, silent=False):
         with self.newer:
-            self.list, self.mute = answer or self.list, mute
+            self.list, self.silent = answer or self.list, silent
             self.newer.notify_all()
 
-    def asked(self, path):
+    def wait_for_request(self, path):
         with self.newer:
             assert self.newer.wait_for(lambda: any(path in told for told in self.paths), 30), self.paths
             self.paths.clear()
--- a/flintreach/standins/graphite.py
+++ b/flintreach/standins/graphite.py
@@ -13,7 +13,7 @@
         self.protocol, self.changed = protocol, threading.Condition()
         self.lines: list[tuple[str, float, int]] = []
         self.parts: list[bytes] = []
-        self.deaf, self.cut = False, None  # reads nothing; bytes after which a connection is reset
+        self.stalled, self.reset_after = False, None  # reads nothing; bytes after which a connection is reset
         self.connections, self.ends = 0, []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
@@ -36,13 +36,13 @@
         try:
             while True:
                 with self.changed:
-                    self.changed.wait_for(lambda: not self.deaf)
-                data = end.recv(min(65536, self.cut - taken) if self.cut else 65536)
+                    self.changed.wait_for(lambda: not self.stalled)
+                data = end.recv(min(65536, self.reset_after - taken) if self.reset_after else 65536)
                 if not data:
                     break
                 held, taken = held + data, taken + len(data)
                 held = self.take(held)
-                if self.cut and taken >= self.cut:
+                if self.reset_after and taken >= self.reset_after:
                     end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     break
         except OSError:
@@ -68,9 +68,9 @@
             self.changed.notify_all()
         return held
 
-    def script(self, deaf: bool = False, cut: int | None = None) -> None:
+    def script(self, stalled: bool = False, reset_after: int | None = None) -> None:
         with self.changed:
-            self.deaf, self.cut = deaf, cut
+            self.stalled, self.reset_after = stalled, reset_after
             self.changed.notify_all()
 
     def wait(self, true, seconds: float = 30.0):
--- a/flintreach/standins/platform.py
+++ b/flintreach/standins/platform.py
@@ -1,7 +1,7 @@
 """What the platform writes: a configuration, a list of servers, what a news connection opens with."""
 
 
-def told(servers=4, slices=8, proxies=3, **changes):
+def platform_config(servers=4, slices=8, proxies=3, **changes):
     """A configuration as the platform writes it."""
     operations = [
         {"name": name, "objective": 1.0, "hard_limit": 3.0, "worth": worth, "idempotency": effect}
@@ -35,12 +35,12 @@
         "discovery": "127.0.0.1:9",
         "store": {"address": "127.0.0.1:9"},
         "limits": {"sockets": 256, "memory_mb": 192},
-        "known": listing(servers),
+        "known": endpoint_list(servers),
         "settings": settings,
     } | changes
 
 
-def row(number, status="up", **changes):
+def endpoint_entry(number, status="up", **changes):
     return {
         "name": f"s{number}",
         "address": f"127.0.0.1:{9000 + number}",
@@ -53,16 +53,20 @@
     } | changes
 
 
-def listing(servers=4, index=1, snapshot=True, **rows):
-    return {"index": index, "snapshot": snapshot, "endpoints": [row(n) for n in range(servers)]} | rows
+def endpoint_list(servers=4, index=1, snapshot=True, **rows):
+    return {
+        "index": index,
+        "snapshot": snapshot,
+        "endpoints": [endpoint_entry(n) for n in range(servers)],
+    } | rows
 
 
-def stands(slices=8, proxies=3, new=False, spread=lambda n: "s0"):
+def initial_events(slices=8, proxies=3, new=False, initial_server=lambda n: "s0"):
     """What a news connection opens with: proxies, then each slice with its line."""
     items = [("hello", {"id": n, "site": "south", "rps": 2.0, "new": new}) for n in range(proxies)]
     for n in range(slices):
         items += [
             ("lease", {"range": n, "flag": True}),
-            ("line", {"range": n, "target": spread(n), "rps": 1.0}),
+            ("line", {"range": n, "target": initial_server(n), "rps": 1.0}),
         ]
     return items
--- a/flintreach/standins/program.py
+++ b/flintreach/standins/program.py
@@ -10,7 +10,7 @@
 
 from flintreach.standins.discovery import Discovery
 from flintreach.standins.peer import Peer
-from flintreach.standins.platform import told
+from flintreach.standins.platform import platform_config
 
 
 class Program:
@@ -23,7 +23,12 @@
     def __init__(self, folder, own: str = "", relay=None, tree: str | None = None, cores=None, **changes):
         self.tree, self.cores = tree, cores
         self.relay, self.discovery = relay or socket.create_server(("127.0.0.1", 0)), Discovery()
-        self.path, self.config, self.open, self.old = folder / "config.json", told(**changes), [], []
+        self.path, self.config, self.open, self.old = (
+            folder / "config.json",
+            platform_config(**changes),
+            [],
+            [],
+        )
         self.discovery.list = self.config["known"]
         self.own = folder / "flintreach.hcl" if own else None
         if own:
@@ -38,11 +43,11 @@
         }
         self.path.write_text(json.dumps(self.config))
 
-    def move(self, answer=None):
+    def relocate_services(self, answer=None):
         """Discovery and the relay go to other addresses, and the program is told; the old ones stay open."""
         self.old += [self.relay, self.discovery.listener]
         self.relay, self.discovery = socket.create_server(("127.0.0.1", 0)), Discovery()
-        self.discovery.tell(answer)
+        self.discovery.publish(answer)
         self.write()
         self.process.send_signal(signal.SIGHUP)
 
@@ -59,10 +64,10 @@
         )
         os.sched_setaffinity(0, allowed)
         self.text, self.lines = "", []
-        line = self.logged("listening")
+        line = self.wait_for_log("listening")
         self.port = int(line.split("at='127.0.0.1:")[1].split("'")[0])
 
-    def logged(self, text):
+    def wait_for_log(self, text):
         while True:
             line, end, rest = self.text.partition("\n")
             if not end:
@@ -80,14 +85,14 @@
         self.open.append(Peer(socket.create_connection(("127.0.0.1", self.port))))
         return self.open[-1]
 
-    def ready(self):
+    def connect_and_probe(self):
         """A client to whom the sign of life is given."""
         client = self.dial()
         client.send(b'{"msg":"probe"}\n')
-        assert json.loads(client.until(b"\n")) == {"msg": "alive"}
+        assert json.loads(client.read_until(b"\n")) == {"msg": "alive"}
         return client
 
-    def called(self, path):
+    def accept_request(self, path):
         """The next connection at the relay that asks for this path."""
         self.relay.settimeout(30)
         for _ in range(20):
@@ -96,7 +101,7 @@
                 return self.open[-1]
         raise AssertionError(f"nobody asks for {path}")
 
-    def end(self):
+    def stop(self):
         self.process.kill()
         self.process.wait()
         self.process.stdout.close()
--- a/flintreach/standins/relay.py
+++ b/flintreach/standins/relay.py
@@ -16,7 +16,7 @@
 import httptools
 import uvloop
 
-from flintreach.standins.platform import stands
+from flintreach.standins.platform import initial_events
 
 
 @dataclass
@@ -24,7 +24,7 @@
     at: int  # nanoseconds of the monotonic clock
     orders: list[dict]
     fault: str | None = None
-    done: bool = True  # carried out at the store
+    applied: bool = True  # carried out at the store
 
 
 class Asker(asyncio.Protocol):
@@ -72,13 +72,16 @@
 
 
 class Relay:
-    """`spread(n)` is the server that slice `n` starts on.  `faults` are taken by the next calls, one each:
-    "reset" and "silence" after it was carried out, "lost" before, "busy", "half" an answer, "short": half."""
-
-    def __init__(self, slices: int = 8, proxies: int = 3, spread=lambda n: "s0", latency: float = 0.0):
-        self.standing = stands(slices, proxies, new=True, spread=spread)
+    """`initial_server(n)` is the server that slice `n` starts on.  `faults` are taken by the next calls, one
+    each: "reset" and "silence" after it was carried out, "lost" before, "busy", "half" an answer, "short":
+    half."""
+
+    def __init__(
+        self, slices: int = 8, proxies: int = 3, initial_server=lambda n: "s0", latency: float = 0.0
+    ):
+        self.standing = initial_events(slices, proxies, new=True, initial_server=initial_server)
         self.slices, self.proxies, self.latency = slices, proxies, latency
-        self.tables = {n: {spread(n): 1.0} for n in range(slices)}
+        self.tables = {n: {initial_server(n): 1.0} for n in range(slices)}
         self.out, self.calls, self.faults, self.marks = set(), [], deque(), []
         self.streams, self.changed = set(), threading.Condition()
         self.loop = uvloop.new_event_loop()
@@ -123,7 +126,7 @@
         fault = self.faults.popleft() if self.faults else None
         call = Call(time.monotonic_ns(), orders, fault, fault not in ("lost", "busy"))
         number = len(orders) // 2 if fault == "short" else len(orders)
-        if call.done:
+        if call.applied:
             for order in orders[:number]:
                 self.carry(order)
         with self.changed:
@@ -170,7 +173,7 @@
             if kind == "line":
                 tables.setdefault(told["range"], {})[told["target"]] = told["rps"]
         for place, call in enumerate(self.calls):
-            if call.done and call.fault != "short":
+            if call.applied and call.fault != "short":
                 for order in call.orders:
                     name, table = order.get("target"), tables.setdefault(order.get("table"), {})
                     nothing = {
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -29,7 +29,7 @@
 from flintreach.policy.search import Search
 from flintreach.standins.discovery import Discovery
 from flintreach.standins.peer import Peer
-from flintreach.standins.platform import listing, row, told
+from flintreach.standins.platform import endpoint_entry, endpoint_list, platform_config
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
 from tests.helpers import Fleet, RecordingLog, RecordingPilot
@@ -299,9 +299,9 @@
     with contextlib.ExitStack() as stack:
 
         def build(operator_file=TWO_WORKERS, relay=None, **changes):
-            relay = relay or Relay(spread=lambda n: f"s{n % 4}")
+            relay = relay or Relay(initial_server=lambda n: f"s{n % 4}")
             program = Program(tmp_path, operator_file, relay, **changes)
-            stack.callback(program.end)
+            stack.callback(program.stop)
             return program
 
         yield build
@@ -311,7 +311,7 @@
     """Wait until both workers serve and return their process ids by number, as the log gives them."""
     found = {}
     while len(found) < 2:
-        line = program.logged(": serving")
+        line = program.wait_for_log(": serving")
         if "solver" in line:
             continue
         found[line.split("worker ")[1][0]] = int(line.split("process ")[1].split("'")[0])
@@ -335,16 +335,18 @@
 
 
 def drain_server(program, number=1, index=2):
-    program.discovery.tell(listing(0, index, False, endpoints=[row(number, "draining")]))
+    program.discovery.publish(endpoint_list(0, index, False, endpoints=[endpoint_entry(number, "draining")]))
     program.relay.wait(
-        lambda calls: any({"op": "OUT", "target": f"s{number}"} in call.orders for call in calls if call.done)
+        lambda calls: any(
+            {"op": "OUT", "target": f"s{number}"} in call.orders for call in calls if call.applied
+        )
     )
 
 
 def connect_collector(program, lines=1):
     peer = program.dial()
     peer.send(AGENT_LINE + outcomes_line() * lines + b'{"msg":"probe"}\n')
-    assert json.loads(peer.until(b"\n")) == {"msg": "alive"}
+    assert json.loads(peer.read_until(b"\n")) == {"msg": "alive"}
     return peer
 
 
@@ -358,7 +360,7 @@
 def answers_probes(peer):
     try:
         peer.send(b'{"msg":"probe"}\n')
-        return peer.until(b"\n") != b""
+        return peer.read_until(b"\n") != b""
     except (ConnectionError, EOFError):
         return False
 
@@ -393,8 +395,8 @@
     for peer in peers:
         peer.send(outcomes_line() * 500)  # it is killed with records on their way
     os.kill(processes["0"], signal.SIGKILL)
-    program.logged("worker 0: backing off")
-    restarted = program.logged("worker 0: serving")
+    program.wait_for_log("worker 0: backing off")
+    restarted = program.wait_for_log("worker 0: serving")
     assert str(processes["0"]) not in restarted
     assert sum(map(answers_probes, peers)) == 4
     # These go to the restarted worker, which has the fewest connections.
@@ -410,8 +412,8 @@
     processes = wait_for_workers(program)
     peers = [connect_collector(program) for _ in range(4)]
     os.kill(processes["1"], signal.SIGSTOP)
-    assert "worker 1: terminating" in program.logged("worker 1: terminating")
-    program.logged("worker 1: serving")
+    assert "worker 1: terminating" in program.wait_for_log("worker 1: terminating")
+    program.wait_for_log("worker 1: serving")
     assert has_exited(processes["1"])
     assert sum(map(answers_probes, peers)) == 2
     connect_collector(program)
@@ -445,7 +447,7 @@
             peer.send(b'{"msg":"probe"}\n')
             peer.sock.settimeout(0.5)
             try:
-                peer.until(b"\n")
+                peer.read_until(b"\n")
             except TimeoutError:
                 break
         else:
@@ -454,7 +456,7 @@
     finally:
         os.kill(program.process.pid, signal.SIGCONT)
     peer.sock.settimeout(30)
-    assert json.loads(peer.until(b"\n")) == {"msg": "alive"}  # the answer to the probe that waited
+    assert json.loads(peer.read_until(b"\n")) == {"msg": "alive"}  # the answer to the probe that waited
     drain_server(program)
     assert all(os.path.exists(f"/proc/{number}") for number in processes.values())
 
@@ -465,7 +467,7 @@
     processes = wait_for_workers(program)
     for number in (*processes.values(), program.process.pid):
         os.kill(number, signal.SIGHUP)
-    program.logged("reload")
+    program.wait_for_log("reload")
     connect_collector(program)
     for number in (*processes.values(), program.process.pid):
         os.kill(number, sign)
@@ -481,9 +483,9 @@
     peer = connect_collector(program)
     program.path.write_text("{")
     program.process.send_signal(signal.SIGHUP)
-    program.logged("reload failed; keeping the current configuration")
+    program.wait_for_log("reload failed; keeping the current configuration")
     peer.send(b'{"msg":"probe"}\n')
-    assert peer.until(b"\n")
+    assert peer.read_until(b"\n")
     drain_server(program)
 
 
@@ -495,10 +497,10 @@
     for stranger in strangers[::2]:
         with contextlib.suppress(ConnectionError):
             stranger.send(b"x" * 100)
-    program.logged("too many strangers")
+    program.wait_for_log("too many strangers")
     for peer in [*peers, connect_collector(program)]:
         peer.send(outcomes_line() + b'{"msg":"probe"}\n')
-        assert peer.until(b"\n")
+        assert peer.read_until(b"\n")
     assert wait_until_closed(strangers[0])
 
 
@@ -507,8 +509,8 @@
     wait_for_workers(program)
     peer = connect_collector(program)
     peer.send(outcomes_line(count=-1) + outcomes_line("nobody") + outcomes_line() + b'{"msg":"probe"}\n')
-    assert peer.until(b"\n")
-    found = program.logged("report"), program.logged("report")
+    assert peer.read_until(b"\n")
+    found = program.wait_for_log("report"), program.wait_for_log("report")
     assert any("malformed" in line for line in found) and any("unknown" in line for line in found)
 
 
@@ -523,7 +525,7 @@
         path = folder / "config.json"
         path.write_text(
             json.dumps(
-                told(**changes)
+                platform_config(**changes)
                 | {
                     "store": {"address": "{}:{}".format(*self.relay.getsockname())},
                     "discovery": "{}:{}".format(*self.discovery.listener.getsockname()),
--- a/tests/evidence/test_evidence.py
+++ b/tests/evidence/test_evidence.py
@@ -17,7 +17,7 @@
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
-from flintreach.standins.platform import told
+from flintreach.standins.platform import platform_config
 from tests.helpers import FakeLoop, Fleet, RecordingLog, RecordingPilot
 
 T = 1_700_000_000 * SECOND
@@ -429,7 +429,7 @@
 
     def build(**settings):
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(told()))
+        path.write_text(json.dumps(platform_config()))
         service = Service(load(str(path), {}), FakeLoop(), RecordingLog())
         service.pilot = RecordingPilot()
         service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -11,7 +11,7 @@
 from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 from flintreach.pilot.logic import Pilot
-from flintreach.standins.platform import listing, row, stands, told
+from flintreach.standins.platform import endpoint_entry, endpoint_list, initial_events, platform_config
 from tests.helpers import FakeConnection, FakeLoop, FakeTransport, RecordingLog, RecordingPilot
 
 
@@ -24,7 +24,7 @@
 
     def build(**changes):
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(told(**changes)))
+        path.write_text(json.dumps(platform_config(**changes)))
         service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
         service.pilot = RecordingPilot()
         # Keeps the servers referenced, as the decision logic would.
@@ -38,7 +38,7 @@
     """The service's feed connection, after it has brought three proxies and all slices."""
     service.relay_feed.connect()
     feed = FakeConnection.created[-1]
-    feed.deliver(*stands(), ())
+    feed.deliver(*initial_events(), ())
     service.loop.run(0.1)
     service.pilot.seen.clear()
     return feed
@@ -307,7 +307,7 @@
     client = connect(service, b'{"msg":"probe"}\n')
     service.discovery_client.start()
     assert client.transport.written == b""
-    FakeConnection.created[0].end(body=listing())
+    FakeConnection.created[0].end(body=endpoint_list())
     assert client.transport.written == b'{"msg":"alive"}\n'
     late = make()
     client = connect(late, b'{"msg":"probe"}\n')
@@ -323,18 +323,21 @@
     service.discovery_client.start()
     connection = FakeConnection.created[0]
     assert connection.path == "/discovery/hosts"
-    connection.end(body=listing(2, 41))
+    connection.end(body=endpoint_list(2, 41))
     assert handled(service) == [("full", ("s0", "ready"), ("s1", "ready"))]
     assert (
         connection.path.startswith("/discovery/hosts?after=41&wait_ms=")
         and connection.state == "awaiting response"
     )
-    changed = [row(1, "draining", since_ms=1_700_000_000_123), row(7, "removed", zone="south")]
-    connection.end(body=listing(0, 43, False, endpoints=changed))
+    changed = [
+        endpoint_entry(1, "draining", since_ms=1_700_000_000_123),
+        endpoint_entry(7, "removed", zone="south"),
+    ]
+    connection.end(body=endpoint_list(0, 43, False, endpoints=changed))
     assert handled(service)[1:] == [("delta", ("s1", "draining"), ("s7", "gone"))]
     entry = service.pilot.seen[-1].entries[0]
     assert (entry.started, entry.server.machine_type, entry.server.cell) == (1_700_000_000_123_000_000, 1, 1)
-    connection.end(body=listing(0, 43, False))
+    connection.end(body=endpoint_list(0, 43, False))
     assert len(handled(service)) == 2 and "after=43" in connection.path
 
 
@@ -347,33 +350,51 @@
         ("answered", 200, b"{", "?after=41&", []),
         ("answered", 200, b"[" * 100_000, "?after=41&", []),
         ("answered", 200, {"index": 42}, "?after=41&", []),
-        ("answered", 200, listing(0, 42), "?after=41&", []),  # an empty list would remove every server
+        ("answered", 200, endpoint_list(0, 42), "?after=41&", []),  # an empty list would remove every server
         (
             "answered",
             200,
-            listing(2, 42, endpoints=[row(0), row(1, "asleep")]),
+            endpoint_list(2, 42, endpoints=[endpoint_entry(0), endpoint_entry(1, "asleep")]),
             "?after=42&",
             [("delta", ("s0", "ready"))],
         ),  # the other entries are good; the server of a malformed one is not gone
         (
             "answered",
             200,
-            listing(2, 42, False, endpoints=[row(0, "draining"), {"name": 7}]),
+            endpoint_list(2, 42, False, endpoints=[endpoint_entry(0, "draining"), {"name": 7}]),
             "hosts",
             [("delta", ("s0", "draining"))],
         ),
-        ("answered", 200, listing(2, 42, endpoints=[None, row(0, zone=[])]), "?after=41&", []),
-        ("answered", 200, listing(2) | {"index": True}, "?after=41&", []),
-        ("answered", 200, listing(2, 42, endpoints=[row(0, weight=-1)]), "?after=41&", []),
-        ("answered", 200, listing(2, 42, endpoints=[row(0, address="nowhere")]), "?after=41&", []),
-        ("answered", 200, listing(1, 7), "?after=7&", [("full", ("s0", "ready"))]),  # discovery has restarted
-        ("answered", 200, listing(1, 7, False), "hosts", []),
+        (
+            "answered",
+            200,
+            endpoint_list(2, 42, endpoints=[None, endpoint_entry(0, zone=[])]),
+            "?after=41&",
+            [],
+        ),
+        ("answered", 200, endpoint_list(2) | {"index": True}, "?after=41&", []),
+        ("answered", 200, endpoint_list(2, 42, endpoints=[endpoint_entry(0, weight=-1)]), "?after=41&", []),
+        (
+            "answered",
+            200,
+            endpoint_list(2, 42, endpoints=[endpoint_entry(0, address="nowhere")]),
+            "?after=41&",
+            [],
+        ),
+        (
+            "answered",
+            200,
+            endpoint_list(1, 7),
+            "?after=7&",
+            [("full", ("s0", "ready"))],
+        ),  # discovery has restarted
+        ("answered", 200, endpoint_list(1, 7, False), "hosts", []),
     ],
 )
 def test_a_bad_answer_of_discovery_leaves_the_list_as_it_was(make, outcome, status, body, path, events):
     service = make()
     service.discovery_client.start()
-    FakeConnection.created[0].end(body=listing(2, 41))
+    FakeConnection.created[0].end(body=endpoint_list(2, 41))
     handled(service)
     service.pilot.seen.clear()
     FakeConnection.created[0].end(outcome, status, body)
@@ -388,7 +409,7 @@
 
 
 def test_with_lists_on_request_discovery_is_asked_only_by_orders(make):
-    settings = told()["settings"] | {"discovery": "on_request"}
+    settings = platform_config()["settings"] | {"discovery": "on_request"}
     service = make(settings=settings)
     service.discovery_client.start()
     assert not FakeConnection.created
@@ -396,7 +417,7 @@
     FakeConnection.created[0].end("broken")
     assert handled(service) == [("failed",)]
     service.execute_orders([interface.FetchServerList()])
-    FakeConnection.created[-1].end(body=listing(1))
+    FakeConnection.created[-1].end(body=endpoint_list(1))
     assert handled(service)[1:] == [("full", ("s0", "ready"))]
 
 
@@ -408,8 +429,10 @@
     del service.listed
     collector, sizes = connect(service, AGENT), []
     for n in range(4, 3004):
-        rows = [row(n - 4, "removed"), row(n, since_ms=now // 1_000_000)]
-        service.enqueue(service.discovery_client.parse_list(listing(0, n, False, endpoints=rows), "delta"))
+        rows = [endpoint_entry(n - 4, "removed"), endpoint_entry(n, since_ms=now // 1_000_000)]
+        service.enqueue(
+            service.discovery_client.parse_list(endpoint_list(0, n, False, endpoints=rows), "delta")
+        )
         collector.data_received(
             encode_lines(OUTCOMES | {"target": f"s{n - 4}"}, OUTCOMES | {"target": f"s{n - 9}"})
         )
@@ -507,7 +530,7 @@
 
 
 def test_orders_too_long_for_one_call_are_split(make):
-    settings = told()["settings"]
+    settings = platform_config()["settings"]
     settings["specifics"]["ranges"] = 3000
     service = make(settings=settings)
     connected_feed(service)
@@ -560,7 +583,7 @@
     new.deliver(
         *[
             (kind, it | {"target": table} if kind == "line" and it["range"] == 1 else it)
-            for kind, it in stands()
+            for kind, it in initial_events()
         ],
         (),
     )
@@ -577,7 +600,7 @@
     FakeConnection.created[-2].deliver(
         *[
             (kind, it | {"target": "s3"} if kind == "line" and it["range"] == 1 else it)
-            for kind, it in stands()
+            for kind, it in initial_events()
         ],
         (),
     )
@@ -590,7 +613,7 @@
     connected_feed(service).end("broken")
     service.loop.run(1)
     early = FakeConnection.created[-1]
-    early.deliver(*stands())
+    early.deliver(*initial_events())
     send_orders(service, set_weight(service, 1, "s3"))
     calls()[0].end("silent")
     assert (
@@ -616,7 +639,7 @@
     feed.deliver(*again)
     if outcome == "broken":
         FakeConnection.created[-1].deliver(
-            *[item for item in stands() if item[1].get("range") != 1], *again[1:]
+            *[item for item in initial_events() if item[1].get("range") != 1], *again[1:]
         )
     service.loop.run(1)
     assert [order.get("table", order["op"]) for order in calls()[1].orders] == [2, "SYNC"]
@@ -660,7 +683,7 @@
         ("line", {"range": 5, "target": "s1", "rps": 1.0}),
         ("line", {"range": 5, "target": "s2", "rps": 0.5}),
     ]
-    rows = [item for item in stands(proxies=2) if item[1].get("range") not in (4, 5, 6)]
+    rows = [item for item in initial_events(proxies=2) if item[1].get("range") not in (4, 5, 6)]
     FakeConnection.created[-1].deliver(
         ("hello", {"id": 0, "site": "south", "rps": 1.0, "new": True}), *rows[1:], *changed
     )
@@ -892,6 +915,6 @@
 )
 def test_a_bad_configuration_is_reported(tmp_path, changes, message):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(**changes)))
+    path.write_text(json.dumps(platform_config(**changes)))
     with pytest.raises(config.ConfigError, match=message):
         config.load(str(path), {})
--- a/tests/net/test_outage.py
+++ b/tests/net/test_outage.py
@@ -9,7 +9,7 @@
 from flintreach.pilot.interface import SECOND
 from flintreach.standins import collectd
 from flintreach.standins.graphite import Receiver
-from flintreach.standins.platform import listing, row
+from flintreach.standins.platform import endpoint_entry, endpoint_list
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
 
@@ -46,17 +46,17 @@
 
 @pytest.fixture
 def environment(tmp_path):
-    receiver, relay = Receiver(), Relay(spread=lambda n: f"s{n % 4}")
+    receiver, relay = Receiver(), Relay(initial_server=lambda n: f"s{n % 4}")
     operator_file = (
         f'telemetry {{\n graphite = "127.0.0.1:{receiver.port}"\n every = "1s"\n}}\n'
         'evidence {\n listen = "127.0.0.1:0"\n accept = "any"\n hosts = { "h1" = "s1" }\n}\n'
     )
     program = Program(tmp_path, operator_file, relay)
-    at = program.logged("evidence: listening").split("at='")[1].split("'")[0].rpartition(":")
+    at = program.wait_for_log("evidence: listening").split("at='")[1].split("'")[0].rpartition(":")
     sender = CollectdSender((at[0], int(at[2])))
     yield program, relay, receiver, sender
     sender.end()
-    program.end()
+    program.stop()
     relay.close()
     receiver.close()
 
@@ -67,21 +67,21 @@
 
 def test_an_outage_of_collectd_and_graphite_causes_and_delays_no_orders(environment):
     program, relay, receiver, sender = environment
-    program.ready()
-    program.logged("evidence of h1: fresh")
+    program.connect_and_probe()
+    program.wait_for_log("evidence of h1: fresh")
     receiver.wait(lambda: times(receiver, "evidence.busy"))
     before = len(relay.calls)
     sender.silent.set()
-    receiver.script(deaf=True)
-    program.logged("evidence of h1: unknown")
-    program.discovery.tell(listing(0, 2, False, endpoints=[row(2, "draining")]))
+    receiver.script(stalled=True)
+    program.wait_for_log("evidence of h1: unknown")
+    program.discovery.publish(endpoint_list(0, 2, False, endpoints=[endpoint_entry(2, "draining")]))
     relay.wait(lambda calls: any({"op": "OUT", "target": "s2"} in call.orders for call in calls))
     after = len(relay.calls)
-    program.ready()
+    program.connect_and_probe()
     sender.idle = 1.0
     receiver.script()
     sender.silent.clear()  # all that was held back comes at once
-    program.logged("evidence of h1: fresh")
+    program.wait_for_log("evidence of h1: fresh")
     receiver.wait(lambda: len(times(receiver, "turns.count")) >= 4)
     # One drain causes one call and later the end of its withdrawal; silence and burst cause no orders.
     touched = {order.get("target") for call in relay.calls[before:] for order in call.orders} - {None}
@@ -93,15 +93,17 @@
 
 def test_a_flood_from_an_unknown_source_delays_neither_figures_nor_orders(environment):
     program, relay, receiver, sender = environment
-    program.ready()
-    program.logged("evidence of h1: fresh")
+    program.connect_and_probe()
+    program.wait_for_log("evidence of h1: fresh")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as flooder:
         for n in range(50_000):
             flooder.sendto(b"\0\0\0\x09junk\0" if n % 2 else b"junk", sender.to)
             if n == 20_000:
-                program.discovery.tell(listing(0, 2, False, endpoints=[row(1, "draining")]))
+                program.discovery.publish(
+                    endpoint_list(0, 2, False, endpoints=[endpoint_entry(1, "draining")])
+                )
     relay.wait(lambda calls: any({"op": "OUT", "target": "s1"} in call.orders for call in calls))
-    assert "over the rate limit" in program.logged("evidence: datagrams over the rate limit")
+    assert "over the rate limit" in program.wait_for_log("evidence: datagrams over the rate limit")
     before = len(times(receiver, "evidence.busy"))
     receiver.wait(lambda: len(times(receiver, "evidence.busy")) > before)
     assert relay.audit() == []
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -9,7 +9,7 @@
 import pytest
 
 from flintreach.standins.peer import Peer
-from flintreach.standins.platform import listing, row, stands, told
+from flintreach.standins.platform import endpoint_entry, endpoint_list, initial_events, platform_config
 from flintreach.standins.program import Program
 
 
@@ -23,7 +23,7 @@
 
     yield build
     for program in programs:
-        program.end()
+        program.stop()
 
 
 def initial_server(number):
@@ -32,12 +32,12 @@
 
 def ready(program):
     """Bring the whole state on the feed, and wait until a probe is answered; the feed and the client."""
-    feed = program.called("/stream")
-    feed.stream()
-    feed.tell(*stands(new=True, spread=initial_server), ())
+    feed = program.accept_request("/stream")
+    feed.start_stream()
+    feed.send_events(*initial_events(new=True, initial_server=initial_server), ())
     client = program.dial()
     client.send(b'{"msg":"probe"}\n')
-    assert json.loads(client.until(b"\n")) == {"msg": "alive"}
+    assert json.loads(client.read_until(b"\n")) == {"msg": "alive"}
     return feed, client
 
 
@@ -51,20 +51,20 @@
 
 
 def drain(program, number=1, index=2):
-    program.discovery.tell(listing(0, index, False, endpoints=[row(number, "draining")]))
+    program.discovery.publish(endpoint_list(0, index, False, endpoints=[endpoint_entry(number, "draining")]))
 
 
 @pytest.mark.parametrize("chunk_bytes", [1, 100_000])
 def test_a_drain_becomes_one_call_that_moves_the_slices_of_the_server(start, chunk_bytes):
     program = start()
-    program.discovery.piece = chunk_bytes
+    program.discovery.chunk_size = chunk_bytes
     feed, _ = ready(program)
-    feed.tell(("ack", {"id": 1, "seq": 1, "ms": 3.0}), piece=chunk_bytes)
+    feed.send_events(("ack", {"id": 1, "seq": 1, "ms": 3.0}), chunk_size=chunk_bytes)
     drain(program)
-    call = program.called("/batches")
+    call = program.accept_request("/batches")
     assert moved_slices(call) == ({1, 5}, {1, 5})
     assert call.orders[0] == {"op": "OUT", "target": "s1"} and call.orders[-1]["op"] == "SYNC"
-    call.answer({"taken": len(call.orders)}, piece=chunk_bytes)
+    call.answer({"taken": len(call.orders)}, chunk_size=chunk_bytes)
 
 
 @pytest.mark.parametrize(
@@ -82,16 +82,16 @@
     program = start()
     feed, _ = ready(program)
     drain(program)
-    call = program.called("/batches")
+    call = program.accept_request("/batches")
     targets = {order["table"]: order["target"] for order in call.orders if order.get("rps")}
     fail(call)
-    again = program.called("/stream")
-    again.stream()
+    again = program.accept_request("/stream")
+    again.start_stream()
     held = targets if executed else {}
-    again.tell(*stands(spread=lambda n: held.get(n, initial_server(n))), ())
+    again.send_events(*initial_events(initial_server=lambda n: held.get(n, initial_server(n))), ())
     if executed:  # nothing is sent again: the next call is for the next drain
         drain(program, 2, 3)
-    second = program.called("/batches")
+    second = program.accept_request("/batches")
     assert ({"op": "OUT", "target": "s1"} in second.orders) != executed
     assert (moved_slices(second)[0] == {1, 5}) != executed
 
@@ -103,10 +103,10 @@
     peer = Peer(program.relay.accept()[0])
     peer.sock.recv(20)
     peer.reset()
-    again = program.called("/stream")
-    again.stream()
-    again.tell(*stands(spread=initial_server), ())
-    second = program.called("/batches")
+    again = program.accept_request("/stream")
+    again.start_stream()
+    again.send_events(*initial_events(initial_server=initial_server), ())
+    second = program.accept_request("/batches")
     assert moved_slices(second) == ({1, 5}, {1, 5}) and {"op": "OUT", "target": "s1"} in second.orders
 
 
@@ -114,43 +114,61 @@
     program = start()
     ready(program)
     drain(program)
-    call = program.called("/batches")
+    call = program.accept_request("/batches")
     call.answer({"error": "BUSY"}, "429 Too Many Requests")
-    second = program.called("/batches")
+    second = program.accept_request("/batches")
     assert sorted(map(str, second.orders)) == sorted(map(str, call.orders))
     second.answer({"taken": 1})
-    assert program.called("/batches").orders == second.orders[2:]
+    assert program.accept_request("/batches").orders == second.orders[2:]
 
 
 def test_a_broken_feed_is_reconnected_and_a_slice_that_is_gone_is_not_ordered(start):
     program = start()
     feed, _ = ready(program)
     feed.reset()
-    again = program.called("/stream")
-    again.stream()
-    again.tell(*[item for item in stands(new=True, spread=initial_server) if item[1].get("range") != 5], ())
-    program.logged("relay feed: lost")
-    program.logged("relay feed: up to date")
+    again = program.accept_request("/stream")
+    again.start_stream()
+    again.send_events(
+        *[
+            item
+            for item in initial_events(new=True, initial_server=initial_server)
+            if item[1].get("range") != 5
+        ],
+        (),
+    )
+    program.wait_for_log("relay feed: lost")
+    program.wait_for_log("relay feed: up to date")
     drain(program)
-    assert moved_slices(program.called("/batches")) == ({1}, {1})
+    assert moved_slices(program.accept_request("/batches")) == ({1}, {1})
 
 
 def test_a_silent_feed_is_reconnected(start):
     program = start()
     feed, _ = ready(program)
-    program.called("/stream").stream()
-    assert "silent" in program.logged("relay feed: lost") and feed.ended()
+    program.accept_request("/stream").start_stream()
+    assert "silent" in program.wait_for_log("relay feed: lost") and feed.wait_closed()
 
 
 def test_discovery_that_falls_silent_and_restarts_with_a_lower_index_is_followed(start):
     program = start()
     ready(program)
-    program.discovery.asked("after=1&")
-    program.discovery.tell(mute=True)
-    program.logged("discovery: lost")
-    program.discovery.asked("after=1&")  # on a new connection
-    program.discovery.tell(listing(0, 0, endpoints=[row(0), row(1, "draining"), row(2), row(3)]))
-    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
+    program.discovery.wait_for_request("after=1&")
+    program.discovery.publish(silent=True)
+    program.wait_for_log("discovery: lost")
+    program.discovery.wait_for_request("after=1&")  # on a new connection
+    program.discovery.publish(
+        endpoint_list(
+            0,
+            0,
+            endpoints=[
+                endpoint_entry(0),
+                endpoint_entry(1, "draining"),
+                endpoint_entry(2),
+                endpoint_entry(3),
+            ],
+        )
+    )
+    assert moved_slices(program.accept_request("/batches")) == ({1, 5}, {1, 5})
 
 
 def test_strangers_and_an_overlong_line_do_not_keep_collectors_out(start):
@@ -158,17 +176,17 @@
     _, client = ready(program)
     for _ in range(300):
         program.dial()
-    program.logged("too many")
+    program.wait_for_log("too many")
     collector = program.dial()
     collector.send(b'{"msg":"agent","site":"north"}\n' + b'{"msg":"probe"}\n')
-    assert collector.until(b"\n")
+    assert collector.read_until(b"\n")
     other = program.dial()
     other.send(b'{"msg":"agent","site":"south"}\n')
     with pytest.raises((ConnectionError, EOFError)):
         other.send(b"x" * (2 << 20), 1 << 16)
-        other.until(b"\n")
+        other.read_until(b"\n")
     collector.send(b'{"msg":"probe"}\n')
-    assert collector.until(b"\n")
+    assert collector.read_until(b"\n")
 
 
 def test_a_reload_during_calls_switches_addresses_and_keeps_all_state(start):
@@ -176,25 +194,31 @@
     feed, client = ready(program)
     servers_by_slice = {n: initial_server(n) for n in range(8)}
     for server, others in ((1, (1,)), (2, (1, 2))):
-        program.discovery.tell(listing(0, 1 + server, False, endpoints=[row(server, "draining")]))
-        call = program.called("/batches")
+        program.discovery.publish(
+            endpoint_list(0, 1 + server, False, endpoints=[endpoint_entry(server, "draining")])
+        )
+        call = program.accept_request("/batches")
         slices_of_server = {n for n in servers_by_slice if servers_by_slice[n] == f"s{server}"}
         assert moved_slices(call, server)[0] == slices_of_server  # and no other
-        program.move(
-            listing(4, 1 + server, endpoints=[row(n, "draining" if n in others else "up") for n in range(4)])
+        program.relocate_services(
+            endpoint_list(
+                4,
+                1 + server,
+                endpoints=[endpoint_entry(n, "draining" if n in others else "up") for n in range(4)],
+            )
         )
-        assert "moved=['discovery', 'store']" in program.logged("reload")
-        program.discovery.asked("hosts")
-        again = program.called("/stream")
+        assert "moved=['discovery', 'store']" in program.wait_for_log("reload")
+        program.discovery.wait_for_request("hosts")
+        again = program.accept_request("/stream")
         call.answer({"taken": len(call.orders)})  # it ends on the old connection and is not repeated
         servers_by_slice |= {order["table"]: order["target"] for order in call.orders if order.get("rps")}
-        again.stream()
-        again.tell(*stands(spread=servers_by_slice.get), ())
-        assert feed.ended()
+        again.start_stream()
+        again.send_events(*initial_events(initial_server=servers_by_slice.get), ())
+        assert feed.wait_closed()
         feed = again
         client = program.dial()
         client.send(b'{"msg":"probe"}\n')
-        assert client.until(b"\n")
+        assert client.read_until(b"\n")
 
 
 @pytest.mark.parametrize("text", [None, "", '{"name":', "[]", '{"settings": {}}'])
@@ -203,9 +227,9 @@
     ready(program)
     program.path.unlink() if text is None else program.path.write_text(text)
     program.process.send_signal(signal.SIGHUP)
-    program.logged("reload failed; keeping the current configuration")
+    program.wait_for_log("reload failed; keeping the current configuration")
     drain(program)
-    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
+    assert moved_slices(program.accept_request("/batches")) == ({1, 5}, {1, 5})
 
 
 @pytest.mark.parametrize(
@@ -215,8 +239,8 @@
     program = start()
     ready(program)
     if moved:
-        program.move()
-        program.called("/stream")
+        program.relocate_services()
+        program.accept_request("/stream")
     program.process.send_signal(number)
     assert program.process.wait(30) == 0
 
@@ -230,7 +254,7 @@
     program.start()
     ready(program)
     drain(program)
-    assert moved_slices(program.called("/batches")) == ({1, 5}, {1, 5})
+    assert moved_slices(program.accept_request("/batches")) == ({1, 5}, {1, 5})
 
 
 def test_a_closed_log_pipe_does_not_stop_the_pilot(start):
@@ -238,10 +262,10 @@
     _, client = ready(program)
     program.process.stdout.close()
     drain(program)
-    call = program.called("/batches")
+    call = program.accept_request("/batches")
     call.answer({"taken": len(call.orders)})
     client.send(b'{"msg":"probe"}\n')
-    assert client.until(b"\n")
+    assert client.read_until(b"\n")
 
 
 def test_serve_imports_no_command_line_libraries():
@@ -268,7 +292,7 @@
 )
 def test_commands_report_their_result_or_error_in_one_line(tmp_path, arguments, changes, status, message):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(**changes)))
+    path.write_text(json.dumps(platform_config(**changes)))
     result = subprocess.run(
         [sys.executable, "-m", "flintreach", *arguments],
         capture_output=True,
--- a/tests/pilot/test_operator_file.py
+++ b/tests/pilot/test_operator_file.py
@@ -10,7 +10,7 @@
 
 from flintreach.pilot import operator_file
 from flintreach.pilot.interface import SECOND
-from flintreach.standins.platform import told
+from flintreach.standins.platform import platform_config
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
 def test_the_command_line_validates_the_file_before_anything_starts(tmp_path, command, workers, status):
     path = tmp_path / "own.hcl"
     path.write_text(f"cores {{\n workers = {workers}\n}}\n")
-    (tmp_path / "config.json").write_text(json.dumps(told()))
+    (tmp_path / "config.json").write_text(json.dumps(platform_config()))
     ran = subprocess.run(
         [
             sys.executable,
--- a/tests/pilot/test_turns.py
+++ b/tests/pilot/test_turns.py
@@ -11,7 +11,7 @@
 from flintreach.net.service import Service
 from flintreach.pilot import interface, logic
 from flintreach.pilot.interface import SECOND
-from flintreach.standins.platform import told
+from flintreach.standins.platform import platform_config
 from tests.helpers import FakeLoop, FakeTransport, Fleet, RecordingLog, RecordingPilot
 
 LARGE = {"servers": 120, "slices": 960, "proxies": 4, "channel_limit": 1e6}
@@ -186,7 +186,7 @@
 @pytest.fixture
 def service(tmp_path):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(slices=40)))
+    path.write_text(json.dumps(platform_config(slices=40)))
     service = Service(config.load(str(path), {}), FakeLoop(), RecordingLog())
     service.pilot = RecordingPilot()
     service.listed = service.discovery_client.parse_list(service.config.cached_list, "cached")
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -9,7 +9,7 @@
 import pytest
 
 from flintreach.standins.graphite import Receiver
-from flintreach.standins.platform import listing, row
+from flintreach.standins.platform import endpoint_entry, endpoint_list
 from flintreach.standins.program import Program
 from flintreach.standins.relay import Relay
 from flintreach.telemetry import names
@@ -250,13 +250,13 @@
             f'telemetry {{\n graphite = "127.0.0.1:{receiver.port}"\n every = "1s"\n'
             f' protocol = "{protocol}"\n{more}}}\n{cores}'
         )
-        program = Program(tmp_path, settings, Relay(spread=lambda n: f"s{n % 4}"))
+        program = Program(tmp_path, settings, Relay(initial_server=lambda n: f"s{n % 4}"))
         started.append((program, receiver))
         return program, receiver
 
     yield start_program
     for program, receiver in started:
-        program.end()
+        program.stop()
         program.relay.close()
         receiver.close()
 
@@ -271,7 +271,7 @@
 @pytest.mark.parametrize("protocol", ["plaintext", "pickle"])
 def test_metrics_arrive_once_per_second_under_known_names(start, protocol):
     program, receiver = start(protocol, ' tags = { "site" = "north" }\n')
-    program.ready()
+    program.connect_and_probe()
     receiver.wait(lambda: len(values(receiver, "turns.count")) >= 2)
     known = {f"flintreach.{name};pilot=p0;site=north" for name in names.metric_paths()}
     assert {path for path, _, _ in receiver.lines} <= known
@@ -281,10 +281,10 @@
 
 def test_a_failing_receiver_delays_no_orders_and_receives_no_partial_lines(start):
     program, receiver = start()
-    receiver.script(cut=300)  # in the middle of each batch
-    program.ready()
+    receiver.script(reset_after=300)  # in the middle of each batch
+    program.connect_and_probe()
     receiver.wait(lambda: receiver.connections >= 2)
-    program.discovery.tell(listing(0, 2, False, endpoints=[row(1, "draining")]))
+    program.discovery.publish(endpoint_list(0, 2, False, endpoints=[endpoint_entry(1, "draining")]))
     program.relay.wait(lambda calls: any({"op": "OUT", "target": "s1"} in call.orders for call in calls))
     receiver.script()
     receiver.wait(lambda: values(receiver, "orders.shut"))
@@ -294,15 +294,15 @@
     for path, value, when in receiver.lines:
         # A point that is sent again has the same value.
         assert points.setdefault((path, when), value) == value
-    receiver.script(deaf=True)
-    program.discovery.tell(listing(0, 3, False, endpoints=[row(2, "draining")]))
+    receiver.script(stalled=True)
+    program.discovery.publish(endpoint_list(0, 3, False, endpoints=[endpoint_entry(2, "draining")]))
     program.relay.wait(lambda calls: any({"op": "OUT", "target": "s2"} in call.orders for call in calls))
     assert program.relay.audit() == []
 
 
 def test_the_metrics_of_all_workers_are_summed_without_duplicates(start):
     program, receiver = start(cores="cores {\n workers = 2\n}\n")
-    program.ready()
+    program.connect_and_probe()
     report = {
         "msg": "outcomes",
         "site": "north",
