--- a/flintreach/standins/__init__.py
+++ b/flintreach/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the service speaks to, shared by tests, rehearsal and benchmarks; loopback alone."""
+"""Stand-ins for the services that programs connect to, for tests, rehearsal and benchmarks; loopback only."""
--- a/flintreach/standins/faulty.py
+++ b/flintreach/standins/faulty.py
@@ -1,9 +1,9 @@
-"""A program of the system with partitions under its connections: `python -m flintreach.standins.faulty ROLE`.
+"""Runs a program of the system with simulated partitions: `python -m flintreach.standins.faulty ROLE`.
 
-The variable FLINTREACH_CUTS names a file with one pair of addresses (ip) a line.  While a pair stands there,
-the connections that one of them has dialled to the other are silent: what is written waits, what arrives
-waits, and new connections do not come up.  When the pair is gone all of it goes on, as after a partition that
-heals.
+The environment variable FLINTREACH_CUTS names a file with one pair of IP addresses per line.  While a pair is
+in the file, the connections that one of the two has dialled to the other are silent: writes block, received
+data is held back, and new connections time out.  When the pair is removed they continue, as after a partition
+that heals.
 """
 
 import os
@@ -22,22 +22,23 @@
 
 
 class Partitions:
-    """The pairs in the file; it is read again when it has changed.
+    """The partitions in the file, which is read again when it has changed.
 
     Attributes:
-        path: the file.
-        own_ip: of this process.
-        isolated_ips: peers from which this process is cut off.
+        path: path of the file.
+        own_ip: IP address of this process.
+        file_seen: time of change and inode of the file when it was last read.
+        isolated_ips: IP addresses of the peers that this process cannot reach.
     """
 
     def __init__(self, path: str, own_ip: str) -> None:
         self.path = path
         self.own_ip = own_ip
-        self.file_seen: tuple[int, int] | None = None  # time of change and inode of what was read
+        self.file_seen: tuple[int, int] | None = None
         self.isolated_ips: frozenset[str] = frozenset()
 
     def isolates(self, peer_ip: str) -> bool:
-        """Whether this process is cut off from a peer now; it is not while there is no file."""
+        """Whether a partition separates this process from a peer now; without a file there is none."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -49,20 +50,20 @@
         return peer_ip in self.isolated_ips
 
     def read(self) -> frozenset[str]:
-        """Read the file for the peers that stand in a pair with this process."""
+        """Return the peers that the file pairs with this process."""
         with open(self.path, encoding="ascii") as file:
             pairs = [line.split() for line in file]
         own_pairs = [pair for pair in pairs if self.own_ip in pair]
         return frozenset(ip for pair in own_pairs for ip in pair if ip != self.own_ip)
 
     def wait_until_healed(self, peer_ip: str) -> None:
-        """Return when this process is not cut off from a peer."""
+        """Wait until no partition separates this process from a peer."""
         while self.isolates(peer_ip):
             gevent.sleep(POLL_S)
 
 
 class PartitionedSocket:
-    """A socket to a peer from which this process may be cut off; what a `PeerConnection` uses of one."""
+    """A socket whose peer may be behind a partition; has the methods that `PeerConnection` uses."""
 
     def __init__(self, sock: socket.socket, peer_ip: str, partitions: Partitions) -> None:
         self.sock = sock
@@ -70,35 +71,35 @@
         self.partitions = partitions
 
     def recv(self, size: int) -> bytes:
-        """Receive; what arrives in a partition is given out when it heals."""
+        """Receive data; what arrives during a partition is returned when it heals."""
         data = self.sock.recv(size)
         self.partitions.wait_until_healed(self.peer_ip)
         return data
 
     def sendall(self, data: bytes) -> None:
-        """Send, when no partition is in force."""
+        """Send data, once no partition is in force."""
         self.partitions.wait_until_healed(self.peer_ip)
         self.sock.sendall(data)
 
     def close(self) -> None:
-        """Close the socket at once, also in a partition."""
+        """Close the socket at once, even during a partition."""
         self.sock.close()
 
 
 def install(partitions: Partitions) -> None:
-    """Put partitions under each connection that this process dials."""
+    """Apply partitions to each connection that this process dials from now on."""
     dial = runtime.dial
 
     def dial_partitioned(
         address: tuple[str, int], handlers: Any, timeout: float = 1.0, **options: Any
     ) -> PeerConnection:
-        """Dial as `peer_connection.dial` does; in a partition, time out as it would."""
+        """Dial as `peer_connection.dial` does; during a partition, time out as it would."""
         peer_ip = address[0]
         if partitions.isolates(peer_ip):
             gevent.sleep(timeout)
             raise TimeoutError("partition")
         connection = dial(address, handlers, timeout, **options)
-        # Before its greenlets have run: none of them may use the bare socket.
+        # Replaced before the greenlets of the connection run: none of them may use the plain socket.
         connection.sock = PartitionedSocket(connection.sock, peer_ip, partitions)
         return connection
 
@@ -107,7 +108,8 @@
 
 def main() -> None:
     """Run the program that the command line names."""
-    # As `run_program` does, which comes later here: a signal ahead of it must not end the process.
+    # `run_program` does the same, but only after the imports below; a SIGHUP before that must not end
+    # the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from flintreach.__main__ import PROGRAMS, run_program
     from flintreach.config import settings
--- a/flintreach/standins/key_leases.py
+++ b/flintreach/standins/key_leases.py
@@ -1,10 +1,17 @@
-"""Leases on ranges of keys, as a stand-in endpoint keeps them."""
+"""Leases on key ranges, as the stand-in endpoint keeps them."""
 
 from typing import NamedTuple
 
 
 class KeyLease(NamedTuple):
-    """A lease on the keys from `low` to `high`, both included; `until` in steady seconds."""
+    """A lease on a range of keys.
+
+    Attributes:
+        low: first key.
+        high: last key.
+        fence: fencing token with which the lease was granted.
+        until: time of expiry, seconds of the monotonic clock.
+    """
 
     low: int
     high: int
@@ -13,7 +20,7 @@
 
 
 class SeenFence(NamedTuple):
-    """The highest fencing token that was seen on a range."""
+    """The fencing token of the last lease that was granted on exactly this range."""
 
     low: int
     high: int
@@ -21,24 +28,29 @@
 
 
 class KeyLeases:
-    """The leases of one endpoint, and the fencing tokens that it has seen."""
+    """The leases that one endpoint holds, and the fencing tokens that it has seen.
+
+    Attributes:
+        leases: the leases, including expired ones that were not replaced.
+        seen: the fencing token of each range; it outlasts the lease, so that a former owner stays excluded.
+    """
 
     def __init__(self) -> None:
         self.leases: list[KeyLease] = []
         self.seen: list[SeenFence] = []
 
     def grant(self, low: int, high: int, fence: int, lease_s: float, now: float) -> bool:
-        """Take a lease on a range.
+        """Grant a lease on a range, in place of earlier leases on its keys.
 
         Args:
             low: first key.
             high: last key.
             fence: fencing token of the owner of the range.
-            lease_s: how long it lasts, seconds.
-            now: steady seconds.
+            lease_s: duration, seconds.
+            now: present time, seconds of the monotonic clock.
 
         Returns:
-            False, and no lease, where a higher token was seen on any of the keys.
+            Whether it was granted; it is refused if a higher token was seen on any of the keys.
         """
         if any(seen.low <= high and low <= seen.high and seen.fence > fence for seen in self.seen):
             return False
@@ -49,7 +61,7 @@
         return True
 
     def release(self, low: int, high: int) -> None:
-        """Give up the keys from `low` to `high`; what a lease has beside them stays."""
+        """Release the keys from `low` to `high`; a lease keeps its keys outside of that range."""
         kept = []
         for lease in self.leases:
             if lease.low > high or lease.high < low:
@@ -62,5 +74,5 @@
         self.leases = kept
 
     def covers(self, key: int, now: float) -> bool:
-        """Whether a lease on the key is in force at `now`, steady seconds."""
+        """Whether a lease on the key is in force at `now`, seconds of the monotonic clock."""
         return any(lease.low <= key <= lease.high and now < lease.until for lease in self.leases)
--- a/flintreach/standins/platform.py
+++ b/flintreach/standins/platform.py
@@ -1,8 +1,15 @@
-"""What the platform writes: a configuration, a list of servers, what a news connection opens with."""
+"""Sample data in the platform's formats: a configuration, endpoint lists and initial stream events."""
 
 
 def platform_config(servers=4, slices=8, proxies=3, **changes):
-    """A configuration as the platform writes it."""
+    """Return a configuration as the platform writes it.
+
+    Args:
+        servers: number of endpoints in the list that it carries.
+        slices: number of slices.
+        proxies: number of proxies.
+        changes: values that replace those at the top level.
+    """
     operations = [
         {"name": name, "objective": 1.0, "hard_limit": 3.0, "worth": worth, "idempotency": effect}
         for name, worth, effect in (("look", 1.0, "read_like"), ("book", 5.0, "non_idempotent"))
@@ -41,6 +48,7 @@
 
 
 def endpoint_entry(number, status="up", **changes):
+    """Return the entry of endpoint `s<number>` in an endpoint list; `changes` replace its fields."""
     return {
         "name": f"s{number}",
         "address": f"127.0.0.1:{9000 + number}",
@@ -53,16 +61,31 @@
     } | changes
 
 
-def endpoint_list(servers=4, index=1, snapshot=True, **rows):
+def endpoint_list(servers=4, index=1, snapshot=True, **changes):
+    """Return an endpoint list as the discovery service sends it.
+
+    Args:
+        servers: number of endpoints, all of them up.
+        index: version of the list.
+        snapshot: whether it is the complete list, rather than the changes since an earlier one.
+        changes: values that replace those at the top level.
+    """
     return {
         "index": index,
         "snapshot": snapshot,
         "endpoints": [endpoint_entry(n) for n in range(servers)],
-    } | rows
+    } | changes
 
 
 def initial_events(slices=8, proxies=3, new=False, initial_server=lambda n: "s0"):
-    """What a news connection opens with: proxies, then each slice with its line."""
+    """Return the events with which an event stream starts: the proxies, then each slice with its rate.
+
+    Args:
+        slices: number of slices.
+        proxies: number of proxies.
+        new: whether the proxies announce themselves as new.
+        initial_server: gives the server that holds a slice, by the number of the slice.
+    """
     items = [("hello", {"id": n, "site": "south", "rps": 2.0, "new": new}) for n in range(proxies)]
     for n in range(slices):
         items += [
--- a/flintreach/standins/program.py
+++ b/flintreach/standins/program.py
@@ -1,4 +1,4 @@
-"""A pilot as its operators start it."""
+"""A pilot in a process of its own, started as an operator starts it."""
 
 import json
 import os
@@ -12,31 +12,55 @@
 from flintreach.standins.peer import Peer
 from flintreach.standins.platform import platform_config
 
+TIMEOUT_S = 30  # for a log line, and for a connection at the relay
+
 
 class Program:
-    """With a relay that its owner plays by hand, or one that plays itself, and a discovery.
+    """A pilot's process, with the relay and the discovery service that it connects to.
 
-    `own` is the text of the operator's file, `tree` another checkout of the program, `cores` those that it
-    may use.
+    Attributes:
+        relay: a listening socket, whose connections the test serves itself, or a `Relay`.
+        discovery: the stand-in discovery service.
+        path: the platform's configuration file.
+        config: its content.
+        operator_path: the operator's settings file, if there is one.
+        connections: the connections that were dialled or accepted for the test.
+        old_listeners: listeners that `relocate_services` replaced.
+        text: log output that was read but not yet split into lines.
+        lines: the log lines read so far.
+        port: the loopback port on which the pilot listens.
     """
 
-    def __init__(self, folder, own: str = "", relay=None, tree: str | None = None, cores=None, **changes):
-        self.tree, self.cores = tree, cores
-        self.relay, self.discovery = relay or socket.create_server(("127.0.0.1", 0)), Discovery()
-        self.path, self.config, self.open, self.old = (
-            folder / "config.json",
-            platform_config(**changes),
-            [],
-            [],
-        )
+    def __init__(
+        self, folder, operator_text: str = "", relay=None, tree: str | None = None, cores=None, **changes
+    ):
+        """Write the configuration, and start the pilot.
+
+        Args:
+            folder: where the files are written.
+            operator_text: content of the operator's settings file; there is none if it is empty.
+            relay: the relay; a plain listening socket if it is not given.
+            tree: another checkout of the program, which is started in place of this one.
+            cores: the cores that the process may use; those of this process if they are not given.
+            changes: values that replace those of the platform's configuration.
+        """
+        self.tree = tree
+        self.cores = cores
+        self.relay = relay or socket.create_server(("127.0.0.1", 0))
+        self.discovery = Discovery()
+        self.path = folder / "config.json"
+        self.config = platform_config(**changes)
+        self.connections = []
+        self.old_listeners = []
         self.discovery.list = self.config["known"]
-        self.own = folder / "flintreach.hcl" if own else None
-        if own:
-            self.own.write_text(own)
+        self.operator_path = folder / "flintreach.hcl" if operator_text else None
+        if operator_text:
+            self.operator_path.write_text(operator_text)
         self.write()
         self.start()
 
     def write(self):
+        """Write the configuration file, with the present addresses of the relay and the discovery service."""
         self.config |= {
             "store": {"address": "{}:{}".format(*self.relay.getsockname())},
             "discovery": "{}:{}".format(*self.discovery.listener.getsockname()),
@@ -44,18 +68,27 @@
         self.path.write_text(json.dumps(self.config))
 
     def relocate_services(self, answer=None):
-        """Discovery and the relay go to other addresses, and the program is told; the old ones stay open."""
-        self.old += [self.relay, self.discovery.listener]
-        self.relay, self.discovery = socket.create_server(("127.0.0.1", 0)), Discovery()
+        """Move the relay and the discovery service to new addresses, and reload the configuration.
+
+        The old listeners stay open until the program is stopped.
+
+        Args:
+            answer: the endpoint list that the new discovery service publishes; its default if not given.
+        """
+        self.old_listeners += [self.relay, self.discovery.listener]
+        self.relay = socket.create_server(("127.0.0.1", 0))
+        self.discovery = Discovery()
         self.discovery.publish(answer)
         self.write()
         self.process.send_signal(signal.SIGHUP)
 
     def start(self):
+        """Start the process, and wait until it listens."""
         variables = {"PROXY_CONFIG": str(self.path), "PROXY_DISCOVERY": self.config["discovery"]}
-        variables |= {"FLINTREACH_OPERATOR": str(self.own)} if self.own else {}
+        if self.operator_path:
+            variables["FLINTREACH_OPERATOR"] = str(self.operator_path)
         allowed = os.sched_getaffinity(0)
-        os.sched_setaffinity(0, self.cores or allowed)  # a child begins with ours
+        os.sched_setaffinity(0, self.cores or allowed)  # a child process inherits the affinity
         self.process = subprocess.Popen(
             [sys.executable, "-m", "flintreach", "serve"],
             stdout=subprocess.PIPE,
@@ -63,17 +96,24 @@
             cwd=self.tree,
         )
         os.sched_setaffinity(0, allowed)
-        self.text, self.lines = "", []
+        self.text = ""
+        self.lines = []
         line = self.wait_for_log("listening")
         self.port = int(line.split("at='127.0.0.1:")[1].split("'")[0])
 
     def wait_for_log(self, text):
+        """Read the log up to the next line that contains a text, and return that line.
+
+        Raises:
+            AssertionError: nothing was logged for `TIMEOUT_S`, or the log ended.
+        """
         while True:
             line, end, rest = self.text.partition("\n")
             if not end:
-                assert select.select([self.process.stdout], [], [], 30)[0], f"no log line with {text!r}"
+                readable = select.select([self.process.stdout], [], [], TIMEOUT_S)[0]
+                assert readable, f"no log output for {TIMEOUT_S} s while waiting for {text!r}"
                 data = os.read(self.process.stdout.fileno(), 65536)
-                assert data, f"the log ends without {text!r}"
+                assert data, f"the log ended without {text!r}"
                 self.text += data.decode()
                 continue
             self.text = rest
@@ -82,30 +122,32 @@
                 return line
 
     def dial(self):
-        self.open.append(Peer(socket.create_connection(("127.0.0.1", self.port))))
-        return self.open[-1]
+        """Connect to the pilot."""
+        self.connections.append(Peer(socket.create_connection(("127.0.0.1", self.port))))
+        return self.connections[-1]
 
     def connect_and_probe(self):
-        """A client to whom the sign of life is given."""
+        """Connect to the pilot, check that it answers a probe, and return the connection."""
         client = self.dial()
         client.send(b'{"msg":"probe"}\n')
         assert json.loads(client.read_until(b"\n")) == {"msg": "alive"}
         return client
 
     def accept_request(self, path):
-        """The next connection at the relay that asks for this path."""
-        self.relay.settimeout(30)
+        """Accept connections at the relay until one requests a path, and return that one."""
+        self.relay.settimeout(TIMEOUT_S)
         for _ in range(20):
-            self.open.append(Peer(self.relay.accept()[0]))
-            if self.open[-1].request().path == path:
-                return self.open[-1]
-        raise AssertionError(f"nobody asks for {path}")
+            self.connections.append(Peer(self.relay.accept()[0]))
+            if self.connections[-1].request().path == path:
+                return self.connections[-1]
+        raise AssertionError(f"none of 20 connections requested {path}")
 
     def stop(self):
+        """Kill the process, and close all connections and listeners."""
         self.process.kill()
         self.process.wait()
         self.process.stdout.close()
-        for peer in self.open:
+        for peer in self.connections:
             peer.sock.close()
-        for listener in (*self.old, self.relay, self.discovery.listener):
+        for listener in (*self.old_listeners, self.relay, self.discovery.listener):
             listener.close()
--- a/flintreach/standins/scripted_peer.py
+++ b/flintreach/standins/scripted_peer.py
@@ -1,4 +1,4 @@
-"""A faulty peer of the transport between processes: it answers messages by script."""
+"""A scripted, faulty peer for the transport between processes."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,28 +11,29 @@
 
 from flintreach.standins.adversary import RESET
 
-LENGTH_BYTES = 4  # ahead of each frame, big-endian
+LENGTH_BYTES = 4  # big-endian length before each frame
 ERROR_KIND = "error"
-GARBAGE = b"\x00\x00\x00\x03\xc1\xc1\xc1"  # a frame that is no MessagePack
+GARBAGE = b"\x00\x00\x00\x03\xc1\xc1\xc1"  # a frame of three bytes 0xc1, which MessagePack never uses
 HUGE_LENGTH = b"\xff\xff\xff\xff"
 
 
 def encode_frame(*parts: Any) -> bytes:
-    """One message as the transport sends it."""
+    """Return one message as the transport sends it."""
     data = msgspec.msgpack.encode(parts)
     return len(data).to_bytes(LENGTH_BYTES) + data
 
 
 class ScriptedPeer:
-    """A listener that does with each message what its script says, and answers plainly once that is over.
+    """A server that handles each message by the next action of its script, and answers normally after that.
 
-    Acts: see `respond` and `frames`.
+    `respond` and `frames` define the actions.
 
     Attributes:
-        script: acts for the messages that come.
-        received: number, kind and body of each message that came.
+        script: actions for the next messages, one each.
+        received: number, kind and body of each message received.
+        sockets: the sockets of all connections.
         stopped: set when the peer is stopped.
-        late_answers: those that are sent behind the next answer.
+        late_answers: answers that are held until the next answer has been sent.
     """
 
     def __init__(self, script: Iterable[str] = (), address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
@@ -46,11 +47,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """At which it listens."""
+        """The address on which the peer listens."""
         return self.server.address[:2]
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close all connections, and stop the server."""
         self.stopped.set()
         for sock in self.sockets:
             sock.close()
@@ -67,16 +68,16 @@
                 if not self.respond(sock, number, body):
                     break
         except (OSError, ValueError, TypeError, msgspec.DecodeError):
-            pass  # the other side has ended it, or does not speak the transport's language
+            pass  # the other side closed the connection, or sent something that is no message
 
     def respond(self, sock: socket.socket, number: int, body: Any) -> bool:
-        """Do the next act of the script; whether the connection is served on."""
+        """Perform the next action of the script, and return whether the connection is served on."""
         answer = encode_frame(-number, "", body)
         late_answers = self.late_answers
         self.late_answers = []
-        act = self.script.popleft() if self.script else "answer"
-        match act:
-            case "late":  # it comes with the next message, behind its answer
+        action = self.script.popleft() if self.script else "answer"
+        match action:
+            case "late":  # the answer is sent after the answer to the next message
                 self.late_answers = [*late_answers, answer]
             case "half":
                 sock.shutdown(socket.SHUT_WR)
@@ -92,20 +93,20 @@
                 sock.shutdown(socket.SHUT_RDWR)
                 return False
             case _:
-                sock.sendall(self.frames(act, number, answer, late_answers))
+                sock.sendall(self.frames(action, number, answer, late_answers))
         return True
 
-    def frames(self, act: str, number: int, answer: bytes, late_answers: list[bytes]) -> bytes:
-        """What is sent for an act that only sends.
+    def frames(self, action: str, number: int, answer: bytes, late_answers: list[bytes]) -> bytes:
+        """Return what is sent for an action that only sends.
 
         Args:
-            act: its name.
-            number: of the message.
-            answer: the right answer to it.
-            late_answers: those to earlier messages that are due.
+            action: name of the action.
+            number: number of the message.
+            answer: the correct answer to it.
+            late_answers: answers to earlier messages that are due.
 
         Raises:
-            KeyError: there is no such act.
+            KeyError: there is no such action.
         """
         frames = {
             "answer": answer + b"".join(late_answers),
@@ -116,4 +117,4 @@
             "garbage": GARBAGE + answer,
             "odd shape": encode_frame("x", [], {}) + answer,
         }
-        return frames[act]
+        return frames[action]
