--- a/flintreach/pilot/load.py
+++ b/flintreach/pilot/load.py
@@ -1,52 +1,63 @@
-"""Load of servers against their quotas: what our slices bring, and what others' do.  Pure."""
+"""Load of servers relative to their quotas: from this pilot's slices, and from elsewhere (foreign load).
 
-from flintreach.pilot.admission import HARD_UNANSWERED
+Does no input or output.
+"""
+
+from flintreach.pilot.admission import HIGH_UNANSWERED_SHARE
 from flintreach.pilot.records import Mode, ServerState, SliceTable
-from flintreach.pilot.state import LEAST_TOTAL, REPORT_CYCLE_NS, FleetState
+from flintreach.pilot.state import MIN_DIVISOR, REPORT_CYCLE_NS, FleetState
 
-LEAST_SLACK = 0.4  # room of all servers from which foreign loads count in full
-MOST_FOREIGN = 1.0  # of a quota
-FOREIGN_FADE = 0.9  # a second of silence
+FULL_EFFECT_SLACK = 0.4  # spare capacity of the fleet from which foreign load counts in full
+MAX_FOREIGN_LOAD = 1.0  # in either direction, as a share of a quota
+FOREIGN_LOAD_DECAY = 0.9  # per second without reports
 
-Demands = dict[SliceTable, tuple[float, float]]  # by table: at a usual server, at a guarded one
-Gaps = dict[ServerState, float]  # by server: load less quota
+Demands = dict[SliceTable, tuple[float, float]]  # by table: on a normal server, on one in slow start
+Gaps = dict[ServerState, float]  # by server: its load minus its quota
 
 
-def filled_share(state: FleetState, server: ServerState, share: float) -> float:
-    """Our part of a server's quota; it is `share` where the server isn't cold.
+def owned_quota_share(state: FleetState, server: ServerState, share: float) -> float:
+    """This pilot's share of a server's quota: `share`, unless the server is cold.
 
-    Shares of a cold server's quota hold no slice: one pilot fills it all, and the others leave it.
+    A fraction of a cold server's quota is too small for any slice, so one pilot, chosen by the hash of the
+    server's name, uses all of it and the others none.
     """
     if server.mode != Mode.COLD:
         return share
-    return float(server.server.lot % state.settings.pilots == state.settings.number)
+    return float(server.server.name_hash % state.settings.pilots == state.settings.number)
+
 
+def demands_and_gaps(state: FleetState, quotas: dict[ServerState, float]) -> tuple[Demands, Gaps]:
+    """Compute the demands of this pilot's slices and the gaps of servers, in hundredths of a mean server.
 
-def loads(state: FleetState, quotas: dict[ServerState, float]) -> tuple[Demands, Gaps]:
-    """Our slices' demands and the servers' gaps, in hundredths of a mean server; others' as reported."""
-    tables = state.own_tables()
+    Foreign load counts as last estimated from reports.
+    """
+    tables = state.owned_tables()
     share = len(tables) / max(1, len(state.tables))
-    scale = sum(quotas.values()) * share / max(sum(table.rate for table in tables), LEAST_TOTAL)
+    scale = sum(quotas.values()) * share / max(sum(table.rate for table in tables), MIN_DIVISOR)
     gaps = {
-        server: quota * (server.foreign_load - filled_share(state, server, share))
+        server: quota * (server.foreign_load - owned_quota_share(state, server, share))
         for server, quota in quotas.items()
     }
-    # A slice may grow hot before its smoothed demand tells, and a storm's repeats fell a cold server too.
-    proven_rate = state.proven_rate or 1 / max(scale, LEAST_TOTAL)
-    demands = {table: (table.rate * scale, table.recent_rate / proven_rate) for table in tables}
-    for table, (usual, guarded) in demands.items():
-        for server in table.wanted:
+    # In slow start, the recent rate counts: a slice may become hot before its smoothed rate shows it, and
+    # the repeats of a retry storm overload a cold server too.
+    proven_capacity = state.proven_capacity or 1 / max(scale, MIN_DIVISOR)
+    demands = {table: (table.rate * scale, table.recent_rate / proven_capacity) for table in tables}
+    for table, (normal, in_slow_start) in demands.items():
+        for server in table.desired:
             if server in gaps:
-                demand = guarded if server.guarded else usual
-                gaps[server] += demand / len(table.wanted)
+                demand = in_slow_start if server.in_slow_start else normal
+                gaps[server] += demand / len(table.desired)
     return demands, gaps
 
 
-def weigh_foreign_load(state: FleetState) -> None:
-    """Learn what loads servers beyond our slices; each pilot mends its share, lest all mend it twice."""
+def update_foreign_load(state: FleetState) -> None:
+    """Estimate the load of servers beyond that of this pilot's slices.
+
+    Each pilot compensates for its share only; otherwise several would correct the same imbalance.
+    """
     quotas = state.quotas()
-    share = len(state.own_tables()) / len(state.tables)
-    gaps = loads(state, quotas)[1]
+    share = len(state.owned_tables()) / len(state.tables)
+    gaps = demands_and_gaps(state, quotas)[1]
     reported = {
         server: max(server.load, server.host_load)
         for server in quotas
@@ -54,15 +65,16 @@
     }
     total = sum(load * quotas[server] for server, load in reported.items())
     mean = total / max(1, sum(quotas[server] for server in reported))
-    slack = min(1.0, max(0.0, 1 - mean) / LEAST_SLACK)  # where all are full, what sets them apart is noise
+    # Where all servers are fully loaded, the differences between them are noise.
+    slack = min(1.0, max(0.0, 1 - mean) / FULL_EFFECT_SLACK)
     for server, quota in quotas.items():
         if server not in reported:
-            server.foreign_load *= FOREIGN_FADE
-        elif state.now_ns > server.moved_ns + REPORT_CYCLE_NS:  # else the report is of before the move
+            server.foreign_load *= FOREIGN_LOAD_DECAY
+        elif state.now_ns > server.slices_changed_ns + REPORT_CYCLE_NS:  # the report is of after the change
             explained = mean * (1 + gaps[server] / quota - server.foreign_load)
-            beyond = share * slack * (reported[server] - explained)
-            # What fails at once, or has just started, only seems to have room.
-            fails = server.unanswered_share > HARD_UNANSWERED / 2
-            least = 0.0 if server.guarded or fails else -MOST_FOREIGN
-            bounded = max(least, min(MOST_FOREIGN, beyond))
+            unexplained = share * slack * (reported[server] - explained)
+            # A server that fails fast, or has just started, reports a low load but has no room.
+            failing = server.unanswered_share > HIGH_UNANSWERED_SHARE / 2
+            min_load = 0.0 if server.in_slow_start or failing else -MAX_FOREIGN_LOAD
+            bounded = max(min_load, min(MAX_FOREIGN_LOAD, unexplained))
             server.foreign_load += (bounded - server.foreign_load) / 2
--- a/flintreach/pilot/placement.py
+++ b/flintreach/pilot/placement.py
@@ -1,99 +1,124 @@
-"""Which server has which slice: empty tables are filled at once, the map is improved by a search.  Pure."""
+"""Placement of slices on servers.
+
+A slice without a server gets one at once; the placement as a whole is improved by a search.  Does no input
+or output.
+"""
 
 from dataclasses import dataclass
 
-from flintreach.pilot import interface as face
-from flintreach.pilot.load import Demands, Gaps, filled_share, loads
-from flintreach.pilot.records import GUARDED_MODES, Mode, ServerState, SliceTable
+from flintreach.pilot import interface
+from flintreach.pilot.load import Demands, Gaps, demands_and_gaps, owned_quota_share
+from flintreach.pilot.records import SLOW_START_MODES, Mode, ServerState, SliceTable
 from flintreach.pilot.state import FleetState
 from flintreach.policy.partition import Partition
 from flintreach.policy.replicas import replica_count
 from flintreach.policy.search import DEVIATION_STEP, Costs, Search
 
-DEVIATION = 30.0  # permitted to one pilot, in hundredths of a mean server
-FLEET_DEVIATION = 70.0  # permitted to all pilots
-DEVIATION_SLACK = 1 / 3  # beyond the permitted one, before a run begins
-MEMORY_WEIGHT = 0.25  # of memory against demand
+PERMITTED_DEVIATION = 30.0  # of a load from its quota, for one pilot, in hundredths of a mean server
+FLEET_PERMITTED_DEVIATION = 70.0  # the same for all pilots together
+DEVIATION_SLACK = 1 / 3  # excess over the permitted deviation that starts a search, as a part of it
+MEMORY_WEIGHT = 0.25  # of memory relative to demand
 TABLE_COST_US = 2
 SERVER_COST_US = 2
-ADOPT_COST_US = 3  # of one table
+APPLY_COST_US = 3  # per table
 
 
 @dataclass(slots=True)
-class Run:
-    """A search and what stood when it began; positions in the search are those in these lists."""
+class SearchRun:
+    """A search and the state in which it began.
+
+    Attributes:
+        search: units and targets in it are indices into `tables` and `servers`.
+        tables: tables of this pilot's slices.
+        servers: servers that may have slices.
+        before: servers of each table.
+        modes: of each server, its mode and whether it had gained a slice.
+    """
 
     search: Search
     tables: list[SliceTable]
     servers: list[ServerState]
-    before: list[list[ServerState]]  # the servers of each table
-    modes: list[tuple[Mode, bool]]  # of each server: mode, and whether it had gained
+    before: list[list[ServerState]]
+    modes: list[tuple[Mode, bool]]
 
 
 def evacuate(state: FleetState) -> None:
-    """Slices leave dead, draining and ejected servers at once; no table stays empty if it can be."""
-    closed = {server for server in state.servers.values() if server.closed}
-    for table in state.own_tables():
-        if not closed.isdisjoint(table.wanted):
-            table.wanted = {server: weight for server, weight in table.wanted.items() if server not in closed}
-    empty = [table for table in state.own_tables() if not table.wanted]
+    """Move slices off unavailable servers at once; a table without a server gets one where there is any."""
+    unavailable = {server for server in state.servers.values() if server.unavailable}
+    for table in state.owned_tables():
+        if not unavailable.isdisjoint(table.desired):
+            table.desired = {
+                server: weight for server, weight in table.desired.items() if server not in unavailable
+            }
+    empty = [table for table in state.owned_tables() if not table.desired]
     if not empty:
         return
-    demands, gaps = loads(state, state.quotas())
+    demands, gaps = demands_and_gaps(state, state.quotas())
     if not gaps:
         return
     for table in empty:
-        usual, guarded = demands[table]
-        # Many slices, or a hot one, would push a cold server over: one a run, and within its quota.
+        normal, in_slow_start = demands[table]
+        # Many slices, or a hot one, would overload a cold server: it gains one per run, within its quota.
         able = [
             server
             for server in gaps
-            if not server.guarded or (not server.gained and gaps[server] + guarded <= 0)
+            if not server.in_slow_start or (not server.gained_slice and gaps[server] + in_slow_start <= 0)
         ]
         best = min(able or gaps, key=gaps.__getitem__)
-        best.gained = True
-        table.wanted[best] = 1.0
-        gaps[best] += guarded if best.guarded else usual
+        best.gained_slice = True
+        table.desired[best] = 1.0
+        gaps[best] += in_slow_start if best.in_slow_start else normal
 
 
 class Placement:
-    """Runs that bring load nearer to quotas with few moves, and what they remember of each other."""
+    """Placement runs, which bring loads closer to quotas with few moves, and the state kept between them."""
 
     def __init__(self, state: FleetState) -> None:
-        """Begin with the deviation that one pilot is permitted."""
+        """Create the state kept between runs, with the deviation that one pilot is permitted."""
         self._state = state
-        self._deviation = DEVIATION  # that the last run reached
-        self._draws = 0  # of all runs
+        self._deviation = PERMITTED_DEVIATION  # that the last run reached
+        self._search_counter = 0  # random draws of all runs
 
     def run(self, full: bool) -> Costs:
-        """Search for a better map, and take it over; a full run also tries empty servers that warm up."""
+        """Search for a better placement and apply it.
+
+        A full run also counts empty servers in slow start as deviating, so that they get slices.
+        """
         state = self._state
         yield TABLE_COST_US * len(state.tables) + SERVER_COST_US * len(state.servers)
-        tables = state.own_tables()
+        tables = state.owned_tables()
         quotas = state.quotas()
         for server in quotas:
             on_hold = state.now_ns < server.hold_until_ns
-            server.gained = server.mode == Mode.COLD and (on_hold or not filled_share(state, server, 1))
-        demands, gaps = loads(state, quotas)
-        if len(quotas) < 2 or not sum(usual for usual, _ in demands.values()):
+            server.gained_slice = server.mode == Mode.COLD and (
+                on_hold or not owned_quota_share(state, server, 1)
+            )
+        demands, gaps = demands_and_gaps(state, quotas)
+        if len(quotas) < 2 or not sum(normal for normal, _ in demands.values()):
             return
-        most = 1 if state.settings.exclusive else len(quotas)
-        for table, (usual, _) in demands.items():
-            count = replica_count(table.replicas, table.surplus_runs, usual / 100, most, full)
-            table.replicas, table.surplus_runs = count
+        max_replicas = 1 if state.settings.exclusive else len(quotas)
+        for table, (normal, _) in demands.items():
+            table.replicas, table.surplus_runs = replica_count(
+                table.replicas, table.surplus_runs, normal / 100, max_replicas, full
+            )
         yield TABLE_COST_US * len(tables)
         run = self._prepare(quotas, demands, gaps, full)
         search = run.search
-        if search.widest <= self._deviation + search.deviation * DEVIATION_SLACK and not search.changed:
+        if (
+            search.initial_deviation <= self._deviation + search.deviation * DEVIATION_SLACK
+            and not search.changed
+        ):
             return
-        if search.elsewhere:
-            state.orders.append(face.Solve(search))
+        if search.offloaded:
+            state.orders.append(interface.RunSearch(search))
         yield from search.steps()
-        yield ADOPT_COST_US * len(tables)
-        self._adopt(run)
+        yield APPLY_COST_US * len(tables)
+        self._apply(run)
 
-    def _prepare(self, quotas: dict[ServerState, float], demands: Demands, gaps: Gaps, full: bool) -> Run:
-        """Describe the map that stands, and the search for a better one, by positions alone."""
+    def _prepare(
+        self, quotas: dict[ServerState, float], demands: Demands, gaps: Gaps, full: bool
+    ) -> SearchRun:
+        """Describe the current placement, and the search for a better one, by indices alone."""
         state = self._state
         tables = list(demands)
         servers = list(quotas)
@@ -103,22 +128,24 @@
         placements: list[set[int]] = [set() for _ in servers]
         changed = []
         for unit, table in enumerate(tables):
-            targets = sorted(positions[server] for server in table.wanted if server in positions)
+            targets = sorted(positions[server] for server in table.desired if server in positions)
             for target in targets:
                 placements[target].add(unit)
-            if len(table.wanted) != table.replicas:
+            if len(table.desired) != table.replicas:
                 changed.append((unit, targets, table.replicas))
         memory_gaps = [
-            len(units) * unit_memory - MEMORY_WEIGHT * filled_share(state, server, share) * quotas[server]
+            len(units) * unit_memory
+            - MEMORY_WEIGHT * owned_quota_share(state, server, share) * quotas[server]
             for units, server in zip(placements, servers)
         ]
-        guarded_quotas = {
-            target: max(share, filled_share(state, server, 0)) * quotas[server]
+        slow_start_quotas = {
+            target: max(share, owned_quota_share(state, server, 0)) * quotas[server]
             for server, target in positions.items()
-            if server.guarded
+            if server.in_slow_start
         }
         replica_demands = [
-            (usual / table.replicas, guarded / table.replicas) for table, (usual, guarded) in demands.items()
+            (normal / table.replicas, in_slow_start / table.replicas)
+            for table, (normal, in_slow_start) in demands.items()
         ]
         start = Partition(
             placements,
@@ -126,26 +153,30 @@
             [*gaps.values()],
             replica_demands + [(0.0, 0.0)],
             unit_memory,
-            guarded_quotas,
-            [server.gained for server in servers],
-            2 * DEVIATION if full else 0.0,
+            slow_start_quotas,
+            [server.gained_slice for server in servers],
+            2 * PERMITTED_DEVIATION if full else 0.0,
         )
-        permitted = min(DEVIATION, FLEET_DEVIATION * share)  # the pilots' deviations add up
+        # The deviations that several pilots leave add up.
+        permitted = min(PERMITTED_DEVIATION, FLEET_PERMITTED_DEVIATION * share)
         self._deviation = max(permitted, self._deviation - permitted * DEVIATION_STEP)
         settings = state.settings
-        search = Search(settings.seed, self._draws, start, changed, permitted, settings.elsewhere)
-        modes = [(server.mode, server.gained) for server in servers]
-        return Run(search, tables, servers, [[*table.wanted] for table in tables], modes)
+        search = Search(
+            settings.seed, self._search_counter, start, changed, permitted, settings.offload_search
+        )
+        modes = [(server.mode, server.gained_slice) for server in servers]
+        return SearchRun(search, tables, servers, [[*table.desired] for table in tables], modes)
 
-    def _adopt(self, run: Run) -> None:
-        """Take the outcome over; what has gone, or has been moved, while the search ran stays so."""
+    def _apply(self, run: SearchRun) -> None:
+        """Apply the result, except for tables and servers that have changed while the search ran."""
         state = self._state
         search = run.search
         (self._deviation, moves), placements = search.best
-        self._draws = search.counter
-        text = f"run: gap {search.widest:.0f}, dev {self._deviation:.0f}, {moves} placements"
-        state.orders.append(face.Log(text))
-        usable = self._usable(run)
+        self._search_counter = search.counter
+        deviations = f"{search.initial_deviation:.0f} -> {self._deviation:.0f}"
+        text = f"placement search: deviation {deviations}, {moves} placements changed"
+        state.orders.append(interface.Log(text))
+        eligible = self._eligible(run)
         chosen: list[list[int]] = [[] for _ in run.tables]
         moved: set[int] = set()
         for target, (units, original) in enumerate(zip(placements, search.start.original)):
@@ -158,22 +189,22 @@
             before = run.before[unit]
             if unit not in moved and len(targets) == len(before):
                 continue
-            stands = state.tables.get(table.slice) is table and [*table.wanted] == before
-            if stands and targets and all(usable[target] for target in targets):
-                table.wanted = {run.servers[target]: 1.0 for target in targets}
+            unchanged = state.tables.get(table.slice) is table and [*table.desired] == before
+            if unchanged and targets and all(eligible[target] for target in targets):
+                table.desired = {run.servers[target]: 1.0 for target in targets}
 
-    def _usable(self, run: Run) -> list[bool]:
-        """Whether each server may still gain what the search gave it."""
+    def _eligible(self, run: SearchRun) -> list[bool]:
+        """Whether each server may still gain the slices that the search gave it."""
         quotas = self._state.quotas()
-        usable = []
-        for server, (mode, had_gained) in zip(run.servers, run.modes):
-            gained_since = server.gained and mode in GUARDED_MODES and not had_gained
-            usable.append(server in quotas and server.mode == mode and not gained_since)
-        return usable
+        eligible = []
+        for server, (mode, had_gained_slice) in zip(run.servers, run.modes):
+            gained_since = server.gained_slice and mode in SLOW_START_MODES and not had_gained_slice
+            eligible.append(server in quotas and server.mode == mode and not gained_since)
+        return eligible
 
 
-def on_solved(event: face.Solved) -> None:
-    """Take the answer of a search that was done elsewhere; its run goes on."""
-    event.search.elsewhere = False
+def on_search_result(event: interface.SearchResult) -> None:
+    """Store the result of a search that another process has done, so that its run continues."""
+    event.search.offloaded = False
     event.search.best = event.best
     event.search.counter = event.counter
--- a/flintreach/pilot/registry.py
+++ b/flintreach/pilot/registry.py
@@ -1,42 +1,42 @@
-"""Objects of the decisions by the ids that a protocol gives them; the decisions see no ids."""
+"""Objects of the decisions by the ids that a protocol uses for them; the decisions see no ids."""
 
 import zlib
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 
 
 class Registry:
-    """Servers, slices and proxies, each made when it is first named."""
+    """Servers, slices and proxies, each created when it is first named."""
 
-    def __init__(self, settings: face.Settings) -> None:
-        """Begin with the slices of the settings."""
+    def __init__(self, settings: interface.Settings) -> None:
+        """Create a registry with the slices of the settings."""
         self.slices = {slice_.number: slice_ for slice_ in settings.slices}
-        # Servers come under new ids all day: one that nobody refers to any more is forgotten.
-        self.servers: WeakValueDictionary[str, face.Server] = WeakValueDictionary()
-        self.names: WeakKeyDictionary[face.Server, str] = WeakKeyDictionary()
-        self.proxies: dict[int, face.Proxy] = {}
-        self.made = 0  # servers ever named
-
-    def server(self, name: str) -> face.Server:
-        """Give the server of a name; its `lot` is drawn from the name, so it is the same at every pilot."""
+        # Servers come and go under new ids, so one that is no longer referred to must not be kept alive here.
+        self.servers: WeakValueDictionary[str, interface.Server] = WeakValueDictionary()
+        self.names: WeakKeyDictionary[interface.Server, str] = WeakKeyDictionary()
+        self.proxies: dict[int, interface.Proxy] = {}
+        self.servers_created = 0
+
+    def server(self, name: str) -> interface.Server:
+        """Get a server by its name, from which its `name_hash` is computed, the same at every pilot."""
         server = self.servers.get(name)
         if server is None:
-            server = face.Server(name, lot=zlib.crc32(name.encode()))
+            server = interface.Server(name, name_hash=zlib.crc32(name.encode()))
             self.servers[name] = server
             self.names[server] = name
-            self.made += 1
+            self.servers_created += 1
         return server
 
     @staticmethod
-    def named() -> WeakValueDictionary[int, face.Server]:
-        """Make an empty table of servers by numbers of the caller's own; it keeps none of them alive."""
+    def weak_server_table() -> WeakValueDictionary[int, interface.Server]:
+        """Create an empty table of servers by numbers of the caller's, which keeps no server alive."""
         return WeakValueDictionary()
 
-    def proxy(self, number: int) -> face.Proxy:
-        """Give the proxy of a number."""
-        return self.proxies.setdefault(number, face.Proxy(number))
+    def proxy(self, number: int) -> interface.Proxy:
+        """Get a proxy by its number."""
+        return self.proxies.setdefault(number, interface.Proxy(number))
 
-    def piece(self, number: int) -> face.Slice:
-        """Give the slice of a number."""
-        return self.slices.setdefault(number, face.Slice(number))
+    def slice(self, number: int) -> interface.Slice:
+        """Get a slice by its number."""
+        return self.slices.setdefault(number, interface.Slice(number))
--- a/flintreach/proxy/program.py
+++ b/flintreach/proxy/program.py
@@ -1,7 +1,7 @@
-"""`flintreach proxy`: one process on a machine that clients reach.
+"""The `flintreach proxy` process.
 
-It follows the controllers' updates (`view`), forwards clients' requests (`client_listener`, `forwarding`),
-and reports loads to the controllers.
+It receives updates from the controllers (`view`), forwards client requests (`client_listener`, `forwarding`),
+and reports load to the controllers.
 """
 
 import signal
@@ -15,13 +15,13 @@
 from gevent.event import Event
 
 from flintreach.common.keys import ROLE_CONTROLLER, ROLE_PROXY
-from flintreach.common.log import say
+from flintreach.common.log import log_event
 from flintreach.config import settings
 from flintreach.config.configuration import RequestLimits
 from flintreach.config.settings import parse_address
 from flintreach.dissemination.load_aggregate import LoadAggregate
 from flintreach.dissemination.relay import Relay
-from flintreach.dissemination.relay_tree import parents
+from flintreach.dissemination.relay_tree import choose_parents
 from flintreach.dissemination.versioned_store import VersionedStore
 from flintreach.membership.failure_detector import FailureDetector
 from flintreach.membership.member_list import Member
@@ -35,43 +35,41 @@
 NS_PER_S = 1_000_000_000
 MS_PER_S = 1000
 
-# Places of the programs in a machine's spare ports.
+# Offsets of the programs' ports within a machine's `spare_ports`.
 PROXY_PORT_INDEX = 1
 CONTROLLER_PORT_INDEX = 0
 
-# Names of this process's ports in the settings.
+# Names of this process's ports in the settings file.
 CLIENT_PORT = "front"
 READY_PORT = "ready"
 
-# Roles' names on the wire between instances, as earlier releases wrote them.
-
-# State of a member that has left, on the same wire.
+# State of a member that has left, in the membership protocol.
 LEFT_STATE = 3
 
 LOAD_REPORT_INTERVAL_S = 1.0
 PRUNE_INTERVAL_S = 0.4
 
-# Before clients come, updates must be as fresh.
-FRESH_WITHIN_S = 1.0
-READY_LOOK_INTERVAL_S = 0.05
+# Maximum age of updates for the proxy to become ready.
+READY_MAX_UPDATE_AGE_S = 1.0
+READY_POLL_INTERVAL_S = 0.05
 
-# For so long the draining proxy still accepts connections: clients learn late that it is not ready.
+# A draining proxy accepts connections for this long, since clients learn with a delay that it is not ready.
 DRAIN_NOTICE_S = 1.0
-DRAIN_LOOK_INTERVAL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
-# Of the time that the rules give a draining process, for what comes after the last answer.
+# Part of the grace time that is reserved for shutdown after the last response.
 DRAIN_MARGIN_S = 0.7
 
-# At the address of the `ready` port.
+# Path of the metrics on the `ready` port.
 METRICS_PATH = "/metrics"
 
 
 class Proxy:
-    """The proxy's process: its parts, and the order in which they start and stop."""
+    """The proxy process: owns its components, and starts and stops them in order."""
 
     def __init__(self, node: settings.ProcessSettings) -> None:
         self.node = node
-        sender = node.sender
+        sender = node.identity
         address = node.peer_address(PROXY_PORT_INDEX)
         self.peer_pool = PeerPool(address)
         self.updates = VersionedStore(time.monotonic)
@@ -89,7 +87,7 @@
         self.load_aggregate = LoadAggregate()
         link_mbps = sender.limits.link_mbps
         self.forwarder = Forwarder(self.view, node.bounds, self.metrics, self.load_aggregate, link_mbps)
-        client_post = node.network.posts[CLIENT_PORT]
+        client_post = node.network.listen_addresses[CLIENT_PORT]
         member = Member(
             sender.node_name,
             ROLE_PROXY,
@@ -97,47 +95,48 @@
             sender.zone,
             sender.region,
             {"front": client_post, "mbps": str(link_mbps)},
-            sender.counted,
+            sender.voter_eligible,
             False,
             int(time.time() * MS_PER_S),
         )
         self.failure_detector = FailureDetector(member, self.controller_addresses)
         self.failure_detector.watchers.append(self.update_position)
-        self.relay = Relay(self.peer_pool, self.updates, self.parents, self.load_aggregate.add)
-        self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.limits)
-        ready_address = parse_address(node.network.posts[READY_PORT])
-        self.ready_listener = pywsgi.WSGIServer(ready_address, self.answer_ready, log=None)
+        self.relay = Relay(self.peer_pool, self.updates, self.choose_parents, self.load_aggregate.add_report)
+        self.client_listener = ClientListener(parse_address(client_post), self.forwarder, self.request_limits)
+        ready_address = parse_address(node.network.listen_addresses[READY_PORT])
+        self.ready_listener = pywsgi.WSGIServer(ready_address, self.serve_ready, log=None)
         self.is_ready = False
         self.stopping = Event()
 
     def controller_addresses(self) -> list[tuple[str, int]]:
-        """Where controllers are by the settings, to find the first members."""
+        """Returns the controller addresses from the settings, used to discover the first members."""
         port = self.node.peer_address(CONTROLLER_PORT_INDEX)[1]
         return [(ip, port) for ip in self.node.seeds()]
 
     def confirmed_at(self) -> int:
-        """Steady nanoseconds up to which all that was acknowledged anywhere is known here."""
+        """Returns the monotonic time in nanoseconds up to which all acknowledged updates are known here."""
         return int(self.relay.fresh_at * NS_PER_S)
 
-    def limits(self) -> RequestLimits:
-        """The limits on requests, of the configuration in force."""
+    def request_limits(self) -> RequestLimits:
+        """Returns the request limits of the current configuration."""
         routes = self.view.routes
-        return routes.table.limits if routes else RequestLimits()
+        return routes.configuration.limits if routes else RequestLimits()
 
-    def parents(self) -> list[tuple[str, int]]:
-        """Addresses that updates are to come from, the best first."""
+    def choose_parents(self) -> list[tuple[str, int]]:
+        """Returns the addresses to receive updates from, in order of preference."""
         member_list = self.failure_detector.member_list
         alive = member_list.alive(ROLE_CONTROLLER)
         controllers = [member for member in alive if member.ready] or alive
         if not controllers:
             return []
-        chosen = parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
+        chosen = choose_parents(member_list.local_member, controllers, member_list.alive(ROLE_PROXY))
         return [member.address for member in chosen]
 
     def update_position(self) -> None:
-        """Take in a change of the members.
+        """Handles a change of the member list.
 
-        Shares go by the proxies known of late: one that is missing may only be cut off.
+        Shares are computed from all listed proxies, including those not alive: a missing proxy may only be
+        partitioned from this one and still send its share.
         """
         member_list = self.failure_detector.member_list
         proxies = [member for member in member_list.members.values() if member.role == ROLE_PROXY]
@@ -151,10 +150,10 @@
         )
         position.zone_index = SubsetIndex(zone_names.index(position.name), len(zone_names))
 
-    def answer_ready(
+    def serve_ready(
         self, environ: dict[str, Any], start_response: Callable[[str, list[tuple[str, str]]], Any]
     ) -> list[bytes]:
-        """WSGI application at the `ready` port: whether clients may come, and the metrics."""
+        """WSGI application on the `ready` port: serves the readiness check and the metrics."""
         if environ["PATH_INFO"] == METRICS_PATH:
             start_response("200 OK", [("Content-Type", "text/plain; version=0.0.4")])
             return [self.metrics.text().encode()]
@@ -164,15 +163,15 @@
         return [b"ready\n" if is_ready else b"not ready\n"]
 
     def report_load(self) -> None:
-        """Send loads up to the controllers, again and again."""
+        """Sends load reports to the controllers periodically."""
         while True:
             gevent.sleep(LOAD_REPORT_INTERVAL_S)
-            body = self.load_aggregate.take()
+            body = self.load_aggregate.flush()
             if body:
-                self.relay.send_up(body)
+                self.relay.send_report(body)
 
     def prune_connections(self) -> None:
-        """End connections to endpoints that have lain idle too long, again and again."""
+        """Closes idle connections to endpoints periodically."""
         while True:
             gevent.sleep(PRUNE_INTERVAL_S)
             now_ns = time.monotonic_ns()
@@ -180,51 +179,51 @@
                 endpoint.pool.prune(now_ns)
 
     def run(self) -> int:
-        """Serve until a signal ends the process.
+        """Runs until SIGTERM.
 
         Returns:
-            The process's exit status.
+            Exit status of the process.
         """
         self.peer_pool.start()
         self.failure_detector.start()
         self.relay.start()
         self.ready_listener.start()
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
-        gevent.signal_handler(signal.SIGHUP, self.reread_settings)
-        gevent.spawn(settings.watch, self.reread_settings, gevent.sleep)
+        gevent.signal_handler(signal.SIGHUP, self.reload_settings)
+        gevent.spawn(settings.watch, self.reload_settings, gevent.sleep)
         gevent.spawn(self.report_load)
         gevent.spawn(self.prune_connections)
-        gevent.spawn(self.get_ready)
+        gevent.spawn(self.become_ready)
         self.stopping.wait()
         return self.drain()
 
-    def reread_settings(self) -> None:
-        """Take in the settings file as it is now."""
+    def reload_settings(self) -> None:
+        """Reloads the settings file."""
         self.node = settings.reload(self.node)
 
-    def get_ready(self) -> None:
-        """Let clients come once this process knows what is in force, as fresh as a controller has it."""
+    def become_ready(self) -> None:
+        """Accepts clients once a configuration was received and updates are sufficiently fresh."""
         while not self.stopping.is_set():
-            if self.view.routes is not None and self.relay.age() < FRESH_WITHIN_S:
+            if self.view.routes is not None and self.relay.age() < READY_MAX_UPDATE_AGE_S:
                 break
-            gevent.sleep(READY_LOOK_INTERVAL_S)
+            gevent.sleep(READY_POLL_INTERVAL_S)
         if self.stopping.is_set():
             return
         self.client_listener.start()
         self.is_ready = True
-        self.failure_detector.change(ready=True)
-        say("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
+        self.failure_detector.update_local(ready=True)
+        log_event("ready", edition=self.view.routes.number, endpoints=len(self.view.endpoints))
 
     def drain(self) -> int:
-        """Answer what was read, and end; nobody is sent here any more.
+        """Stops accepting clients, and waits for pending responses up to the grace time.
 
         Returns:
-            The process's exit status.
+            Exit status of the process.
         """
-        say("draining", counts=self.metrics.counts, greatest=self.metrics.greatest())
+        log_event("draining", counts=self.metrics.counts, greatest=self.metrics.max_values())
         self.client_listener.draining = True
         end_s = time.monotonic() + self.node.bounds.grace_s - DRAIN_MARGIN_S
-        self.failure_detector.change(ready=False)
+        self.failure_detector.update_local(ready=False)
         if not self.is_ready:
             return 0
         gevent.sleep(DRAIN_NOTICE_S)
@@ -232,18 +231,18 @@
         while time.monotonic() < end_s:
             for handler in [*self.client_listener.handlers]:
                 if handler.is_idle():
-                    handler.end()
+                    handler.close()
             if not self.client_listener.handlers:
                 break
-            gevent.sleep(DRAIN_LOOK_INTERVAL_S)
-        self.failure_detector.change(state=LEFT_STATE)
-        say("stopped", counts=self.metrics.counts, greatest=self.metrics.greatest())
+            gevent.sleep(DRAIN_POLL_INTERVAL_S)
+        self.failure_detector.update_local(state=LEFT_STATE)
+        log_event("stopped", counts=self.metrics.counts, greatest=self.metrics.max_values())
         return 0
 
 
 def main() -> None:
-    """Run the proxy by this machine's settings; the process ends with it."""
-    # Addresses are numbers: threads that look names up would only cost memory.
+    """Runs the proxy with this machine's settings, and exits the process."""
+    # All addresses are numeric, so the resolver's thread pool would only use memory.
     gevent.config.resolver = "block"
     try:
         node = settings.load()
--- a/flintreach/standins/worlds.py
+++ b/flintreach/standins/worlds.py
@@ -1,64 +1,86 @@
-"""Small worlds round the decisions, played from a seed: the same events in the same order for any text."""
+"""A simulated fleet around the pilot's decisions, driven by a seed: the same seed gives the same events."""
 
 import hashlib
 import random
 
-from flintreach.pilot import interface as face
+from flintreach.pilot import interface
 from flintreach.pilot.interface import SECOND
 
-BEAT = SECOND // 4
+TICK_NS = SECOND // 4
+# Names of orders at the time when the digests in `tests/pilot/test_recorded.py` were recorded.
+RECORDED_NAMES = {
+    interface.BindProxy: "Bind",
+    interface.ClearTable: "Clear",
+    interface.FetchServerList: "FetchRoster",
+    interface.RunSearch: "Solve",
+    interface.SendToPilot: "Tell",
+    interface.SetAdmission: "Admit",
+    interface.SetTimer: "Wake",
+    interface.SetWeight: "SetLine",
+    interface.WatchServers: "Observe",
+}
 
 
-def plain(order) -> tuple:
-    """An order with numbers and names in place of objects."""
-    told = []
+def recorded_form(order) -> tuple:
+    """An order as it was recorded, with numbers and names in place of objects."""
+    fields = []
     for name in order.__slots__:
         value = getattr(order, name)
         if isinstance(value, tuple):
             value = tuple(operation.name for operation in value)
-        told.append((name, getattr(value, "number", getattr(value, "name", value))))
-    return type(order).__name__, *told
+        fields.append((name, getattr(value, "number", getattr(value, "name", value))))
+    return RECORDED_NAMES.get(type(order), type(order).__name__), *fields
 
 
-class World:
-    """`make(settings)` gives the decisions.  Servers drain, go, come back and start anew; slices grow hot,
-    are lost and given; marks get lost, sums show failures and late answers."""
+class SimulatedFleet:
+    """A fleet around the decisions that `make(settings)` returns.
+
+    Servers drain, leave, come back and restart; slices become hot, are lost and assigned; some confirmations
+    get lost, and reports show failures and high latencies.
+    """
 
     def __init__(self, make, seed: int, servers: int, proxies: int, slices: int):
-        self.rnd, self.now = random.Random(seed), 100 * SECOND
+        self.rng, self.now = random.Random(seed), 100 * SECOND
         operations = [
-            face.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
-            face.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
+            interface.Operation("look", 0, SECOND, 3 * SECOND, 1.0),
+            interface.Operation("book", 1, SECOND, 3 * SECOND, 5.0, "side-effecting", writes=True),
         ]
-        self.settings = face.Settings(
+        self.settings = interface.Settings(
             seed=seed,
             proxies=proxies,
             operations=operations,
             cold_share=0.2,
             warm_up=10 * SECOND,
-            slices=[face.Slice(n) for n in range(slices)],
+            slices=[interface.Slice(n) for n in range(slices)],
             channel_limit=50.0 * proxies,
             messages_most=20,
             load_fields=("util",),
             probes=True,
         )
-        self.servers = [face.Server(f"s{n}") for n in range(servers)]
-        self.proxies = [face.Proxy(n) for n in range(proxies)]
+        self.servers = [interface.Server(f"s{n}") for n in range(servers)]
+        self.proxies = [interface.Proxy(n) for n in range(proxies)]
         self.states = dict.fromkeys(self.servers, ("ready", 0))
         self.tables, self.replies, self.pilot = {}, [], make(self.settings)
-        events = [face.Roster("cached", [face.Entry(server, "ready", 1.0, 0) for server in self.servers])]
-        events += [face.Joined(proxy, True) for proxy in self.proxies]
-        for n, piece in enumerate(self.settings.slices):
+        events = [
+            interface.ServerList(
+                "cached", [interface.ServerEntry(server, "ready", 1.0, 0) for server in self.servers]
+            )
+        ]
+        events += [interface.ProxyJoined(proxy, True) for proxy in self.proxies]
+        for n, slice_ in enumerate(self.settings.slices):
             server = self.servers[n % servers]
-            events += [face.Given(piece, bool(n % 7 or seed % 2)), face.Held(piece, server, 1.0)]
-            self.tables[piece] = {server: 1.0}
-        self.rates = [self.rnd.lognormvariate(0, 0.8) * 20 for _ in range(slices)]
-        self.say(events)
+            events += [
+                interface.SliceAssignment(slice_, bool(n % 7 or seed % 2)),
+                interface.SliceReplica(slice_, server, 1.0),
+            ]
+            self.tables[slice_] = {server: 1.0}
+        self.rates = [self.rng.lognormvariate(0, 0.8) * 20 for _ in range(slices)]
+        self.handle(events)
 
-    def say(self, events: list) -> list:
+    def handle(self, events: list) -> list:
         orders = self.pilot.handle(self.now, events)
         for order in orders:
-            if isinstance(order, face.SetLine):
+            if isinstance(order, interface.SetWeight):
                 table = self.tables[order.slice]
                 table.pop(order.server, None)
                 if order.weight:
@@ -66,65 +88,72 @@
         self.replies.append(orders)
         return orders
 
-    def sums(self) -> list:
-        came = dict.fromkeys(self.servers, 0.0)
-        for piece, rate in zip(self.settings.slices, self.rates):
-            for server in self.tables[piece]:
-                came[server] += rate / len(self.tables[piece])
-        mean, rnd, found = sum(came.values()) / len(came) + 1e-9, self.rnd, []
-        for server, count in came.items():
+    def reports(self) -> list:
+        arrivals = dict.fromkeys(self.servers, 0.0)
+        for slice_, rate in zip(self.settings.slices, self.rates):
+            for server in self.tables[slice_]:
+                arrivals[server] += rate / len(self.tables[slice_])
+        mean, rng, reports = sum(arrivals.values()) / len(arrivals) + 1e-9, self.rng, []
+        for server, count in arrivals.items():
             if round(count):
-                part = 1 if self.states[server][0] == "gone" else rnd.choice([0, 0, 0, 0.1, 0.5])
-                latency = int(SECOND * (0.1 + 0.3 * count / mean * rnd.random()))
-                found.append(
-                    face.Heard(
+                unanswered_share = 1 if self.states[server][0] == "gone" else rng.choice([0, 0, 0, 0.1, 0.5])
+                latency = int(SECOND * (0.1 + 0.3 * count / mean * rng.random()))
+                reports.append(
+                    interface.ServerReport(
                         0,
                         server,
                         round(count),
-                        round(count * part),
+                        round(count * unanswered_share),
                         latency,
                         SECOND,
                         {"util": min(1, 0.5 * count / mean)},
                     )
                 )
-        look = self.settings.operations[0]
-        for piece, rate in zip(self.settings.slices, self.rates):
-            unanswered = round(rate * rnd.choice([0, 0, 0.3]))
-            found.append(face.Demand(piece, None, look, round(rate), unanswered, SECOND))
-        return found
+        operation = self.settings.operations[0]
+        for slice_, rate in zip(self.settings.slices, self.rates):
+            unanswered = round(rate * rng.choice([0, 0, 0.3]))
+            reports.append(interface.DemandReport(slice_, None, operation, round(rate), unanswered, SECOND))
+        return reports
 
-    def beat(self, number: int) -> None:
-        rnd, self.now = self.rnd, self.now + BEAT
-        marks = [order.number for order in self.replies[-1] if isinstance(order, face.Mark)]
+    def tick(self, number: int) -> None:
+        rng, self.now = self.rng, self.now + TICK_NS
+        marks = [order.number for order in self.replies[-1] if isinstance(order, interface.Mark)]
         events = [
-            face.Applied(proxy, mark, 0) for mark in marks for proxy in self.proxies if rnd.random() < 0.98
+            interface.OrdersApplied(proxy, mark, 0)
+            for mark in marks
+            for proxy in self.proxies
+            if rng.random() < 0.98
         ]
-        if rnd.random() < 0.1:
-            self.rates[rnd.randrange(len(self.rates))] *= rnd.choice([0.2, 8])
-        if rnd.random() < 0.12:
-            server, what = rnd.choice(self.servers), rnd.choice(["draining", "gone", "ready", "restart"])
+        if rng.random() < 0.1:
+            self.rates[rng.randrange(len(self.rates))] *= rng.choice([0.2, 8])
+        if rng.random() < 0.12:
+            server, change = rng.choice(self.servers), rng.choice(["draining", "gone", "ready", "restart"])
             started = self.states[server][1]
-            self.states[server] = ("ready", self.now) if what == "restart" else (what, started)
+            self.states[server] = ("ready", self.now) if change == "restart" else (change, started)
             events.append(
-                face.Roster(
-                    "delta", [face.Entry(server, self.states[server][0], 1.0, self.states[server][1])]
+                interface.ServerList(
+                    "delta",
+                    [interface.ServerEntry(server, self.states[server][0], 1.0, self.states[server][1])],
                 )
             )
-        if rnd.random() < 0.05:
-            piece = rnd.choice(self.settings.slices)
-            events.append(face.Given(piece, rnd.random() < 0.8))
-            events += [face.Held(piece, server, weight) for server, weight in self.tables[piece].items()]
-        if rnd.random() < 0.05:
-            events.append(face.Probed(rnd.choice(self.servers), "timeout", 0, {}))
+        if rng.random() < 0.05:
+            slice_ = rng.choice(self.settings.slices)
+            events.append(interface.SliceAssignment(slice_, rng.random() < 0.8))
+            events += [
+                interface.SliceReplica(slice_, server, weight)
+                for server, weight in self.tables[slice_].items()
+            ]
+        if rng.random() < 0.05:
+            events.append(interface.ProbeResult(rng.choice(self.servers), "timeout", 0, {}))
         if number % 4 == 0:
-            events += self.sums()
-        self.say([*events, face.Woke(0)])
+            events += self.reports()
+        self.handle([*events, interface.TimerFired(0)])
 
-    def play(self, seconds: int) -> str:
-        """The digest of all orders."""
+    def run(self, seconds: int) -> str:
+        """Simulate some seconds, and return the digest of all orders so far."""
         for number in range(4 * seconds):
-            self.beat(number)
+            self.tick(number)
         digest = hashlib.sha256()
         for orders in self.replies:
-            digest.update(repr([plain(order) for order in orders]).encode())
+            digest.update(repr([recorded_form(order) for order in orders]).encode())
         return digest.hexdigest()[:16]
--- a/tests/pilot/test_logic.py
+++ b/tests/pilot/test_logic.py
@@ -1,24 +1,24 @@
-"""The coordinator: the shared table, and the same orders for the same events."""
+"""The coordinator: the shared table, and determinism."""
 
 from tests.helpers import Fleet
 
 
-def test_without_slices_all_open_servers_share_one_table():
+def test_without_slices_all_available_servers_share_one_table():
     fleet = Fleet(slices=0)
     fleet.run(1)
     (table,) = [table for table in fleet.tables.values() if table]
     assert set(table) == set(fleet.servers)
-    fleet.say(fleet.roster(s2="gone"))
+    fleet.handle(fleet.server_list(s2="gone"))
     fleet.run(1)
     assert fleet.servers[2] not in table
 
 
 def test_the_same_events_give_the_same_orders():
-    def day():
+    def run():
         fleet = Fleet(servers=5, slices=20)
         fleet.rates[fleet.slices[3]] = 60
         fleet.run(15)
-        fleet.say(fleet.roster(s1="gone"))
+        fleet.handle(fleet.server_list(s1="gone"))
         fleet.run(15)
         return [
             (now, type(order).__name__, getattr(order, "weight", None))
@@ -26,4 +26,4 @@
             for order in orders
         ]
 
-    assert day() == day()
+    assert run() == run()
